--- a/agent/src/control/control_loop.rs
+++ b/agent/src/control/control_loop.rs
@@ -160,7 +160,7 @@
                 self.step(AgentEvent::HandedOver { ticket, work }, None);
             }
             ControlMessage::Order { order, verdict } => {
-                self.step(AgentEvent::Ordered(order), Some(verdict));
+                self.step(AgentEvent::OrderReceived(order), Some(verdict));
             }
             ControlMessage::Subscribe { batches } => {
                 let snapshot = self.core.snapshot();
--- a/agent/src/control/subscriber_set.rs
+++ b/agent/src/control/subscriber_set.rs
@@ -1,6 +1,6 @@
 use {
     async_channel::{Sender, TrySendError},
-    pitchhitch_core::role::{AgentPulse, EventBatch, UpwardEvent},
+    pitchhitch_core::role::{AgentPulse, EndpointEvent, EventBatch},
 };
 
 /// Events in one batch at most, so that a batch stays far below the frame limit.
@@ -33,7 +33,7 @@
     pub fn add(
         &mut self,
         batches: Sender<EventBatch>,
-        snapshot: Vec<UpwardEvent>,
+        snapshot: Vec<EndpointEvent>,
         pulse: AgentPulse,
     ) {
         let mut subscriber = Subscriber { batches, next: 0 };
@@ -45,7 +45,7 @@
     /// Sends events, or just the pulse when there are none.
     pub fn publish(
         &mut self,
-        events: &[UpwardEvent],
+        events: &[EndpointEvent],
         pulse: AgentPulse,
     ) {
         self.subscribers.retain_mut(|s| s.send(events, pulse));
@@ -59,7 +59,7 @@
     /// subscriber sees the gap and asks for everything anew.
     fn send(
         &mut self,
-        events: &[UpwardEvent],
+        events: &[EndpointEvent],
         pulse: AgentPulse,
     ) -> bool {
         if events.is_empty() {
@@ -72,7 +72,7 @@
 
     fn send_batch(
         &mut self,
-        events: &[UpwardEvent],
+        events: &[EndpointEvent],
         pulse: AgentPulse,
     ) -> bool {
         let batch = EventBatch {
--- a/agent/src/endpoint/endpoint_watch.rs
+++ b/agent/src/endpoint/endpoint_watch.rs
@@ -22,7 +22,7 @@
         match look(&client).await {
             Some(version) => {
                 failures = 0;
-                handle.tell(AgentEvent::HealthSeen {
+                handle.tell(AgentEvent::HealthChecked {
                     healthy: true,
                     version,
                 });
@@ -34,7 +34,7 @@
                 failures += 1;
                 if failures >= FAILURE_LIMIT {
                     next_change = None;
-                    handle.tell(AgentEvent::HealthSeen {
+                    handle.tell(AgentEvent::HealthChecked {
                         healthy: false,
                         version: None,
                     });
@@ -73,7 +73,7 @@
     let next = from + news.changes.len() as u64;
     if !news.changes.is_empty() {
         let changes = news.changes.into_iter().map(CacheChange::from).collect();
-        handle.tell(AgentEvent::CacheNews {
+        handle.tell(AgentEvent::CacheChanged {
             first: from,
             changes,
         });
--- a/agent/src/links/link_listener.rs
+++ b/agent/src/links/link_listener.rs
@@ -66,7 +66,9 @@
             send_events(&context, &mut replies).await;
         }
         LinkCall::Notice(notice) => {
-            context.handle.tell(AgentEvent::Noticed(notice));
+            context
+                .handle
+                .tell(AgentEvent::ConfigNoticeReceived(notice));
             answer_once(replies, LinkReply::Taken).await;
         }
         LinkCall::Drop(plan) => {
--- a/agent/src/moves/piece_mover.rs
+++ b/agent/src/moves/piece_mover.rs
@@ -155,9 +155,9 @@
         plan: ExportPlan,
     ) {
         let pieces = plan.pieces.len() as i32;
-        self.handle.tell(AgentEvent::ExportCount(pieces));
+        self.handle.tell(AgentEvent::ExportCountChanged(pieces));
         if self.plans.try_send(plan).is_err() {
-            self.handle.tell(AgentEvent::ExportCount(-pieces));
+            self.handle.tell(AgentEvent::ExportCountChanged(-pieces));
             self.metrics.count("link.export_skipped", pieces as u64);
         }
     }
@@ -174,7 +174,7 @@
                     self.yield_to_imports().await;
                     going = self.export_one(&store, &plan, *key).await;
                 }
-                self.handle.tell(AgentEvent::ExportCount(-1));
+                self.handle.tell(AgentEvent::ExportCountChanged(-1));
             }
         }
     }
--- a/core/src/role/agent_action.rs
+++ b/core/src/role/agent_action.rs
@@ -1,5 +1,5 @@
 use {
-    super::{GateRefusal, StampedOrder, UpwardEvent, WorkTicket},
+    super::{EndpointEvent, GateRefusal, StampedOrder, WorkTicket},
     crate::lease::FenceRefusal,
 };
 
@@ -11,7 +11,7 @@
     /// Tell the entry process that work did not run.
     Refuse(GateRefusal),
     /// Tell all subscribed entry processes.
-    Publish(Vec<UpwardEvent>),
+    Publish(Vec<EndpointEvent>),
     /// Ask the engine for its whole cache: something was missed.
     ListCache,
     /// Carry out an order that passed the fence.
--- a/core/src/role/agent_core.rs
+++ b/core/src/role/agent_core.rs
@@ -1,7 +1,7 @@
 use {
     super::{
         agent_work::RunningWork, AgentAction, AgentEvent, AgentIdentity, AgentPulse, CacheMirror,
-        ConfigNotice, GateWork, NewsOutcome, ServiceMeter, UpwardEvent, WorkTicket,
+        ChangeOutcome, ConfigNotice, EndpointEvent, GateWork, ServiceMeter, WorkTicket,
     },
     crate::{
         errors::ErrorKind, lease::OrderFence, limit::FairQueue, member::AgentBeacon,
@@ -63,55 +63,61 @@
         match event {
             AgentEvent::Tick => self.tick(now, &mut actions),
             AgentEvent::HandedOver { ticket, work } => {
-                self.handed_over(now, ticket, work, &mut actions)
+                self.on_handed_over(now, ticket, work, &mut actions)
             }
             AgentEvent::Sent { ticket, prompt } => {
-                self.sent(now, ticket);
+                self.on_sent(now, ticket);
                 if let Some(prompt) = prompt {
-                    actions.push(AgentAction::Publish(vec![UpwardEvent::PromptUsed(prompt)]));
+                    actions.push(AgentAction::Publish(vec![EndpointEvent::PromptUsed(
+                        prompt,
+                    )]));
                 }
             }
             AgentEvent::StoreFull { store } => {
-                actions.push(AgentAction::Publish(vec![UpwardEvent::StoreFull { store }]));
+                actions.push(AgentAction::Publish(vec![EndpointEvent::StoreFull {
+                    store,
+                }]));
             }
-            AgentEvent::FirstToken { ticket, computed } => self.first_token(now, ticket, computed),
-            AgentEvent::Ended { ticket } => self.ended(now, ticket),
-            AgentEvent::HealthSeen { healthy, version } => {
-                self.health_seen(healthy, version, &mut actions)
+            AgentEvent::FirstToken { ticket, computed } => {
+                self.on_first_token(now, ticket, computed)
             }
-            AgentEvent::CacheNews { first, changes } => {
-                if self.mirror.apply_news(first, &changes) == NewsOutcome::Gap {
+            AgentEvent::Ended { ticket } => self.on_ended(now, ticket),
+            AgentEvent::HealthChecked { healthy, version } => {
+                self.on_health_checked(healthy, version, &mut actions)
+            }
+            AgentEvent::CacheChanged { first, changes } => {
+                if self.mirror.apply_changes(first, &changes) == ChangeOutcome::Gap {
                     actions.push(AgentAction::ListCache);
                 } else {
-                    let events = changes.into_iter().map(UpwardEvent::from).collect();
+                    let events = changes.into_iter().map(EndpointEvent::from).collect();
                     actions.push(AgentAction::Publish(events));
                 }
             }
             AgentEvent::CacheListed { next, keys } => {
-                let mut events = vec![UpwardEvent::Cleared];
-                events.extend(keys.iter().copied().map(UpwardEvent::Cached));
+                let mut events = vec![EndpointEvent::Cleared];
+                events.extend(keys.iter().copied().map(EndpointEvent::Cached));
                 self.mirror.replace(next, keys);
                 actions.push(AgentAction::Publish(events));
             }
             AgentEvent::Stored(notice) => {
-                self.mirror.stored(notice.clone());
-                actions.push(AgentAction::Publish(vec![UpwardEvent::Stored(notice)]));
+                self.mirror.add_stored(notice.clone());
+                actions.push(AgentAction::Publish(vec![EndpointEvent::Stored(notice)]));
             }
             AgentEvent::Missing(notice) => {
-                self.mirror.missing(&notice);
-                actions.push(AgentAction::Publish(vec![UpwardEvent::Missing(notice)]));
+                self.mirror.remove_stored(&notice);
+                actions.push(AgentAction::Publish(vec![EndpointEvent::Missing(notice)]));
             }
-            AgentEvent::ExportCount(change) => {
+            AgentEvent::ExportCountChanged(change) => {
                 self.exporting = self.exporting.saturating_add_signed(change);
             }
-            AgentEvent::Noticed(notice) => self.noticed(notice, &mut actions),
+            AgentEvent::ConfigNoticeReceived(notice) => self.on_config_notice(notice, &mut actions),
             AgentEvent::BoxLeaving => {
                 self.box_leaving = true;
                 self.refuse_queued(ErrorKind::EndpointLeaving, &mut actions);
             }
             AgentEvent::EpochRead(epoch) => self.fence.epoch_read(epoch),
-            AgentEvent::Ordered(order) => self.ordered(order, &mut actions),
-            AgentEvent::OrderEnded(outcome) => self.order_ended(outcome, &mut actions),
+            AgentEvent::OrderReceived(order) => self.on_order(order, &mut actions),
+            AgentEvent::OrderEnded(outcome) => self.on_order_ended(outcome, &mut actions),
         }
         self.start_queued(now, &mut actions);
         actions
@@ -166,7 +172,7 @@
     }
 
     /// Everything known of the cache, for a new subscriber.
-    pub fn snapshot(&self) -> Vec<UpwardEvent> {
+    pub fn snapshot(&self) -> Vec<EndpointEvent> {
         self.mirror.snapshot()
     }
 
--- a/core/src/role/agent_event.rs
+++ b/core/src/role/agent_event.rs
@@ -42,14 +42,14 @@
         ticket: WorkTicket,
     },
     /// The endpoint answered a health check, or did not.
-    HealthSeen {
+    HealthChecked {
         /// Whether it answered.
         healthy: bool,
         /// Weight version that it holds, if it is an engine and answered.
         version: Option<String>,
     },
     /// The engine published cache news.
-    CacheNews {
+    CacheChanged {
         /// Number of the first change.
         first: u64,
         /// The changes.
@@ -67,15 +67,15 @@
     /// A piece was not found on a store box.
     Missing(super::MissingNotice),
     /// Exports began (positive) or ended (negative).
-    ExportCount(i32),
+    ExportCountChanged(i32),
     /// An entry process sent what the configuration says.
-    Noticed(ConfigNotice),
+    ConfigNoticeReceived(ConfigNotice),
     /// The box list or the operating system says that this box is leaving.
     BoxLeaving,
     /// The table was read for the epoch of this endpoint's shard.
     EpochRead(u64),
     /// An entry process gives an order.
-    Ordered(StampedOrder),
+    OrderReceived(StampedOrder),
     /// An order ended.
     OrderEnded(OrderOutcome),
 }
--- a/core/src/role/agent_orders.rs
+++ b/core/src/role/agent_orders.rs
@@ -2,25 +2,25 @@
 
 use {
     super::{
-        AgentAction, AgentCore, ConfigNotice, EndpointOrder, OrderOutcome, StampedOrder,
-        UpwardEvent,
+        AgentAction, AgentCore, ConfigNotice, EndpointEvent, EndpointOrder, OrderOutcome,
+        StampedOrder,
     },
     crate::{errors::ErrorKind, route::EndpointKind},
 };
 
 impl AgentCore {
-    pub(super) fn health_seen(
+    pub(super) fn on_health_checked(
         &mut self,
         healthy: bool,
         version: Option<String>,
         actions: &mut Vec<AgentAction>,
     ) {
         if let Some(version) = version {
-            self.version_seen(version, actions);
+            self.update_version(version, actions);
         }
         if self.healthy && !healthy {
-            self.mirror.forget();
-            actions.push(AgentAction::Publish(vec![UpwardEvent::Cleared]));
+            self.mirror.clear();
+            actions.push(AgentAction::Publish(vec![EndpointEvent::Cleared]));
             self.refuse_queued(ErrorKind::EndpointUnreachable, actions);
         }
         if !self.healthy && healthy {
@@ -30,7 +30,7 @@
     }
 
     /// The engine says what it holds; that beats what the settings or an order said.
-    fn version_seen(
+    fn update_version(
         &mut self,
         seen: String,
         actions: &mut Vec<AgentAction>,
@@ -41,12 +41,12 @@
         if let EndpointKind::Engine { version, .. } = &mut self.identity.kind {
             if *version != seen {
                 *version = seen.clone();
-                actions.push(AgentAction::Publish(vec![UpwardEvent::Version(seen)]));
+                actions.push(AgentAction::Publish(vec![EndpointEvent::Version(seen)]));
             }
         }
     }
 
-    pub(super) fn noticed(
+    pub(super) fn on_config_notice(
         &mut self,
         notice: ConfigNotice,
         actions: &mut Vec<AgentAction>,
@@ -64,7 +64,7 @@
         }
     }
 
-    pub(super) fn ordered(
+    pub(super) fn on_order(
         &mut self,
         order: StampedOrder,
         actions: &mut Vec<AgentAction>,
@@ -83,7 +83,7 @@
         }
     }
 
-    pub(super) fn order_ended(
+    pub(super) fn on_order_ended(
         &mut self,
         outcome: OrderOutcome,
         actions: &mut Vec<AgentAction>,
@@ -93,10 +93,10 @@
         if outcome.failure.is_none() {
             if let EndpointKind::Engine { version, .. } = &mut self.identity.kind {
                 *version = outcome.version.clone();
-                events.push(UpwardEvent::Version(outcome.version.clone()));
+                events.push(EndpointEvent::Version(outcome.version.clone()));
             }
         }
-        events.push(UpwardEvent::OrderEnded(outcome));
+        events.push(EndpointEvent::OrderEnded(outcome));
         actions.push(AgentAction::Publish(events));
     }
 }
--- a/core/src/role/agent_work.rs
+++ b/core/src/role/agent_work.rs
@@ -12,11 +12,11 @@
     started_at: Micros,
     sent_at: Option<Micros>,
     pub(super) first_token: bool,
-    alone: bool,
+    is_sole_prefill: bool,
 }
 
 impl AgentCore {
-    pub(super) fn handed_over(
+    pub(super) fn on_handed_over(
         &mut self,
         now: Micros,
         ticket: WorkTicket,
@@ -104,14 +104,14 @@
                 started_at: now,
                 sent_at: None,
                 first_token: false,
-                alone: false,
+                is_sole_prefill: false,
             };
             self.running.insert(next.key, work);
             actions.push(AgentAction::Start(next.key));
         }
     }
 
-    pub(super) fn sent(
+    pub(super) fn on_sent(
         &mut self,
         now: Micros,
         ticket: WorkTicket,
@@ -120,11 +120,11 @@
         let busy = self.running.values().any(computing);
         if let Some(work) = self.running.get_mut(&ticket) {
             work.sent_at = Some(now);
-            work.alone = !busy;
+            work.is_sole_prefill = !busy;
         }
     }
 
-    pub(super) fn first_token(
+    pub(super) fn on_first_token(
         &mut self,
         now: Micros,
         ticket: WorkTicket,
@@ -138,18 +138,18 @@
         }
         work.first_token = true;
         let tokens = computed.unwrap_or(work.tokens);
-        if let Some(sent_at) = work.sent_at.filter(|_| work.alone) {
-            self.meter.saw_prefill(tokens, now.since(sent_at));
+        if let Some(sent_at) = work.sent_at.filter(|_| work.is_sole_prefill) {
+            self.meter.record_prefill(tokens, now.since(sent_at));
         }
     }
 
-    pub(super) fn ended(
+    pub(super) fn on_ended(
         &mut self,
         now: Micros,
         ticket: WorkTicket,
     ) {
         if let Some(work) = self.running.remove(&ticket) {
-            self.meter.saw_request(now.since(work.started_at));
+            self.meter.record_request(now.since(work.started_at));
             return;
         }
         if self.queue.remove(ticket) {
--- a/core/src/role/cache_mirror.rs
+++ b/core/src/role/cache_mirror.rs
@@ -1,11 +1,11 @@
 use {
-    super::{CacheChange, MissingNotice, StoredNotice, UpwardEvent},
+    super::{CacheChange, EndpointEvent, MissingNotice, StoredNotice},
     crate::kept::PieceKey,
     std::collections::{BTreeMap, BTreeSet},
 };
 
 /// Stored pieces that an agent remembers for new subscribers.
-const STORED_LIMIT: usize = 65_536;
+const MAX_STORED_PIECES: usize = 65_536;
 
 /// What an agent knows of its engine's cache and of the pieces it sealed.
 #[derive(Debug, Clone, Default)]
@@ -17,7 +17,7 @@
 
 /// What came of cache news.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum NewsOutcome {
+pub enum ChangeOutcome {
     /// They joined on to what was known.
     Applied,
     /// Something between was missed.
@@ -26,13 +26,13 @@
 
 impl CacheMirror {
     /// Applies news of the engine if they join on to what is known.
-    pub fn apply_news(
+    pub fn apply_changes(
         &mut self,
         first: u64,
         changes: &[CacheChange],
-    ) -> NewsOutcome {
+    ) -> ChangeOutcome {
         if self.next_change != Some(first) {
-            return NewsOutcome::Gap;
+            return ChangeOutcome::Gap;
         }
         for change in changes {
             match change {
@@ -46,7 +46,7 @@
             }
         }
         self.next_change = Some(first + changes.len() as u64);
-        NewsOutcome::Applied
+        ChangeOutcome::Applied
     }
 
     /// Replaces everything by a whole list of the engine.
@@ -60,24 +60,24 @@
     }
 
     /// Forgets the engine's cache, as after its restart.
-    pub fn forget(&mut self) {
+    pub fn clear(&mut self) {
         self.cached.clear();
         self.next_change = None;
     }
 
     /// Notes a sealed piece.
-    pub fn stored(
+    pub fn add_stored(
         &mut self,
         notice: StoredNotice,
     ) {
-        if self.stored.len() >= STORED_LIMIT {
+        if self.stored.len() >= MAX_STORED_PIECES {
             self.stored.pop_first();
         }
         self.stored.insert(notice.key, notice);
     }
 
     /// Notes that a stored piece is gone.
-    pub fn missing(
+    pub fn remove_stored(
         &mut self,
         notice: &MissingNotice,
     ) {
@@ -91,19 +91,19 @@
     }
 
     /// Everything that is known, as events for a new subscriber.
-    pub fn snapshot(&self) -> Vec<UpwardEvent> {
-        let cached = self.cached.iter().copied().map(UpwardEvent::Cached);
-        let stored = self.stored.values().cloned().map(UpwardEvent::Stored);
+    pub fn snapshot(&self) -> Vec<EndpointEvent> {
+        let cached = self.cached.iter().copied().map(EndpointEvent::Cached);
+        let stored = self.stored.values().cloned().map(EndpointEvent::Stored);
         cached.chain(stored).collect()
     }
 }
 
-impl From<CacheChange> for UpwardEvent {
+impl From<CacheChange> for EndpointEvent {
     fn from(change: CacheChange) -> Self {
         match change {
-            CacheChange::Added(key) => UpwardEvent::Cached(key),
-            CacheChange::Dropped(key) => UpwardEvent::Evicted(key),
-            CacheChange::Cleared => UpwardEvent::Cleared,
+            CacheChange::Added(key) => EndpointEvent::Cached(key),
+            CacheChange::Dropped(key) => EndpointEvent::Evicted(key),
+            CacheChange::Cleared => EndpointEvent::Cleared,
         }
     }
 }
--- a/core/src/role/endpoint_roster.rs
+++ b/core/src/role/endpoint_roster.rs
@@ -1,5 +1,5 @@
 use {
-    super::{AgentPulse, LoadChange, RosterChange, RosterEntry, RosterVerdict},
+    super::{AgentPulse, LivenessReport, LoadChange, RosterChange, RosterEntry},
     crate::{
         conf::FleetConfig,
         labels::LabelSet,
@@ -64,7 +64,7 @@
     }
 
     /// Takes in what an agent says of itself.
-    pub fn heard(
+    pub fn apply_beacon(
         &mut self,
         beacon: &AgentBeacon,
         own: SentLoad,
@@ -77,22 +77,22 @@
             Some(known) if beacon.incarnation == known => {}
             _ => {
                 self.insert(beacon, config, now);
-                self.note_load(&beacon.endpoint_id, beacon.pulse, own, now);
+                self.update_load(&beacon.endpoint_id, beacon.pulse, own, now);
                 return RosterChange::Joined;
             }
         }
         let mut change = RosterChange::None;
         if self.set_version(&beacon.endpoint_id, &beacon.kind) {
-            change = RosterChange::Altered;
+            change = RosterChange::PoolMembership;
         }
         if let Some(entry) = self.entries.get_mut(&beacon.endpoint_id) {
             entry.revision = entry.revision.max(beacon.revision);
         }
-        match self.note_load(&beacon.endpoint_id, beacon.pulse, own, now) {
+        match self.update_load(&beacon.endpoint_id, beacon.pulse, own, now) {
             LoadChange::None => change,
             LoadChange::Load if change == RosterChange::None => RosterChange::Load,
             LoadChange::Load => change,
-            LoadChange::Refusal => RosterChange::Altered,
+            LoadChange::Refusal => RosterChange::PoolMembership,
         }
     }
 
@@ -120,10 +120,10 @@
             refusing: beacon.pulse.refusing,
             exporting: beacon.pulse.exporting,
             heard_at: now,
-            awaited: None,
+            awaited_report: None,
             next_event: None,
             revision: beacon.revision,
-            notified: None,
+            last_notice: None,
             loading: None,
             guard: OutlierGuard::default(),
         };
@@ -161,7 +161,7 @@
     }
 
     /// Notes the load of an endpoint.
-    pub fn note_load(
+    pub fn update_load(
         &mut self,
         endpoint_id: &str,
         pulse: AgentPulse,
@@ -172,7 +172,9 @@
             return LoadChange::None;
         };
         entry.heard_at = now;
-        entry.awaited = entry.awaited.and_then(|word| word.after(pulse, now));
+        entry.awaited_report = entry
+            .awaited_report
+            .and_then(|report| report.after_report(pulse, now));
         entry.exporting = pulse.exporting;
         let altered = entry.refusing != pulse.refusing;
         entry.refusing = pulse.refusing;
@@ -194,34 +196,36 @@
     }
 
     /// Judges anew who is alive.
-    pub fn judge(
+    pub fn check_liveness(
         &mut self,
         now: Micros,
-    ) -> RosterVerdict {
-        let mut verdict = RosterVerdict::default();
+    ) -> LivenessReport {
+        let mut report = LivenessReport::default();
         for (id, entry) in &self.entries {
             let silent = now.since(entry.heard_at);
-            let awaited = entry
-                .awaited
-                .map_or(Micros::ZERO, |word| now.since(word.since));
+            let unreported = entry
+                .awaited_report
+                .map_or(Micros::ZERO, |awaited| now.since(awaited.since));
             let load = self.loads.get_mut(entry.key);
             let idle = load.as_ref().is_none_or(|l| l.report.running == 0);
             let factor = if idle { IDLE_FACTOR } else { 1 };
             if silent >= REMOVE_AFTER {
-                verdict.gone.push(id.clone());
-            } else if (silent.0 >= HUNG_AFTER.0 * factor || awaited >= HUNG_AFTER) && entry.linked {
-                verdict.hung_links.push(id.clone());
+                report.expired.push(id.clone());
+            } else if (silent.0 >= HUNG_AFTER.0 * factor || unreported >= HUNG_AFTER)
+                && entry.linked
+            {
+                report.hung_links.push(id.clone());
             }
             if let Some(load) = load {
-                let heard = silent.0 < SUSPECT_AFTER.0 * factor && awaited < SUSPECT_AFTER;
+                let heard = silent.0 < SUSPECT_AFTER.0 * factor && unreported < SUSPECT_AFTER;
                 let alive = entry.linked && heard && !entry.guard.is_out(now);
                 let penalty = entry.guard.penalty(now);
-                verdict.changed |= load.alive != alive || load.penalty != penalty;
+                report.changed |= load.alive != alive || load.penalty != penalty;
                 load.alive = alive;
                 load.penalty = penalty;
             }
         }
-        verdict
+        report
     }
 
     /// Notes the version that an engine holds now; true when it is another.
--- a/core/src/role/entry_action.rs
+++ b/core/src/role/entry_action.rs
@@ -132,7 +132,7 @@
 
 impl PlacementKind {
     /// The word in log lines.
-    pub const fn word(self) -> &'static str {
+    pub const fn as_str(self) -> &'static str {
         match self {
             PlacementKind::EndpointJoined => "endpoint-joined",
             PlacementKind::EndpointLost => "endpoint-lost",
--- a/core/src/role/entry_configs.rs
+++ b/core/src/role/entry_configs.rs
@@ -1,7 +1,7 @@
 //! What the platform says: configuration and boxes.
 
 use {
-    super::{BoxNotice, BoxRole, EntryAction, EntryCore, PlacementKind},
+    super::{BoxRole, EntryAction, EntryCore, ListedBox, PlacementKind},
     crate::{
         conf::{ChangeRecord, FleetConfig},
         route::EndpointKind,
@@ -12,7 +12,7 @@
 
 impl EntryCore {
     /// Applies changes that follow on the configuration; others are passed over.
-    pub(super) fn changes_read(
+    pub(super) fn on_changes_read(
         &mut self,
         records: Vec<ChangeRecord>,
         actions: &mut Vec<EntryAction>,
@@ -25,10 +25,10 @@
             }
         }
         self.history.note(records);
-        self.config_read(Arc::new(config), actions);
+        self.on_config_read(Arc::new(config), actions);
     }
 
-    pub(super) fn config_read(
+    pub(super) fn on_config_read(
         &mut self,
         config: Arc<FleetConfig>,
         actions: &mut Vec<EntryAction>,
@@ -41,7 +41,7 @@
         self.roster.relabel(&self.config);
         self.pools_stale = true;
         self.notices_due = true;
-        self.log(
+        self.log_decision(
             PlacementKind::ConfigInForce,
             &self.config.revision.to_string(),
             "newer than the one before".to_string(),
@@ -51,7 +51,7 @@
         self.publish(actions);
     }
 
-    pub(super) fn version_changed(
+    pub(super) fn on_version_changed(
         &mut self,
         endpoint_id: &str,
         version: String,
@@ -69,10 +69,10 @@
         }
     }
 
-    pub(super) fn boxes_listed(
+    pub(super) fn on_boxes_listed(
         &mut self,
         now: Micros,
-        boxes: Vec<BoxNotice>,
+        boxes: Vec<ListedBox>,
         actions: &mut Vec<EntryAction>,
     ) {
         let leaving = boxes
@@ -84,19 +84,19 @@
             self.notices_due = true;
             self.notify_agents(actions);
         }
-        self.note_domain(&boxes);
+        self.update_domain_entries(&boxes);
         let entries = boxes.iter().filter(|b| b.role == BoxRole::Entry);
-        self.keeper
-            .note_entries(entries.map(|b| b.id.clone()).collect());
-        for id in self.stores.note_boxes(now, &boxes, actions) {
+        self.shard_leases
+            .set_entries(entries.map(|b| b.id.clone()).collect());
+        for id in self.stores.update_boxes(now, &boxes, actions) {
             let reason = "not in the box list".to_string();
-            self.log(PlacementKind::StoreLost, &id, reason, actions);
+            self.log_decision(PlacementKind::StoreLost, &id, reason, actions);
         }
     }
 
-    pub(super) fn note_domain(
+    pub(super) fn update_domain_entries(
         &mut self,
-        boxes: &[BoxNotice],
+        boxes: &[ListedBox],
     ) {
         let mut entries = boxes.iter().filter(|b| b.role == BoxRole::Entry);
         let own = entries.clone().find(|b| b.id == self.setup.box_id);
--- a/core/src/role/entry_contacts.rs
+++ b/core/src/role/entry_contacts.rs
@@ -2,8 +2,8 @@
 
 use {
     super::{
-        AgentPulse, ConfigNotice, EntryAction, EntryCore, EventBatch, LoadChange, PlacementKind,
-        RosterChange, UpwardEvent,
+        AgentPulse, ConfigNotice, EndpointEvent, EntryAction, EntryCore, EventBatch, LoadChange,
+        PlacementKind, RosterChange,
     },
     crate::{
         kept::PieceHolder, member::EntryBeacon, place::ReturnLabel, route::SentLoad, time::Micros,
@@ -11,17 +11,17 @@
 };
 
 impl EntryCore {
-    pub(super) fn agent_heard(
+    pub(super) fn on_agent_beacon(
         &mut self,
         now: Micros,
         beacon: crate::member::AgentBeacon,
         own: SentLoad,
         actions: &mut Vec<EntryAction>,
     ) {
-        match self.roster.heard(&beacon, own, &self.config, now) {
+        match self.roster.apply_beacon(&beacon, own, &self.config, now) {
             RosterChange::None => {}
             RosterChange::Load => self.table_stale = true,
-            RosterChange::Altered => {
+            RosterChange::PoolMembership => {
                 self.roster.relabel(&self.config);
                 self.pools_stale = true;
                 self.publish(actions);
@@ -32,7 +32,7 @@
                     actions.push(EntryAction::Connect(state.clone()));
                 }
                 let reason = format!("incarnation {}", beacon.incarnation);
-                self.log(
+                self.log_decision(
                     PlacementKind::EndpointJoined,
                     &beacon.endpoint_id,
                     reason,
@@ -42,7 +42,7 @@
         }
     }
 
-    pub(super) fn peer_heard(
+    pub(super) fn on_peer_beacon(
         &mut self,
         now: Micros,
         beacon: EntryBeacon,
@@ -51,13 +51,13 @@
         let newer = beacon.revision > self.config.revision;
         let peer = beacon.peer_address;
         self.peers.heard(beacon, now);
-        self.first_peer.get_or_insert(now);
+        self.first_peer_at.get_or_insert(now);
         if newer {
             actions.push(EntryAction::PullConfig { peer });
         }
     }
 
-    pub(super) fn stream_opened(
+    pub(super) fn on_stream_opened(
         &mut self,
         now: Micros,
         endpoint_id: &str,
@@ -74,37 +74,37 @@
             entry.linked = true;
             entry.next_event = Some(0);
             entry.heard_at = now;
-            entry.notified = None;
+            entry.last_notice = None;
         }
-        self.roster.judge(now);
+        self.roster.check_liveness(now);
         self.notices_due = true;
         self.notify_agents(actions);
         self.publish(actions);
     }
 
-    pub(super) fn link_lost(
+    pub(super) fn on_link_lost(
         &mut self,
         now: Micros,
         endpoint_id: &str,
     ) {
         if let Some(entry) = self.roster.get_mut(endpoint_id) {
             entry.linked = false;
-            entry.awaited = None;
+            entry.awaited_report = None;
             entry.next_event = None;
             entry.loading = None;
         }
-        self.roster.judge(now);
+        self.roster.check_liveness(now);
         self.table_stale = true;
     }
 
-    pub(super) fn pulse_seen(
+    pub(super) fn on_pulse(
         &mut self,
         now: Micros,
         endpoint_id: &str,
         pulse: AgentPulse,
         own: SentLoad,
     ) {
-        match self.roster.note_load(endpoint_id, pulse, own, now) {
+        match self.roster.update_load(endpoint_id, pulse, own, now) {
             LoadChange::None => {}
             LoadChange::Load => self.table_stale = true,
             LoadChange::Refusal => {
@@ -114,7 +114,7 @@
         }
     }
 
-    pub(super) fn agent_said(
+    pub(super) fn on_agent_events(
         &mut self,
         now: Micros,
         endpoint_id: &str,
@@ -142,49 +142,49 @@
         entry.next_event = Some(expected + batch.events.len() as u64);
         self.table_stale |= !batch.events.is_empty();
         for event in batch.events {
-            self.upward(now, endpoint_id, event, actions);
+            self.on_endpoint_event(now, endpoint_id, event, actions);
         }
-        self.pulse_seen(now, endpoint_id, batch.pulse, own);
+        self.on_pulse(now, endpoint_id, batch.pulse, own);
         if self.pools_stale {
             self.publish(actions);
         }
     }
 
-    pub(super) fn upward(
+    pub(super) fn on_endpoint_event(
         &mut self,
         now: Micros,
         endpoint_id: &str,
-        event: UpwardEvent,
+        event: EndpointEvent,
         actions: &mut Vec<EntryAction>,
     ) {
         let Some(key) = self.roster.get(endpoint_id).map(|e| e.key) else {
             return;
         };
         match event {
-            UpwardEvent::Cached(piece) => {
+            EndpointEvent::Cached(piece) => {
                 self.pieces.add_bounded(piece, PieceHolder::Endpoint(key))
             }
-            UpwardEvent::Evicted(piece) => {
+            EndpointEvent::Evicted(piece) => {
                 self.pieces.remove(piece, &PieceHolder::Endpoint(key));
             }
-            UpwardEvent::Cleared => {
+            EndpointEvent::Cleared => {
                 self.roster.renew_key(endpoint_id);
                 self.pools_stale = true;
             }
-            UpwardEvent::Stored(notice) => self.stores.stored(notice, &mut self.pieces),
-            UpwardEvent::Missing(notice) => self.stores.missing(&notice, &mut self.pieces),
-            UpwardEvent::PromptUsed(prompt) => {
+            EndpointEvent::Stored(notice) => self.stores.add_piece(notice, &mut self.pieces),
+            EndpointEvent::Missing(notice) => self.stores.remove_piece(&notice, &mut self.pieces),
+            EndpointEvent::PromptUsed(prompt) => {
                 let label = ReturnLabel {
                     organisation: prompt.organisation,
                     label: prompt.label,
                 };
-                self.prompts.saw(prompt.identity, label, now);
+                self.prompts.record(prompt.identity, label, now);
             }
-            UpwardEvent::StoreFull { store } => {
+            EndpointEvent::StoreFull { store } => {
                 self.evict_pieces(now, endpoint_id, &store, actions)
             }
-            UpwardEvent::Version(version) => self.version_changed(endpoint_id, version),
-            UpwardEvent::OrderEnded(_) => {
+            EndpointEvent::Version(version) => self.on_version_changed(endpoint_id, version),
+            EndpointEvent::OrderEnded(_) => {
                 if let Some(entry) = self.roster.get_mut(endpoint_id) {
                     entry.loading = None;
                 }
@@ -210,13 +210,13 @@
             let Some(entry) = self.roster.get_mut(&id) else {
                 continue;
             };
-            let same = entry.notified.is_some_and(|n| {
+            let same = entry.last_notice.is_some_and(|n| {
                 n.leaving == notice.leaving && n.box_leaving == notice.box_leaving
             });
             if !entry.linked || same {
                 continue;
             }
-            entry.notified = Some(notice);
+            entry.last_notice = Some(notice);
             actions.push(EntryAction::Notify {
                 endpoint_id: id,
                 notice,
--- a/core/src/role/entry_core.rs
+++ b/core/src/role/entry_core.rs
@@ -1,7 +1,7 @@
 use {
     super::{
         EndpointRoster, EntryAction, EntryEvent, LeaseOutcome, LoadController, PlacementKind,
-        PlacementLine, PromptMemory, ShardKeeper, StoreRoster,
+        PlacementLine, PromptHistory, ShardLeases, StoreRoster,
     },
     crate::{
         conf::{ChangeHistory, FleetConfig, PeerConfig},
@@ -16,18 +16,18 @@
 };
 
 /// Ticks between two judgements of who is alive.
-const JUDGE_TICKS: u64 = 6;
+const LIVENESS_TICKS: u64 = 6;
 /// Ticks between two looks at leases and load orders.
 const PLACEMENT_TICKS: u64 = 10;
 
 /// Time without table and peers after which the process wants no new requests.
-const CONTACT_PATIENCE: Micros = Micros::from_secs(5);
+const CONTACT_TIMEOUT: Micros = Micros::from_secs(5);
 /// Time for which a process that cannot reach the table listens to its peers
 /// before it takes the newest of their configurations for the newest there is.
-const PEER_PATIENCE: Micros = Micros::from_secs(2);
+const PEER_SETTLE_TIME: Micros = Micros::from_secs(2);
 
 /// Entry processes of a failure domain that look at the table often.
-const POLLERS: usize = 3;
+const POLLERS_PER_DOMAIN: usize = 3;
 const POLL_SUBJECT: &str = "config-poll";
 
 /// How an entry process's core is set up.
@@ -55,26 +55,26 @@
     pub(super) pieces: PieceDirectory,
     pub(super) pools: Arc<PoolIndex>,
     pub(super) groups: BTreeSet<String>,
-    pub(super) prompts: PromptMemory,
-    pub(super) keeper: ShardKeeper,
-    pub(super) loads: LoadController,
+    pub(super) prompts: PromptHistory,
+    pub(super) shard_leases: ShardLeases,
+    pub(super) load_controller: LoadController,
     pub(super) leaving_boxes: BTreeSet<String>,
     pub(super) domain_entries: Vec<String>,
-    pub(super) sweep_from: usize,
+    pub(super) sweep_cursor: usize,
     pub(super) pools_stale: bool,
     pub(super) table_stale: bool,
     pub(super) notices_due: bool,
     pub(super) ticks: u64,
-    pub(super) table_reached: Option<Micros>,
-    pub(super) first_peer: Option<Micros>,
+    pub(super) table_reached_at: Option<Micros>,
+    pub(super) first_peer_at: Option<Micros>,
 }
 
 impl EntryCore {
     /// A core that knows nothing yet.
     pub fn new(setup: EntrySetup) -> Self {
         EntryCore {
-            keeper: ShardKeeper::new(&setup.box_id, &setup.holder, setup.lease),
-            loads: LoadController::default(),
+            shard_leases: ShardLeases::new(&setup.box_id, &setup.holder, setup.lease),
+            load_controller: LoadController::default(),
             setup,
             config: Arc::default(),
             history: ChangeHistory::default(),
@@ -84,16 +84,16 @@
             pieces: PieceDirectory::default(),
             pools: Arc::default(),
             groups: BTreeSet::new(),
-            prompts: PromptMemory::default(),
+            prompts: PromptHistory::default(),
             leaving_boxes: BTreeSet::new(),
             domain_entries: Vec::new(),
-            sweep_from: 0,
+            sweep_cursor: 0,
             pools_stale: false,
             table_stale: false,
             notices_due: false,
             ticks: 0,
-            table_reached: None,
-            first_peer: None,
+            table_reached_at: None,
+            first_peer_at: None,
         }
     }
 
@@ -106,51 +106,54 @@
         let mut actions = Vec::new();
         match event {
             EntryEvent::Tick => self.tick(now, &mut actions),
-            EntryEvent::TableReached => self.table_reached = Some(now),
-            EntryEvent::ChangesRead(records) => self.changes_read(records, &mut actions),
-            EntryEvent::ConfigRead(config) => self.config_read(config, &mut actions),
-            EntryEvent::AgentHeard { beacon, own } => {
-                self.agent_heard(now, beacon, own, &mut actions)
+            EntryEvent::TableReached => self.table_reached_at = Some(now),
+            EntryEvent::ChangesRead(records) => self.on_changes_read(records, &mut actions),
+            EntryEvent::ConfigRead(config) => self.on_config_read(config, &mut actions),
+            EntryEvent::AgentBeaconReceived { beacon, own } => {
+                self.on_agent_beacon(now, beacon, own, &mut actions)
             }
-            EntryEvent::PeerHeard(beacon) => self.peer_heard(now, beacon, &mut actions),
-            EntryEvent::AgentSaid {
+            EntryEvent::PeerBeaconReceived(beacon) => {
+                self.on_peer_beacon(now, beacon, &mut actions)
+            }
+            EntryEvent::AgentEventsReceived {
                 endpoint_id,
                 incarnation,
                 batch,
                 own,
-            } => self.agent_said(now, &endpoint_id, incarnation, batch, own, &mut actions),
+            } => self.on_agent_events(now, &endpoint_id, incarnation, batch, own, &mut actions),
             EntryEvent::StreamOpened {
                 endpoint_id,
                 incarnation,
-            } => self.stream_opened(now, &endpoint_id, incarnation, &mut actions),
-            EntryEvent::LinkLost { endpoint_id } => self.link_lost(now, &endpoint_id),
-            EntryEvent::PulseSeen {
+            } => self.on_stream_opened(now, &endpoint_id, incarnation, &mut actions),
+            EntryEvent::LinkLost { endpoint_id } => self.on_link_lost(now, &endpoint_id),
+            EntryEvent::PulseReceived {
                 endpoint_id,
                 pulse,
                 own,
-            } => self.pulse_seen(now, &endpoint_id, pulse, own),
-            EntryEvent::BoxesListed(boxes) => self.boxes_listed(now, boxes, &mut actions),
+            } => self.on_pulse(now, &endpoint_id, pulse, own),
+            EntryEvent::BoxesListed(boxes) => self.on_boxes_listed(now, boxes, &mut actions),
             EntryEvent::StoreListed { store, pieces } => {
-                self.stores.listed(now, &store, &pieces, &mut self.pieces);
+                self.stores
+                    .replace_listing(now, &store, &pieces, &mut self.pieces);
                 self.table_stale = true;
             }
             EntryEvent::StoreMeasured { store, link_rate } => {
-                self.table_stale |= self.stores.measured(&store, link_rate);
+                self.table_stale |= self.stores.set_link_rate(&store, link_rate);
             }
             EntryEvent::Routed {
                 endpoint_id,
                 pieces,
-            } => self.routed(now, &endpoint_id, &pieces),
+            } => self.on_routed(now, &endpoint_id, &pieces),
             EntryEvent::TakenUp {
                 endpoint_id,
                 ticket,
-            } => self.taken_up(now, &endpoint_id, ticket),
+            } => self.on_taken_up(now, &endpoint_id, ticket),
             EntryEvent::TryEnded {
                 endpoint_id,
                 failure,
             } => {
                 let failed = failure.is_some();
-                self.try_ended(now, &endpoint_id, failed, &mut actions)
+                self.on_try_ended(now, &endpoint_id, failed, &mut actions)
             }
             EntryEvent::LeaseRead {
                 shard,
@@ -163,17 +166,19 @@
                     version,
                     asked_at,
                 };
-                self.keeper.outcome(&shard, outcome, now);
+                self.shard_leases.apply_outcome(&shard, outcome, now);
             }
             EntryEvent::LeaseWritten { shard, version } => {
                 let outcome = LeaseOutcome::Written { version };
-                self.keeper.outcome(&shard, outcome, now);
+                self.shard_leases.apply_outcome(&shard, outcome, now);
             }
-            EntryEvent::LeaseRefused { shard } => {
-                self.keeper.outcome(&shard, LeaseOutcome::Refused, now);
+            EntryEvent::LeaseWriteRefused { shard } => {
+                self.shard_leases
+                    .apply_outcome(&shard, LeaseOutcome::Refused, now);
             }
-            EntryEvent::LeaseUnknown { shard } => {
-                self.keeper.outcome(&shard, LeaseOutcome::Unknown, now);
+            EntryEvent::LeaseWriteUnknown { shard } => {
+                self.shard_leases
+                    .apply_outcome(&shard, LeaseOutcome::Unknown, now);
             }
             EntryEvent::OrderFailed { endpoint_id } => {
                 if let Some(entry) = self.roster.get_mut(&endpoint_id) {
@@ -190,24 +195,29 @@
         actions: &mut Vec<EntryAction>,
     ) {
         self.ticks += 1;
-        if self.ticks % JUDGE_TICKS == 0 {
+        if self.ticks % LIVENESS_TICKS == 0 {
             self.peers.drop_silent(now);
-            self.judge_endpoints(now, actions);
+            self.check_endpoints(now, actions);
             self.sweep_pieces();
-            self.stores.ask_lists(now, actions);
+            self.stores.request_listings(now, actions);
         }
         if self.ticks % PLACEMENT_TICKS == 0 {
             let config = self.config.clone();
-            self.keeper
+            self.shard_leases
                 .tick(now, &self.groups, config.revision, actions);
-            self.loads
-                .tick(now, &config, &mut self.roster, &mut self.keeper, actions);
+            self.load_controller.tick(
+                now,
+                &config,
+                &mut self.roster,
+                &mut self.shard_leases,
+                actions,
+            );
         }
         self.notify_agents(actions);
         self.publish(actions);
     }
 
-    pub(super) fn log(
+    pub(super) fn log_decision(
         &self,
         decision: PlacementKind,
         subject: &str,
@@ -224,7 +234,7 @@
 
     /// Hands back what others should take over at once, as at a planned stop.
     pub fn release(&mut self) -> Vec<EntryAction> {
-        self.keeper.release()
+        self.shard_leases.release()
     }
 
     /// Whether the balancer should send requests here.
@@ -236,13 +246,13 @@
         now: Micros,
     ) -> bool {
         let heard_peers = self
-            .first_peer
-            .is_some_and(|t| now.since(t) >= PEER_PATIENCE);
-        let settled = self.table_reached.is_some() || heard_peers;
-        let near_table = self
-            .table_reached
-            .is_some_and(|t| now.since(t) < CONTACT_PATIENCE);
-        let in_contact = near_table || !self.peers.is_empty();
+            .first_peer_at
+            .is_some_and(|t| now.since(t) >= PEER_SETTLE_TIME);
+        let settled = self.table_reached_at.is_some() || heard_peers;
+        let recent_table = self
+            .table_reached_at
+            .is_some_and(|t| now.since(t) < CONTACT_TIMEOUT);
+        let in_contact = recent_table || !self.peers.is_empty();
         self.config.revision > 0 && settled && in_contact
     }
 
@@ -265,7 +275,7 @@
         let own = rendezvous_weight(POLL_SUBJECT, &self.setup.box_id);
         let ahead = self.domain_entries.iter();
         let ahead = ahead.filter(|id| rendezvous_weight(POLL_SUBJECT, id) > own);
-        ahead.count() < POLLERS
+        ahead.count() < POLLERS_PER_DOMAIN
     }
 
     /// The other entry processes.
@@ -293,7 +303,7 @@
         &self,
         now: Micros,
     ) -> Vec<String> {
-        self.keeper.held(now)
+        self.shard_leases.held_shards(now)
     }
 
     /// How far the drain of an endpoint is.
--- a/core/src/role/entry_event.rs
+++ b/core/src/role/entry_event.rs
@@ -24,16 +24,16 @@
     /// Changes that follow on the configuration were read.
     ChangesRead(Vec<ChangeRecord>),
     /// An agent's beacon came; `own` is what this process has under way there.
-    AgentHeard {
+    AgentBeaconReceived {
         /// The beacon.
         beacon: AgentBeacon,
         /// Own work at that moment.
         own: SentLoad,
     },
     /// Another entry process's beacon came.
-    PeerHeard(EntryBeacon),
+    PeerBeaconReceived(EntryBeacon),
     /// An agent's events came over its link.
-    AgentSaid {
+    AgentEventsReceived {
         /// Id of the endpoint.
         endpoint_id: String,
         /// Life of the agent that the link leads to.
@@ -56,7 +56,7 @@
         endpoint_id: String,
     },
     /// An answer carried the agent's state.
-    PulseSeen {
+    PulseReceived {
         /// Id of the endpoint.
         endpoint_id: String,
         /// The state.
@@ -65,7 +65,7 @@
         own: SentLoad,
     },
     /// The box list was read.
-    BoxesListed(Vec<BoxNotice>),
+    BoxesListed(Vec<ListedBox>),
     /// A store box listed the pieces that it holds.
     StoreListed {
         /// Name of the box.
@@ -120,12 +120,12 @@
         version: u64,
     },
     /// A lease row had changed before the write.
-    LeaseRefused {
+    LeaseWriteRefused {
         /// Shard of the lease.
         shard: String,
     },
     /// Nobody knows whether a write of a lease row took effect.
-    LeaseUnknown {
+    LeaseWriteUnknown {
         /// Shard of the lease.
         shard: String,
     },
@@ -138,7 +138,7 @@
 
 /// One box of the box list.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct BoxNotice {
+pub struct ListedBox {
     /// Id of the box.
     pub id: String,
     /// What runs on it.
--- a/core/src/role/entry_placement.rs
+++ b/core/src/role/entry_placement.rs
@@ -1,7 +1,7 @@
 //! Who can be sent to, and which pieces stay.
 
 use {
-    super::{engine_groups, AwaitedWord, EntryAction, EntryCore, PlacementKind, WorkTicket},
+    super::{engine_groups, AwaitedReport, EntryAction, EntryCore, PlacementKind, WorkTicket},
     crate::{
         kept::{PieceHolder, PieceKey},
         route::{PoolIndex, RouteTable},
@@ -11,22 +11,22 @@
 };
 
 /// Buckets of the directory looked at for stale holders at a time.
-const SWEEP_STEP: usize = 16;
+const SWEEP_BUCKETS: usize = 16;
 
 impl EntryCore {
-    pub(super) fn judge_endpoints(
+    pub(super) fn check_endpoints(
         &mut self,
         now: Micros,
         actions: &mut Vec<EntryAction>,
     ) {
-        let verdict = self.roster.judge(now);
-        self.table_stale |= verdict.changed;
-        for endpoint_id in verdict.hung_links {
-            self.link_lost(now, &endpoint_id);
+        let report = self.roster.check_liveness(now);
+        self.table_stale |= report.changed;
+        for endpoint_id in report.hung_links {
+            self.on_link_lost(now, &endpoint_id);
             actions.push(EntryAction::DropLink { endpoint_id });
         }
-        for endpoint_id in verdict.gone {
-            self.lose_endpoint(&endpoint_id, "silent", actions);
+        for endpoint_id in report.expired {
+            self.remove_endpoint(&endpoint_id, "silent", actions);
         }
     }
 
@@ -63,7 +63,7 @@
 
     /// Expects the pieces of a prompt where it was sent, so that a quick return
     /// goes there too. If it never gets there, the next one finds out.
-    pub(super) fn routed(
+    pub(super) fn on_routed(
         &mut self,
         now: Micros,
         endpoint_id: &str,
@@ -73,9 +73,9 @@
             return;
         };
         // A busy agent pulses several times a second; one that does not is frozen.
-        entry.awaited.get_or_insert(AwaitedWord {
+        entry.awaited_report.get_or_insert(AwaitedReport {
             since: now,
-            taken_up: 0,
+            min_taken_up: 0,
         });
         let key = entry.key;
         for piece in pieces {
@@ -85,7 +85,7 @@
     }
 
     /// An agent has a request: it owes a report that counts this one.
-    pub(super) fn taken_up(
+    pub(super) fn on_taken_up(
         &mut self,
         now: Micros,
         endpoint_id: &str,
@@ -94,11 +94,11 @@
         let Some(entry) = self.roster.get_mut(endpoint_id) else {
             return;
         };
-        let word = entry.awaited.get_or_insert(AwaitedWord {
+        let report = entry.awaited_report.get_or_insert(AwaitedReport {
             since: now,
-            taken_up: 0,
+            min_taken_up: 0,
         });
-        word.taken_up = word.taken_up.max(ticket.0 + 1);
+        report.min_taken_up = report.min_taken_up.max(ticket.0 + 1);
     }
 
     /// Frees room on a full store box, if this process controls its group.
@@ -109,7 +109,7 @@
         store: &str,
         actions: &mut Vec<EntryAction>,
     ) {
-        let controls = |group: &str| self.keeper.epoch(group, now).is_some();
+        let controls = |group: &str| self.shard_leases.epoch(group, now).is_some();
         let chance = |identity| self.prompts.chance(identity, now);
         let Some(eviction) = self.stores.evict(now, store, controls, chance) else {
             return;
@@ -124,10 +124,10 @@
             address: eviction.address,
             pieces: eviction.pieces,
         });
-        self.log(PlacementKind::PiecesEvicted, store, reason, actions);
+        self.log_decision(PlacementKind::PiecesEvicted, store, reason, actions);
     }
 
-    pub(super) fn try_ended(
+    pub(super) fn on_try_ended(
         &mut self,
         now: Micros,
         endpoint_id: &str,
@@ -142,14 +142,14 @@
             return;
         }
         if entry.guard.failed(now) {
-            self.roster.judge(now);
+            self.roster.check_liveness(now);
             self.table_stale = true;
             let reason = "failed several times in a row".to_string();
-            self.log(PlacementKind::EndpointEjected, endpoint_id, reason, actions);
+            self.log_decision(PlacementKind::EndpointEjected, endpoint_id, reason, actions);
         }
     }
 
-    pub(super) fn lose_endpoint(
+    pub(super) fn remove_endpoint(
         &mut self,
         endpoint_id: &str,
         reason: &str,
@@ -160,7 +160,7 @@
         actions.push(EntryAction::Disconnect {
             endpoint_id: endpoint_id.to_string(),
         });
-        self.log(
+        self.log_decision(
             PlacementKind::EndpointLost,
             endpoint_id,
             reason.to_string(),
@@ -171,9 +171,9 @@
     pub(super) fn sweep_pieces(&mut self) {
         let arena = self.roster.arena.clone();
         let stores = &self.stores.arena;
-        self.sweep_from = self
+        self.sweep_cursor = self
             .pieces
-            .sweep(self.sweep_from, SWEEP_STEP, |holder| match holder {
+            .sweep(self.sweep_cursor, SWEEP_BUCKETS, |holder| match holder {
                 PieceHolder::Endpoint(key) => !arena.contains_key(*key),
                 PieceHolder::Store(copy) => !stores.contains_key(copy.store),
             });
--- a/core/src/role/event_batch.rs
+++ b/core/src/role/event_batch.rs
@@ -12,7 +12,7 @@
     /// Number of the first event; the others follow on.
     pub first: u64,
     /// The events.
-    pub events: Vec<UpwardEvent>,
+    pub events: Vec<EndpointEvent>,
     /// The state of the endpoint when the batch was sent.
     pub pulse: AgentPulse,
 }
@@ -32,7 +32,7 @@
 
 /// One thing that an agent tells upward.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub enum UpwardEvent {
+pub enum EndpointEvent {
     /// The accelerator memory holds a piece.
     Cached(PieceKey),
     /// The accelerator memory dropped a piece.
--- a/core/src/role/load_controller.rs
+++ b/core/src/role/load_controller.rs
@@ -1,6 +1,6 @@
 use {
     super::{
-        EndpointOrder, EndpointRoster, EntryAction, PlacementKind, PlacementLine, ShardKeeper,
+        EndpointOrder, EndpointRoster, EntryAction, PlacementKind, PlacementLine, ShardLeases,
         StampedOrder,
     },
     crate::{
@@ -16,7 +16,7 @@
 /// Label that says which version an endpoint should hold, instead of the active one.
 pub const VERSION_LABEL: &str = "version";
 /// Time after which an order that nobody reported on is given up.
-const ORDER_PATIENCE: Micros = Micros::from_secs(60);
+const ORDER_TIMEOUT: Micros = Micros::from_secs(60);
 
 /// Gives load orders to the engines of each group, under the lease of its shard.
 #[derive(Debug, Default)]
@@ -31,22 +31,22 @@
         now: Micros,
         config: &FleetConfig,
         roster: &mut EndpointRoster,
-        keeper: &mut ShardKeeper,
+        leases: &mut ShardLeases,
         actions: &mut Vec<EntryAction>,
     ) {
-        self.forget_old_orders(now, roster);
-        for group in groups_behind(config, roster) {
-            if keeper.epoch(&group, now).is_none() {
+        self.expire_orders(now, roster);
+        for group in outdated_groups(config, roster) {
+            if leases.epoch(&group, now).is_none() {
                 continue;
             }
             for step in due_loads(&group, config, roster) {
-                self.order(now, &group, step, config, roster, keeper, actions);
+                self.issue_order(now, &group, step, config, roster, leases, actions);
             }
         }
     }
 
     /// An order whose outcome never came is not waited for any longer.
-    fn forget_old_orders(
+    fn expire_orders(
         &mut self,
         now: Micros,
         roster: &mut EndpointRoster,
@@ -55,7 +55,7 @@
             let Some(entry) = roster.get_mut(id) else {
                 return false;
             };
-            if now.since(*ordered_at) >= ORDER_PATIENCE {
+            if now.since(*ordered_at) >= ORDER_TIMEOUT {
                 entry.loading = None;
             }
             entry.loading.is_some()
@@ -63,20 +63,20 @@
     }
 
     #[allow(clippy::too_many_arguments)]
-    fn order(
+    fn issue_order(
         &mut self,
         now: Micros,
         group: &str,
         step: LoadStep,
         config: &FleetConfig,
         roster: &mut EndpointRoster,
-        keeper: &mut ShardKeeper,
+        leases: &mut ShardLeases,
         actions: &mut Vec<EntryAction>,
     ) {
         let Some(state) = roster.arena.get(step.endpoint).cloned() else {
             return;
         };
-        let Some(stamp) = keeper.next_stamp(group, now) else {
+        let Some(stamp) = leases.next_stamp(group, now) else {
             return;
         };
         self.ordered_at.insert(state.id.clone(), now);
@@ -103,7 +103,7 @@
 }
 
 /// Groups with an engine that does not hold the version it should.
-fn groups_behind(
+fn outdated_groups(
     config: &FleetConfig,
     roster: &EndpointRoster,
 ) -> BTreeSet<String> {
--- a/core/src/role/prompt_memory.rs
+++ b/core/src/role/prompt_memory.rs
@@ -11,10 +11,10 @@
 };
 
 /// Prompts that are remembered at most.
-const PROMPT_LIMIT: usize = 32_768;
+const MAX_PROMPTS: usize = 32_768;
 /// Piece by whose key a prompt is recognised, counted from zero: deep enough to
 /// tell documents apart, early enough that most prompts have it.
-const IDENTITY_PIECE: usize = 3;
+const IDENTITY_PIECE_INDEX: usize = 3;
 
 #[derive(Debug, Clone)]
 struct SeenPrompt {
@@ -24,7 +24,7 @@
 
 /// Remembers when prompts were last seen and learns their return gaps.
 #[derive(Debug, Clone, Default)]
-pub struct PromptMemory {
+pub struct PromptHistory {
     seen: BTreeMap<PieceKey, SeenPrompt>,
     order: VecDeque<PieceKey>,
     labels: BTreeSet<Arc<ReturnLabel>>,
@@ -34,10 +34,10 @@
 /// The key by which a prompt is recognised; none when it is too short to be kept.
 pub fn prompt_identity(pieces: &[PieceKey]) -> Option<PieceKey> {
     let last = pieces.len().checked_sub(1)?;
-    pieces.get(last.min(IDENTITY_PIECE)).copied()
+    pieces.get(last.min(IDENTITY_PIECE_INDEX)).copied()
 }
 
-impl PromptMemory {
+impl PromptHistory {
     /// What has been learned; cheap to share.
     pub fn model(&self) -> &Arc<ReturnModel> {
         &self.model
@@ -54,25 +54,25 @@
     }
 
     /// Notes that a prompt was asked.
-    pub fn saw(
+    pub fn record(
         &mut self,
         identity: PieceKey,
         label: ReturnLabel,
         now: Micros,
     ) {
         let prompt = SeenPrompt {
-            label: self.shared(&label),
+            label: self.intern_label(&label),
             seen_at: now,
         };
         match self.seen.insert(identity, prompt) {
-            Some(before) => {
-                let gap = now.since(before.seen_at);
+            Some(previous) => {
+                let gap = now.since(previous.seen_at);
                 Arc::make_mut(&mut self.model).returned(&label, gap);
             }
             None => self.order.push_back(identity),
         }
-        if self.seen.len() > PROMPT_LIMIT {
-            self.forget_oldest();
+        if self.seen.len() > MAX_PROMPTS {
+            self.evict_oldest();
         }
     }
 
@@ -90,7 +90,7 @@
     }
 
     /// The one copy of a label that all prompts share.
-    fn shared(
+    fn intern_label(
         &mut self,
         label: &ReturnLabel,
     ) -> Arc<ReturnLabel> {
@@ -102,7 +102,7 @@
         label
     }
 
-    fn forget_oldest(&mut self) {
+    fn evict_oldest(&mut self) {
         let Some(oldest) = self.order.pop_front() else {
             return;
         };
--- a/core/src/role/roster_change.rs
+++ b/core/src/role/roster_change.rs
@@ -11,9 +11,9 @@
 
 /// Endpoints about which something must be done.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct RosterVerdict {
+pub struct LivenessReport {
     /// Silent for good.
-    pub gone: Vec<String>,
+    pub expired: Vec<String>,
     /// Silent although their link is up.
     pub hung_links: Vec<String>,
     /// Whether any endpoint's load must be published anew.
@@ -30,5 +30,5 @@
     /// The endpoint is new or in a new life; it must be linked.
     Joined,
     /// Something that pools depend on.
-    Altered,
+    PoolMembership,
 }
--- a/core/src/role/roster_entry.rs
+++ b/core/src/role/roster_entry.rs
@@ -19,13 +19,13 @@
     /// When its agent was last heard, by beacon or link.
     pub heard_at: Micros,
     /// Word that it owes since it was sent something.
-    pub awaited: Option<AwaitedWord>,
+    pub awaited_report: Option<AwaitedReport>,
     /// Number that the next event of its stream must have.
     pub next_event: Option<u64>,
     /// Configuration revision that its agent has confirmed.
     pub revision: u64,
     /// Notice that was sent to it last.
-    pub notified: Option<ConfigNotice>,
+    pub last_notice: Option<ConfigNotice>,
     /// Version that an order under way will give it.
     pub loading: Option<String>,
     /// Watches its failures.
@@ -34,22 +34,22 @@
 
 /// Word that an agent with work must give soon, by beacon or link.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct AwaitedWord {
+pub struct AwaitedReport {
     /// Since when it is owed.
     pub since: Micros,
     /// Hand-overs that a report must count to be about all that was sent there.
-    pub taken_up: u64,
+    pub min_taken_up: u64,
 }
 
-impl AwaitedWord {
+impl AwaitedReport {
     /// What is still owed after a report. One that was on its way when the agent
     /// took work up shows that it was alive then, and says nothing of that work.
-    pub(super) fn after(
+    pub(super) fn after_report(
         self,
         pulse: AgentPulse,
         now: Micros,
-    ) -> Option<AwaitedWord> {
-        let open = pulse.taken_up < self.taken_up;
-        open.then_some(AwaitedWord { since: now, ..self })
+    ) -> Option<AwaitedReport> {
+        let open = pulse.taken_up < self.min_taken_up;
+        open.then_some(AwaitedReport { since: now, ..self })
     }
 }
--- a/core/src/role/service_meter.rs
+++ b/core/src/role/service_meter.rs
@@ -3,15 +3,15 @@
 /// Part of a new observation in the running average of whole requests.
 const SMOOTHING: f32 = 0.1;
 /// What is left of older prompts with each new one.
-const FADING: f32 = 0.9;
+const PREFILL_DECAY: f32 = 0.9;
 /// Tokens below which a prompt says too little about the cost of one token.
-const MIN_TOKENS: u32 = 256;
+const MIN_PREFILL_TOKENS: u32 = 256;
 
 /// Learns what an endpoint's work takes.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct ServiceMeter {
     prefill_tokens: f32,
-    prefill_span: f32,
+    prefill_us: f32,
     service_time: f32,
 }
 
@@ -21,7 +21,7 @@
         if self.prefill_tokens == 0.0 {
             return DEFAULT_TOKEN_COST;
         }
-        self.prefill_span / self.prefill_tokens
+        self.prefill_us / self.prefill_tokens
     }
 
     /// Microseconds for one request from start to end.
@@ -33,20 +33,20 @@
     ///
     /// Sums are kept rather than an average of quotients, so that long prompts
     /// count for more than short ones.
-    pub fn saw_prefill(
+    pub fn record_prefill(
         &mut self,
         tokens: u32,
         span: Micros,
     ) {
-        if tokens < MIN_TOKENS {
+        if tokens < MIN_PREFILL_TOKENS {
             return;
         }
-        self.prefill_tokens = FADING * self.prefill_tokens + tokens as f32;
-        self.prefill_span = FADING * self.prefill_span + span.0 as f32;
+        self.prefill_tokens = PREFILL_DECAY * self.prefill_tokens + tokens as f32;
+        self.prefill_us = PREFILL_DECAY * self.prefill_us + span.0 as f32;
     }
 
     /// Notes that a request took `span` from start to end.
-    pub fn saw_request(
+    pub fn record_request(
         &mut self,
         span: Micros,
     ) {
--- a/core/src/role/shard_keeper.rs
+++ b/core/src/role/shard_keeper.rs
@@ -11,8 +11,8 @@
 pub const LEASE_PREFIX: &str = "lease/";
 
 #[derive(Debug)]
-struct KeptShard {
-    lease: LeaseMachine,
+struct ShardLease {
+    machine: LeaseMachine,
     sequence: u64,
     last_epoch: Option<u64>,
 }
@@ -42,22 +42,22 @@
 
 /// Contends for the leases of the shards that this process may control.
 #[derive(Debug)]
-pub struct ShardKeeper {
+pub struct ShardLeases {
     box_id: String,
     holder: String,
     times: LeaseTimes,
     entries: BTreeSet<String>,
-    shards: BTreeMap<String, KeptShard>,
+    shards: BTreeMap<String, ShardLease>,
 }
 
-impl ShardKeeper {
+impl ShardLeases {
     /// A keeper without any shard; `holder` names this life of the process.
     pub fn new(
         box_id: &str,
         holder: &str,
         times: LeaseTimes,
     ) -> Self {
-        ShardKeeper {
+        ShardLeases {
             box_id: box_id.to_string(),
             holder: holder.to_string(),
             times,
@@ -67,7 +67,7 @@
     }
 
     /// Notes which entry processes there are.
-    pub fn note_entries(
+    pub fn set_entries(
         &mut self,
         entries: BTreeSet<String>,
     ) {
@@ -75,13 +75,13 @@
     }
 
     /// Takes in the outcome of a lease call.
-    pub fn outcome(
+    pub fn apply_outcome(
         &mut self,
         shard: &str,
         outcome: LeaseOutcome,
         now: Micros,
     ) {
-        let Some(kept) = self.shards.get_mut(shard) else {
+        let Some(lease) = self.shards.get_mut(shard) else {
             return;
         };
         match outcome {
@@ -89,10 +89,10 @@
                 row,
                 version,
                 asked_at,
-            } => kept.lease.row_read(row, version, asked_at, now),
-            LeaseOutcome::Written { version } => kept.lease.row_written(version, now),
-            LeaseOutcome::Refused => kept.lease.write_refused(),
-            LeaseOutcome::Unknown => kept.lease.write_unknown(),
+            } => lease.machine.row_read(row, version, asked_at, now),
+            LeaseOutcome::Written { version } => lease.machine.row_written(version, now),
+            LeaseOutcome::Refused => lease.machine.write_refused(),
+            LeaseOutcome::Unknown => lease.machine.write_unknown(),
         }
     }
 
@@ -102,7 +102,7 @@
         group: &str,
         now: Micros,
     ) -> Option<u64> {
-        self.shards.get(&shard_of(group))?.lease.epoch(now)
+        self.shards.get(&shard_of(group))?.machine.epoch(now)
     }
 
     /// The stamp of the next order to a group, if this process may give one now.
@@ -111,28 +111,28 @@
         group: &str,
         now: Micros,
     ) -> Option<OrderStamp> {
-        let kept = self.shards.get_mut(&shard_of(group))?;
-        let epoch = kept.lease.epoch(now)?;
-        if kept.last_epoch != Some(epoch) {
-            kept.last_epoch = Some(epoch);
-            kept.sequence = 0;
+        let lease = self.shards.get_mut(&shard_of(group))?;
+        let epoch = lease.machine.epoch(now)?;
+        if lease.last_epoch != Some(epoch) {
+            lease.last_epoch = Some(epoch);
+            lease.sequence = 0;
         }
-        kept.sequence += 1;
+        lease.sequence += 1;
         Some(OrderStamp {
             epoch,
-            sequence: kept.sequence,
+            sequence: lease.sequence,
         })
     }
 
     /// Shards whose lease this process holds now.
-    pub fn held(
+    pub fn held_shards(
         &self,
         now: Micros,
     ) -> Vec<String> {
         let held = self
             .shards
             .iter()
-            .filter(|(_, s)| s.lease.epoch(now).is_some());
+            .filter(|(_, s)| s.machine.epoch(now).is_some());
         held.map(|(name, _)| name.clone()).collect()
     }
 
@@ -144,10 +144,10 @@
         revision: u64,
         actions: &mut Vec<EntryAction>,
     ) {
-        self.choose_shards(groups, actions);
+        self.select_shards(groups, actions);
         let mut reads = Vec::new();
-        for (name, kept) in &mut self.shards {
-            match kept.lease.step(now) {
+        for (name, lease) in &mut self.shards {
+            match lease.machine.step(now) {
                 LeaseStep::Wait => {}
                 LeaseStep::Read => reads.push(name.clone()),
                 LeaseStep::Write { version, row } => actions.push(EntryAction::WriteLease {
@@ -156,10 +156,10 @@
                     row,
                 }),
             }
-            let epoch = kept.lease.epoch(now);
-            if epoch != kept.last_epoch {
-                kept.last_epoch = epoch;
-                kept.sequence = 0;
+            let epoch = lease.machine.epoch(now);
+            if epoch != lease.last_epoch {
+                lease.last_epoch = epoch;
+                lease.sequence = 0;
                 actions.push(EntryAction::Log(lease_line(name, epoch, revision)));
             }
         }
@@ -170,7 +170,7 @@
 
     /// Takes up the shards of these groups that this process contends for, and
     /// hands back the others.
-    fn choose_shards(
+    fn select_shards(
         &mut self,
         groups: &BTreeSet<String>,
         actions: &mut Vec<EntryAction>,
@@ -178,16 +178,16 @@
         let wanted: BTreeSet<String> = groups.iter().map(|group| shard_of(group)).collect();
         let mine = |shard: &String| contends(&self.box_id, shard, self.entries.iter());
         let wanted: BTreeSet<String> = wanted.into_iter().filter(mine).collect();
-        self.shards.retain(|name, kept| {
+        self.shards.retain(|name, lease| {
             let keep = wanted.contains(name);
             if !keep {
-                push_release(name, kept, actions);
+                push_release(name, lease, actions);
             }
             keep
         });
         for name in wanted {
-            self.shards.entry(name).or_insert_with(|| KeptShard {
-                lease: LeaseMachine::new(self.holder.clone(), self.times),
+            self.shards.entry(name).or_insert_with(|| ShardLease {
+                machine: LeaseMachine::new(self.holder.clone(), self.times),
                 sequence: 0,
                 last_epoch: None,
             });
@@ -197,8 +197,8 @@
     /// Hands all leases back, as at a planned stop.
     pub fn release(&mut self) -> Vec<EntryAction> {
         let mut actions = Vec::new();
-        for (name, kept) in &mut self.shards {
-            push_release(name, kept, &mut actions);
+        for (name, lease) in &mut self.shards {
+            push_release(name, lease, &mut actions);
         }
         actions
     }
@@ -206,10 +206,10 @@
 
 fn push_release(
     name: &str,
-    kept: &mut KeptShard,
+    lease: &mut ShardLease,
     actions: &mut Vec<EntryAction>,
 ) {
-    if let Some(LeaseStep::Write { version, row }) = kept.lease.release() {
+    if let Some(LeaseStep::Write { version, row }) = lease.machine.release() {
         actions.push(EntryAction::WriteLease {
             shard: name.to_string(),
             version,
--- a/core/src/role/store_roster.rs
+++ b/core/src/role/store_roster.rs
@@ -1,5 +1,5 @@
 use {
-    super::{BoxNotice, BoxRole, EntryAction, MissingNotice, StoredNotice, StoredPiece},
+    super::{BoxRole, EntryAction, ListedBox, MissingNotice, StoredNotice, StoredPiece},
     crate::{
         kept::{PieceDirectory, PieceHolder, PieceKey, StoreTier, StoredCopy},
         place::{LedgerPiece, StoreLedger},
@@ -11,13 +11,13 @@
 };
 
 /// Link rate of a store box before anything was measured, in bytes a second.
-pub const DEFAULT_LINK_RATE: f64 = 1.0e9;
+pub const DEFAULT_LINK_BYTES_PER_S: f64 = 1.0e9;
 /// Disk rate of a store box, in bytes a second.
-pub const DEFAULT_DISK_RATE: f64 = 4.0e8;
+pub const DEFAULT_DISK_BYTES_PER_S: f64 = 4.0e8;
 /// Sealed pieces that are remembered until a store box has listed them itself.
-const STORED_MEMORY: usize = 20_000;
+const MAX_UNLISTED_PIECES: usize = 20_000;
 /// Time between two evictions on one store box.
-const EVICT_PAUSE: Micros = Micros::from_millis(200);
+const MIN_EVICT_INTERVAL: Micros = Micros::from_millis(200);
 /// How often a store box is asked for all that it holds.
 const LIST_INTERVAL: Micros = Micros::from_secs(30);
 
@@ -35,7 +35,7 @@
     /// Arena shared with the routing table.
     pub arena: SlotMap<StoreKey, StoreState>,
     entries: BTreeMap<String, StoreEntry>,
-    stored_since_list: Vec<StoredNotice>,
+    stored_since_listing: Vec<StoredNotice>,
 }
 
 /// Pieces that a full store box should drop.
@@ -49,18 +49,18 @@
 
 impl StoreRoster {
     /// Takes in the box list; gives the names of boxes that are on it no more.
-    pub fn note_boxes(
+    pub fn update_boxes(
         &mut self,
         now: Micros,
-        boxes: &[BoxNotice],
+        boxes: &[ListedBox],
         actions: &mut Vec<EntryAction>,
     ) -> Vec<String> {
         let stores = boxes
             .iter()
             .filter(|b| b.role == BoxRole::Store && !b.leaving);
-        let stores: Vec<&BoxNotice> = stores.collect();
+        let stores: Vec<&ListedBox> = stores.collect();
         for notice in &stores {
-            self.note_box(now, notice, actions);
+            self.update_box(now, notice, actions);
         }
         let listed = |id: &String| stores.iter().any(|notice| &notice.id == id);
         let lost: Vec<String> = self
@@ -77,10 +77,10 @@
         lost
     }
 
-    fn note_box(
+    fn update_box(
         &mut self,
         now: Micros,
-        notice: &BoxNotice,
+        notice: &ListedBox,
         actions: &mut Vec<EntryAction>,
     ) {
         if let Some(entry) = self.entries.get(&notice.id) {
@@ -94,9 +94,9 @@
             id: notice.id.clone(),
             group: notice.group.clone(),
             address: notice.address,
-            link_rate: DEFAULT_LINK_RATE,
+            link_rate: DEFAULT_LINK_BYTES_PER_S,
             link_queue: 0,
-            disk_rate: DEFAULT_DISK_RATE,
+            disk_rate: DEFAULT_DISK_BYTES_PER_S,
         });
         let entry = StoreEntry {
             key,
@@ -112,7 +112,7 @@
     }
 
     /// Asks the boxes that were not listed for long.
-    pub fn ask_lists(
+    pub fn request_listings(
         &mut self,
         now: Micros,
         actions: &mut Vec<EntryAction>,
@@ -122,7 +122,8 @@
                 continue;
             }
             entry.listed_at = now;
-            self.stored_since_list.retain(|notice| &notice.store != id);
+            self.stored_since_listing
+                .retain(|notice| &notice.store != id);
             if let Some(state) = self.arena.get(entry.key) {
                 actions.push(EntryAction::ListStore {
                     store: id.clone(),
@@ -133,7 +134,7 @@
     }
 
     /// Replaces all that is known of a store box by its own list.
-    pub fn listed(
+    pub fn replace_listing(
         &mut self,
         now: Micros,
         store: &str,
@@ -164,13 +165,13 @@
         }
         entry.ledger.reconcile(listed);
         // The list may be older than what agents have told since it was asked for.
-        for notice in std::mem::take(&mut self.stored_since_list) {
-            self.stored(notice, directory);
+        for notice in std::mem::take(&mut self.stored_since_listing) {
+            self.add_piece(notice, directory);
         }
     }
 
     /// Notes how fast the link of a store box was; false when it is not known.
-    pub fn measured(
+    pub fn set_link_rate(
         &mut self,
         store: &str,
         link_rate: f64,
@@ -187,7 +188,7 @@
     }
 
     /// Notes a sealed piece.
-    pub fn stored(
+    pub fn add_piece(
         &mut self,
         notice: StoredNotice,
         directory: &mut PieceDirectory,
@@ -206,13 +207,13 @@
             generation: notice.generation,
         };
         entry.ledger.add(notice.identity, piece);
-        if self.stored_since_list.len() < STORED_MEMORY {
-            self.stored_since_list.push(notice);
+        if self.stored_since_listing.len() < MAX_UNLISTED_PIECES {
+            self.stored_since_listing.push(notice);
         }
     }
 
     /// Forgets a copy, unless a newer one is known by now.
-    pub fn missing(
+    pub fn remove_piece(
         &self,
         notice: &MissingNotice,
         directory: &mut PieceDirectory,
@@ -245,10 +246,10 @@
     ) -> Option<StoreEviction> {
         let entry = self.entries.get_mut(store)?;
         let state = self.arena.get(entry.key)?;
-        let lately = entry
+        let evicted_recently = entry
             .evicted_at
-            .is_some_and(|at| now.since(at) < EVICT_PAUSE);
-        if lately || !controls(&state.group) {
+            .is_some_and(|at| now.since(at) < MIN_EVICT_INTERVAL);
+        if evicted_recently || !controls(&state.group) {
             return None;
         }
         entry.evicted_at = Some(now);
--- a/core/tests/agent_gate.rs
+++ b/core/tests/agent_gate.rs
@@ -7,7 +7,8 @@
     lease::{FenceRefusal, OrderStamp},
     role::{
         AgentAction, AgentCore, AgentEvent, AgentIdentity, CacheChange, ConfigNotice,
-        EndpointOrder, GateRefusal, GateWork, OrderOutcome, StampedOrder, UpwardEvent, WorkTicket,
+        EndpointEvent, EndpointOrder, GateRefusal, GateWork, OrderOutcome, StampedOrder,
+        WorkTicket,
     },
     route::EndpointKind,
     time::Micros,
@@ -32,7 +33,7 @@
 }
 
 fn healthy(version: &str) -> AgentEvent {
-    AgentEvent::HealthSeen {
+    AgentEvent::HealthChecked {
         healthy: true,
         version: Some(version.to_string()),
     }
@@ -74,7 +75,7 @@
 }
 
 fn leaving(revision: u64) -> AgentEvent {
-    AgentEvent::Noticed(ConfigNotice {
+    AgentEvent::ConfigNoticeReceived(ConfigNotice {
         revision,
         leaving: true,
         box_leaving: false,
@@ -86,7 +87,7 @@
     sequence: u64,
     version: &str,
 ) -> AgentEvent {
-    AgentEvent::Ordered(StampedOrder {
+    AgentEvent::OrderReceived(StampedOrder {
         shard: "shard-00".to_string(),
         stamp: OrderStamp { epoch, sequence },
         order: EndpointOrder::LoadVersion {
@@ -186,13 +187,13 @@
         leaving: false,
         box_leaving: false,
     };
-    core.step(Micros(3), AgentEvent::Noticed(back));
+    core.step(Micros(3), AgentEvent::ConfigNoticeReceived(back));
     assert!(core.is_refusing());
     let newer = ConfigNotice {
         revision: 6,
         ..back
     };
-    core.step(Micros(4), AgentEvent::Noticed(newer));
+    core.step(Micros(4), AgentEvent::ConfigNoticeReceived(newer));
     assert!(!core.is_refusing());
 }
 
@@ -213,16 +214,16 @@
     let mut core = agent(1);
     hand_over(&mut core, 1, "v1");
     hand_over(&mut core, 2, "v1");
-    let gone = AgentEvent::HealthSeen {
+    let unhealthy = AgentEvent::HealthChecked {
         healthy: false,
         version: None,
     };
-    let actions = core.step(Micros(2), gone);
+    let actions = core.step(Micros(2), unhealthy);
     assert!(
         actions.contains(&refused(2, ErrorKind::EndpointUnreachable)),
         "{actions:?}"
     );
-    assert!(actions.contains(&AgentAction::Publish(vec![UpwardEvent::Cleared])));
+    assert!(actions.contains(&AgentAction::Publish(vec![EndpointEvent::Cleared])));
 }
 
 #[test]
@@ -232,8 +233,8 @@
         core.step(Micros(1), order(7, 1, "v2")),
         vec![AgentAction::RefuseOrder(FenceRefusal::EpochUnknown)]
     );
-    let asks = core.step(Micros(2), AgentEvent::Tick);
-    assert!(asks.contains(&AgentAction::ReadEpoch));
+    let actions = core.step(Micros(2), AgentEvent::Tick);
+    assert!(actions.contains(&AgentAction::ReadEpoch));
 }
 
 #[test]
@@ -244,15 +245,15 @@
         keys: vec![PieceKey(1)],
     };
     core.step(Micros(1), listed);
-    let joins = AgentEvent::CacheNews {
+    let contiguous = AgentEvent::CacheChanged {
         first: 10,
         changes: vec![CacheChange::Added(PieceKey(2))],
     };
     assert!(matches!(
-        core.step(Micros(2), joins)[0],
+        core.step(Micros(2), contiguous)[0],
         AgentAction::Publish(_)
     ));
-    let gap = AgentEvent::CacheNews {
+    let gap = AgentEvent::CacheChanged {
         first: 15,
         changes: vec![CacheChange::Added(PieceKey(3))],
     };
@@ -264,8 +265,8 @@
 fn engine_names_its_version() {
     let mut core = agent(1);
     let actions = core.step(Micros(1), healthy("v9"));
-    let told = AgentAction::Publish(vec![UpwardEvent::Version("v9".to_string())]);
-    assert_eq!(actions, vec![told]);
+    let published = AgentAction::Publish(vec![EndpointEvent::Version("v9".to_string())]);
+    assert_eq!(actions, vec![published]);
     assert_eq!(
         hand_over(&mut core, 1, "v1"),
         vec![refused(1, ErrorKind::WrongVersion)]
--- a/core/tests/early_saves.rs
+++ b/core/tests/early_saves.rs
@@ -20,75 +20,75 @@
 
 /// What happens in a step of the small world.
 #[derive(Debug, Clone, Copy)]
-enum Happening {
+enum SimEvent {
     Nothing,
     /// The store starts again, empty.
-    Restart,
+    RestartStore,
     /// A front starts again, and knows nothing.
-    NewFront {
+    RestartFront {
         front: usize,
     },
     /// A front looks at the store; the answer is on its way for so many steps.
-    Look {
+    PollStore {
         front: usize,
-        way: usize,
+        delay_steps: usize,
     },
     /// A front asks another one, which stands still before it answers; the answer is on its
     /// way, or lies with the one that asked.
-    Ask {
+    QueryPeer {
         front: usize,
         peer: usize,
-        stands: usize,
-        way: usize,
+        pause_steps: usize,
+        delay_steps: usize,
     },
 }
 
-fn happening() -> impl Strategy<Value = Happening> {
+fn sim_event() -> impl Strategy<Value = SimEvent> {
     let front = || 0..FRONTS;
     prop_oneof![
-        2 => Just(Happening::Nothing),
-        1 => Just(Happening::Restart),
-        2 => front().prop_map(|front| Happening::NewFront { front }),
-        8 => (front(), 0..30_usize).prop_map(|(front, way)| Happening::Look { front, way }),
+        2 => Just(SimEvent::Nothing),
+        1 => Just(SimEvent::RestartStore),
+        2 => front().prop_map(|front| SimEvent::RestartFront { front }),
+        8 => (front(), 0..30_usize).prop_map(|(front, delay_steps)| SimEvent::PollStore { front, delay_steps }),
         6 => (front(), front(), 0..80_usize, 0..40_usize).prop_map(
-            |(front, peer, stands, way)| Happening::Ask { front, peer, stands, way }
+            |(front, peer, pause_steps, delay_steps)| SimEvent::QueryPeer { front, peer, pause_steps, delay_steps }
         ),
     ]
 }
 
 /// What is under way in the small world, and the step in which it comes.
-enum Letter {
+enum Message {
     /// The store's answer to a question that a front sent.
-    Answer {
+    StoreReply {
         to: usize,
-        life: u64,
+        incarnation: u64,
         sent_at: Micros,
         epoch: u64,
     },
     /// A question that a front is to answer now.
-    Question {
+    PeerQuery {
         peer: usize,
         to: usize,
-        life: u64,
-        way: usize,
+        incarnation: u64,
+        delay_steps: usize,
     },
-    Told {
+    PeerReply {
         to: usize,
-        life: u64,
-        told: Vec<ToldLife>,
+        incarnation: u64,
+        reports: Vec<ToldLife>,
     },
 }
 
-struct SmallFront {
+struct SimFront {
     map: MemoryMap,
-    life: u64,
+    incarnation: u64,
 }
 
-impl SmallFront {
-    fn start(life: u64) -> Self {
+impl SimFront {
+    fn start(incarnation: u64) -> Self {
         let mut map = MemoryMap::default();
         map.set_stores(&[store()]);
-        SmallFront { map, life }
+        SimFront { map, incarnation }
     }
 
     fn view(&mut self) -> &mut StoreView {
@@ -96,65 +96,65 @@
     }
 }
 
-struct SmallWorld {
-    fronts: Vec<SmallFront>,
-    letters: Vec<(usize, Letter)>,
+struct StoreSim {
+    fronts: Vec<SimFront>,
+    messages: Vec<(usize, Message)>,
     epoch: u64,
-    restarted_at: Micros,
+    store_started_at: Micros,
     /// Saves that a front could ask for in the first [`SAVE_AFTER`] of its own life.
-    early: usize,
+    early_saves: usize,
 }
 
-impl SmallWorld {
+impl StoreSim {
     fn new() -> Self {
-        SmallWorld {
-            fronts: (0..FRONTS).map(|_| SmallFront::start(0)).collect(),
-            letters: Vec::new(),
+        StoreSim {
+            fronts: (0..FRONTS).map(|_| SimFront::start(0)).collect(),
+            messages: Vec::new(),
             epoch: 1,
-            restarted_at: START,
-            early: 0,
+            store_started_at: START,
+            early_saves: 0,
         }
     }
 
-    fn happen(
+    fn apply_event(
         &mut self,
-        happening: Happening,
+        sim_event: SimEvent,
         step: usize,
         now: Micros,
     ) {
-        match happening {
-            Happening::Nothing => {}
-            Happening::Restart => {
+        match sim_event {
+            SimEvent::Nothing => {}
+            SimEvent::RestartStore => {
                 self.epoch += 1;
-                self.restarted_at = now;
+                self.store_started_at = now;
             }
-            Happening::NewFront { front } => {
-                self.fronts[front] = SmallFront::start(step as u64 + 1);
+            SimEvent::RestartFront { front } => {
+                self.fronts[front] = SimFront::start(step as u64 + 1);
             }
-            Happening::Look { front, way } => {
-                let answer = Letter::Answer {
+            SimEvent::PollStore { front, delay_steps } => {
+                let reply = Message::StoreReply {
                     to: front,
-                    life: self.fronts[front].life,
+                    incarnation: self.fronts[front].incarnation,
                     sent_at: now,
                     epoch: self.epoch,
                 };
-                self.letters.push((step + way, answer));
+                self.messages.push((step + delay_steps, reply));
             }
-            Happening::Ask {
+            SimEvent::QueryPeer {
                 front,
                 peer,
-                stands,
-                way,
+                pause_steps,
+                delay_steps,
             } => {
-                let life = self.fronts[front].life;
+                let incarnation = self.fronts[front].incarnation;
                 let to = front;
-                let question = Letter::Question {
+                let query = Message::PeerQuery {
                     peer,
                     to,
-                    life,
-                    way,
+                    incarnation,
+                    delay_steps,
                 };
-                self.letters.push((step + stands, question));
+                self.messages.push((step + pause_steps, query));
             }
         }
     }
@@ -164,47 +164,57 @@
         step: usize,
         now: Micros,
     ) {
-        let (due, later) = std::mem::take(&mut self.letters)
+        let (due, later) = std::mem::take(&mut self.messages)
             .into_iter()
             .partition(|(at, _)| *at <= step);
-        self.letters = later;
-        for (_, letter) in due {
-            self.take(letter, step, now);
+        self.messages = later;
+        for (_, message) in due {
+            self.receive(message, step, now);
         }
     }
 
-    fn take(
+    fn receive(
         &mut self,
-        letter: Letter,
+        message: Message,
         step: usize,
         now: Micros,
     ) {
-        match letter {
-            Letter::Answer {
+        match message {
+            Message::StoreReply {
                 to,
-                life,
+                incarnation,
                 sent_at,
                 epoch,
             } => {
                 let front = &mut self.fronts[to];
-                if front.life == life {
+                if front.incarnation == incarnation {
                     front.view().answered(epoch, Some(1), sent_at, now);
                 }
             }
-            Letter::Question {
+            Message::PeerQuery {
                 peer,
                 to,
-                life,
-                way,
+                incarnation,
+                delay_steps,
             } => {
-                let told = self.fronts[peer].map.lives(now);
-                let letter = Letter::Told { to, life, told };
-                self.letters.push((step + way, letter));
+                let reports = self.fronts[peer].map.lives(now);
+                let message = Message::PeerReply {
+                    to,
+                    incarnation,
+                    reports,
+                };
+                self.messages.push((step + delay_steps, message));
             }
-            Letter::Told { to, life, told } => {
+            Message::PeerReply {
+                to,
+                incarnation,
+                reports,
+            } => {
                 let front = &mut self.fronts[to];
-                if front.life == life {
-                    told.iter().for_each(|told| front.map.tell_life(told, now));
+                if front.incarnation == incarnation {
+                    reports
+                        .iter()
+                        .for_each(|report| front.map.tell_life(report, now));
                 }
             }
         }
@@ -212,33 +222,33 @@
 
     /// Whoever saves in the life that the store is in does so when no view of the life
     /// before is gone by any more.
-    fn check(
+    fn check_saves(
         &mut self,
         now: Micros,
     ) {
-        let lasted = now.since(self.restarted_at);
+        let age = now.since(self.store_started_at);
         for front in &mut self.fronts {
-            let started = START + at(front.life * STEP_MS);
+            let front_started_at = START + at(front.incarnation * STEP_MS);
             let view = front.view();
             let is_current = view.epoch() == Some(self.epoch);
             if is_current && view.takes(10, now) {
-                assert!(lasted > VIEW_LIFE, "saved after {lasted:?}");
-                self.early += usize::from(now.since(started) <= SAVE_AFTER);
+                assert!(age > VIEW_LIFE, "saved after {age:?}");
+                self.early_saves += usize::from(now.since(front_started_at) <= SAVE_AFTER);
             }
         }
     }
 }
 
 /// Plays a world, and counts the steps in which a young front could save.
-fn play(happenings: &[Happening]) -> usize {
-    let mut world = SmallWorld::new();
-    for (step, happening) in happenings.iter().enumerate() {
+fn run_sim(sim_events: &[SimEvent]) -> usize {
+    let mut sim = StoreSim::new();
+    for (step, sim_event) in sim_events.iter().enumerate() {
         let now = START + at(step as u64 * STEP_MS);
-        world.deliver(step, now);
-        world.happen(*happening, step, now);
-        world.check(now);
+        sim.deliver(step, now);
+        sim.apply_event(*sim_event, step, now);
+        sim.check_saves(now);
     }
-    world.early
+    sim.early_saves
 }
 
 proptest! {
@@ -247,24 +257,27 @@
     /// Whatever starts again, stands still or is behind, nothing is saved while a view of
     /// the life before may still be gone by.
     #[test]
-    fn no_early_saves(happenings in proptest::collection::vec(happening(), STEPS)) {
-        play(&happenings);
+    fn no_early_saves(sim_events in proptest::collection::vec(sim_event(), STEPS)) {
+        run_sim(&sim_events);
     }
 }
 
 /// The small world does have fronts that save early because they were told.
 #[test]
 fn told_world_saves() {
-    let look = |front| Happening::Look { front, way: 1 };
-    let mut happenings = vec![Happening::Nothing; 120];
-    happenings[0] = look(0);
-    happenings[70] = Happening::NewFront { front: 1 };
-    happenings[71] = look(1);
-    happenings[72] = Happening::Ask {
+    let poll = |front| SimEvent::PollStore {
+        front,
+        delay_steps: 1,
+    };
+    let mut sim_events = vec![SimEvent::Nothing; 120];
+    sim_events[0] = poll(0);
+    sim_events[70] = SimEvent::RestartFront { front: 1 };
+    sim_events[71] = poll(1);
+    sim_events[72] = SimEvent::QueryPeer {
         front: 1,
         peer: 0,
-        stands: 1,
-        way: 1,
+        pause_steps: 1,
+        delay_steps: 1,
     };
-    assert!(play(&happenings) > 0);
+    assert!(run_sim(&sim_events) > 0);
 }
--- a/core/tests/entry_control.rs
+++ b/core/tests/entry_control.rs
@@ -3,7 +3,10 @@
 mod entry_world;
 
 use {
-    entry_world::{beacon, config, core, heard, last_table, linked, opened, pulse, said, tick},
+    entry_world::{
+        batch_event, beacon, beacon_event, config, core, last_published_table, linked_core, pulse,
+        run_ticks, stream_opened_event,
+    },
     pitchhitch_core::{
         conf::{ConfigChange, LabelTarget, VersionConf},
         drain::DrainState,
@@ -12,8 +15,8 @@
         lease::LeaseRow,
         member::{AgentBeacon, EntryBeacon},
         role::{
-            BoxNotice, BoxRole, EntryAction, EntryCore, EntryEvent, PromptUse, StoredNotice,
-            StoredPiece, UpwardEvent,
+            BoxRole, EndpointEvent, EntryAction, EntryCore, EntryEvent, ListedBox, PromptUse,
+            StoredNotice, StoredPiece,
         },
         route::{RouteTable, SentLoad},
         time::Micros,
@@ -54,24 +57,24 @@
         revision: 7,
         running: 0,
     };
-    let actions = core.step(Micros(0), EntryEvent::PeerHeard(peer.clone()));
+    let actions = core.step(Micros(0), EntryEvent::PeerBeaconReceived(peer.clone()));
     assert!(matches!(actions[0], EntryAction::PullConfig { .. }));
     core.step(Micros(1), EntryEvent::ConfigRead(Arc::new(config(7))));
     assert!(!core.is_ready(Micros::from_secs(1)));
-    core.step(Micros::from_secs(2), EntryEvent::PeerHeard(peer));
+    core.step(Micros::from_secs(2), EntryEvent::PeerBeaconReceived(peer));
     assert!(core.is_ready(Micros::from_secs(3)));
 }
 
 #[test]
 fn event_gap_resyncs() {
-    let mut core = linked();
+    let mut core = linked_core();
     core.step(
         Micros(3),
-        said(5, 0, vec![UpwardEvent::Cached(PieceKey(1))]),
+        batch_event(5, 0, vec![EndpointEvent::Cached(PieceKey(1))]),
     );
     let actions = core.step(
         Micros(4),
-        said(5, 7, vec![UpwardEvent::Cached(PieceKey(2))]),
+        batch_event(5, 7, vec![EndpointEvent::Cached(PieceKey(2))]),
     );
     assert!(actions
         .iter()
@@ -79,17 +82,20 @@
     // Until it is opened anew nothing more is believed.
     core.step(
         Micros(5),
-        said(5, 8, vec![UpwardEvent::Cached(PieceKey(3))]),
+        batch_event(5, 8, vec![EndpointEvent::Cached(PieceKey(3))]),
     );
     assert_eq!(core.piece_count(), 1);
 }
 
 #[test]
 fn restart_voids_pieces() {
-    let mut core = linked();
+    let mut core = linked_core();
     let key = PieceKey(77 << 64);
-    core.step(Micros(3), said(5, 0, vec![UpwardEvent::Cached(key)]));
-    let table = last_table(&tick(&mut core, Micros(4))).expect("table");
+    core.step(
+        Micros(3),
+        batch_event(5, 0, vec![EndpointEvent::Cached(key)]),
+    );
+    let table = last_published_table(&run_ticks(&mut core, Micros(4))).expect("table");
     let alive = |table: &RouteTable| {
         table.pieces.holders(key).any(|holder| match holder {
             PieceHolder::Endpoint(endpoint) => table.endpoints.contains_key(endpoint),
@@ -97,20 +103,20 @@
         })
     };
     assert!(alive(&table));
-    core.step(Micros(5), heard(6));
-    let mut actions = core.step(Micros(6), opened(6));
-    actions.extend(tick(&mut core, Micros(7)));
-    let table = last_table(&actions).expect("table");
+    core.step(Micros(5), beacon_event(6));
+    let mut actions = core.step(Micros(6), stream_opened_event(6));
+    actions.extend(run_ticks(&mut core, Micros(7)));
+    let table = last_published_table(&actions).expect("table");
     assert!(!alive(&table));
 }
 
 #[test]
 fn earlier_life_ignored() {
-    let mut core = linked();
-    core.step(Micros(3), heard(4));
+    let mut core = linked_core();
+    core.step(Micros(3), beacon_event(4));
     core.step(
         Micros(4),
-        said(4, 0, vec![UpwardEvent::Cached(PieceKey(1))]),
+        batch_event(4, 0, vec![EndpointEvent::Cached(PieceKey(1))]),
     );
     assert_eq!(core.piece_count(), 0);
     assert_eq!(core.roster().state("e1").expect("known").incarnation, 5);
@@ -118,7 +124,7 @@
 
 #[test]
 fn drain_reported() {
-    let mut core = linked();
+    let mut core = linked_core();
     let now = Micros(10);
     assert_eq!(core.drain_state("e1", now), DrainState::Serving);
     let mut config = config(1);
@@ -134,14 +140,14 @@
         .iter()
         .any(|a| matches!(a, EntryAction::Notify { notice, .. } if notice.leaving)));
     // No new work goes there from now on, whatever the agent says.
-    let table = last_table(&actions).expect("table");
+    let table = last_published_table(&actions).expect("table");
     let target = pitchhitch_core::route::WorkTarget::Model("m".to_string());
     let pool = table.pools.get("org", &target, "v1").expect("pool");
     assert!(pool.members.is_empty());
     assert_eq!(core.drain_state("e1", now), DrainState::AwaitingAgent);
     let mut refusing = pulse(1);
     refusing.refusing = true;
-    let event = |pulse| EntryEvent::PulseSeen {
+    let event = |pulse| EntryEvent::PulseReceived {
         endpoint_id: "e1".to_string(),
         pulse,
         own: SentLoad::default(),
@@ -162,7 +168,7 @@
 
 #[test]
 fn failing_endpoint_ejected() {
-    let mut core = linked();
+    let mut core = linked_core();
     let failed = || EntryEvent::TryEnded {
         endpoint_id: "e1".to_string(),
         failure: Some(ErrorKind::EndpointLost),
@@ -175,7 +181,7 @@
 }
 
 fn store_box() -> EntryEvent {
-    EntryEvent::BoxesListed(vec![BoxNotice {
+    EntryEvent::BoxesListed(vec![ListedBox {
         id: "store-1".to_string(),
         role: BoxRole::Store,
         group: "g".to_string(),
@@ -188,8 +194,8 @@
 fn stored(
     piece: u128,
     identity: u128,
-) -> UpwardEvent {
-    UpwardEvent::Stored(StoredNotice {
+) -> EndpointEvent {
+    EndpointEvent::Stored(StoredNotice {
         key: PieceKey(piece << 64),
         store: "store-1".to_string(),
         tier: StoreTier::Memory,
@@ -198,8 +204,8 @@
     })
 }
 
-fn used(identity: u128) -> UpwardEvent {
-    UpwardEvent::PromptUsed(PromptUse {
+fn used(identity: u128) -> EndpointEvent {
+    EndpointEvent::PromptUsed(PromptUse {
         identity: PieceKey(identity),
         organisation: "org".to_string(),
         label: "file".to_string(),
@@ -208,23 +214,23 @@
 
 #[test]
 fn full_store_evicts() {
-    let mut core = linked();
+    let mut core = linked_core();
     core.step(Micros(3), store_box());
     // This process must hold the lease of the group before it drops anything.
     let mut events = vec![used(2)];
     events.extend((0..40).map(|n| stored(100 + n, 1)));
     events.extend((0..40).map(|n| stored(200 + n, 2)));
-    core.step(Micros(4), said(5, 0, events));
-    let full = UpwardEvent::StoreFull {
+    core.step(Micros(4), batch_event(5, 0, events));
+    let full = EndpointEvent::StoreFull {
         store: "store-1".to_string(),
     };
-    let actions = core.step(Micros(5), said(5, 81, vec![full.clone()]));
+    let actions = core.step(Micros(5), batch_event(5, 81, vec![full.clone()]));
     assert!(!actions
         .iter()
         .any(|a| matches!(a, EntryAction::DropPieces { .. })));
     take_lease(&mut core);
     let now = Micros(7);
-    let actions = core.step(now, said(5, 82, vec![full]));
+    let actions = core.step(now, batch_event(5, 82, vec![full]));
     let dropped = actions.iter().find_map(|a| match a {
         EntryAction::DropPieces { pieces, .. } => Some(pieces.clone()),
         _ => None,
@@ -239,7 +245,7 @@
 fn take_lease(core: &mut EntryCore) {
     let now = Micros(6);
     let shard = pitchhitch_core::lease::shard_of("g");
-    tick(core, now);
+    run_ticks(core, now);
     let read = EntryEvent::LeaseRead {
         shard: shard.clone(),
         row: None::<LeaseRow>,
@@ -247,7 +253,7 @@
         asked_at: now,
     };
     core.step(now, read);
-    let actions = tick(core, now);
+    let actions = run_ticks(core, now);
     assert!(
         actions
             .iter()
@@ -260,10 +266,10 @@
 
 #[test]
 fn stale_list_keeps_newer() {
-    let mut core = linked();
+    let mut core = linked_core();
     core.step(Micros(3), store_box());
     // The list was on its way when an agent told of a newer piece.
-    core.step(Micros(4), said(5, 0, vec![stored(9, 1)]));
+    core.step(Micros(4), batch_event(5, 0, vec![stored(9, 1)]));
     let listed = EntryEvent::StoreListed {
         store: "store-1".to_string(),
         pieces: vec![StoredPiece {
@@ -273,7 +279,7 @@
         }],
     };
     core.step(Micros(5), listed);
-    let table = last_table(&tick(&mut core, Micros(6))).expect("table");
+    let table = last_published_table(&run_ticks(&mut core, Micros(6))).expect("table");
     for piece in [8, 9] {
         let known = table
             .pieces
@@ -303,7 +309,7 @@
             ..beacon(5)
         };
         let own = SentLoad::default();
-        core.step(Micros(1), EntryEvent::AgentHeard { beacon, own });
+        core.step(Micros(1), EntryEvent::AgentBeaconReceived { beacon, own });
         core.step(
             Micros(2),
             EntryEvent::StreamOpened {
@@ -313,7 +319,7 @@
         );
     }
     take_lease(&mut core);
-    let actions = tick(&mut core, Micros(7));
+    let actions = run_ticks(&mut core, Micros(7));
     let ordered = |actions: &[EntryAction]| {
         actions
             .iter()
@@ -321,5 +327,5 @@
             .count()
     };
     assert_eq!(ordered(&actions), 2);
-    assert_eq!(ordered(&tick(&mut core, Micros(8))), 0);
+    assert_eq!(ordered(&run_ticks(&mut core, Micros(8))), 0);
 }
--- a/core/tests/entry_world/mod.rs
+++ b/core/tests/entry_world/mod.rs
@@ -10,7 +10,7 @@
         lease::LeaseTimes,
         member::AgentBeacon,
         role::{
-            AgentPulse, EntryAction, EntryCore, EntryEvent, EntrySetup, EventBatch, UpwardEvent,
+            AgentPulse, EndpointEvent, EntryAction, EntryCore, EntryEvent, EntrySetup, EventBatch,
         },
         route::{EndpointKind, LoadReport, RoutePolicy, RouteTable, SentLoad},
         time::Micros,
@@ -85,26 +85,26 @@
     }
 }
 
-pub fn heard(incarnation: u64) -> EntryEvent {
-    EntryEvent::AgentHeard {
+pub fn beacon_event(incarnation: u64) -> EntryEvent {
+    EntryEvent::AgentBeaconReceived {
         beacon: beacon(incarnation),
         own: SentLoad::default(),
     }
 }
 
-pub fn opened(incarnation: u64) -> EntryEvent {
+pub fn stream_opened_event(incarnation: u64) -> EntryEvent {
     EntryEvent::StreamOpened {
         endpoint_id: "e1".to_string(),
         incarnation,
     }
 }
 
-pub fn said(
+pub fn batch_event(
     incarnation: u64,
     first: u64,
-    events: Vec<UpwardEvent>,
+    events: Vec<EndpointEvent>,
 ) -> EntryEvent {
-    EntryEvent::AgentSaid {
+    EntryEvent::AgentEventsReceived {
         endpoint_id: "e1".to_string(),
         incarnation,
         batch: EventBatch {
@@ -116,7 +116,7 @@
     }
 }
 
-pub fn last_table(actions: &[EntryAction]) -> Option<Arc<RouteTable>> {
+pub fn last_published_table(actions: &[EntryAction]) -> Option<Arc<RouteTable>> {
     actions.iter().rev().find_map(|action| match action {
         EntryAction::Publish { table, .. } => Some(table.clone()),
         _ => None,
@@ -124,7 +124,7 @@
 }
 
 /// Ticks long enough for everything periodic to have happened.
-pub fn tick(
+pub fn run_ticks(
     core: &mut EntryCore,
     now: Micros,
 ) -> Vec<EntryAction> {
@@ -135,10 +135,10 @@
     all
 }
 
-pub fn linked() -> EntryCore {
+pub fn linked_core() -> EntryCore {
     let mut core = core();
     core.step(Micros(0), EntryEvent::ConfigRead(Arc::new(config(1))));
-    core.step(Micros(1), heard(5));
-    core.step(Micros(2), opened(5));
+    core.step(Micros(1), beacon_event(5));
+    core.step(Micros(2), stream_opened_event(5));
     core
 }
--- a/core/tests/freed_parts.rs
+++ b/core/tests/freed_parts.rs
@@ -5,28 +5,28 @@
 
 use {
     proptest::prelude::*,
-    small_world::{Happening, SmallWorld, ENGINES, FRONTS, PARTS, WORLD_MS},
+    small_world::{FleetSim, SimEvent, ENGINES, FRONTS, PARTS, SIM_MS},
 };
 
-fn happening() -> impl Strategy<Value = Happening> {
+fn happening() -> impl Strategy<Value = SimEvent> {
     let still = 100u64..20_000;
     prop_oneof![
-        1 => Just(Happening::Name),
+        1 => Just(SimEvent::PublishWeights),
         12 => (0..FRONTS, 0..ENGINES, 0..PARTS.len(), 0u64..6_000, 1u64..2_000).prop_map(
-            |(front, engine, part, wait_ms, need_ms)| Happening::Fetch {
-                front, engine, part, wait_ms: wait_ms.saturating_sub(4_000), need_ms
+            |(front, engine, part, wait_ms, read_ms)| SimEvent::Fetch {
+                front, engine, part, wait_ms: wait_ms.saturating_sub(4_000), read_ms
             }
         ),
-        1 => (0..FRONTS).prop_map(|front| Happening::Cancel { front }),
+        1 => (0..FRONTS).prop_map(|front| SimEvent::Cancel { front }),
         4 => (0..ENGINES, still.clone())
-            .prop_map(|(engine, for_ms)| Happening::StillEngine { engine, for_ms }),
+            .prop_map(|(engine, for_ms)| SimEvent::PauseEngine { engine, for_ms }),
         1 => (0..ENGINES, still.clone())
-            .prop_map(|(engine, for_ms)| Happening::StillReports { engine, for_ms }),
-        1 => (0..ENGINES).prop_map(|engine| Happening::NewEngine { engine }),
-        1 => (0..ENGINES).prop_map(|engine| Happening::Load { engine }),
+            .prop_map(|(engine, for_ms)| SimEvent::PauseReports { engine, for_ms }),
+        1 => (0..ENGINES).prop_map(|engine| SimEvent::RestartEngine { engine }),
+        1 => (0..ENGINES).prop_map(|engine| SimEvent::Load { engine }),
         2 => (0..FRONTS, still)
-            .prop_map(|(front, for_ms)| Happening::StillFront { front, for_ms }),
-        1 => (0..FRONTS).prop_map(|front| Happening::NewFront { front }),
+            .prop_map(|(front, for_ms)| SimEvent::PauseFront { front, for_ms }),
+        1 => (0..FRONTS).prop_map(|front| SimEvent::RestartFront { front }),
     ]
 }
 
@@ -41,17 +41,17 @@
         happenings in proptest::collection::vec((0u64..40_000, happening()), 20..120),
     ) {
         let mut happenings = happenings;
-        happenings.push((first_named, Happening::Name));
+        happenings.push((first_named, SimEvent::PublishWeights));
         happenings.sort_by_key(|(time, _)| *time);
-        let mut world = SmallWorld::new();
+        let mut world = FleetSim::new();
         let mut next = happenings.iter().peekable();
-        while world.now < WORLD_MS {
+        while world.now < SIM_MS {
             while let Some((_, happening)) = next.next_if(|(time, _)| *time <= world.now) {
-                world.happen(happening);
-                prop_assert!(world.bad_fetch().is_none(), "{:?}", world.bad_fetch());
+                world.apply_event(happening);
+                prop_assert!(world.unsafe_fetch().is_none(), "{:?}", world.unsafe_fetch());
             }
             world.step();
-            prop_assert!(world.bad_fetch().is_none(), "{} {:?}", world.now, world.bad_fetch());
+            prop_assert!(world.unsafe_fetch().is_none(), "{} {:?}", world.now, world.unsafe_fetch());
         }
     }
 }
--- a/core/tests/silent_agents.rs
+++ b/core/tests/silent_agents.rs
@@ -3,7 +3,7 @@
 mod entry_world;
 
 use {
-    entry_world::{linked, pulse, tick},
+    entry_world::{linked_core, pulse, run_ticks},
     pitchhitch_core::{
         role::{AgentPulse, EntryAction, EntryCore, EntryEvent, WorkTicket},
         route::SentLoad,
@@ -13,8 +13,8 @@
 
 #[test]
 fn silent_endpoint_goes() {
-    let mut core = linked();
-    let busy = EntryEvent::PulseSeen {
+    let mut core = linked_core();
+    let busy = EntryEvent::PulseReceived {
         endpoint_id: "e1".to_string(),
         pulse: pulse(2),
         own: SentLoad::default(),
@@ -25,11 +25,11 @@
         core.roster().loads[entry.key].alive
     };
     assert!(alive(&core));
-    tick(&mut core, Micros::from_secs(3));
+    run_ticks(&mut core, Micros::from_secs(3));
     assert!(!alive(&core));
-    let actions = tick(&mut core, Micros::from_secs(5));
+    let actions = run_ticks(&mut core, Micros::from_secs(5));
     assert!(drops_link(&actions));
-    let actions = tick(&mut core, Micros::from_secs(90));
+    let actions = run_ticks(&mut core, Micros::from_secs(90));
     assert!(actions
         .iter()
         .any(|a| matches!(a, EntryAction::Disconnect { .. })));
@@ -38,12 +38,12 @@
 
 #[test]
 fn frozen_idle_endpoint_goes() {
-    let mut core = linked();
+    let mut core = linked_core();
     // It was idle when it froze, so nothing of it was busy in any report.
     core.step(Micros::from_secs(5), routed());
-    let actions = tick(&mut core, Micros::from_secs(6));
+    let actions = run_ticks(&mut core, Micros::from_secs(6));
     assert!(!drops_link(&actions));
-    let actions = tick(&mut core, Micros::from_secs(10));
+    let actions = run_ticks(&mut core, Micros::from_secs(10));
     assert!(drops_link(&actions));
 }
 
@@ -63,7 +63,7 @@
 
 /// A report of an agent that has seen so many hand-overs and runs none of them.
 fn idle_report(taken_up: u64) -> EntryEvent {
-    EntryEvent::PulseSeen {
+    EntryEvent::PulseReceived {
         endpoint_id: "e1".to_string(),
         pulse: AgentPulse {
             taken_up,
@@ -82,38 +82,38 @@
 /// An agent takes up a request and freezes; a report from before comes after that.
 #[test]
 fn earlier_report_proves_nothing() {
-    let mut core = linked();
+    let mut core = linked_core();
     core.step(Micros::from_secs(5), routed());
     core.step(Micros::from_secs(5), taken_up(3));
     core.step(Micros::from_millis(5_010), idle_report(3));
-    assert!(!drops_link(&tick(&mut core, Micros::from_secs(8))));
-    assert!(drops_link(&tick(&mut core, Micros::from_secs(10))));
+    assert!(!drops_link(&run_ticks(&mut core, Micros::from_secs(8))));
+    assert!(drops_link(&run_ticks(&mut core, Micros::from_secs(10))));
 }
 
 /// The same, where the report comes between the sending and the taking up.
 #[test]
 fn report_before_taking_up() {
-    let mut core = linked();
+    let mut core = linked_core();
     core.step(Micros::from_secs(5), routed());
     core.step(Micros::from_millis(5_010), idle_report(3));
     core.step(Micros::from_millis(5_020), taken_up(3));
-    assert!(drops_link(&tick(&mut core, Micros::from_secs(10))));
+    assert!(drops_link(&run_ticks(&mut core, Micros::from_secs(10))));
 }
 
 /// An agent that has done all that was sent there may be silent for long.
 #[test]
 fn done_agent_may_rest() {
-    let mut core = linked();
+    let mut core = linked_core();
     core.step(Micros::from_secs(5), routed());
     core.step(Micros::from_secs(5), taken_up(3));
     core.step(Micros::from_millis(5_300), idle_report(4));
-    assert!(!drops_link(&tick(&mut core, Micros::from_secs(15))));
+    assert!(!drops_link(&run_ticks(&mut core, Micros::from_secs(15))));
 }
 
 /// A busy agent's reports are always a little behind what is sent there.
 #[test]
 fn late_reports_keep_link() {
-    let mut core = linked();
+    let mut core = linked_core();
     for step in 0..40 {
         let now = Micros::from_secs(5) + Micros::from_millis(300 * step);
         core.step(now, routed());
--- a/core/tests/small_world/mod.rs
+++ b/core/tests/small_world/mod.rs
@@ -12,8 +12,8 @@
     Micros::from_millis(millis)
 }
 
-fn engine(place: usize) -> SocketAddr {
-    ([10, 0, 0, 1], place as u16 + 1).into()
+fn engine_address(index: usize) -> SocketAddr {
+    ([10, 0, 0, 1], index as u16 + 1).into()
 }
 
 fn belief(version: u64) -> WeightBelief {
@@ -25,13 +25,13 @@
 /// Length of a step of the small world, in milliseconds.
 const STEP_MS: u64 = 50;
 /// Time that it lasts: both namings and the longest standstill behind them.
-pub const WORLD_MS: u64 = 60_000;
+pub const SIM_MS: u64 = 60_000;
 /// The engines' clock when it begins.
 const CLOCK_MS: u64 = 5_000_000;
 /// Time between two reports of an engine, between two looks of a front, and between
 /// two readings of what is named.
 const REPORT_MS: u64 = 250;
-const LOOK_MS: u64 = 300;
+const POLL_MS: u64 = 300;
 pub const ENGINES: usize = 2;
 pub const FRONTS: usize = 2;
 /// Parts that are fetched for 6.4 to 14 s after their weights were replaced.
@@ -39,31 +39,31 @@
 
 /// What happens to the small world, besides the passing of time.
 #[derive(Debug, Clone)]
-pub enum Happening {
+pub enum SimEvent {
     /// Newer weights are named.
-    Name,
+    PublishWeights,
     /// A front tells an engine to fetch a part; the fetch begins after a wait.
     Fetch {
         front: usize,
         engine: usize,
         part: usize,
         wait_ms: u64,
-        need_ms: u64,
+        read_ms: u64,
     },
     /// The front closes its connections; who stands still does not see that.
     Cancel { front: usize },
     /// An engine and what reports of it stand still.
-    StillEngine { engine: usize, for_ms: u64 },
+    PauseEngine { engine: usize, for_ms: u64 },
     /// Only what reports of it does.
-    StillReports { engine: usize, for_ms: u64 },
+    PauseReports { engine: usize, for_ms: u64 },
     /// It starts again.
-    NewEngine { engine: usize },
+    RestartEngine { engine: usize },
     /// It is told to load what is named.
     Load { engine: usize },
     /// A front stands still.
-    StillFront { front: usize, for_ms: u64 },
+    PauseFront { front: usize, for_ms: u64 },
     /// A front starts again, and knows nothing.
-    NewFront { front: usize },
+    RestartFront { front: usize },
 }
 
 #[derive(Debug, Clone)]
@@ -73,50 +73,50 @@
     part: usize,
     until_ms: u64,
     wait_ms: u64,
-    need_ms: u64,
-    is_begun: bool,
+    read_ms: u64,
+    has_begun: bool,
 }
 
 #[derive(Debug, Clone, Default)]
-struct SmallEngine {
+struct SimEngine {
     version: u64,
-    loads: bool,
-    still_until: u64,
-    mute_until: u64,
+    is_loading: bool,
+    paused_until: u64,
+    reports_paused_until: u64,
     fetches: Vec<Fetch>,
 }
 
-impl SmallEngine {
+impl SimEngine {
     /// What it does in one step: a fetch that begins too late is thrown away, one that
     /// has begun goes on.
     fn step(
         &mut self,
         clock_ms: u64,
-        named: u64,
+        published: u64,
     ) {
-        let (version, loads) = (self.version, self.loads);
+        let (version, is_loading) = (self.version, self.is_loading);
         for fetch in &mut self.fetches {
-            if fetch.is_begun {
-                fetch.need_ms = fetch.need_ms.saturating_sub(STEP_MS);
+            if fetch.has_begun {
+                fetch.read_ms = fetch.read_ms.saturating_sub(STEP_MS);
             } else if fetch.wait_ms >= STEP_MS {
                 fetch.wait_ms -= STEP_MS;
             } else {
-                fetch.is_begun = clock_ms + fetch.need_ms <= fetch.until_ms;
-                let is_refused = loads || fetch.version != version;
-                if !fetch.is_begun || is_refused {
-                    (fetch.is_begun, fetch.need_ms) = (true, 0);
+                fetch.has_begun = clock_ms + fetch.read_ms <= fetch.until_ms;
+                let is_refused = is_loading || fetch.version != version;
+                if !fetch.has_begun || is_refused {
+                    (fetch.has_begun, fetch.read_ms) = (true, 0);
                 }
             }
         }
         self.fetches
-            .retain(|fetch| fetch.need_ms > 0 || !fetch.is_begun);
-        if self.loads && self.fetches.iter().all(|fetch| !fetch.is_begun) {
-            (self.version, self.loads) = (named, false);
+            .retain(|fetch| fetch.read_ms > 0 || !fetch.has_begun);
+        if self.is_loading && self.fetches.iter().all(|fetch| !fetch.has_begun) {
+            (self.version, self.is_loading) = (published, false);
         }
     }
 }
 
-struct SmallFront {
+struct SimFront {
     planner: SwapPlanner,
     reads: ReadProofs,
     beliefs: Vec<WeightBelief>,
@@ -124,15 +124,18 @@
     proven_at: Option<Micros>,
     /// Reports on the way to it: engine, weights, clock.
     inbox: Vec<(usize, u64, u64)>,
-    still_until: u64,
+    paused_until: u64,
 }
 
-impl SmallFront {
-    fn new(engines: &[SmallEngine]) -> Self {
-        SmallFront {
+impl SimFront {
+    fn new(engines: &[SimEngine]) -> Self {
+        SimFront {
             planner: SwapPlanner::default(),
             reads: ReadProofs::default(),
-            beliefs: engines.iter().map(|small| belief(small.version)).collect(),
+            beliefs: engines
+                .iter()
+                .map(|engine| belief(engine.version))
+                .collect(),
             view: StoreView::new(KvStore {
                 name: "s".to_string(),
                 address: ([10, 9, 0, 1], 1).into(),
@@ -145,144 +148,146 @@
             }),
             proven_at: None,
             inbox: Vec::new(),
-            still_until: 0,
+            paused_until: 0,
         }
     }
 
-    fn look(
+    fn poll(
         &mut self,
-        named: u64,
+        published: u64,
         now: u64,
     ) {
-        if named > 0 {
-            self.planner.name("m", named, self.proven_at, at(now));
+        if published > 0 {
+            self.planner.name("m", published, self.proven_at, at(now));
         }
         self.proven_at = Some(at(now));
         let beliefs = self.beliefs.iter().enumerate();
-        let engines = beliefs.map(|(place, belief)| (engine(place), belief));
+        let engines = beliefs.map(|(index, belief)| (engine_address(index), belief));
         self.reads.know(engines, at(now));
         // The answer lay on the way for one look.
-        let sent_at = at(now.saturating_sub(LOOK_MS));
+        let sent_at = at(now.saturating_sub(POLL_MS));
         self.view
             .answered(1, Some(CLOCK_MS + now - STEP_MS), sent_at, at(now));
     }
 }
 
-pub struct SmallWorld {
+pub struct FleetSim {
     pub now: u64,
-    named: u64,
-    engines: Vec<SmallEngine>,
-    fronts: Vec<SmallFront>,
+    published: u64,
+    engines: Vec<SimEngine>,
+    fronts: Vec<SimFront>,
     /// Version and part of what has been freed.
     freed: Vec<(u64, usize)>,
 }
 
-impl SmallWorld {
+impl FleetSim {
     pub fn new() -> Self {
-        let small = SmallEngine {
+        let engine = SimEngine {
             version: 1,
-            ..SmallEngine::default()
+            ..SimEngine::default()
         };
-        let engines = vec![small; ENGINES];
-        let fronts = (0..FRONTS).map(|_| SmallFront::new(&engines)).collect();
-        SmallWorld {
+        let engines = vec![engine; ENGINES];
+        let fronts = (0..FRONTS).map(|_| SimFront::new(&engines)).collect();
+        FleetSim {
             now: STEP_MS,
-            named: 1,
+            published: 1,
             engines,
             fronts,
             freed: Vec::new(),
         }
     }
 
-    pub fn happen(
+    pub fn apply_event(
         &mut self,
-        happening: &Happening,
+        event: &SimEvent,
     ) {
         let now = self.now;
-        match happening {
-            Happening::Name => self.named += 1,
-            Happening::Fetch {
+        match event {
+            SimEvent::PublishWeights => self.published += 1,
+            SimEvent::Fetch {
                 front,
                 engine,
                 part,
                 wait_ms,
-                need_ms,
+                read_ms,
             } => {
-                let small = &self.fronts[*front];
+                let target = &self.fronts[*front];
                 let version = self.engines[*engine].version;
                 let id = PartId::parse(PARTS[*part]).expect("hex");
-                let planner = &small.planner;
-                let may = planner.may_fetch("m", version, id, small.proven_at, at(now));
-                let until = small.view.fetch_until_ms(at(now));
-                if let Some(until_ms) = until.filter(|_| may && small.still_until <= now) {
+                let planner = &target.planner;
+                let may = planner.may_fetch("m", version, id, target.proven_at, at(now));
+                let until = target.view.fetch_until_ms(at(now));
+                if let Some(until_ms) = until.filter(|_| may && target.paused_until <= now) {
                     self.engines[*engine].fetches.push(Fetch {
                         front: *front,
                         version,
                         part: *part,
                         until_ms,
                         wait_ms: *wait_ms,
-                        need_ms: *need_ms,
-                        is_begun: false,
+                        read_ms: *read_ms,
+                        has_begun: false,
                     });
                 }
             }
-            Happening::Cancel { front } => {
-                for small in self.engines.iter_mut().filter(|e| e.still_until <= now) {
-                    small.fetches.retain(|fetch| fetch.front != *front);
+            SimEvent::Cancel { front } => {
+                for target in self.engines.iter_mut().filter(|e| e.paused_until <= now) {
+                    target.fetches.retain(|fetch| fetch.front != *front);
                 }
             }
-            Happening::StillEngine { engine, for_ms } => {
-                let small = &mut self.engines[*engine];
-                small.still_until = small.still_until.max(now + for_ms);
+            SimEvent::PauseEngine { engine, for_ms } => {
+                let target = &mut self.engines[*engine];
+                target.paused_until = target.paused_until.max(now + for_ms);
             }
-            Happening::StillReports { engine, for_ms } => {
-                let small = &mut self.engines[*engine];
-                small.mute_until = small.mute_until.max(now + for_ms);
+            SimEvent::PauseReports { engine, for_ms } => {
+                let target = &mut self.engines[*engine];
+                target.reports_paused_until = target.reports_paused_until.max(now + for_ms);
             }
-            Happening::NewEngine { engine } => {
-                self.engines[*engine] = SmallEngine {
-                    version: self.named,
-                    ..SmallEngine::default()
+            SimEvent::RestartEngine { engine } => {
+                self.engines[*engine] = SimEngine {
+                    version: self.published,
+                    ..SimEngine::default()
                 };
             }
-            Happening::Load { engine } => {
-                let small = &mut self.engines[*engine];
-                small.loads = small.version < self.named && small.still_until <= now;
+            SimEvent::Load { engine } => {
+                let target = &mut self.engines[*engine];
+                target.is_loading = target.version < self.published && target.paused_until <= now;
             }
-            Happening::StillFront { front, for_ms } => {
-                let small = &mut self.fronts[*front];
-                small.still_until = small.still_until.max(now + for_ms);
+            SimEvent::PauseFront { front, for_ms } => {
+                let target = &mut self.fronts[*front];
+                target.paused_until = target.paused_until.max(now + for_ms);
             }
-            Happening::NewFront { front } => {
-                self.fronts[*front] = SmallFront::new(&self.engines);
+            SimEvent::RestartFront { front } => {
+                self.fronts[*front] = SimFront::new(&self.engines);
             }
         }
     }
 
     pub fn step(&mut self) {
-        let (now, named) = (self.now, self.named);
-        for (place, small) in self.engines.iter_mut().enumerate() {
-            if small.still_until > now {
+        let (now, published) = (self.now, self.published);
+        for (index, engine) in self.engines.iter_mut().enumerate() {
+            if engine.paused_until > now {
                 continue;
             }
-            small.step(CLOCK_MS + now, named);
-            if small.mute_until <= now && now % REPORT_MS == 0 {
+            engine.step(CLOCK_MS + now, published);
+            if engine.reports_paused_until <= now && now % REPORT_MS == 0 {
                 for front in &mut self.fronts {
-                    front.inbox.push((place, small.version, CLOCK_MS + now));
+                    front.inbox.push((index, engine.version, CLOCK_MS + now));
                 }
             }
         }
         for front in &mut self.fronts {
-            if front.still_until > now {
+            if front.paused_until > now {
                 continue;
             }
-            for (place, version, clock_ms) in front.inbox.drain(..) {
-                front.beliefs[place].learn("m", version);
-                front.reads.heard(engine(place), Some(clock_ms), at(now));
+            for (index, version, clock_ms) in front.inbox.drain(..) {
+                front.beliefs[index].learn("m", version);
+                front
+                    .reads
+                    .heard(engine_address(index), Some(clock_ms), at(now));
             }
-            if now % LOOK_MS == 0 {
-                front.look(named, now);
-                let freed = free_of(front, named, now);
+            if now % POLL_MS == 0 {
+                front.poll(published, now);
+                let freed = freed_parts(front, published, now);
                 self.freed.extend(freed);
             }
         }
@@ -292,32 +297,32 @@
     }
 
     /// A fetch that reads a part which has been freed, or still can.
-    pub fn bad_fetch(&self) -> Option<&Fetch> {
+    pub fn unsafe_fetch(&self) -> Option<&Fetch> {
         let clock_ms = CLOCK_MS + self.now;
-        let mut fetches = self.engines.iter().flat_map(|small| &small.fetches);
+        let mut fetches = self.engines.iter().flat_map(|engine| &engine.fetches);
         fetches.find(|fetch| {
-            let reads = fetch.is_begun || clock_ms + fetch.need_ms <= fetch.until_ms;
+            let reads = fetch.has_begun || clock_ms + fetch.read_ms <= fetch.until_ms;
             reads && self.freed.contains(&(fetch.version, fetch.part))
         })
     }
 }
 
 /// What a front frees.
-fn free_of(
-    front: &SmallFront,
-    named: u64,
+fn freed_parts(
+    front: &SimFront,
+    published: u64,
     now: u64,
 ) -> Vec<(u64, usize)> {
     let clock_ms = front.view.latest_clock_ms(at(now));
     let mut freed = Vec::new();
-    for version in 1..named {
+    for version in 1..published {
         let over_ms = front.reads.over_until_ms("m", version);
-        for (place, part) in PARTS.iter().enumerate() {
+        for (index, part) in PARTS.iter().enumerate() {
             let id = PartId::parse(part).expect("hex");
             let planner = &front.planner;
             let fate = planner.fate("m", version, id, over_ms, clock_ms, at(now));
             if fate == PartFate::Over {
-                freed.push((version, place));
+                freed.push((version, index));
             }
         }
     }
--- a/entry/src/control/beacon_controller.rs
+++ b/entry/src/control/beacon_controller.rs
@@ -45,7 +45,7 @@
         Beacon::Agent(beacon) => app.control.agent_heard(beacon),
         Beacon::Entry(beacon) => {
             if beacon.entry_id != app.settings.box_id {
-                app.control.tell(EntryEvent::PeerHeard(beacon));
+                app.control.tell(EntryEvent::PeerBeaconReceived(beacon));
             }
         }
     }
--- a/entry/src/control/box_controller.rs
+++ b/entry/src/control/box_controller.rs
@@ -3,7 +3,7 @@
     async_channel::Sender,
     pitchhitch_core::{
         member::{home_set, HomeCandidate},
-        role::{BoxNotice, EntryEvent},
+        role::{EntryEvent, ListedBox},
     },
     pitchhitch_services::boxes::{BoxClient, BoxRow, ListedRole},
     smol::Timer,
@@ -35,7 +35,7 @@
         match boxes.list().await {
             Ok(list) => {
                 let _ = peers.try_send(choose_peers(&place, &list.boxes));
-                let notices = list.boxes.into_iter().map(BoxNotice::from);
+                let notices = list.boxes.into_iter().map(ListedBox::from);
                 control.tell(EntryEvent::BoxesListed(notices.collect()));
             }
             Err(error) => {
--- a/entry/src/control/control_loop.rs
+++ b/entry/src/control/control_loop.rs
@@ -119,7 +119,7 @@
             ControlMessage::AgentBeacon(beacon) => {
                 let link = self.publisher.known_link(&beacon.endpoint_id);
                 let own = link.map(|l| l.sent()).unwrap_or_default();
-                self.step(EntryEvent::AgentHeard { beacon, own });
+                self.step(EntryEvent::AgentBeaconReceived { beacon, own });
             }
             ControlMessage::Query(query) => self.answer(query),
             ControlMessage::Release(done) => self.release(done),
@@ -320,7 +320,7 @@
 fn log_placement(line: &PlacementLine) {
     log::info!(
         event = "placement",
-        decision = line.decision.word(),
+        decision = line.decision.as_str(),
         subject = line.subject.as_str(),
         reason = line.reason.as_str(),
         revision = line.revision;
--- a/entry/src/control/lease_controller.rs
+++ b/entry/src/control/lease_controller.rs
@@ -94,7 +94,7 @@
                 CommitOutcome::Unknown { .. } => {
                     for write in writes.drain(..) {
                         self.control
-                            .tell(EntryEvent::LeaseUnknown { shard: write.shard });
+                            .tell(EntryEvent::LeaseWriteUnknown { shard: write.shard });
                     }
                 }
             }
@@ -111,7 +111,7 @@
         let (refused, others): (Vec<_>, Vec<_>) = writes.into_iter().partition(is_refused);
         for write in refused {
             self.control
-                .tell(EntryEvent::LeaseRefused { shard: write.shard });
+                .tell(EntryEvent::LeaseWriteRefused { shard: write.shard });
         }
         others
     }
--- a/entry/src/control/link_keeper.rs
+++ b/entry/src/control/link_keeper.rs
@@ -127,7 +127,7 @@
     ) -> Result<bool, LinkError> {
         while let Some(reply) = replies.next().await? {
             if let LinkReply::Events(batch) = reply {
-                self.control.tell(EntryEvent::AgentSaid {
+                self.control.tell(EntryEvent::AgentEventsReceived {
                     endpoint_id: self.state.id.clone(),
                     incarnation: self.state.incarnation,
                     batch,
--- a/entry/src/filter/send.rs
+++ b/entry/src/filter/send.rs
@@ -98,7 +98,7 @@
         &self,
         pulse: AgentPulse,
     ) {
-        self.control.tell(EntryEvent::PulseSeen {
+        self.control.tell(EntryEvent::PulseReceived {
             endpoint_id: self.link.endpoint_id.clone(),
             pulse,
             own: self.link.sent(),
--- a/services/src/boxes/box_row.rs
+++ b/services/src/boxes/box_row.rs
@@ -1,5 +1,5 @@
 use {
-    pitchhitch_core::role::{BoxNotice, BoxRole},
+    pitchhitch_core::role::{BoxRole, ListedBox},
     serde::{Deserialize, Serialize},
     std::net::SocketAddr,
 };
@@ -42,9 +42,9 @@
     pub boxes: Vec<BoxRow>,
 }
 
-impl From<BoxRow> for BoxNotice {
+impl From<BoxRow> for ListedBox {
     fn from(row: BoxRow) -> Self {
-        BoxNotice {
+        ListedBox {
             id: row.id,
             role: match row.role {
                 ListedRole::Entry => BoxRole::Entry,
--- a/testbed/examples/fuzz.rs
+++ b/testbed/examples/fuzz.rs
@@ -7,7 +7,7 @@
     pitchhitch_core::{
         conf::{ConfigHead, FleetConfig, PeerConfig},
         labels::WorkSelector,
-        role::{AgentPulse, ConfigNotice, EventBatch, UpwardEvent},
+        role::{AgentPulse, ConfigNotice, EndpointEvent, EventBatch},
         route::LoadReport,
     },
     pitchhitch_entry::{
@@ -43,7 +43,10 @@
     });
     let batch = LinkReply::Events(EventBatch {
         first: 3,
-        events: vec![UpwardEvent::Version("v1".to_string()), UpwardEvent::Cleared],
+        events: vec![
+            EndpointEvent::Version("v1".to_string()),
+            EndpointEvent::Cleared,
+        ],
         pulse,
     });
     let chunk = LinkReply::Chunk(vec![1, 2, 3]);
--- a/testbed/examples/slopes/message_slopes.rs
+++ b/testbed/examples/slopes/message_slopes.rs
@@ -92,7 +92,7 @@
             for number in 0..count {
                 core.step(
                     Micros(10),
-                    EntryEvent::PulseSeen {
+                    EntryEvent::PulseReceived {
                         endpoint_id: format!("engine-{number:05}"),
                         pulse: pulse(pending),
                         own: SentLoad::default(),
@@ -107,7 +107,7 @@
             // Something has changed, so the view is published.
             core.step(
                 Micros(now),
-                EntryEvent::PulseSeen {
+                EntryEvent::PulseReceived {
                     endpoint_id: "engine-00001".to_string(),
                     pulse: pulse(now),
                     own: SentLoad::default(),
--- a/testbed/examples/slopes/piece_slopes.rs
+++ b/testbed/examples/slopes/piece_slopes.rs
@@ -8,8 +8,8 @@
     pitchhitch_core::{
         kept::{PieceKey, StoreTier},
         role::{
-            BoxNotice, BoxRole, EntryCore, EntryEvent, EventBatch, PromptUse, StoredNotice,
-            UpwardEvent,
+            BoxRole, EndpointEvent, EntryCore, EntryEvent, EventBatch, ListedBox, PromptUse,
+            StoredNotice,
         },
         route::SentLoad,
         time::Micros,
@@ -30,9 +30,9 @@
 
 pub fn said(
     first: u64,
-    events: Vec<UpwardEvent>,
+    events: Vec<EndpointEvent>,
 ) -> EntryEvent {
-    EntryEvent::AgentSaid {
+    EntryEvent::AgentEventsReceived {
         endpoint_id: "engine-00000".to_string(),
         incarnation: 1,
         batch: EventBatch {
@@ -53,7 +53,7 @@
         return core_with(count, 10);
     }
     let mut core = core_with(4, 10);
-    let store = BoxNotice {
+    let store = ListedBox {
         id: "store-1".to_string(),
         role: BoxRole::Store,
         group: "group-0".to_string(),
@@ -63,8 +63,8 @@
     };
     core.step(Micros(3), EntryEvent::BoxesListed(vec![store]));
     let numbers = 0..count as u128;
-    let events: Vec<UpwardEvent> = match kind {
-        "cached" => numbers.map(|n| UpwardEvent::Cached(key(n))).collect(),
+    let events: Vec<EndpointEvent> = match kind {
+        "cached" => numbers.map(|n| EndpointEvent::Cached(key(n))).collect(),
         "stored" => numbers.map(stored).collect(),
         _ => numbers.map(used).collect(),
     };
@@ -78,8 +78,8 @@
     core
 }
 
-pub fn stored(number: u128) -> UpwardEvent {
-    UpwardEvent::Stored(StoredNotice {
+pub fn stored(number: u128) -> EndpointEvent {
+    EndpointEvent::Stored(StoredNotice {
         key: key(number),
         store: "store-1".to_string(),
         tier: StoreTier::Memory,
@@ -88,8 +88,8 @@
     })
 }
 
-pub fn used(number: u128) -> UpwardEvent {
-    UpwardEvent::PromptUsed(PromptUse {
+pub fn used(number: u128) -> EndpointEvent {
+    EndpointEvent::PromptUsed(PromptUse {
         identity: key(number),
         organisation: format!("org-{:03}", number % 10),
         label: "file".to_string(),
@@ -126,8 +126,8 @@
 pub fn pieces(rows: &mut Vec<SlopeRow>) {
     let mut add = Vec::new();
     for count in [20_000u64, 80_000, 160_000, 320_000] {
-        let events: Vec<UpwardEvent> = (0..count)
-            .map(|n| UpwardEvent::Cached(key(n.into())))
+        let events: Vec<EndpointEvent> = (0..count)
+            .map(|n| EndpointEvent::Cached(key(n.into())))
             .collect();
         let mut core = core_with(4, 10);
         let started = Instant::now();
@@ -161,7 +161,7 @@
         let batch = EventBatch {
             first: 0,
             events: (0..count)
-                .map(|n| UpwardEvent::Cached(key(n.into())))
+                .map(|n| EndpointEvent::Cached(key(n.into())))
                 .collect(),
             pulse: pulse(1),
         };
--- a/testbed/examples/slopes/small_world.rs
+++ b/testbed/examples/slopes/small_world.rs
@@ -110,7 +110,7 @@
         let beacon = agent_beacon(number);
         let endpoint_id = beacon.endpoint_id.clone();
         let own = SentLoad::default();
-        core.step(Micros(1), EntryEvent::AgentHeard { beacon, own });
+        core.step(Micros(1), EntryEvent::AgentBeaconReceived { beacon, own });
         if let Some(entry) = core.roster().get(&endpoint_id) {
             black_box(entry.linked);
         }
@@ -135,7 +135,7 @@
     // Something must have changed for a view to be published.
     core.step(
         Micros(30),
-        EntryEvent::PulseSeen {
+        EntryEvent::PulseReceived {
             endpoint_id: "engine-00001".to_string(),
             pulse: pulse(77),
             own: SentLoad::default(),
--- a/testbed/src/deploy/fake_agents.rs
+++ b/testbed/src/deploy/fake_agents.rs
@@ -4,7 +4,7 @@
         kept::PieceKey,
         labels::LabelSet,
         member::{AgentBeacon, Beacon},
-        role::{AgentPulse, EventBatch, PromptUse, UpwardEvent},
+        role::{AgentPulse, EndpointEvent, EventBatch, PromptUse},
         route::{EndpointKind, LoadReport},
     },
     pitchhitch_process::{spawn, spawn_detached},
@@ -216,19 +216,19 @@
 fn events(
     shape: &FakeShape,
     number: usize,
-) -> Vec<UpwardEvent> {
+) -> Vec<EndpointEvent> {
     let mut events = Vec::new();
     for prompt in 0..shape.prompts_each {
         let name = (number as u128) << 64 | (prompt as u128) << 32;
         let identity = piece_key(name);
-        events.push(UpwardEvent::PromptUsed(PromptUse {
+        events.push(EndpointEvent::PromptUsed(PromptUse {
             identity,
             organisation: "fake-01".to_string(),
             label: "file".to_string(),
         }));
-        events.push(UpwardEvent::Cached(identity));
+        events.push(EndpointEvent::Cached(identity));
         for piece in 1..shape.pieces_each {
-            events.push(UpwardEvent::Cached(piece_key(name | piece as u128)));
+            events.push(EndpointEvent::Cached(piece_key(name | piece as u128)));
         }
     }
     events
