--- a/core/src/role/mod.rs
+++ b/core/src/role/mod.rs
@@ -11,23 +11,23 @@
 mod endpoint_roster;
 mod entry_action;
 mod entry_configs;
-mod entry_contacts;
 mod entry_core;
 mod entry_event;
+mod entry_messages;
 mod entry_placement;
 mod event_batch;
 mod gate_work;
 mod load_controller;
-mod prompt_memory;
+mod prompt_history;
 mod roster_change;
 mod roster_entry;
 mod service_meter;
-mod shard_keeper;
+mod shard_leases;
 mod store_roster;
 
 pub use {
     agent_action::*, agent_core::*, agent_event::*, agent_identity::*, cache_mirror::*,
     endpoint_order::*, endpoint_roster::*, entry_action::*, entry_core::*, entry_event::*,
-    event_batch::*, gate_work::*, load_controller::*, prompt_memory::*, roster_change::*,
-    roster_entry::*, service_meter::*, shard_keeper::*, store_roster::*,
+    event_batch::*, gate_work::*, load_controller::*, prompt_history::*, roster_change::*,
+    roster_entry::*, service_meter::*, shard_leases::*, store_roster::*,
 };
--- a/core/tests/entry_control.rs
+++ b/core/tests/entry_control.rs
@@ -1,9 +1,9 @@
 //! The control state of an entry process.
 
-mod entry_world;
+mod entry_fixture;
 
 use {
-    entry_world::{
+    entry_fixture::{
         batch_event, beacon, beacon_event, config, core, last_published_table, linked_core, pulse,
         run_ticks, stream_opened_event,
     },
--- a/core/tests/freed_parts.rs
+++ b/core/tests/freed_parts.rs
@@ -1,11 +1,11 @@
 //! In a small world of engines, fronts and a store, whatever stands still, starts again or
 //! leaves, no freed part is read.
 
-mod small_world;
+mod fleet_sim;
 
 use {
+    fleet_sim::{FleetSim, SimEvent, ENGINES, FRONTS, PARTS, SIM_MS},
     proptest::prelude::*,
-    small_world::{FleetSim, SimEvent, ENGINES, FRONTS, PARTS, SIM_MS},
 };
 
 fn happening() -> impl Strategy<Value = SimEvent> {
--- a/core/tests/silent_agents.rs
+++ b/core/tests/silent_agents.rs
@@ -1,9 +1,9 @@
 //! Agents that say nothing while they have work.
 
-mod entry_world;
+mod entry_fixture;
 
 use {
-    entry_world::{linked_core, pulse, run_ticks},
+    entry_fixture::{linked_core, pulse, run_ticks},
     pitchhitch_core::{
         role::{AgentPulse, EntryAction, EntryCore, EntryEvent, WorkTicket},
         route::SentLoad,
