--- a/core/src/role/endpoint_roster.rs
+++ b/core/src/role/endpoint_roster.rs
@@ -119,7 +119,7 @@
             linked: false,
             refusing: beacon.pulse.refusing,
             exporting: beacon.pulse.exporting,
-            heard_at: now,
+            received_at: now,
             awaited_report: None,
             next_event: None,
             revision: beacon.revision,
@@ -171,7 +171,7 @@
         let Some(entry) = self.entries.get_mut(endpoint_id) else {
             return LoadChange::None;
         };
-        entry.heard_at = now;
+        entry.received_at = now;
         entry.awaited_report = entry
             .awaited_report
             .and_then(|report| report.after_report(pulse, now));
@@ -202,7 +202,7 @@
     ) -> LivenessReport {
         let mut report = LivenessReport::default();
         for (id, entry) in &self.entries {
-            let silent = now.since(entry.heard_at);
+            let silent = now.since(entry.received_at);
             let unreported = entry
                 .awaited_report
                 .map_or(Micros::ZERO, |awaited| now.since(awaited.since));
--- a/core/src/role/entry_action.rs
+++ b/core/src/role/entry_action.rs
@@ -16,7 +16,7 @@
         /// The view for routing.
         table: Arc<RouteTable>,
         /// What is known of returns.
-        returns: Arc<ReturnModel>,
+        reuse_model: Arc<ReturnModel>,
         /// Entry processes that share the load, this one included.
         entries: u32,
     },
--- a/core/src/role/entry_core.rs
+++ b/core/src/role/entry_core.rs
@@ -1,7 +1,7 @@
 use {
     super::{
-        EndpointRoster, EntryAction, EntryEvent, LeaseOutcome, LoadController, PlacementKind,
-        PlacementLine, PromptHistory, ShardLeases, StoreRoster,
+        EndpointRoster, EntryAction, EntryEvent, LeaseOutcome, PlacementKind, PlacementLine,
+        PromptHistory, ShardLeases, StoreRoster, WeightLoadController,
     },
     crate::{
         conf::{ChangeHistory, FleetConfig, PeerConfig},
@@ -57,7 +57,7 @@
     pub(super) groups: BTreeSet<String>,
     pub(super) prompts: PromptHistory,
     pub(super) shard_leases: ShardLeases,
-    pub(super) load_controller: LoadController,
+    pub(super) weight_load_controller: WeightLoadController,
     pub(super) leaving_boxes: BTreeSet<String>,
     pub(super) domain_entries: Vec<String>,
     pub(super) sweep_cursor: usize,
@@ -74,7 +74,7 @@
     pub fn new(setup: EntrySetup) -> Self {
         EntryCore {
             shard_leases: ShardLeases::new(&setup.box_id, &setup.holder, setup.lease),
-            load_controller: LoadController::default(),
+            weight_load_controller: WeightLoadController::default(),
             setup,
             config: Arc::default(),
             history: ChangeHistory::default(),
@@ -148,12 +148,12 @@
                 endpoint_id,
                 ticket,
             } => self.on_taken_up(now, &endpoint_id, ticket),
-            EntryEvent::TryEnded {
+            EntryEvent::AttemptEnded {
                 endpoint_id,
                 failure,
             } => {
                 let failed = failure.is_some();
-                self.on_try_ended(now, &endpoint_id, failed, &mut actions)
+                self.on_attempt_ended(now, &endpoint_id, failed, &mut actions)
             }
             EntryEvent::LeaseRead {
                 shard,
@@ -172,9 +172,9 @@
                 let outcome = LeaseOutcome::Written { version };
                 self.shard_leases.apply_outcome(&shard, outcome, now);
             }
-            EntryEvent::LeaseWriteRefused { shard } => {
+            EntryEvent::LeaseWriteConflict { shard } => {
                 self.shard_leases
-                    .apply_outcome(&shard, LeaseOutcome::Refused, now);
+                    .apply_outcome(&shard, LeaseOutcome::Conflict, now);
             }
             EntryEvent::LeaseWriteUnknown { shard } => {
                 self.shard_leases
@@ -205,7 +205,7 @@
             let config = self.config.clone();
             self.shard_leases
                 .tick(now, &self.groups, config.revision, actions);
-            self.load_controller.tick(
+            self.weight_load_controller.tick(
                 now,
                 &config,
                 &mut self.roster,
@@ -319,7 +319,7 @@
             refusing: entry.is_some_and(|e| e.refusing),
             running: load.map_or(0, |l| l.report.running),
             exporting: entry.map_or(0, |e| e.exporting),
-            heard_ago: entry.map(|e| now.since(e.heard_at)),
+            heard_ago: entry.map(|e| now.since(e.received_at)),
         })
     }
 }
--- a/core/src/role/entry_event.rs
+++ b/core/src/role/entry_event.rs
@@ -95,7 +95,7 @@
         ticket: WorkTicket,
     },
     /// A try at an endpoint ended; `failure` tells how it failed.
-    TryEnded {
+    AttemptEnded {
         /// Id of the endpoint.
         endpoint_id: String,
         /// The failure; none for an answer.
@@ -120,7 +120,7 @@
         version: u64,
     },
     /// A lease row had changed before the write.
-    LeaseWriteRefused {
+    LeaseWriteConflict {
         /// Shard of the lease.
         shard: String,
     },
--- a/core/src/role/entry_messages.rs
+++ b/core/src/role/entry_messages.rs
@@ -73,7 +73,7 @@
         if let Some(entry) = self.roster.get_mut(endpoint_id) {
             entry.linked = true;
             entry.next_event = Some(0);
-            entry.heard_at = now;
+            entry.received_at = now;
             entry.last_notice = None;
         }
         self.roster.check_liveness(now);
--- a/core/src/role/entry_placement.rs
+++ b/core/src/role/entry_placement.rs
@@ -56,7 +56,7 @@
         };
         actions.push(EntryAction::Publish {
             table: Arc::new(table),
-            returns: self.prompts.model().clone(),
+            reuse_model: self.prompts.model().clone(),
             entries: self.peers.len() as u32 + 1,
         });
     }
@@ -110,8 +110,8 @@
         actions: &mut Vec<EntryAction>,
     ) {
         let controls = |group: &str| self.shard_leases.epoch(group, now).is_some();
-        let chance = |identity| self.prompts.chance(identity, now);
-        let Some(eviction) = self.stores.evict(now, store, controls, chance) else {
+        let reuse_probability = |identity| self.prompts.reuse_probability(identity, now);
+        let Some(eviction) = self.stores.evict(now, store, controls, reuse_probability) else {
             return;
         };
         let reason = format!(
@@ -127,7 +127,7 @@
         self.log_decision(PlacementKind::PiecesEvicted, store, reason, actions);
     }
 
-    pub(super) fn on_try_ended(
+    pub(super) fn on_attempt_ended(
         &mut self,
         now: Micros,
         endpoint_id: &str,
--- a/core/src/role/load_controller.rs
+++ b/core/src/role/load_controller.rs
@@ -20,11 +20,11 @@
 
 /// Gives load orders to the engines of each group, under the lease of its shard.
 #[derive(Debug, Default)]
-pub struct LoadController {
+pub struct WeightLoadController {
     ordered_at: BTreeMap<String, Micros>,
 }
 
-impl LoadController {
+impl WeightLoadController {
     /// Gives the orders that are due.
     pub fn tick(
         &mut self,
--- a/core/src/role/prompt_history.rs
+++ b/core/src/role/prompt_history.rs
@@ -77,7 +77,7 @@
     }
 
     /// Chance that a prompt still comes back.
-    pub fn chance(
+    pub fn reuse_probability(
         &self,
         identity: PieceKey,
         now: Micros,
--- a/core/src/role/roster_entry.rs
+++ b/core/src/role/roster_entry.rs
@@ -17,7 +17,7 @@
     /// Pieces that its agent still exports.
     pub exporting: u32,
     /// When its agent was last heard, by beacon or link.
-    pub heard_at: Micros,
+    pub received_at: Micros,
     /// Word that it owes since it was sent something.
     pub awaited_report: Option<AwaitedReport>,
     /// Number that the next event of its stream must have.
--- a/core/src/role/shard_leases.rs
+++ b/core/src/role/shard_leases.rs
@@ -35,7 +35,7 @@
         version: u64,
     },
     /// The row had changed before.
-    Refused,
+    Conflict,
     /// Nobody knows.
     Unknown,
 }
@@ -91,7 +91,7 @@
                 asked_at,
             } => lease.machine.row_read(row, version, asked_at, now),
             LeaseOutcome::Written { version } => lease.machine.row_written(version, now),
-            LeaseOutcome::Refused => lease.machine.write_refused(),
+            LeaseOutcome::Conflict => lease.machine.write_refused(),
             LeaseOutcome::Unknown => lease.machine.write_unknown(),
         }
     }
--- a/core/src/role/store_roster.rs
+++ b/core/src/role/store_roster.rs
@@ -26,7 +26,7 @@
     key: StoreKey,
     listed_at: Micros,
     evicted_at: Option<Micros>,
-    ledger: StoreLedger,
+    inventory: StoreLedger,
 }
 
 /// All store boxes that this process knows, with what is sealed on them.
@@ -102,7 +102,7 @@
             key,
             listed_at: now,
             evicted_at: None,
-            ledger: StoreLedger::default(),
+            inventory: StoreLedger::default(),
         };
         self.entries.insert(notice.id.clone(), entry);
         actions.push(EntryAction::ListStore {
@@ -163,7 +163,7 @@
                 generation: piece.generation,
             });
         }
-        entry.ledger.reconcile(listed);
+        entry.inventory.reconcile(listed);
         // The list may be older than what agents have told since it was asked for.
         for notice in std::mem::take(&mut self.stored_since_listing) {
             self.add_piece(notice, directory);
@@ -206,7 +206,7 @@
             key: notice.key,
             generation: notice.generation,
         };
-        entry.ledger.add(notice.identity, piece);
+        entry.inventory.add(notice.identity, piece);
         if self.stored_since_listing.len() < MAX_UNLISTED_PIECES {
             self.stored_since_listing.push(notice);
         }
@@ -242,7 +242,7 @@
         now: Micros,
         store: &str,
         controls: impl Fn(&str) -> bool,
-        chance: impl Fn(PieceKey) -> f64,
+        reuse_probability: impl Fn(PieceKey) -> f64,
     ) -> Option<StoreEviction> {
         let entry = self.entries.get_mut(store)?;
         let state = self.arena.get(entry.key)?;
@@ -253,7 +253,7 @@
             return None;
         }
         entry.evicted_at = Some(now);
-        let evicted = entry.ledger.evict(chance);
+        let evicted = entry.inventory.evict(reuse_probability);
         let pieces = evicted.iter().map(|piece| StoredPiece {
             key: piece.key,
             tier: StoreTier::Memory,
--- a/core/tests/entry_control.rs
+++ b/core/tests/entry_control.rs
@@ -169,7 +169,7 @@
 #[test]
 fn failing_endpoint_ejected() {
     let mut core = linked_core();
-    let failed = || EntryEvent::TryEnded {
+    let failed = || EntryEvent::AttemptEnded {
         endpoint_id: "e1".to_string(),
         failure: Some(ErrorKind::EndpointLost),
     };
--- a/core/tests/fleet_sim/mod.rs
+++ b/core/tests/fleet_sim/mod.rs
@@ -16,10 +16,10 @@
     ([10, 0, 0, 1], index as u16 + 1).into()
 }
 
-fn belief(version: u64) -> WeightBelief {
-    let mut belief = WeightBelief::default();
-    belief.learn("m", version);
-    belief
+fn known_weights(version: u64) -> WeightBelief {
+    let mut weights = WeightBelief::default();
+    weights.learn("m", version);
+    weights
 }
 
 /// Length of a step of the small world, in milliseconds.
@@ -119,7 +119,7 @@
 struct SimFront {
     planner: SwapPlanner,
     reads: ReadProofs,
-    beliefs: Vec<WeightBelief>,
+    known_weights: Vec<WeightBelief>,
     view: StoreView,
     proven_at: Option<Micros>,
     /// Reports on the way to it: engine, weights, clock.
@@ -132,9 +132,9 @@
         SimFront {
             planner: SwapPlanner::default(),
             reads: ReadProofs::default(),
-            beliefs: engines
+            known_weights: engines
                 .iter()
-                .map(|engine| belief(engine.version))
+                .map(|engine| known_weights(engine.version))
                 .collect(),
             view: StoreView::new(KvStore {
                 name: "s".to_string(),
@@ -161,8 +161,8 @@
             self.planner.name("m", published, self.proven_at, at(now));
         }
         self.proven_at = Some(at(now));
-        let beliefs = self.beliefs.iter().enumerate();
-        let engines = beliefs.map(|(index, belief)| (engine_address(index), belief));
+        let known_weights = self.known_weights.iter().enumerate();
+        let engines = known_weights.map(|(index, weights)| (engine_address(index), weights));
         self.reads.know(engines, at(now));
         // The answer lay on the way for one look.
         let sent_at = at(now.saturating_sub(POLL_MS));
@@ -280,7 +280,7 @@
                 continue;
             }
             for (index, version, clock_ms) in front.inbox.drain(..) {
-                front.beliefs[index].learn("m", version);
+                front.known_weights[index].learn("m", version);
                 front
                     .reads
                     .heard(engine_address(index), Some(clock_ms), at(now));
--- a/entry/src/control/control_handle.rs
+++ b/entry/src/control/control_handle.rs
@@ -95,7 +95,7 @@
         link: &EndpointLink,
     ) {
         if link.clear_failed() {
-            self.tell(EntryEvent::TryEnded {
+            self.tell(EntryEvent::AttemptEnded {
                 endpoint_id: link.endpoint_id.clone(),
                 failure: None,
             });
@@ -117,7 +117,7 @@
         );
         if counts {
             link.mark_failed();
-            self.tell(EntryEvent::TryEnded {
+            self.tell(EntryEvent::AttemptEnded {
                 endpoint_id: link.endpoint_id.clone(),
                 failure: Some(kind),
             });
--- a/entry/src/control/control_loop.rs
+++ b/entry/src/control/control_loop.rs
@@ -162,11 +162,11 @@
         match action {
             EntryAction::Publish {
                 table,
-                returns,
+                reuse_model,
                 entries,
             } => {
                 let ready = self.core.is_ready(self.clock.now());
-                self.publisher.publish(table, returns, entries, ready);
+                self.publisher.publish(table, reuse_model, entries, ready);
             }
             EntryAction::Connect(state) => self.connect(state),
             EntryAction::Disconnect { endpoint_id } => self.disconnect(&endpoint_id),
--- a/entry/src/control/lease_controller.rs
+++ b/entry/src/control/lease_controller.rs
@@ -111,7 +111,7 @@
         let (refused, others): (Vec<_>, Vec<_>) = writes.into_iter().partition(is_refused);
         for write in refused {
             self.control
-                .tell(EntryEvent::LeaseWriteRefused { shard: write.shard });
+                .tell(EntryEvent::LeaseWriteConflict { shard: write.shard });
         }
         others
     }
