--- a/core/src/role/mod.rs
+++ b/core/src/role/mod.rs
@@ -17,17 +17,17 @@
 mod entry_placement;
 mod event_batch;
 mod gate_work;
-mod load_controller;
 mod prompt_history;
 mod roster_change;
 mod roster_entry;
 mod service_meter;
 mod shard_leases;
 mod store_roster;
+mod weight_load_controller;
 
 pub use {
     agent_action::*, agent_core::*, agent_event::*, agent_identity::*, cache_mirror::*,
     endpoint_order::*, endpoint_roster::*, entry_action::*, entry_core::*, entry_event::*,
-    event_batch::*, gate_work::*, load_controller::*, prompt_history::*, roster_change::*,
-    roster_entry::*, service_meter::*, shard_leases::*, store_roster::*,
+    event_batch::*, gate_work::*, prompt_history::*, roster_change::*, roster_entry::*,
+    service_meter::*, shard_leases::*, store_roster::*, weight_load_controller::*,
 };
