--- a/core/src/role/agent_action.rs
+++ b/core/src/role/agent_action.rs
@@ -3,21 +3,21 @@
     crate::lease::FenceRefusal,
 };
 
-/// What an agent's host is to do.
+/// What the host of an [`AgentCore`](super::AgentCore) has to execute.
 #[derive(Debug, Clone, PartialEq)]
 pub enum AgentAction {
-    /// Hand work to the endpoint now.
+    /// Start a request on the endpoint.
     Start(WorkTicket),
-    /// Tell the entry process that work did not run.
+    /// Tell the entry process that a request was refused and did not run.
     Refuse(GateRefusal),
-    /// Tell all subscribed entry processes.
+    /// Send events and the current pulse to all subscribed entry processes.
     Publish(Vec<EndpointEvent>),
-    /// Ask the engine for its whole cache: something was missed.
+    /// List the engine's whole cache, because the agent has no current copy of it.
     ListCache,
-    /// Carry out an order that passed the fence.
+    /// Execute an order whose fencing stamp was accepted.
     RunOrder(StampedOrder),
-    /// Tell the giver that an order was refused.
+    /// Tell the sender that its order was refused.
     RefuseOrder(FenceRefusal),
-    /// Read the lease epoch of this endpoint's shard.
+    /// Read the lease epoch of this endpoint's shard from the table.
     ReadEpoch,
 }
--- a/core/src/role/agent_core.rs
+++ b/core/src/role/agent_core.rs
@@ -10,7 +10,7 @@
     std::collections::BTreeMap,
 };
 
-/// All decisions of an agent: the gate for requests, the fence for orders and
+/// State machine of an agent: the admission gate for requests, the fence for orders and
 /// the mirror of its engine's cache.
 #[derive(Debug)]
 pub struct AgentCore {
@@ -30,7 +30,8 @@
 }
 
 impl AgentCore {
-    /// An agent that has just started; its endpoint counts as unhealthy until it answers.
+    /// Creates the state of a newly started agent. Its endpoint counts as unhealthy until it
+    /// answers a health check.
     pub fn new(identity: AgentIdentity) -> Self {
         AgentCore {
             identity,
@@ -53,7 +54,7 @@
         }
     }
 
-    /// Takes one event and says what to do.
+    /// Applies one event and returns the actions to execute.
     pub fn step(
         &mut self,
         now: Micros,
@@ -136,17 +137,17 @@
         }
     }
 
-    /// Whether new work is refused because the endpoint is leaving.
+    /// Whether new requests are refused because the endpoint or its box is leaving.
     pub fn is_refusing(&self) -> bool {
         self.notice.leaving || self.box_leaving
     }
 
-    /// Whether nothing runs, waits or is carried away any more.
+    /// Whether no request is running or queued and no piece is being exported.
     pub fn is_idle(&self) -> bool {
         self.running.is_empty() && self.queue.is_empty() && self.exporting == 0
     }
 
-    /// The load of the endpoint.
+    /// Returns the load of the endpoint, queued requests included.
     pub fn load(&self) -> LoadReport {
         let computing = self.running.values().filter(|r| !r.first_token);
         let computing: u64 = computing.map(|r| u64::from(r.tokens)).sum();
@@ -156,12 +157,12 @@
             slots: self.identity.slots,
             token_cost: self.meter.token_cost(),
             service_time: self.meter.service_time(),
-            // While weights are loaded every request would be refused.
+            // Every request is refused while weights are being loaded.
             healthy: self.healthy && self.loading.is_none(),
         }
     }
 
-    /// State that every batch of events carries.
+    /// Returns the state that is sent with every batch of events.
     pub fn pulse(&self) -> AgentPulse {
         AgentPulse {
             load: self.load(),
@@ -171,12 +172,12 @@
         }
     }
 
-    /// Everything known of the cache, for a new subscriber.
+    /// Returns all cached and stored pieces as events, for a new subscriber.
     pub fn snapshot(&self) -> Vec<EndpointEvent> {
         self.mirror.snapshot()
     }
 
-    /// What the agent says of itself.
+    /// Returns the beacon of this agent.
     pub fn beacon(&self) -> AgentBeacon {
         AgentBeacon {
             endpoint_id: self.identity.endpoint_id.clone(),
--- a/core/src/role/agent_event.rs
+++ b/core/src/role/agent_event.rs
@@ -5,88 +5,88 @@
     crate::kept::PieceKey,
 };
 
-/// What can happen to an agent.
+/// Input of an [`AgentCore`](super::AgentCore).
 #[derive(Debug, Clone, PartialEq)]
 pub enum AgentEvent {
-    /// Some time has passed.
+    /// Periodic timer.
     Tick,
-    /// An entry process hands over work.
+    /// An entry process hands over a request.
     HandedOver {
-        /// Ticket that the host gave it.
+        /// Ticket that the host assigned to it.
         ticket: WorkTicket,
-        /// What the gate needs to know.
+        /// What the gate needs for the decision.
         work: GateWork,
     },
-    /// Started work goes to the endpoint now, its imports being done.
+    /// The imports of a started request are done and it is sent to the endpoint.
     Sent {
-        /// The work.
+        /// Ticket of the request.
         ticket: WorkTicket,
-        /// The prompt, if it is one that can return.
+        /// The prompt; none when it is shorter than one piece.
         prompt: Option<PromptUse>,
     },
-    /// A store box had no room.
+    /// A store box had no free space for a piece.
     StoreFull {
         /// Name of the store box.
         store: String,
     },
-    /// The first answer byte of started work has come.
+    /// The first byte of the response to a started request arrived.
     FirstToken {
-        /// The work.
+        /// Ticket of the request.
         ticket: WorkTicket,
-        /// Prompt tokens that the endpoint computed for it, if it says so.
+        /// Prompt tokens that the endpoint computed for it; none when it does not report them.
         computed: Option<u32>,
     },
-    /// Work has ended, by an answer, a failure or because its caller went away.
+    /// A request ended: it was answered, it failed or its caller disconnected.
     Ended {
-        /// The work.
+        /// Ticket of the request.
         ticket: WorkTicket,
     },
-    /// The endpoint answered a health check, or did not.
+    /// Result of a health check of the endpoint.
     HealthChecked {
-        /// Whether it answered.
+        /// Whether the endpoint answered.
         healthy: bool,
-        /// Weight version that it holds, if it is an engine and answered.
+        /// Loaded weight version; none for a service or without an answer.
         version: Option<String>,
     },
-    /// The engine published cache news.
+    /// The engine published changes of its cache.
     CacheChanged {
-        /// Number of the first change.
+        /// Sequence number of the first change.
         first: u64,
         /// The changes.
         changes: Vec<CacheChange>,
     },
     /// The engine listed its whole cache.
     CacheListed {
-        /// Number that the next change will have.
+        /// Sequence number of the next change.
         next: u64,
-        /// All pieces it holds.
+        /// Keys of all cached pieces.
         keys: Vec<PieceKey>,
     },
-    /// A piece was sealed on a store box.
+    /// A piece was completely written to a store box.
     Stored(StoredNotice),
-    /// A piece was not found on a store box.
+    /// A piece was not found on a store box where it was expected.
     Missing(super::MissingNotice),
-    /// Exports began (positive) or ended (negative).
+    /// So many exports of pieces began (positive) or ended (negative).
     ExportCountChanged(i32),
-    /// An entry process sent what the configuration says.
+    /// An entry process sent the configuration of this endpoint.
     ConfigNoticeReceived(ConfigNotice),
-    /// The box list or the operating system says that this box is leaving.
+    /// The box list or the operating system announced that this box is leaving.
     BoxLeaving,
-    /// The table was read for the epoch of this endpoint's shard.
+    /// The lease epoch of this endpoint's shard was read from the table.
     EpochRead(u64),
-    /// An entry process gives an order.
+    /// An entry process sent an order.
     OrderReceived(StampedOrder),
-    /// An order ended.
+    /// Execution of an order ended.
     OrderEnded(OrderOutcome),
 }
 
-/// A change of the engine's cache.
+/// One change of the engine's cache.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CacheChange {
-    /// A piece came in.
+    /// A piece was cached.
     Added(PieceKey),
-    /// A piece was dropped.
+    /// A piece was evicted.
     Dropped(PieceKey),
-    /// Everything was dropped.
+    /// The whole cache was cleared.
     Cleared,
 }
--- a/core/src/role/agent_identity.rs
+++ b/core/src/role/agent_identity.rs
@@ -3,23 +3,23 @@
     std::net::SocketAddr,
 };
 
-/// What an agent knows of itself from its settings.
+/// Identity and limits of an agent, from its settings.
 #[derive(Debug, Clone, PartialEq)]
 pub struct AgentIdentity {
-    /// Id of its endpoint.
+    /// Id of the agent's endpoint.
     pub endpoint_id: String,
-    /// What the endpoint is.
+    /// Kind of the endpoint: engine or service.
     pub kind: EndpointKind,
-    /// Group that shares a store.
+    /// Group of endpoints that share a store.
     pub group: String,
     /// Labels of the endpoint.
     pub labels: LabelSet,
-    /// Where the agent takes links.
+    /// Address on which the agent accepts links.
     pub address: SocketAddr,
-    /// Start of the agent, in microseconds since 1970.
+    /// Start time of the agent, in microseconds since 1970.
     pub incarnation: u64,
-    /// Requests that the endpoint runs at the same time at most.
+    /// Maximum number of requests running on the endpoint.
     pub slots: u32,
-    /// Requests that may wait in the agent beyond those.
+    /// Maximum number of requests queued in the agent in addition.
     pub queue_limit: u32,
 }
--- a/core/src/role/agent_orders.rs
+++ b/core/src/role/agent_orders.rs
@@ -1,4 +1,4 @@
-//! What an agent is told: by its engine's health, by the configuration, by orders.
+//! Agent events that carry engine health, configuration and orders.
 
 use {
     super::{
@@ -29,7 +29,8 @@
         self.healthy = healthy;
     }
 
-    /// The engine says what it holds; that beats what the settings or an order said.
+    /// Takes over the version that the engine reports, which overrides the one from the settings
+    /// or from an order. Reports are ignored while a load is in progress.
     fn update_version(
         &mut self,
         seen: String,
@@ -74,7 +75,7 @@
                 if let EndpointOrder::LoadVersion { version } = &order.order {
                     self.loading = Some(version.clone());
                     self.refuse_queued(ErrorKind::WrongVersion, actions);
-                    // No event, but everybody should see the new pulse at once.
+                    // An empty batch: subscribers get the new pulse without delay.
                     actions.push(AgentAction::Publish(Vec::new()));
                 }
                 actions.push(AgentAction::RunOrder(order));
--- a/core/src/role/agent_work.rs
+++ b/core/src/role/agent_work.rs
@@ -1,11 +1,11 @@
-//! The gate for requests: who is let in, who waits, who is refused.
+//! Admission gate of an agent: starts, queues or refuses requests.
 
 use {
     super::{AgentAction, AgentCore, GateRefusal, GateWork, WorkTicket},
     crate::{errors::ErrorKind, route::EndpointKind, time::Micros},
 };
 
-/// A request that was let through.
+/// A started request.
 #[derive(Debug, Clone)]
 pub(super) struct RunningWork {
     pub(super) tokens: u32,
@@ -70,7 +70,7 @@
         }
     }
 
-    /// Time until work that comes now would be started.
+    /// Expected queueing delay of a request that arrives now.
     fn expected_wait(&self) -> Micros {
         let slots = self.identity.slots.max(1);
         let ahead = self.running.len() + self.queue.len();
@@ -91,7 +91,7 @@
             let Some(work) = self.queued.remove(&next.key) else {
                 continue;
             };
-            // A swap may have happened while the work was in line.
+            // The version may have changed while the request was queued.
             if !self.has_version(&work) {
                 actions.push(AgentAction::Refuse(GateRefusal {
                     ticket: next.key,
--- a/core/src/role/cache_mirror.rs
+++ b/core/src/role/cache_mirror.rs
@@ -4,10 +4,10 @@
     std::collections::{BTreeMap, BTreeSet},
 };
 
-/// Stored pieces that an agent remembers for new subscribers.
+/// Maximum number of stored pieces that an agent keeps for new subscribers.
 const MAX_STORED_PIECES: usize = 65_536;
 
-/// What an agent knows of its engine's cache and of the pieces it sealed.
+/// Copy of the index of the engine's cache, and the pieces that this agent stored.
 #[derive(Debug, Clone, Default)]
 pub struct CacheMirror {
     cached: BTreeSet<PieceKey>,
@@ -15,17 +15,17 @@
     next_change: Option<u64>,
 }
 
-/// What came of cache news.
+/// Result of applying cache changes.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ChangeOutcome {
-    /// They joined on to what was known.
+    /// The changes followed the known state and were applied.
     Applied,
-    /// Something between was missed.
+    /// Changes in between were missed; nothing was applied.
     Gap,
 }
 
 impl CacheMirror {
-    /// Applies news of the engine if they join on to what is known.
+    /// Applies changes of the engine's cache if their first sequence number is the expected one.
     pub fn apply_changes(
         &mut self,
         first: u64,
@@ -49,7 +49,7 @@
         ChangeOutcome::Applied
     }
 
-    /// Replaces everything by a whole list of the engine.
+    /// Replaces the cached pieces by a full listing of the engine.
     pub fn replace(
         &mut self,
         next: u64,
@@ -59,13 +59,14 @@
         self.next_change = Some(next);
     }
 
-    /// Forgets the engine's cache, as after its restart.
+    /// Clears the cached pieces, as after a restart of the engine. Changes are rejected until
+    /// the next full listing.
     pub fn clear(&mut self) {
         self.cached.clear();
         self.next_change = None;
     }
 
-    /// Notes a sealed piece.
+    /// Adds a stored piece; at the limit the one with the lowest key is dropped.
     pub fn add_stored(
         &mut self,
         notice: StoredNotice,
@@ -76,7 +77,7 @@
         self.stored.insert(notice.key, notice);
     }
 
-    /// Notes that a stored piece is gone.
+    /// Removes a stored piece that was not found, unless a newer generation is known.
     pub fn remove_stored(
         &mut self,
         notice: &MissingNotice,
@@ -90,7 +91,7 @@
         }
     }
 
-    /// Everything that is known, as events for a new subscriber.
+    /// Returns all cached and stored pieces as events for a new subscriber.
     pub fn snapshot(&self) -> Vec<EndpointEvent> {
         let cached = self.cached.iter().copied().map(EndpointEvent::Cached);
         let stored = self.stored.values().cloned().map(EndpointEvent::Stored);
--- a/core/src/role/endpoint_order.rs
+++ b/core/src/role/endpoint_order.rs
@@ -3,44 +3,44 @@
     serde::{Deserialize, Serialize},
 };
 
-/// What an endpoint can be ordered to do.
+/// Order to an endpoint.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum EndpointOrder {
     /// Load a weight version of its model.
     LoadVersion {
-        /// The version.
+        /// Version to load.
         version: String,
     },
-    /// Load an adapter on top of its weights.
+    /// Load an adapter for its weights.
     LoadAdapter {
-        /// The adapter.
+        /// Name of the adapter.
         adapter: String,
     },
-    /// Change what phase of a prompt it works on.
+    /// Change which phase of a prompt it processes.
     ChangeRole {
-        /// Name of the role, as the engine knows it.
+        /// Name of the role in the engine's terms.
         role: String,
     },
 }
 
-/// An order with its place in the history of its shard.
+/// An order with its fencing stamp.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StampedOrder {
-    /// Name of the shard, the key of its lease row.
+    /// Name of the shard, which is the key of its lease row.
     pub shard: String,
-    /// Epoch and sequence.
+    /// Lease epoch and sequence number.
     pub stamp: OrderStamp,
     /// The order.
     pub order: EndpointOrder,
 }
 
-/// What the configuration says about one endpoint.
+/// Configuration of one endpoint that its agent has to follow.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ConfigNotice {
-    /// Revision it comes from; an agent never goes back to a lower one.
+    /// Configuration revision; an agent ignores revisions that are not higher than its current one.
     pub revision: u64,
-    /// Whether operators want the endpoint to take no new work.
+    /// Whether operators took the endpoint out of service for new requests.
     pub leaving: bool,
-    /// Whether the box list says that the box is leaving, which it does for good.
+    /// Whether the box list marks the box as leaving, which is final.
     pub box_leaving: bool,
 }
--- a/core/src/role/endpoint_roster.rs
+++ b/core/src/role/endpoint_roster.rs
@@ -12,28 +12,28 @@
     std::{collections::BTreeMap, sync::Arc},
 };
 
-/// Silence of a busy agent, by beacon and link, after which it gets no new work.
+/// Time without a beacon or link message after which a busy agent gets no new requests.
 pub const SUSPECT_AFTER: Micros = Micros::from_millis(2_000);
-/// Silence of a busy agent after which a link that is still up counts as hung.
+/// Time without a message after which the open link of a busy agent counts as hung.
 pub const HUNG_AFTER: Micros = Micros::from_millis(4_000);
-/// Factor on both for an idle agent, which says less. A request to it that it
-/// does not acknowledge is noticed much sooner.
+/// Factor on both limits for an idle agent, which reports less often. A request that it
+/// does not report on is detected by the unscaled limits.
 pub const IDLE_FACTOR: u64 = 8;
-/// Silence after which the endpoint is taken out of the table.
+/// Time without a message after which the endpoint is removed.
 pub const REMOVE_AFTER: Micros = Micros::from_secs(60);
 
-/// All endpoints that this process knows, with their load.
+/// Endpoints that this process knows, with their load.
 #[derive(Debug, Default)]
 pub struct EndpointRoster {
-    /// Arena shared with the routing table.
+    /// Endpoint states by key, shared with the routing table.
     pub arena: Arc<EndpointArena>,
-    /// Loads by key.
+    /// Loads by endpoint key.
     pub loads: SecondaryMap<EndpointKey, EndpointLoad>,
     entries: BTreeMap<String, RosterEntry>,
 }
 
 impl EndpointRoster {
-    /// The entry of one endpoint.
+    /// Returns the entry of an endpoint.
     pub fn get(
         &self,
         endpoint_id: &str,
@@ -41,7 +41,7 @@
         self.entries.get(endpoint_id)
     }
 
-    /// The entry of one endpoint, to change it.
+    /// Returns the mutable entry of an endpoint.
     pub fn get_mut(
         &mut self,
         endpoint_id: &str,
@@ -49,12 +49,12 @@
         self.entries.get_mut(endpoint_id)
     }
 
-    /// All entries by endpoint id.
+    /// Iterates over all entries, ordered by endpoint id.
     pub fn iter(&self) -> impl Iterator<Item = (&String, &RosterEntry)> {
         self.entries.iter()
     }
 
-    /// The state of one endpoint.
+    /// Returns the state of an endpoint.
     pub fn state(
         &self,
         endpoint_id: &str,
@@ -63,7 +63,8 @@
         self.arena.get(entry.key)
     }
 
-    /// Takes in what an agent says of itself.
+    /// Applies the beacon of an agent. Beacons of an earlier incarnation are ignored; a later
+    /// one replaces the endpoint.
     pub fn apply_beacon(
         &mut self,
         beacon: &AgentBeacon,
@@ -130,7 +131,7 @@
         self.entries.insert(beacon.endpoint_id.clone(), entry);
     }
 
-    /// Takes an endpoint out.
+    /// Removes an endpoint.
     pub fn remove(
         &mut self,
         endpoint_id: &str,
@@ -141,7 +142,7 @@
         }
     }
 
-    /// Gives an endpoint a new key, so that everything noted under the old one is void.
+    /// Gives an endpoint a new key, which invalidates all references to the old one.
     pub fn renew_key(
         &mut self,
         endpoint_id: &str,
@@ -160,7 +161,7 @@
         }
     }
 
-    /// Notes the load of an endpoint.
+    /// Updates the load of an endpoint from a pulse of its agent.
     pub fn update_load(
         &mut self,
         endpoint_id: &str,
@@ -195,7 +196,7 @@
         }
     }
 
-    /// Judges anew who is alive.
+    /// Reevaluates which endpoints are alive, and finds hung links and endpoints to remove.
     pub fn check_liveness(
         &mut self,
         now: Micros,
@@ -228,7 +229,7 @@
         report
     }
 
-    /// Notes the version that an engine holds now; true when it is another.
+    /// Updates the kind of an endpoint with its weight version; returns whether it changed.
     pub fn set_version(
         &mut self,
         endpoint_id: &str,
@@ -247,7 +248,7 @@
         }
     }
 
-    /// Puts the operators' labels on all endpoints anew.
+    /// Recomputes the labels and the leaving flag of all endpoints from the configuration.
     pub fn relabel(
         &mut self,
         config: &FleetConfig,
--- a/core/src/role/entry_action.rs
+++ b/core/src/role/entry_action.rs
@@ -8,82 +8,82 @@
     std::{net::SocketAddr, sync::Arc},
 };
 
-/// What an entry process's host is to do.
+/// What the host of an [`EntryCore`](super::EntryCore) has to execute.
 #[derive(Debug, Clone)]
 pub enum EntryAction {
-    /// Give the traffic threads a new view.
+    /// Publish a new view to the traffic threads.
     Publish {
-        /// The view for routing.
+        /// Routing table.
         table: Arc<RouteTable>,
-        /// What is known of returns.
+        /// Learned reuse of prompts.
         reuse_model: Arc<ReturnModel>,
-        /// Entry processes that share the load, this one included.
+        /// Number of live entry processes, including this one.
         entries: u32,
     },
-    /// Link up with an agent, or with its next life.
+    /// Open a link to an agent, or to its new incarnation.
     Connect(Arc<EndpointState>),
-    /// Give up the link to an endpoint that is gone.
+    /// Close the link to an endpoint that was removed.
     Disconnect {
         /// Id of the endpoint.
         endpoint_id: String,
     },
-    /// Close a link whose agent is silent; what runs over it is lost.
+    /// Close and reopen a hung link; requests running over it are lost.
     DropLink {
         /// Id of the endpoint.
         endpoint_id: String,
     },
-    /// Open the event stream of an agent anew: an event was missed.
+    /// Reopen the event stream of an agent after a sequence gap.
     Resync {
         /// Id of the endpoint.
         endpoint_id: String,
     },
-    /// Tell an agent what the configuration says about it.
+    /// Send an agent the configuration of its endpoint.
     Notify {
         /// Id of the endpoint.
         endpoint_id: String,
-        /// What it says.
+        /// The configuration.
         notice: ConfigNotice,
     },
-    /// Give an order.
+    /// Send an order to an agent.
     Order {
         /// Id of the endpoint.
         endpoint_id: String,
         /// The order.
         order: StampedOrder,
     },
-    /// Fetch the configuration from a peer that has a newer one.
+    /// Fetch the configuration from a peer that has a higher revision.
     PullConfig {
-        /// Where the peer answers.
+        /// Address of the peer's HTTP server.
         peer: SocketAddr,
     },
-    /// Ask a store box what it holds.
+    /// List the pieces on a store box.
     ListStore {
-        /// Name of the box.
+        /// Name of the store box.
         store: String,
-        /// Where it listens.
+        /// Address of the store box.
         address: SocketAddr,
     },
-    /// Have pieces dropped from a store box, by an agent that tells everybody.
+    /// Delete pieces from a store box through an agent, which publishes the deletion.
     DropPieces {
-        /// Id of the endpoint whose agent does it.
+        /// Id of the endpoint whose agent deletes them.
         endpoint_id: String,
         /// Name of the store box.
         store: String,
-        /// Where it listens.
+        /// Address of the store box.
         address: SocketAddr,
-        /// The pieces.
+        /// The pieces to delete.
         pieces: Vec<StoredPiece>,
     },
-    /// Read lease rows, all in one read.
+    /// Read several lease rows in one request.
     ReadLeases {
         /// Shards of the leases.
         shards: Vec<String>,
     },
-    /// Replace a lease row.
+    /// Replace a lease row by compare-and-swap.
     WriteLease {
         /// Shard of the lease.
         shard: String,
-        /// Table version that must still be there.
+        /// Table version that the row must still have.
         version: u64,
         /// The new row.
         row: LeaseRow,
@@ -92,46 +92,46 @@
     Log(PlacementLine),
 }
 
-/// One placement decision, for the log and for `explain`.
+/// Log line of a placement decision.
 #[derive(Debug, Clone, PartialEq)]
 pub struct PlacementLine {
-    /// What was decided.
+    /// Kind of decision.
     pub decision: PlacementKind,
-    /// What it is about.
+    /// Id of the endpoint, shard, store box or revision concerned.
     pub subject: String,
-    /// Why.
+    /// Reason in plain text.
     pub reason: String,
     /// Configuration revision in force.
     pub revision: u64,
 }
 
-/// Kinds of placement decisions.
+/// Kind of a placement decision.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum PlacementKind {
-    /// An endpoint was taken in.
+    /// An endpoint was added.
     EndpointJoined,
-    /// An endpoint was taken out.
+    /// An endpoint was removed.
     EndpointLost,
-    /// An endpoint gets no requests for a while.
+    /// An endpoint was ejected after failures and gets no requests for a while.
     EndpointEjected,
-    /// An engine is to load a version.
+    /// An engine was ordered to load a weight version.
     LoadOrdered,
-    /// A shard's lease was taken.
+    /// The lease of a shard was acquired.
     LeaseTaken,
-    /// A shard's lease was lost.
+    /// The lease of a shard was lost.
     LeaseLost,
-    /// A configuration came into force.
+    /// A new configuration took effect.
     ConfigInForce,
-    /// A store box was taken in or its content listed anew.
+    /// A store box was added or listed again.
     StoreListed,
-    /// A store box was taken out.
+    /// A store box was removed.
     StoreLost,
-    /// Pieces are dropped from a full store box.
+    /// Pieces are evicted from a full store box.
     PiecesEvicted,
 }
 
 impl PlacementKind {
-    /// The word in log lines.
+    /// Returns the name used in log lines.
     pub const fn as_str(self) -> &'static str {
         match self {
             PlacementKind::EndpointJoined => "endpoint-joined",
--- a/core/src/role/entry_configs.rs
+++ b/core/src/role/entry_configs.rs
@@ -1,4 +1,4 @@
-//! What the platform says: configuration and boxes.
+//! Entry events that carry the configuration and the box list.
 
 use {
     super::{BoxRole, EntryAction, EntryCore, ListedBox, PlacementKind},
@@ -11,7 +11,8 @@
 };
 
 impl EntryCore {
-    /// Applies changes that follow on the configuration; others are passed over.
+    /// Applies changes with consecutive revisions. Records of other revisions are skipped; if a
+    /// change cannot be applied, nothing takes effect.
     pub(super) fn on_changes_read(
         &mut self,
         records: Vec<ChangeRecord>,
@@ -33,7 +34,7 @@
         config: Arc<FleetConfig>,
         actions: &mut Vec<EntryAction>,
     ) {
-        // Revisions never go down, whoever the configuration comes from.
+        // The revision never decreases, whatever the source of the configuration.
         if config.revision <= self.config.revision {
             return;
         }
--- a/core/src/role/entry_core.rs
+++ b/core/src/role/entry_core.rs
@@ -15,35 +15,35 @@
     std::{collections::BTreeSet, sync::Arc},
 };
 
-/// Ticks between two judgements of who is alive.
+/// Ticks between two liveness checks.
 const LIVENESS_TICKS: u64 = 6;
-/// Ticks between two looks at leases and load orders.
+/// Ticks between two updates of leases and weight load orders.
 const PLACEMENT_TICKS: u64 = 10;
 
-/// Time without table and peers after which the process wants no new requests.
+/// Time without contact with the table after which a process without live peers is not ready.
 const CONTACT_TIMEOUT: Micros = Micros::from_secs(5);
-/// Time for which a process that cannot reach the table listens to its peers
-/// before it takes the newest of their configurations for the newest there is.
+/// Time for which a process that has not reached the table collects peer beacons before it
+/// assumes that the highest revision among them is the latest one.
 const PEER_SETTLE_TIME: Micros = Micros::from_secs(2);
 
-/// Entry processes of a failure domain that look at the table often.
+/// Entry processes of a failure domain that poll the table at the short interval.
 const POLLERS_PER_DOMAIN: usize = 3;
 const POLL_SUBJECT: &str = "config-poll";
 
-/// How an entry process's core is set up.
+/// Settings of an [`EntryCore`].
 #[derive(Debug, Clone)]
 pub struct EntrySetup {
-    /// Id of the process's box.
+    /// Id of the box of this process.
     pub box_id: String,
-    /// Names this life of the process, for leases.
+    /// Lease holder name, unique to this incarnation of the process.
     pub holder: String,
-    /// How endpoints are chosen.
+    /// Routing policy.
     pub policy: RoutePolicy,
-    /// Times of leases.
+    /// Durations of leases.
     pub lease: LeaseTimes,
 }
 
-/// All control state of an entry process, and its decisions.
+/// State machine of an entry process: configuration, endpoints, peers, stores and leases.
 #[derive(Debug)]
 pub struct EntryCore {
     pub(super) setup: EntrySetup,
@@ -70,7 +70,7 @@
 }
 
 impl EntryCore {
-    /// A core that knows nothing yet.
+    /// Creates an empty state.
     pub fn new(setup: EntrySetup) -> Self {
         EntryCore {
             shard_leases: ShardLeases::new(&setup.box_id, &setup.holder, setup.lease),
@@ -97,7 +97,7 @@
         }
     }
 
-    /// Takes one event and says what to do.
+    /// Applies one event and returns the actions to execute.
     pub fn step(
         &mut self,
         now: Micros,
@@ -232,15 +232,15 @@
         }));
     }
 
-    /// Hands back what others should take over at once, as at a planned stop.
+    /// Releases all leases, so that other processes can acquire them at once after a planned stop.
     pub fn release(&mut self) -> Vec<EntryAction> {
         self.shard_leases.release()
     }
 
-    /// Whether the balancer should send requests here.
+    /// Whether the load balancer should send requests to this process.
     ///
-    /// A configuration must be in force that is sure not to be older than the one
-    /// before a restart, and the process must not be cut off.
+    /// A configuration must be in force that is not older than the one before a restart, and
+    /// the process must have had recent contact with the table or have a live peer.
     pub fn is_ready(
         &self,
         now: Micros,
@@ -256,12 +256,12 @@
         self.config.revision > 0 && settled && in_contact
     }
 
-    /// The configuration in force.
+    /// Returns the configuration in force.
     pub fn config(&self) -> &Arc<FleetConfig> {
         &self.config
     }
 
-    /// What a peer at a revision needs to come up with this process.
+    /// Returns what a peer at revision `since` needs to catch up with this process.
     pub fn for_peer(
         &self,
         since: u64,
@@ -269,8 +269,8 @@
         self.history.for_peer(since, &self.config)
     }
 
-    /// Whether this process is one of those of its failure domain that look at the
-    /// table often; the others hear of a newer revision from peers.
+    /// Whether this process is one of those of its failure domain that poll the table at the short
+    /// interval. The others learn of a newer revision from peer beacons.
     pub fn polls_table(&self) -> bool {
         let own = rendezvous_weight(POLL_SUBJECT, &self.setup.box_id);
         let ahead = self.domain_entries.iter();
@@ -278,27 +278,27 @@
         ahead.count() < POLLERS_PER_DOMAIN
     }
 
-    /// The other entry processes.
+    /// Returns the other entry processes.
     pub fn peers(&self) -> &PeerTable {
         &self.peers
     }
 
-    /// The endpoints.
+    /// Returns the endpoints.
     pub fn roster(&self) -> &EndpointRoster {
         &self.roster
     }
 
-    /// Pieces known.
+    /// Number of pieces in the directory.
     pub fn piece_count(&self) -> usize {
         self.pieces.len()
     }
 
-    /// Prompts remembered.
+    /// Number of prompts in the history.
     pub fn prompt_count(&self) -> usize {
         self.prompts.len()
     }
 
-    /// Shards whose lease this process holds.
+    /// Returns the shards whose lease this process holds.
     pub fn held_shards(
         &self,
         now: Micros,
@@ -306,7 +306,7 @@
         self.shard_leases.held_shards(now)
     }
 
-    /// How far the drain of an endpoint is.
+    /// Returns the progress of the drain of an endpoint.
     pub fn drain_state(
         &self,
         endpoint_id: &str,
--- a/core/src/role/entry_event.rs
+++ b/core/src/role/entry_event.rs
@@ -12,104 +12,104 @@
     std::{net::SocketAddr, sync::Arc},
 };
 
-/// What can happen to the control state of an entry process.
+/// Input of an [`EntryCore`](super::EntryCore).
 #[derive(Debug, Clone)]
 pub enum EntryEvent {
-    /// Some time has passed.
+    /// Periodic timer.
     Tick,
-    /// The table answered a look at the configuration.
+    /// The table answered a read of the configuration.
     TableReached,
     /// A configuration was read from the table or a peer.
     ConfigRead(Arc<FleetConfig>),
-    /// Changes that follow on the configuration were read.
+    /// Configuration changes after the current revision were read.
     ChangesRead(Vec<ChangeRecord>),
-    /// An agent's beacon came; `own` is what this process has under way there.
+    /// A beacon of an agent arrived.
     AgentBeaconReceived {
         /// The beacon.
         beacon: AgentBeacon,
-        /// Own work at that moment.
+        /// Load that this process has in flight to the endpoint.
         own: SentLoad,
     },
-    /// Another entry process's beacon came.
+    /// A beacon of another entry process arrived.
     PeerBeaconReceived(EntryBeacon),
-    /// An agent's events came over its link.
+    /// A batch of events arrived over the link to an agent.
     AgentEventsReceived {
         /// Id of the endpoint.
         endpoint_id: String,
-        /// Life of the agent that the link leads to.
+        /// Incarnation of the agent at the other end of the link.
         incarnation: u64,
         /// The events.
         batch: EventBatch,
-        /// Own work at that moment.
+        /// Load that this process has in flight to the endpoint.
         own: SentLoad,
     },
-    /// The event stream of an agent began anew; a whole list of its state follows.
+    /// The event stream of an agent was reopened; its first batch is a full snapshot.
     StreamOpened {
         /// Id of the endpoint.
         endpoint_id: String,
-        /// Life of the agent.
+        /// Incarnation of the agent.
         incarnation: u64,
     },
-    /// The link to an agent broke.
+    /// The link to an agent was lost.
     LinkLost {
         /// Id of the endpoint.
         endpoint_id: String,
     },
-    /// An answer carried the agent's state.
+    /// A reply carried the agent's pulse.
     PulseReceived {
         /// Id of the endpoint.
         endpoint_id: String,
-        /// The state.
+        /// The pulse.
         pulse: AgentPulse,
-        /// Own work at that moment.
+        /// Load that this process has in flight to the endpoint.
         own: SentLoad,
     },
     /// The box list was read.
     BoxesListed(Vec<ListedBox>),
-    /// A store box listed the pieces that it holds.
+    /// A listing of the pieces on a store box arrived.
     StoreListed {
-        /// Name of the box.
+        /// Name of the store box.
         store: String,
-        /// Its pieces.
+        /// The pieces.
         pieces: Vec<StoredPiece>,
     },
-    /// A store box's link was measured.
+    /// The transfer rate from a store box was measured.
     StoreMeasured {
-        /// Name of the box.
+        /// Name of the store box.
         store: String,
-        /// Bytes a second.
+        /// Transfer rate in bytes per second.
         link_rate: f64,
     },
-    /// A prompt was sent to an endpoint.
+    /// A request was sent to an endpoint.
     Routed {
         /// Id of the endpoint.
         endpoint_id: String,
-        /// Keys of the whole pieces of the prompt.
+        /// Keys of the complete pieces of its prompt.
         pieces: Vec<PieceKey>,
     },
-    /// An agent said that it has a request.
+    /// An agent acknowledged a request.
     TakenUp {
         /// Id of the endpoint.
         endpoint_id: String,
-        /// Number that the agent gave to the request.
+        /// Ticket that the agent assigned to the request.
         ticket: WorkTicket,
     },
-    /// A try at an endpoint ended; `failure` tells how it failed.
+    /// An attempt of a request at an endpoint ended.
     AttemptEnded {
         /// Id of the endpoint.
         endpoint_id: String,
-        /// The failure; none for an answer.
+        /// Kind of failure; none when the endpoint answered.
         failure: Option<ErrorKind>,
     },
     /// A lease row was read.
     LeaseRead {
         /// Shard of the lease.
         shard: String,
-        /// The row; none when there is none.
+        /// The row; none when it does not exist.
         row: Option<LeaseRow>,
-        /// Its table version; zero when there is none.
+        /// Its table version; zero when the row does not exist.
         version: u64,
-        /// When the read was sent.
+        /// Time when the read was sent.
         asked_at: Micros,
     },
     /// A lease row was written.
@@ -119,58 +119,59 @@
         /// Its new table version.
         version: u64,
     },
-    /// A lease row had changed before the write.
+    /// A write of a lease row failed because the row had changed.
     LeaseWriteConflict {
         /// Shard of the lease.
         shard: String,
     },
-    /// Nobody knows whether a write of a lease row took effect.
+    /// It is unknown whether a write of a lease row took effect.
     LeaseWriteUnknown {
         /// Shard of the lease.
         shard: String,
     },
-    /// An agent did not take an order, or could not be reached with it.
+    /// An agent refused an order or could not be reached.
     OrderFailed {
         /// Id of the endpoint.
         endpoint_id: String,
     },
 }
 
-/// One box of the box list.
+/// Entry of the box list.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ListedBox {
     /// Id of the box.
     pub id: String,
-    /// What runs on it.
+    /// Role of the box.
     pub role: BoxRole,
     /// Group that it belongs to; empty for entry boxes.
     pub group: String,
-    /// Failure domain that it stands in.
+    /// Failure domain of the box.
     pub failure_domain: String,
-    /// Address of what runs on it.
+    /// Address of the process on the box: beacons of an entry process, links of an agent, HTTP of
+    /// a store.
     pub address: SocketAddr,
-    /// Whether it is leaving.
+    /// Whether the box is leaving.
     pub leaving: bool,
 }
 
-/// What runs on a box.
+/// Role of a box.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum BoxRole {
     /// An entry process.
     Entry,
     /// An endpoint with its agent.
     Endpoint,
-    /// A store for kept pieces.
+    /// A store of cached pieces.
     Store,
 }
 
-/// One piece on a store box.
+/// A piece on a store box.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct StoredPiece {
     /// The piece.
     pub key: PieceKey,
-    /// Its tier.
+    /// Storage tier.
     pub tier: StoreTier,
-    /// Its generation.
+    /// Generation of the stored copy.
     pub generation: u64,
 }
--- a/core/src/role/entry_messages.rs
+++ b/core/src/role/entry_messages.rs
@@ -1,4 +1,4 @@
-//! What agents and peers say.
+//! Entry events from agents and peers: beacons, event streams and pulses.
 
 use {
     super::{
--- a/core/src/role/entry_placement.rs
+++ b/core/src/role/entry_placement.rs
@@ -1,4 +1,4 @@
-//! Who can be sent to, and which pieces stay.
+//! Routing view, liveness of endpoints and eviction of stored pieces.
 
 use {
     super::{engine_groups, AwaitedReport, EntryAction, EntryCore, PlacementKind, WorkTicket},
@@ -10,7 +10,7 @@
     std::sync::Arc,
 };
 
-/// Buckets of the directory looked at for stale holders at a time.
+/// Buckets of the piece directory that one sweep checks for stale holders.
 const SWEEP_BUCKETS: usize = 16;
 
 impl EntryCore {
@@ -30,7 +30,7 @@
         }
     }
 
-    /// Publishes a new view if something changed since the last one.
+    /// Publishes a new view if the state changed since the last one.
     pub fn publish(
         &mut self,
         actions: &mut Vec<EntryAction>,
@@ -61,8 +61,9 @@
         });
     }
 
-    /// Expects the pieces of a prompt where it was sent, so that a quick return
-    /// goes there too. If it never gets there, the next one finds out.
+    /// Records the pieces of a prompt at the endpoint it was sent to before the engine reports
+    /// them, so that a prompt repeated shortly after is routed there too. If the prompt never
+    /// arrives there, the next request that relies on the record finds the pieces missing.
     pub(super) fn on_routed(
         &mut self,
         now: Micros,
@@ -72,7 +73,7 @@
         let Some(entry) = self.roster.get_mut(endpoint_id) else {
             return;
         };
-        // A busy agent pulses several times a second; one that does not is frozen.
+        // A busy agent sends a pulse several times per second; without one it counts as frozen.
         entry.awaited_report.get_or_insert(AwaitedReport {
             since: now,
             min_taken_up: 0,
@@ -84,7 +85,7 @@
         self.table_stale = true;
     }
 
-    /// An agent has a request: it owes a report that counts this one.
+    /// Requires the next report of an agent to cover the request that it acknowledged.
     pub(super) fn on_taken_up(
         &mut self,
         now: Micros,
@@ -101,7 +102,7 @@
         report.min_taken_up = report.min_taken_up.max(ticket.0 + 1);
     }
 
-    /// Frees room on a full store box, if this process controls its group.
+    /// Evicts pieces from a full store box if this process holds the lease of its group.
     pub(super) fn evict_pieces(
         &mut self,
         now: Micros,
--- a/core/src/role/event_batch.rs
+++ b/core/src/role/event_batch.rs
@@ -6,98 +6,99 @@
     serde::{Deserialize, Serialize},
 };
 
-/// Events of an agent, numbered without gaps within one subscription.
+/// Batch of agent events, with consecutive sequence numbers within one subscription.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct EventBatch {
-    /// Number of the first event; the others follow on.
+    /// Sequence number of the first event.
     pub first: u64,
     /// The events.
     pub events: Vec<EndpointEvent>,
-    /// The state of the endpoint when the batch was sent.
+    /// State of the endpoint when the batch was sent.
     pub pulse: AgentPulse,
 }
 
-/// State that every batch carries.
+/// Current state of an agent and its endpoint, sent with every batch.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct AgentPulse {
     /// Load of the endpoint.
     pub load: LoadReport,
     /// Whether the agent refuses new work.
     pub refusing: bool,
-    /// Pieces that it still carries to a store box.
+    /// Pieces that are still to be exported to a store box.
     pub exporting: u32,
-    /// Hand-overs that the agent's gate has seen in this life: all whose tickets are below.
+    /// All requests with a lower ticket have passed the agent's gate in this incarnation, whether
+    /// they were accepted or refused.
     pub taken_up: u64,
 }
 
-/// One thing that an agent tells upward.
+/// Event that an agent reports about its endpoint to subscribed entry processes.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum EndpointEvent {
-    /// The accelerator memory holds a piece.
+    /// A piece is in accelerator memory.
     Cached(PieceKey),
-    /// The accelerator memory dropped a piece.
+    /// A piece was evicted from accelerator memory.
     Evicted(PieceKey),
-    /// The accelerator memory was emptied.
+    /// The cache in accelerator memory was cleared.
     Cleared,
-    /// A piece was sealed on a store box.
+    /// A piece was completely written to a store box.
     Stored(StoredNotice),
-    /// A piece that should be on a store box is not there.
+    /// A piece is no longer on a store box.
     Missing(MissingNotice),
-    /// A prompt was handed to the endpoint.
+    /// A prompt was sent to the endpoint.
     PromptUsed(PromptUse),
-    /// A store box had no room for a piece.
+    /// A store box had no free space for a piece.
     StoreFull {
         /// Name of the store box.
         store: String,
     },
-    /// The endpoint holds another weight version now.
+    /// The endpoint has another weight version loaded.
     Version(String),
-    /// An order ended; the text says how when it failed.
+    /// Execution of an order ended.
     OrderEnded(OrderOutcome),
 }
 
-/// A sealed piece.
+/// A piece that was completely written to a store box.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StoredNotice {
     /// The piece.
     pub key: PieceKey,
     /// Name of the store box.
     pub store: String,
-    /// Tier it is in.
+    /// Storage tier.
     pub tier: StoreTier,
-    /// Its generation.
+    /// Generation of the stored copy.
     pub generation: u64,
-    /// Key by which its prompt is recognised.
+    /// Identity key of its prompt, see [`prompt_identity`](super::prompt_identity).
     pub identity: PieceKey,
 }
 
-/// A prompt that was handed to an endpoint.
+/// A prompt that was sent to an endpoint.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PromptUse {
-    /// Key by which the prompt is recognised.
+    /// Identity key, see [`prompt_identity`](super::prompt_identity).
     pub identity: PieceKey,
     /// Organisation.
     pub organisation: String,
-    /// Label that the caller put on it.
+    /// Label that the caller gave the request.
     pub label: String,
 }
 
-/// A piece that was not found where it should be.
+/// A piece that is no longer on a store box.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MissingNotice {
     /// The piece.
     pub key: PieceKey,
     /// Name of the store box.
     pub store: String,
-    /// Generation that was looked for; a newer one may be there.
+    /// Generation that is missing; a newer one may exist.
     pub generation: u64,
 }
 
-/// How an order ended.
+/// Outcome of an order.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OrderOutcome {
-    /// Version that was to be loaded.
+    /// Version that was ordered.
     pub version: String,
-    /// Why it failed; none when it did not.
+    /// Reason of the failure; none on success.
     pub failure: Option<String>,
 }
--- a/core/src/role/gate_work.rs
+++ b/core/src/role/gate_work.rs
@@ -3,28 +3,28 @@
     serde::{Deserialize, Serialize},
 };
 
-/// Number that an agent gives to work handed to it; unique within its life.
+/// Number that an agent assigns to a request, unique within its incarnation.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct WorkTicket(pub u64);
 
-/// What the gate of an agent needs to know of a request.
+/// Properties of a request on which the admission gate of an agent decides.
 #[derive(Debug, Clone, PartialEq)]
 pub struct GateWork {
-    /// Organisation it is for.
+    /// Organisation of the caller.
     pub organisation: String,
-    /// Weight version it was decided for; none for plain services.
+    /// Weight version that the request was routed for; none for plain services.
     pub version: Option<String>,
-    /// Prompt tokens that are likely to be computed.
+    /// Estimated prompt tokens to compute.
     pub tokens: u32,
-    /// When its answer must have begun.
+    /// Time by which the response must have started.
     pub deadline: Micros,
 }
 
-/// Why the gate refused work; it is proven not to have run.
+/// Refusal of a request by the gate. The request is known not to have run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct GateRefusal {
-    /// The work.
+    /// Ticket of the request.
     pub ticket: WorkTicket,
-    /// Why.
+    /// Reason.
     pub kind: ErrorKind,
 }
--- a/core/src/role/mod.rs
+++ b/core/src/role/mod.rs
@@ -1,4 +1,5 @@
-//! One event-driven core for each role: events in, actions out.
+//! Control state machines of agents and entry processes, free of I/O: the host feeds in events
+//! and executes the actions that come back.
 
 mod agent_action;
 mod agent_core;
--- a/core/src/role/prompt_history.rs
+++ b/core/src/role/prompt_history.rs
@@ -10,10 +10,10 @@
     },
 };
 
-/// Prompts that are remembered at most.
+/// Maximum number of prompts in the history.
 const MAX_PROMPTS: usize = 32_768;
-/// Piece by whose key a prompt is recognised, counted from zero: deep enough to
-/// tell documents apart, early enough that most prompts have it.
+/// Zero-based index of the piece whose key identifies a prompt: late enough to distinguish
+/// documents, early enough for most prompts to have it.
 const IDENTITY_PIECE_INDEX: usize = 3;
 
 #[derive(Debug, Clone)]
@@ -22,7 +22,7 @@
     seen_at: Micros,
 }
 
-/// Remembers when prompts were last seen and learns their return gaps.
+/// Records when prompts were last used and learns the gaps between uses.
 #[derive(Debug, Clone, Default)]
 pub struct PromptHistory {
     seen: BTreeMap<PieceKey, SeenPrompt>,
@@ -31,29 +31,30 @@
     model: Arc<ReturnModel>,
 }
 
-/// The key by which a prompt is recognised; none when it is too short to be kept.
+/// Returns the key that identifies a prompt; none when it is shorter than one piece. A prompt
+/// too short for the usual piece is identified by its last one.
 pub fn prompt_identity(pieces: &[PieceKey]) -> Option<PieceKey> {
     let last = pieces.len().checked_sub(1)?;
     pieces.get(last.min(IDENTITY_PIECE_INDEX)).copied()
 }
 
 impl PromptHistory {
-    /// What has been learned; cheap to share.
+    /// Returns the learned model; cloning the `Arc` is cheap.
     pub fn model(&self) -> &Arc<ReturnModel> {
         &self.model
     }
 
-    /// Prompts remembered.
+    /// Number of recorded prompts.
     pub fn len(&self) -> usize {
         self.seen.len()
     }
 
-    /// Whether nothing is remembered.
+    /// Whether no prompt is recorded.
     pub fn is_empty(&self) -> bool {
         self.seen.is_empty()
     }
 
-    /// Notes that a prompt was asked.
+    /// Records a use of a prompt. Beyond the maximum the prompt that was recorded first is evicted.
     pub fn record(
         &mut self,
         identity: PieceKey,
@@ -76,7 +77,7 @@
         }
     }
 
-    /// Chance that a prompt still comes back.
+    /// Returns the probability that a prompt is used again.
     pub fn reuse_probability(
         &self,
         identity: PieceKey,
@@ -84,12 +85,12 @@
     ) -> f64 {
         match self.seen.get(&identity) {
             Some(prompt) => self.model.chance(&prompt.label, now.since(prompt.seen_at)),
-            // Nobody has asked for it as long as this process remembers.
+            // Not used within the history of this process.
             None => 0.0,
         }
     }
 
-    /// The one copy of a label that all prompts share.
+    /// Returns the shared copy of a label.
     fn intern_label(
         &mut self,
         label: &ReturnLabel,
--- a/core/src/role/roster_change.rs
+++ b/core/src/role/roster_change.rs
@@ -1,34 +1,34 @@
-/// What a report of load changed.
+/// Effect of a load report.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LoadChange {
-    /// Nothing.
+    /// Nothing changed.
     None,
-    /// The load.
+    /// The load changed.
     Load,
-    /// The endpoint began or ceased to refuse work.
+    /// The endpoint started or stopped refusing requests.
     Refusal,
 }
 
-/// Endpoints about which something must be done.
+/// Result of a liveness check.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct LivenessReport {
-    /// Silent for good.
+    /// Endpoints to remove after a long time without a message.
     pub expired: Vec<String>,
-    /// Silent although their link is up.
+    /// Endpoints that sent no message although their link is up.
     pub hung_links: Vec<String>,
-    /// Whether any endpoint's load must be published anew.
+    /// Whether the liveness or penalty of any endpoint changed, so that it must be published.
     pub changed: bool,
 }
 
-/// What a beacon changed.
+/// Effect of a beacon.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum RosterChange {
-    /// Nothing.
+    /// Nothing changed.
     None,
-    /// Nothing but load.
+    /// Only the load changed.
     Load,
-    /// The endpoint is new or in a new life; it must be linked.
+    /// The endpoint is new or has a new incarnation; a link must be opened.
     Joined,
-    /// Something that pools depend on.
+    /// A property changed that decides about membership in pools.
     PoolMembership,
 }
--- a/core/src/role/roster_entry.rs
+++ b/core/src/role/roster_entry.rs
@@ -3,47 +3,48 @@
     crate::{labels::LabelSet, retry::OutlierGuard, route::EndpointKey, time::Micros},
 };
 
-/// One endpoint as the control state has it.
+/// State of an endpoint in the [`EndpointRoster`](super::EndpointRoster).
 #[derive(Debug, Clone)]
 pub struct RosterEntry {
-    /// Its key in the arena.
+    /// Key in the arena.
     pub key: EndpointKey,
-    /// Labels from the agent's settings, without those of the operators.
+    /// Labels from the agent's settings, without those that operators set.
     pub own_labels: LabelSet,
-    /// Whether its link is up and its event stream open.
+    /// Whether the link is up and the event stream open.
     pub linked: bool,
-    /// Whether its agent says that it refuses new work.
+    /// Whether the agent reported that it refuses new requests.
     pub refusing: bool,
-    /// Pieces that its agent still exports.
+    /// Pieces that the agent still has to export.
     pub exporting: u32,
-    /// When its agent was last heard, by beacon or link.
+    /// Time of the last message from the agent, by beacon or link.
     pub received_at: Micros,
-    /// Word that it owes since it was sent something.
+    /// Report that the agent has to send after it was sent a request.
     pub awaited_report: Option<AwaitedReport>,
-    /// Number that the next event of its stream must have.
+    /// Expected sequence number of the next event; none while the stream is not synchronised.
     pub next_event: Option<u64>,
-    /// Configuration revision that its agent has confirmed.
+    /// Configuration revision that the agent confirmed.
     pub revision: u64,
-    /// Notice that was sent to it last.
+    /// Notice last sent to the agent.
     pub last_notice: Option<ConfigNotice>,
-    /// Version that an order under way will give it.
+    /// Version that it was ordered to load and has not finished loading.
     pub loading: Option<String>,
-    /// Watches its failures.
+    /// Detects repeated failures.
     pub guard: OutlierGuard,
 }
 
-/// Word that an agent with work must give soon, by beacon or link.
+/// Report that an agent with requests has to send soon, by beacon or link.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct AwaitedReport {
-    /// Since when it is owed.
+    /// Time since when it is awaited.
     pub since: Micros,
-    /// Hand-overs that a report must count to be about all that was sent there.
+    /// Minimum [`AgentPulse::taken_up`] of a report that covers all acknowledged requests.
     pub min_taken_up: u64,
 }
 
 impl AwaitedReport {
-    /// What is still owed after a report. One that was on its way when the agent
-    /// took work up shows that it was alive then, and says nothing of that work.
+    /// Returns the report that is still awaited after one arrived. A report sent before the
+    /// agent accepted the last request proves that the agent was alive then, so the waiting time
+    /// restarts, but it does not cover that request.
     pub(super) fn after_report(
         self,
         pulse: AgentPulse,
--- a/core/src/role/service_meter.rs
+++ b/core/src/role/service_meter.rs
@@ -1,13 +1,13 @@
 use crate::{route::DEFAULT_TOKEN_COST, time::Micros};
 
-/// Part of a new observation in the running average of whole requests.
+/// Weight of a new sample in the moving average of the request duration.
 const SMOOTHING: f32 = 0.1;
-/// What is left of older prompts with each new one.
+/// Factor by which older prompts decay with each new one.
 const PREFILL_DECAY: f32 = 0.9;
-/// Tokens below which a prompt says too little about the cost of one token.
+/// Minimum prompt size; shorter prompts say too little about the cost per token.
 const MIN_PREFILL_TOKENS: u32 = 256;
 
-/// Learns what an endpoint's work takes.
+/// Estimates the cost per prompt token and the request duration of an endpoint.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct ServiceMeter {
     prefill_tokens: f32,
@@ -16,7 +16,7 @@
 }
 
 impl ServiceMeter {
-    /// Microseconds for one prompt token.
+    /// Returns the cost of one prompt token, in microseconds.
     pub fn token_cost(&self) -> f32 {
         if self.prefill_tokens == 0.0 {
             return DEFAULT_TOKEN_COST;
@@ -24,15 +24,15 @@
         self.prefill_us / self.prefill_tokens
     }
 
-    /// Microseconds for one request from start to end.
+    /// Returns the average duration of a request, in microseconds.
     pub fn service_time(&self) -> f32 {
         self.service_time
     }
 
-    /// Notes that `tokens` prompt tokens took `span`, while nothing else was computed.
+    /// Records that `tokens` prompt tokens took `span` while no other prompt was computed.
     ///
-    /// Sums are kept rather than an average of quotients, so that long prompts
-    /// count for more than short ones.
+    /// The estimate is a quotient of decaying sums, not an average of quotients, so that long
+    /// prompts have more weight than short ones.
     pub fn record_prefill(
         &mut self,
         tokens: u32,
@@ -45,7 +45,7 @@
         self.prefill_us = PREFILL_DECAY * self.prefill_us + span.0 as f32;
     }
 
-    /// Notes that a request took `span` from start to end.
+    /// Records that a request took `span` from start to end.
     pub fn record_request(
         &mut self,
         span: Micros,
--- a/core/src/role/shard_leases.rs
+++ b/core/src/role/shard_leases.rs
@@ -7,7 +7,7 @@
     std::collections::{BTreeMap, BTreeSet},
 };
 
-/// Prefix of lease rows in the table.
+/// Key prefix of lease rows in the table.
 pub const LEASE_PREFIX: &str = "lease/";
 
 #[derive(Debug)]
@@ -17,16 +17,16 @@
     last_epoch: Option<u64>,
 }
 
-/// What a lease call brought.
+/// Outcome of a read or write of a lease row.
 #[derive(Debug, Clone)]
 pub enum LeaseOutcome {
     /// The row was read.
     Read {
-        /// The row; none when there is none.
+        /// The row; none when it does not exist.
         row: Option<LeaseRow>,
         /// Its table version.
         version: u64,
-        /// When the read was sent.
+        /// Time when the read was sent.
         asked_at: Micros,
     },
     /// The row was written.
@@ -34,13 +34,13 @@
         /// Its new table version.
         version: u64,
     },
-    /// The row had changed before.
+    /// The row was not written because it had changed.
     Conflict,
-    /// Nobody knows.
+    /// It is unknown whether the row was written.
     Unknown,
 }
 
-/// Contends for the leases of the shards that this process may control.
+/// Leases of the shards that this process is a contender for.
 #[derive(Debug)]
 pub struct ShardLeases {
     box_id: String,
@@ -51,7 +51,7 @@
 }
 
 impl ShardLeases {
-    /// A keeper without any shard; `holder` names this life of the process.
+    /// Creates an empty set; `holder` must be unique to this incarnation of the process.
     pub fn new(
         box_id: &str,
         holder: &str,
@@ -66,7 +66,7 @@
         }
     }
 
-    /// Notes which entry processes there are.
+    /// Sets the ids of all entry processes.
     pub fn set_entries(
         &mut self,
         entries: BTreeSet<String>,
@@ -74,7 +74,7 @@
         self.entries = entries;
     }
 
-    /// Takes in the outcome of a lease call.
+    /// Applies the outcome of a read or write of a lease row.
     pub fn apply_outcome(
         &mut self,
         shard: &str,
@@ -96,7 +96,7 @@
         }
     }
 
-    /// The epoch under which this process may give orders to a group now.
+    /// Returns the lease epoch for orders to a group, if this process holds the lease now.
     pub fn epoch(
         &self,
         group: &str,
@@ -105,7 +105,7 @@
         self.shards.get(&shard_of(group))?.machine.epoch(now)
     }
 
-    /// The stamp of the next order to a group, if this process may give one now.
+    /// Returns the stamp of the next order to a group, if this process holds the lease now.
     pub fn next_stamp(
         &mut self,
         group: &str,
@@ -124,7 +124,7 @@
         })
     }
 
-    /// Shards whose lease this process holds now.
+    /// Returns the shards whose lease this process holds now.
     pub fn held_shards(
         &self,
         now: Micros,
@@ -136,7 +136,7 @@
         held.map(|(name, _)| name.clone()).collect()
     }
 
-    /// Moves all leases on.
+    /// Acquires, renews and releases leases, and logs changes of ownership.
     pub fn tick(
         &mut self,
         now: Micros,
@@ -168,8 +168,8 @@
         }
     }
 
-    /// Takes up the shards of these groups that this process contends for, and
-    /// hands back the others.
+    /// Adds the shards of these groups that this process is a contender for, and releases the
+    /// others.
     fn select_shards(
         &mut self,
         groups: &BTreeSet<String>,
@@ -194,7 +194,7 @@
         }
     }
 
-    /// Hands all leases back, as at a planned stop.
+    /// Releases all leases, as at a planned stop.
     pub fn release(&mut self) -> Vec<EntryAction> {
         let mut actions = Vec::new();
         for (name, lease) in &mut self.shards {
--- a/core/src/role/store_roster.rs
+++ b/core/src/role/store_roster.rs
@@ -10,15 +10,15 @@
     std::{collections::BTreeMap, net::SocketAddr},
 };
 
-/// Link rate of a store box before anything was measured, in bytes a second.
+/// Transfer rate of a store box before it was measured, in bytes per second.
 pub const DEFAULT_LINK_BYTES_PER_S: f64 = 1.0e9;
-/// Disk rate of a store box, in bytes a second.
+/// Disk rate of a store box, in bytes per second.
 pub const DEFAULT_DISK_BYTES_PER_S: f64 = 4.0e8;
-/// Sealed pieces that are remembered until a store box has listed them itself.
+/// Maximum number of stored pieces, over all store boxes, kept until the next listing.
 const MAX_UNLISTED_PIECES: usize = 20_000;
-/// Time between two evictions on one store box.
+/// Minimum time between two evictions on a store box.
 const MIN_EVICT_INTERVAL: Micros = Micros::from_millis(200);
-/// How often a store box is asked for all that it holds.
+/// Interval of full listings of a store box.
 const LIST_INTERVAL: Micros = Micros::from_secs(30);
 
 #[derive(Debug)]
@@ -29,26 +29,26 @@
     inventory: StoreLedger,
 }
 
-/// All store boxes that this process knows, with what is sealed on them.
+/// Store boxes that this process knows, with the pieces stored on them.
 #[derive(Debug, Default)]
 pub struct StoreRoster {
-    /// Arena shared with the routing table.
+    /// Store states by key, copied into the routing table.
     pub arena: SlotMap<StoreKey, StoreState>,
     entries: BTreeMap<String, StoreEntry>,
     stored_since_listing: Vec<StoredNotice>,
 }
 
-/// Pieces that a full store box should drop.
+/// Pieces to evict from a full store box.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct StoreEviction {
-    /// Where the box listens.
+    /// Address of the store box.
     pub address: SocketAddr,
     /// The pieces.
     pub pieces: Vec<StoredPiece>,
 }
 
 impl StoreRoster {
-    /// Takes in the box list; gives the names of boxes that are on it no more.
+    /// Applies the box list and returns the names of store boxes that are no longer on it.
     pub fn update_boxes(
         &mut self,
         now: Micros,
@@ -111,7 +111,7 @@
         });
     }
 
-    /// Asks the boxes that were not listed for long.
+    /// Requests listings of the store boxes whose last one is older than the interval.
     pub fn request_listings(
         &mut self,
         now: Micros,
@@ -133,7 +133,7 @@
         }
     }
 
-    /// Replaces all that is known of a store box by its own list.
+    /// Replaces the known pieces of a store box by its listing.
     pub fn replace_listing(
         &mut self,
         now: Micros,
@@ -147,7 +147,7 @@
         let Some(state) = self.arena.remove(entry.key) else {
             return;
         };
-        // A new key voids all that is noted under the old one.
+        // The new key invalidates all references to the old one.
         entry.key = self.arena.insert(state);
         entry.listed_at = now;
         let mut listed = Vec::with_capacity(pieces.len());
@@ -164,13 +164,13 @@
             });
         }
         entry.inventory.reconcile(listed);
-        // The list may be older than what agents have told since it was asked for.
+        // Agents may have reported pieces after the listing was made.
         for notice in std::mem::take(&mut self.stored_since_listing) {
             self.add_piece(notice, directory);
         }
     }
 
-    /// Notes how fast the link of a store box was; false when it is not known.
+    /// Sets the measured transfer rate of a store box; returns false when the box is unknown.
     pub fn set_link_rate(
         &mut self,
         store: &str,
@@ -187,7 +187,7 @@
         }
     }
 
-    /// Notes a sealed piece.
+    /// Adds a stored piece.
     pub fn add_piece(
         &mut self,
         notice: StoredNotice,
@@ -212,7 +212,7 @@
         }
     }
 
-    /// Forgets a copy, unless a newer one is known by now.
+    /// Removes a stored piece, unless a newer generation is known.
     pub fn remove_piece(
         &self,
         notice: &MissingNotice,
@@ -233,10 +233,11 @@
         }
     }
 
-    /// Chooses what a full store box drops, whole prompts by their chance to return.
+    /// Chooses the pieces to evict from a full store box: whole prompts, least likely reused
+    /// first.
     ///
-    /// `controls` tells whether this process may decide for a group: only one
-    /// should, so that several do not each free their part.
+    /// `controls` tells whether this process holds the lease of a group. Only the holder evicts,
+    /// so that several processes do not free space for the same shortage.
     pub fn evict(
         &mut self,
         now: Micros,
--- a/core/src/role/weight_load_controller.rs
+++ b/core/src/role/weight_load_controller.rs
@@ -13,19 +13,19 @@
     std::collections::{BTreeMap, BTreeSet},
 };
 
-/// Label that says which version an endpoint should hold, instead of the active one.
+/// Endpoint label with the version to load instead of the model's active one.
 pub const VERSION_LABEL: &str = "version";
-/// Time after which an order that nobody reported on is given up.
+/// Time after which an order without a reported outcome is abandoned.
 const ORDER_TIMEOUT: Micros = Micros::from_secs(60);
 
-/// Gives load orders to the engines of each group, under the lease of its shard.
+/// Orders the engines of each group to load weights, under the lease of the group's shard.
 #[derive(Debug, Default)]
 pub struct WeightLoadController {
     ordered_at: BTreeMap<String, Micros>,
 }
 
 impl WeightLoadController {
-    /// Gives the orders that are due.
+    /// Issues the orders that are due for the groups whose lease this process holds.
     pub fn tick(
         &mut self,
         now: Micros,
@@ -45,7 +45,7 @@
         }
     }
 
-    /// An order whose outcome never came is not waited for any longer.
+    /// Abandons orders whose outcome was not reported in time.
     fn expire_orders(
         &mut self,
         now: Micros,
@@ -102,7 +102,7 @@
     }
 }
 
-/// Groups with an engine that does not hold the version it should.
+/// Returns the groups that have an engine without its wanted version.
 fn outdated_groups(
     config: &FleetConfig,
     roster: &EndpointRoster,
@@ -120,7 +120,7 @@
     groups
 }
 
-/// Groups that have engines.
+/// Returns the groups that have engines.
 pub fn engine_groups(roster: &EndpointRoster) -> BTreeSet<String> {
     let states = roster.arena.values();
     let engines = states.filter(|s| matches!(s.kind, EndpointKind::Engine { .. }));
@@ -162,8 +162,8 @@
     plan_loads(&engines)
 }
 
-/// The version that an engine should hold: what its label says if the model has
-/// that version, else the model's active one.
+/// Returns the version that an engine should load: the one in its label if the model has that
+/// version, else the model's active one.
 fn wanted_version<'a>(
     config: &'a FleetConfig,
     state: &'a EndpointState,
--- a/core/tests/agent_gate.rs
+++ b/core/tests/agent_gate.rs
@@ -1,4 +1,4 @@
-//! The agent's gate, its fence and its cache mirror.
+//! Admission gate, order fence and cache mirror of an agent.
 
 use pitchhitch_core::{
     errors::ErrorKind,
@@ -139,7 +139,7 @@
         actions.contains(&refused(2, ErrorKind::WrongVersion)),
         "{actions:?}"
     );
-    // The running one goes on; a new one for either version waits for the swap.
+    // The running request continues; new ones for either version are refused during the load.
     assert!(!actions.contains(&refused(1, ErrorKind::WrongVersion)));
     assert_eq!(
         hand_over(&mut core, 3, "v1"),
--- a/core/tests/early_saves.rs
+++ b/core/tests/early_saves.rs
@@ -1,5 +1,9 @@
-//! In a small world of a store and fronts that tell each other of its life, whatever starts
-//! again or stands still, nothing is saved while the life before may be taken for this one.
+//! Simulation of a store and fronts that report the uptime of the store's incarnation to each
+//! other, with restarts and process pauses.
+//!
+//! A restarted store is empty. A front that saves there while another front still relies on its
+//! view of the previous incarnation could have a part taken for complete that is only being
+//! written, so no save may happen until those views have expired.
 
 mod told_store;
 
@@ -12,29 +16,29 @@
     told_store::{address, at, store, START},
 };
 
-/// Length of a step of the small world, in milliseconds.
+/// Duration of a simulation step, in milliseconds.
 const STEP_MS: u64 = 50;
-/// Steps that it lasts.
+/// Number of steps of a simulation.
 const STEPS: usize = 400;
 const FRONTS: usize = 3;
 
-/// What happens in a step of the small world.
+/// Event of one simulation step.
 #[derive(Debug, Clone, Copy)]
 enum SimEvent {
     Nothing,
-    /// The store starts again, empty.
+    /// The store restarts with no content.
     RestartStore,
-    /// A front starts again, and knows nothing.
+    /// A front restarts without any state.
     RestartFront {
         front: usize,
     },
-    /// A front looks at the store; the answer is on its way for so many steps.
+    /// A front sends a request to the store; the reply takes `delay_steps` to arrive.
     PollStore {
         front: usize,
         delay_steps: usize,
     },
-    /// A front asks another one, which stands still before it answers; the answer is on its
-    /// way, or lies with the one that asked.
+    /// A front queries a peer that is paused for `pause_steps` before it replies; the reply takes
+    /// `delay_steps` to arrive or to be processed.
     QueryPeer {
         front: usize,
         peer: usize,
@@ -49,23 +53,25 @@
         2 => Just(SimEvent::Nothing),
         1 => Just(SimEvent::RestartStore),
         2 => front().prop_map(|front| SimEvent::RestartFront { front }),
-        8 => (front(), 0..30_usize).prop_map(|(front, delay_steps)| SimEvent::PollStore { front, delay_steps }),
+        8 => (front(), 0..30_usize)
+            .prop_map(|(front, delay_steps)| SimEvent::PollStore { front, delay_steps }),
         6 => (front(), front(), 0..80_usize, 0..40_usize).prop_map(
-            |(front, peer, pause_steps, delay_steps)| SimEvent::QueryPeer { front, peer, pause_steps, delay_steps }
+            |(front, peer, pause_steps, delay_steps)|
+                SimEvent::QueryPeer { front, peer, pause_steps, delay_steps }
         ),
     ]
 }
 
-/// What is under way in the small world, and the step in which it comes.
+/// Message in transit.
 enum Message {
-    /// The store's answer to a question that a front sent.
+    /// Reply of the store to a request of a front.
     StoreReply {
         to: usize,
         incarnation: u64,
         sent_at: Micros,
         epoch: u64,
     },
-    /// A question that a front is to answer now.
+    /// Query that a front answers on delivery.
     PeerQuery {
         peer: usize,
         to: usize,
@@ -101,7 +107,7 @@
     messages: Vec<(usize, Message)>,
     epoch: u64,
     store_started_at: Micros,
-    /// Saves that a front could ask for in the first [`SAVE_AFTER`] of its own life.
+    /// Steps in which a front could save within [`SAVE_AFTER`] of its own start.
     early_saves: usize,
 }
 
@@ -220,8 +226,8 @@
         }
     }
 
-    /// Whoever saves in the life that the store is in does so when no view of the life
-    /// before is gone by any more.
+    /// Checks that a front which may save in the current incarnation of the store does so only
+    /// after all views of the previous incarnation have expired.
     fn check_saves(
         &mut self,
         now: Micros,
@@ -239,7 +245,7 @@
     }
 }
 
-/// Plays a world, and counts the steps in which a young front could save.
+/// Runs a simulation and returns the number of steps in which a recently started front could save.
 fn run_sim(sim_events: &[SimEvent]) -> usize {
     let mut sim = StoreSim::new();
     for (step, sim_event) in sim_events.iter().enumerate() {
@@ -254,15 +260,16 @@
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(600))]
 
-    /// Whatever starts again, stands still or is behind, nothing is saved while a view of
-    /// the life before may still be gone by.
+    /// With any sequence of restarts, pauses and delays, nothing is saved while a view of the
+    /// previous incarnation of the store may still be in use.
     #[test]
     fn no_early_saves(sim_events in proptest::collection::vec(sim_event(), STEPS)) {
         run_sim(&sim_events);
     }
 }
 
-/// The small world does have fronts that save early because they were told.
+/// A restarted front saves early after a peer reported the uptime, so the property test above is
+/// not vacuous.
 #[test]
 fn told_world_saves() {
     let poll = |front| SimEvent::PollStore {
--- a/core/tests/entry_control.rs
+++ b/core/tests/entry_control.rs
@@ -1,4 +1,4 @@
-//! The control state of an entry process.
+//! Control state machine of an entry process: configuration, event streams, drain and eviction.
 
 mod entry_fixture;
 
@@ -37,11 +37,11 @@
     let mut core = core();
     assert!(!core.is_ready(Micros(0)));
     core.step(Micros(0), EntryEvent::ConfigRead(Arc::new(config(1))));
-    // It came from a peer; a newer one may be heard of within the next seconds.
+    // The table was not reached yet: a peer may announce a higher revision within seconds.
     assert!(!core.is_ready(Micros(1)));
     core.step(Micros(2), EntryEvent::TableReached);
     assert!(core.is_ready(Micros(3)));
-    // Cut off from table and peers.
+    // Neither the table nor a peer was reached for longer than the contact timeout.
     assert!(!core.is_ready(Micros::from_secs(8)));
 }
 
@@ -79,7 +79,7 @@
     assert!(actions
         .iter()
         .any(|a| matches!(a, EntryAction::Resync { .. })));
-    // Until it is opened anew nothing more is believed.
+    // Further batches are ignored until the stream is reopened.
     core.step(
         Micros(5),
         batch_event(5, 8, vec![EndpointEvent::Cached(PieceKey(3))]),
@@ -139,7 +139,7 @@
     assert!(actions
         .iter()
         .any(|a| matches!(a, EntryAction::Notify { notice, .. } if notice.leaving)));
-    // No new work goes there from now on, whatever the agent says.
+    // The endpoint is out of the pool at once, whether or not its agent has confirmed.
     let table = last_published_table(&actions).expect("table");
     let target = pitchhitch_core::route::WorkTarget::Model("m".to_string());
     let pool = table.pools.get("org", &target, "v1").expect("pool");
@@ -216,7 +216,7 @@
 fn full_store_evicts() {
     let mut core = linked_core();
     core.step(Micros(3), store_box());
-    // This process must hold the lease of the group before it drops anything.
+    // The process evicts nothing before it holds the lease of the group.
     let mut events = vec![used(2)];
     events.extend((0..40).map(|n| stored(100 + n, 1)));
     events.extend((0..40).map(|n| stored(200 + n, 2)));
@@ -236,12 +236,12 @@
         _ => None,
     });
     let dropped = dropped.expect("pieces are dropped");
-    // The prompt that nobody has asked for goes; the one that may return stays.
+    // The pieces of the prompt that was never used are evicted, the others stay.
     assert_eq!(dropped.len(), 40);
     assert!(dropped.iter().all(|piece| piece.generation < 200));
 }
 
-/// Drives the lease of the only group until this process holds it.
+/// Acquires the lease of the only group for this process.
 fn take_lease(core: &mut EntryCore) {
     let now = Micros(6);
     let shard = pitchhitch_core::lease::shard_of("g");
@@ -268,7 +268,7 @@
 fn stale_list_keeps_newer() {
     let mut core = linked_core();
     core.step(Micros(3), store_box());
-    // The list was on its way when an agent told of a newer piece.
+    // An agent reports a newer piece after the listing was made.
     core.step(Micros(4), batch_event(5, 0, vec![stored(9, 1)]));
     let listed = EntryEvent::StoreListed {
         store: "store-1".to_string(),
--- a/core/tests/entry_fixture/mod.rs
+++ b/core/tests/entry_fixture/mod.rs
@@ -1,6 +1,6 @@
-//! An entry process's control state with one endpoint, for tests.
+//! Control state of an entry process with one endpoint, for tests.
 
-// Each test file uses a part of this.
+// Each test binary uses only some of these helpers.
 #![allow(dead_code)]
 
 use {
@@ -123,7 +123,7 @@
     })
 }
 
-/// Ticks long enough for everything periodic to have happened.
+/// Runs as many ticks as the longest periodic interval takes.
 pub fn run_ticks(
     core: &mut EntryCore,
     now: Micros,
--- a/core/tests/fleet_sim/mod.rs
+++ b/core/tests/fleet_sim/mod.rs
@@ -1,4 +1,4 @@
-//! A small world of engines, fronts and a store, step by step, for tests.
+//! Step-by-step simulation of engines, fronts and a store, for tests.
 
 use {
     pitchhitch_core::{
@@ -22,27 +22,28 @@
     weights
 }
 
-/// Length of a step of the small world, in milliseconds.
+/// Duration of a simulation step, in milliseconds.
 const STEP_MS: u64 = 50;
-/// Time that it lasts: both namings and the longest standstill behind them.
+/// Duration of a simulation: covers both weight publications and the longest pause after them.
 pub const SIM_MS: u64 = 60_000;
-/// The engines' clock when it begins.
+/// Time on the engines' clock at the start of the simulation.
 const CLOCK_MS: u64 = 5_000_000;
-/// Time between two reports of an engine, between two looks of a front, and between
-/// two readings of what is named.
+/// Interval of the reports of an engine, and interval at which a front polls the store and the
+/// published weights.
 const REPORT_MS: u64 = 250;
 const POLL_MS: u64 = 300;
 pub const ENGINES: usize = 2;
 pub const FRONTS: usize = 2;
-/// Parts that are fetched for 6.4 to 14 s after their weights were replaced.
+/// Parts that may still be fetched for 6.4 to 14 s after their weights were replaced.
 pub const PARTS: [&str; 4] = ["aa", "bb", "c1", "17"];
 
-/// What happens to the small world, besides the passing of time.
+/// Event of the simulation.
 #[derive(Debug, Clone)]
 pub enum SimEvent {
-    /// Newer weights are named.
+    /// A newer weight version is published.
     PublishWeights,
-    /// A front tells an engine to fetch a part; the fetch begins after a wait.
+    /// A front tells an engine to fetch a part; the fetch starts after `wait_ms` and reads for
+    /// `read_ms`.
     Fetch {
         front: usize,
         engine: usize,
@@ -50,19 +51,19 @@
         wait_ms: u64,
         read_ms: u64,
     },
-    /// The front closes its connections; who stands still does not see that.
+    /// A front closes its connections; paused engines do not notice.
     Cancel { front: usize },
-    /// An engine and what reports of it stand still.
+    /// An engine and its reports are paused.
     PauseEngine { engine: usize, for_ms: u64 },
-    /// Only what reports of it does.
+    /// Only the reports of an engine are paused.
     PauseReports { engine: usize, for_ms: u64 },
-    /// It starts again.
+    /// An engine restarts with the published weights.
     RestartEngine { engine: usize },
-    /// It is told to load what is named.
+    /// An engine is told to load the published weights.
     Load { engine: usize },
-    /// A front stands still.
+    /// A front is paused.
     PauseFront { front: usize, for_ms: u64 },
-    /// A front starts again, and knows nothing.
+    /// A front restarts without any state.
     RestartFront { front: usize },
 }
 
@@ -87,8 +88,8 @@
 }
 
 impl SimEngine {
-    /// What it does in one step: a fetch that begins too late is thrown away, one that
-    /// has begun goes on.
+    /// Runs one step: a fetch that could not finish before its deadline, or whose weights are
+    /// not loaded, is dropped instead of started; a started one continues.
     fn step(
         &mut self,
         clock_ms: u64,
@@ -122,7 +123,7 @@
     known_weights: Vec<WeightBelief>,
     view: StoreView,
     proven_at: Option<Micros>,
-    /// Reports on the way to it: engine, weights, clock.
+    /// Reports not processed yet: engine index, weight version and engine clock.
     inbox: Vec<(usize, u64, u64)>,
     paused_until: u64,
 }
@@ -164,7 +165,7 @@
         let known_weights = self.known_weights.iter().enumerate();
         let engines = known_weights.map(|(index, weights)| (engine_address(index), weights));
         self.reads.know(engines, at(now));
-        // The answer lay on the way for one look.
+        // The reply was delayed by one poll interval.
         let sent_at = at(now.saturating_sub(POLL_MS));
         self.view
             .answered(1, Some(CLOCK_MS + now - STEP_MS), sent_at, at(now));
@@ -176,7 +177,7 @@
     published: u64,
     engines: Vec<SimEngine>,
     fronts: Vec<SimFront>,
-    /// Version and part of what has been freed.
+    /// Weight version and part index of all freed parts.
     freed: Vec<(u64, usize)>,
 }
 
@@ -296,7 +297,7 @@
         self.now += STEP_MS;
     }
 
-    /// A fetch that reads a part which has been freed, or still can.
+    /// Returns a fetch that reads, or could still read, a part that has been freed.
     pub fn unsafe_fetch(&self) -> Option<&Fetch> {
         let clock_ms = CLOCK_MS + self.now;
         let mut fetches = self.engines.iter().flat_map(|engine| &engine.fetches);
@@ -307,7 +308,7 @@
     }
 }
 
-/// What a front frees.
+/// Returns the parts that a front frees: weight version and part index.
 fn freed_parts(
     front: &SimFront,
     published: u64,
--- a/core/tests/silent_agents.rs
+++ b/core/tests/silent_agents.rs
@@ -1,4 +1,7 @@
-//! Agents that say nothing while they have work.
+//! Detection of agents that send no messages while they have requests.
+//!
+//! An agent can freeze after it accepted a request, and a report sent before that can still
+//! arrive later. Such a report must not keep the link of a frozen agent open.
 
 mod entry_fixture;
 
@@ -39,7 +42,7 @@
 #[test]
 fn frozen_idle_endpoint_goes() {
     let mut core = linked_core();
-    // It was idle when it froze, so nothing of it was busy in any report.
+    // It froze while idle, so every report shows it without requests.
     core.step(Micros::from_secs(5), routed());
     let actions = run_ticks(&mut core, Micros::from_secs(6));
     assert!(!drops_link(&actions));
@@ -61,7 +64,7 @@
     }
 }
 
-/// A report of an agent that has seen so many hand-overs and runs none of them.
+/// Report of an agent whose gate has seen all tickets below `taken_up`, with no request running.
 fn idle_report(taken_up: u64) -> EntryEvent {
     EntryEvent::PulseReceived {
         endpoint_id: "e1".to_string(),
@@ -79,7 +82,7 @@
         .any(|a| matches!(a, EntryAction::DropLink { .. }))
 }
 
-/// An agent takes up a request and freezes; a report from before comes after that.
+/// The agent accepts a request and freezes; a report sent before that arrives afterwards.
 #[test]
 fn earlier_report_proves_nothing() {
     let mut core = linked_core();
@@ -90,7 +93,7 @@
     assert!(drops_link(&run_ticks(&mut core, Micros::from_secs(10))));
 }
 
-/// The same, where the report comes between the sending and the taking up.
+/// The same with the earlier report arriving between dispatch and acknowledgement.
 #[test]
 fn report_before_taking_up() {
     let mut core = linked_core();
@@ -100,7 +103,7 @@
     assert!(drops_link(&run_ticks(&mut core, Micros::from_secs(10))));
 }
 
-/// An agent that has done all that was sent there may be silent for long.
+/// An agent that has finished all its requests may stay silent until the limit for idle agents.
 #[test]
 fn done_agent_may_rest() {
     let mut core = linked_core();
@@ -110,7 +113,7 @@
     assert!(!drops_link(&run_ticks(&mut core, Micros::from_secs(15))));
 }
 
-/// A busy agent's reports are always a little behind what is sent there.
+/// The reports of a busy agent always lag slightly behind the requests sent to it.
 #[test]
 fn late_reports_keep_link() {
     let mut core = linked_core();
