--- a/core/tests/fleet_sim/mod.rs
+++ b/core/tests/fleet_sim/mod.rs
@@ -43,13 +43,13 @@
     /// A newer weight version is published.
     PublishWeights,
     /// A front tells an engine to fetch a part; the fetch starts after `wait_ms` and reads for
-    /// `read_ms`.
+    /// `need_ms`.
     Fetch {
         front: usize,
         engine: usize,
         part: usize,
         wait_ms: u64,
-        read_ms: u64,
+        need_ms: u64,
     },
     /// A front closes its connections; paused engines do not notice.
     Cancel { front: usize },
@@ -74,8 +74,8 @@
     part: usize,
     until_ms: u64,
     wait_ms: u64,
-    read_ms: u64,
-    has_begun: bool,
+    need_ms: u64,
+    is_begun: bool,
 }
 
 #[derive(Debug, Clone, Default)]
@@ -97,21 +97,21 @@
     ) {
         let (version, is_loading) = (self.version, self.is_loading);
         for fetch in &mut self.fetches {
-            if fetch.has_begun {
-                fetch.read_ms = fetch.read_ms.saturating_sub(STEP_MS);
+            if fetch.is_begun {
+                fetch.need_ms = fetch.need_ms.saturating_sub(STEP_MS);
             } else if fetch.wait_ms >= STEP_MS {
                 fetch.wait_ms -= STEP_MS;
             } else {
-                fetch.has_begun = clock_ms + fetch.read_ms <= fetch.until_ms;
+                fetch.is_begun = clock_ms + fetch.need_ms <= fetch.until_ms;
                 let is_refused = is_loading || fetch.version != version;
-                if !fetch.has_begun || is_refused {
-                    (fetch.has_begun, fetch.read_ms) = (true, 0);
+                if !fetch.is_begun || is_refused {
+                    (fetch.is_begun, fetch.need_ms) = (true, 0);
                 }
             }
         }
         self.fetches
-            .retain(|fetch| fetch.read_ms > 0 || !fetch.has_begun);
-        if self.is_loading && self.fetches.iter().all(|fetch| !fetch.has_begun) {
+            .retain(|fetch| fetch.need_ms > 0 || !fetch.is_begun);
+        if self.is_loading && self.fetches.iter().all(|fetch| !fetch.is_begun) {
             (self.version, self.is_loading) = (published, false);
         }
     }
@@ -210,7 +210,7 @@
                 engine,
                 part,
                 wait_ms,
-                read_ms,
+                need_ms,
             } => {
                 let target = &self.fronts[*front];
                 let version = self.engines[*engine].version;
@@ -225,8 +225,8 @@
                         part: *part,
                         until_ms,
                         wait_ms: *wait_ms,
-                        read_ms: *read_ms,
-                        has_begun: false,
+                        need_ms: *need_ms,
+                        is_begun: false,
                     });
                 }
             }
@@ -302,7 +302,7 @@
         let clock_ms = CLOCK_MS + self.now;
         let mut fetches = self.engines.iter().flat_map(|engine| &engine.fetches);
         fetches.find(|fetch| {
-            let reads = fetch.has_begun || clock_ms + fetch.read_ms <= fetch.until_ms;
+            let reads = fetch.is_begun || clock_ms + fetch.need_ms <= fetch.until_ms;
             reads && self.freed.contains(&(fetch.version, fetch.part))
         })
     }
--- a/core/tests/freed_parts.rs
+++ b/core/tests/freed_parts.rs
@@ -13,8 +13,8 @@
     prop_oneof![
         1 => Just(SimEvent::PublishWeights),
         12 => (0..FRONTS, 0..ENGINES, 0..PARTS.len(), 0u64..6_000, 1u64..2_000).prop_map(
-            |(front, engine, part, wait_ms, read_ms)| SimEvent::Fetch {
-                front, engine, part, wait_ms: wait_ms.saturating_sub(4_000), read_ms
+            |(front, engine, part, wait_ms, need_ms)| SimEvent::Fetch {
+                front, engine, part, wait_ms: wait_ms.saturating_sub(4_000), need_ms
             }
         ),
         1 => (0..FRONTS).prop_map(|front| SimEvent::Cancel { front }),
