--- a/core/src/role/endpoint_roster.rs
+++ b/core/src/role/endpoint_roster.rs
@@ -203,23 +203,24 @@
     ) -> LivenessReport {
         let mut report = LivenessReport::default();
         for (id, entry) in &self.entries {
-            let silent = now.since(entry.received_at);
+            let silence = now.since(entry.received_at);
             let unreported = entry
                 .awaited_report
                 .map_or(Micros::ZERO, |awaited| now.since(awaited.since));
             let load = self.loads.get_mut(entry.key);
             let idle = load.as_ref().is_none_or(|l| l.report.running == 0);
             let factor = if idle { IDLE_FACTOR } else { 1 };
-            if silent >= REMOVE_AFTER {
+            if silence >= REMOVE_AFTER {
                 report.expired.push(id.clone());
-            } else if (silent.0 >= HUNG_AFTER.0 * factor || unreported >= HUNG_AFTER)
+            } else if (silence.0 >= HUNG_AFTER.0 * factor || unreported >= HUNG_AFTER)
                 && entry.linked
             {
                 report.hung_links.push(id.clone());
             }
             if let Some(load) = load {
-                let heard = silent.0 < SUSPECT_AFTER.0 * factor && unreported < SUSPECT_AFTER;
-                let alive = entry.linked && heard && !entry.guard.is_out(now);
+                let is_reporting =
+                    silence.0 < SUSPECT_AFTER.0 * factor && unreported < SUSPECT_AFTER;
+                let alive = entry.linked && is_reporting && !entry.guard.is_out(now);
                 let penalty = entry.guard.penalty(now);
                 report.changed |= load.alive != alive || load.penalty != penalty;
                 load.alive = alive;
--- a/core/src/role/entry_configs.rs
+++ b/core/src/role/entry_configs.rs
@@ -104,7 +104,7 @@
         let Some(domain) = own.map(|b| &b.failure_domain) else {
             return;
         };
-        let near = entries.by_ref().filter(|b| &b.failure_domain == domain);
-        self.domain_entries = near.map(|b| b.id.clone()).collect();
+        let same_domain = entries.by_ref().filter(|b| &b.failure_domain == domain);
+        self.domain_entries = same_domain.map(|b| b.id.clone()).collect();
     }
 }
--- a/core/src/role/entry_core.rs
+++ b/core/src/role/entry_core.rs
@@ -245,15 +245,15 @@
         &self,
         now: Micros,
     ) -> bool {
-        let heard_peers = self
+        let peers_settled = self
             .first_peer_at
             .is_some_and(|t| now.since(t) >= PEER_SETTLE_TIME);
-        let settled = self.table_reached_at.is_some() || heard_peers;
+        let config_settled = self.table_reached_at.is_some() || peers_settled;
         let recent_table = self
             .table_reached_at
             .is_some_and(|t| now.since(t) < CONTACT_TIMEOUT);
         let in_contact = recent_table || !self.peers.is_empty();
-        self.config.revision > 0 && settled && in_contact
+        self.config.revision > 0 && config_settled && in_contact
     }
 
     /// Returns the configuration in force.
--- a/core/src/role/roster_entry.rs
+++ b/core/src/role/roster_entry.rs
@@ -50,7 +50,7 @@
         pulse: AgentPulse,
         now: Micros,
     ) -> Option<AwaitedReport> {
-        let open = pulse.taken_up < self.min_taken_up;
-        open.then_some(AwaitedReport { since: now, ..self })
+        let pending = pulse.taken_up < self.min_taken_up;
+        pending.then_some(AwaitedReport { since: now, ..self })
     }
 }
--- a/core/tests/agent_gate.rs
+++ b/core/tests/agent_gate.rs
@@ -238,7 +238,7 @@
 }
 
 #[test]
-fn news_gap_noticed() {
+fn cache_gap_requests_listing() {
     let mut core = agent(1);
     let listed = AgentEvent::CacheListed {
         next: 10,
@@ -262,7 +262,7 @@
 }
 
 #[test]
-fn engine_names_its_version() {
+fn engine_reports_its_version() {
     let mut core = agent(1);
     let actions = core.step(Micros(1), healthy("v9"));
     let published = AgentAction::Publish(vec![EndpointEvent::Version("v9".to_string())]);
--- a/core/tests/early_saves.rs
+++ b/core/tests/early_saves.rs
@@ -271,7 +271,7 @@
 /// A restarted front saves early after a peer reported the uptime, so the property test above is
 /// not vacuous.
 #[test]
-fn told_world_saves() {
+fn reported_uptime_allows_saves() {
     let poll = |front| SimEvent::PollStore {
         front,
         delay_steps: 1,
--- a/core/tests/entry_control.rs
+++ b/core/tests/entry_control.rs
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn ready_when_sure() {
+fn ready_after_config_settles() {
     let mut core = core();
     assert!(!core.is_ready(Micros(0)));
     core.step(Micros(0), EntryEvent::ConfigRead(Arc::new(config(1))));
@@ -111,7 +111,7 @@
 }
 
 #[test]
-fn earlier_life_ignored() {
+fn earlier_incarnation_ignored() {
     let mut core = linked_core();
     core.step(Micros(3), beacon_event(4));
     core.step(
--- a/core/tests/silent_agents.rs
+++ b/core/tests/silent_agents.rs
@@ -15,7 +15,7 @@
 };
 
 #[test]
-fn silent_endpoint_goes() {
+fn silent_endpoint_removed() {
     let mut core = linked_core();
     let busy = EntryEvent::PulseReceived {
         endpoint_id: "e1".to_string(),
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn frozen_idle_endpoint_goes() {
+fn frozen_idle_endpoint_disconnected() {
     let mut core = linked_core();
     // It froze while idle, so every report shows it without requests.
     core.step(Micros::from_secs(5), routed());
@@ -95,7 +95,7 @@
 
 /// The same with the earlier report arriving between dispatch and acknowledgement.
 #[test]
-fn report_before_taking_up() {
+fn report_before_acknowledgement() {
     let mut core = linked_core();
     core.step(Micros::from_secs(5), routed());
     core.step(Micros::from_millis(5_010), idle_report(3));
@@ -105,7 +105,7 @@
 
 /// An agent that has finished all its requests may stay silent until the limit for idle agents.
 #[test]
-fn done_agent_may_rest() {
+fn finished_agent_may_be_silent() {
     let mut core = linked_core();
     core.step(Micros::from_secs(5), routed());
     core.step(Micros::from_secs(5), taken_up(3));
