--- a/core/src/role/agent_core.rs
+++ b/core/src/role/agent_core.rs
@@ -1,7 +1,7 @@
 use {
     super::{
         agent_work::RunningWork, AgentAction, AgentEvent, AgentIdentity, AgentPulse, CacheMirror,
-        ConfigNotice, GateWork, NewsOutcome, ServiceMeter, UpwardEvent, WorkTicket,
+        ChangeOutcome, ConfigNotice, EndpointEvent, GateWork, ServiceMeter, WorkTicket,
     },
     crate::{
         errors::ErrorKind, lease::OrderFence, limit::FairQueue, member::AgentBeacon,
@@ -10,7 +10,7 @@
     std::collections::BTreeMap,
 };
 
-/// All decisions of an agent: the gate for requests, the fence for orders and
+/// State machine of an agent: the admission gate for requests, the fence for orders and
 /// the mirror of its engine's cache.
 #[derive(Debug)]
 pub struct AgentCore {
@@ -30,7 +30,8 @@
 }
 
 impl AgentCore {
-    /// An agent that has just started; its endpoint counts as unhealthy until it answers.
+    /// Creates the state of a newly started agent. Its endpoint counts as unhealthy until it
+    /// answers a health check.
     pub fn new(identity: AgentIdentity) -> Self {
         AgentCore {
             identity,
@@ -53,7 +54,7 @@
         }
     }
 
-    /// Takes one event and says what to do.
+    /// Applies one event and returns the actions to execute.
     pub fn step(
         &mut self,
         now: Micros,
@@ -63,55 +64,61 @@
         match event {
             AgentEvent::Tick => self.tick(now, &mut actions),
             AgentEvent::HandedOver { ticket, work } => {
-                self.handed_over(now, ticket, work, &mut actions)
+                self.on_handed_over(now, ticket, work, &mut actions)
             }
             AgentEvent::Sent { ticket, prompt } => {
-                self.sent(now, ticket);
+                self.on_sent(now, ticket);
                 if let Some(prompt) = prompt {
-                    actions.push(AgentAction::Publish(vec![UpwardEvent::PromptUsed(prompt)]));
+                    actions.push(AgentAction::Publish(vec![EndpointEvent::PromptUsed(
+                        prompt,
+                    )]));
                 }
             }
             AgentEvent::StoreFull { store } => {
-                actions.push(AgentAction::Publish(vec![UpwardEvent::StoreFull { store }]));
+                actions.push(AgentAction::Publish(vec![EndpointEvent::StoreFull {
+                    store,
+                }]));
             }
-            AgentEvent::FirstToken { ticket, computed } => self.first_token(now, ticket, computed),
-            AgentEvent::Ended { ticket } => self.ended(now, ticket),
-            AgentEvent::HealthSeen { healthy, version } => {
-                self.health_seen(healthy, version, &mut actions)
+            AgentEvent::FirstToken { ticket, computed } => {
+                self.on_first_token(now, ticket, computed)
             }
-            AgentEvent::CacheNews { first, changes } => {
-                if self.mirror.apply_news(first, &changes) == NewsOutcome::Gap {
+            AgentEvent::Ended { ticket } => self.on_ended(now, ticket),
+            AgentEvent::HealthChecked { healthy, version } => {
+                self.on_health_checked(healthy, version, &mut actions)
+            }
+            AgentEvent::CacheChanged { first, changes } => {
+                if self.mirror.apply_changes(first, &changes) == ChangeOutcome::Gap {
                     actions.push(AgentAction::ListCache);
                 } else {
-                    let events = changes.into_iter().map(UpwardEvent::from).collect();
+                    let events = changes.into_iter().map(EndpointEvent::from).collect();
                     actions.push(AgentAction::Publish(events));
                 }
             }
             AgentEvent::CacheListed { next, keys } => {
-                let mut events = vec![UpwardEvent::Cleared];
-                events.extend(keys.iter().copied().map(UpwardEvent::Cached));
+                let mut events = vec![EndpointEvent::Cleared];
+                events.extend(keys.iter().copied().map(EndpointEvent::Cached));
                 self.mirror.replace(next, keys);
                 actions.push(AgentAction::Publish(events));
             }
             AgentEvent::Stored(notice) => {
-                self.mirror.stored(notice.clone());
-                actions.push(AgentAction::Publish(vec![UpwardEvent::Stored(notice)]));
+                self.mirror.add_stored(notice.clone());
+                actions.push(AgentAction::Publish(vec![EndpointEvent::Stored(notice)]));
             }
             AgentEvent::Missing(notice) => {
-                self.mirror.missing(&notice);
-                actions.push(AgentAction::Publish(vec![UpwardEvent::Missing(notice)]));
+                self.mirror.remove_stored(&notice);
+                actions.push(AgentAction::Publish(vec![EndpointEvent::Missing(notice)]));
             }
-            AgentEvent::ExportCount(change) => {
+            AgentEvent::ExportCountChanged(change) => {
                 self.exporting = self.exporting.saturating_add_signed(change);
             }
-            AgentEvent::Noticed(notice) => self.noticed(notice, &mut actions),
+            AgentEvent::ConfigNoticeReceived(notice) => self.on_config_notice(notice, &mut actions),
             AgentEvent::BoxLeaving => {
                 self.box_leaving = true;
                 self.refuse_queued(ErrorKind::EndpointLeaving, &mut actions);
             }
             AgentEvent::EpochRead(epoch) => self.fence.epoch_read(epoch),
-            AgentEvent::Ordered(order) => self.ordered(order, &mut actions),
-            AgentEvent::OrderEnded(outcome) => self.order_ended(outcome, &mut actions),
+            AgentEvent::OrderReceived(order) => self.on_order(order, &mut actions),
+            AgentEvent::OrderEnded(outcome) => self.on_order_ended(outcome, &mut actions),
         }
         self.start_queued(now, &mut actions);
         actions
@@ -130,17 +137,17 @@
         }
     }
 
-    /// Whether new work is refused because the endpoint is leaving.
+    /// Whether new requests are refused because the endpoint or its box is leaving.
     pub fn is_refusing(&self) -> bool {
         self.notice.leaving || self.box_leaving
     }
 
-    /// Whether nothing runs, waits or is carried away any more.
+    /// Whether no request is running or queued and no piece is being exported.
     pub fn is_idle(&self) -> bool {
         self.running.is_empty() && self.queue.is_empty() && self.exporting == 0
     }
 
-    /// The load of the endpoint.
+    /// Returns the load of the endpoint, queued requests included.
     pub fn load(&self) -> LoadReport {
         let computing = self.running.values().filter(|r| !r.first_token);
         let computing: u64 = computing.map(|r| u64::from(r.tokens)).sum();
@@ -150,12 +157,12 @@
             slots: self.identity.slots,
             token_cost: self.meter.token_cost(),
             service_time: self.meter.service_time(),
-            // While weights are loaded every request would be refused.
+            // Every request is refused while weights are being loaded.
             healthy: self.healthy && self.loading.is_none(),
         }
     }
 
-    /// State that every batch of events carries.
+    /// Returns the state that is sent with every batch of events.
     pub fn pulse(&self) -> AgentPulse {
         AgentPulse {
             load: self.load(),
@@ -165,12 +172,12 @@
         }
     }
 
-    /// Everything known of the cache, for a new subscriber.
-    pub fn snapshot(&self) -> Vec<UpwardEvent> {
+    /// Returns all cached and stored pieces as events, for a new subscriber.
+    pub fn snapshot(&self) -> Vec<EndpointEvent> {
         self.mirror.snapshot()
     }
 
-    /// What the agent says of itself.
+    /// Returns the beacon of this agent.
     pub fn beacon(&self) -> AgentBeacon {
         AgentBeacon {
             endpoint_id: self.identity.endpoint_id.clone(),
--- a/core/src/role/agent_work.rs
+++ b/core/src/role/agent_work.rs
@@ -1,22 +1,22 @@
-//! The gate for requests: who is let in, who waits, who is refused.
+//! Admission gate of an agent: starts, queues or refuses requests.
 
 use {
     super::{AgentAction, AgentCore, GateRefusal, GateWork, WorkTicket},
     crate::{errors::ErrorKind, route::EndpointKind, time::Micros},
 };
 
-/// A request that was let through.
+/// A started request.
 #[derive(Debug, Clone)]
 pub(super) struct RunningWork {
     pub(super) tokens: u32,
     started_at: Micros,
     sent_at: Option<Micros>,
     pub(super) first_token: bool,
-    alone: bool,
+    is_sole_prefill: bool,
 }
 
 impl AgentCore {
-    pub(super) fn handed_over(
+    pub(super) fn on_handed_over(
         &mut self,
         now: Micros,
         ticket: WorkTicket,
@@ -70,7 +70,7 @@
         }
     }
 
-    /// Time until work that comes now would be started.
+    /// Expected queueing delay of a request that arrives now.
     fn expected_wait(&self) -> Micros {
         let slots = self.identity.slots.max(1);
         let ahead = self.running.len() + self.queue.len();
@@ -91,7 +91,7 @@
             let Some(work) = self.queued.remove(&next.key) else {
                 continue;
             };
-            // A swap may have happened while the work was in line.
+            // The version may have changed while the request was queued.
             if !self.has_version(&work) {
                 actions.push(AgentAction::Refuse(GateRefusal {
                     ticket: next.key,
@@ -104,14 +104,14 @@
                 started_at: now,
                 sent_at: None,
                 first_token: false,
-                alone: false,
+                is_sole_prefill: false,
             };
             self.running.insert(next.key, work);
             actions.push(AgentAction::Start(next.key));
         }
     }
 
-    pub(super) fn sent(
+    pub(super) fn on_sent(
         &mut self,
         now: Micros,
         ticket: WorkTicket,
@@ -120,11 +120,11 @@
         let busy = self.running.values().any(computing);
         if let Some(work) = self.running.get_mut(&ticket) {
             work.sent_at = Some(now);
-            work.alone = !busy;
+            work.is_sole_prefill = !busy;
         }
     }
 
-    pub(super) fn first_token(
+    pub(super) fn on_first_token(
         &mut self,
         now: Micros,
         ticket: WorkTicket,
@@ -138,18 +138,18 @@
         }
         work.first_token = true;
         let tokens = computed.unwrap_or(work.tokens);
-        if let Some(sent_at) = work.sent_at.filter(|_| work.alone) {
-            self.meter.saw_prefill(tokens, now.since(sent_at));
+        if let Some(sent_at) = work.sent_at.filter(|_| work.is_sole_prefill) {
+            self.meter.record_prefill(tokens, now.since(sent_at));
         }
     }
 
-    pub(super) fn ended(
+    pub(super) fn on_ended(
         &mut self,
         now: Micros,
         ticket: WorkTicket,
     ) {
         if let Some(work) = self.running.remove(&ticket) {
-            self.meter.saw_request(now.since(work.started_at));
+            self.meter.record_request(now.since(work.started_at));
             return;
         }
         if self.queue.remove(ticket) {
--- a/core/src/role/cache_mirror.rs
+++ b/core/src/role/cache_mirror.rs
@@ -1,13 +1,13 @@
 use {
-    super::{CacheChange, MissingNotice, StoredNotice, UpwardEvent},
+    super::{CacheChange, EndpointEvent, MissingNotice, StoredNotice},
     crate::kept::PieceKey,
     std::collections::{BTreeMap, BTreeSet},
 };
 
-/// Stored pieces that an agent remembers for new subscribers.
-const STORED_LIMIT: usize = 65_536;
+/// Maximum number of stored pieces that an agent keeps for new subscribers.
+const MAX_STORED_PIECES: usize = 65_536;
 
-/// What an agent knows of its engine's cache and of the pieces it sealed.
+/// Copy of the index of the engine's cache, and the pieces that this agent stored.
 #[derive(Debug, Clone, Default)]
 pub struct CacheMirror {
     cached: BTreeSet<PieceKey>,
@@ -15,24 +15,24 @@
     next_change: Option<u64>,
 }
 
-/// What came of cache news.
+/// Result of applying cache changes.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum NewsOutcome {
-    /// They joined on to what was known.
+pub enum ChangeOutcome {
+    /// The changes followed the known state and were applied.
     Applied,
-    /// Something between was missed.
+    /// Changes in between were missed; nothing was applied.
     Gap,
 }
 
 impl CacheMirror {
-    /// Applies news of the engine if they join on to what is known.
-    pub fn apply_news(
+    /// Applies changes of the engine's cache if their first sequence number is the expected one.
+    pub fn apply_changes(
         &mut self,
         first: u64,
         changes: &[CacheChange],
-    ) -> NewsOutcome {
+    ) -> ChangeOutcome {
         if self.next_change != Some(first) {
-            return NewsOutcome::Gap;
+            return ChangeOutcome::Gap;
         }
         for change in changes {
             match change {
@@ -46,10 +46,10 @@
             }
         }
         self.next_change = Some(first + changes.len() as u64);
-        NewsOutcome::Applied
+        ChangeOutcome::Applied
     }
 
-    /// Replaces everything by a whole list of the engine.
+    /// Replaces the cached pieces by a full listing of the engine.
     pub fn replace(
         &mut self,
         next: u64,
@@ -59,25 +59,26 @@
         self.next_change = Some(next);
     }
 
-    /// Forgets the engine's cache, as after its restart.
-    pub fn forget(&mut self) {
+    /// Clears the cached pieces, as after a restart of the engine. Changes are rejected until
+    /// the next full listing.
+    pub fn clear(&mut self) {
         self.cached.clear();
         self.next_change = None;
     }
 
-    /// Notes a sealed piece.
-    pub fn stored(
+    /// Adds a stored piece; at the limit the one with the lowest key is dropped.
+    pub fn add_stored(
         &mut self,
         notice: StoredNotice,
     ) {
-        if self.stored.len() >= STORED_LIMIT {
+        if self.stored.len() >= MAX_STORED_PIECES {
             self.stored.pop_first();
         }
         self.stored.insert(notice.key, notice);
     }
 
-    /// Notes that a stored piece is gone.
-    pub fn missing(
+    /// Removes a stored piece that was not found, unless a newer generation is known.
+    pub fn remove_stored(
         &mut self,
         notice: &MissingNotice,
     ) {
@@ -90,20 +91,20 @@
         }
     }
 
-    /// Everything that is known, as events for a new subscriber.
-    pub fn snapshot(&self) -> Vec<UpwardEvent> {
-        let cached = self.cached.iter().copied().map(UpwardEvent::Cached);
-        let stored = self.stored.values().cloned().map(UpwardEvent::Stored);
+    /// Returns all cached and stored pieces as events for a new subscriber.
+    pub fn snapshot(&self) -> Vec<EndpointEvent> {
+        let cached = self.cached.iter().copied().map(EndpointEvent::Cached);
+        let stored = self.stored.values().cloned().map(EndpointEvent::Stored);
         cached.chain(stored).collect()
     }
 }
 
-impl From<CacheChange> for UpwardEvent {
+impl From<CacheChange> for EndpointEvent {
     fn from(change: CacheChange) -> Self {
         match change {
-            CacheChange::Added(key) => UpwardEvent::Cached(key),
-            CacheChange::Dropped(key) => UpwardEvent::Evicted(key),
-            CacheChange::Cleared => UpwardEvent::Cleared,
+            CacheChange::Added(key) => EndpointEvent::Cached(key),
+            CacheChange::Dropped(key) => EndpointEvent::Evicted(key),
+            CacheChange::Cleared => EndpointEvent::Cleared,
         }
     }
 }
--- a/core/src/role/endpoint_roster.rs
+++ b/core/src/role/endpoint_roster.rs
@@ -1,5 +1,5 @@
 use {
-    super::{AgentPulse, LoadChange, RosterChange, RosterEntry, RosterVerdict},
+    super::{AgentPulse, LivenessReport, LoadChange, RosterChange, RosterEntry},
     crate::{
         conf::FleetConfig,
         labels::LabelSet,
@@ -12,28 +12,28 @@
     std::{collections::BTreeMap, sync::Arc},
 };
 
-/// Silence of a busy agent, by beacon and link, after which it gets no new work.
+/// Time without a beacon or link message after which a busy agent gets no new requests.
 pub const SUSPECT_AFTER: Micros = Micros::from_millis(2_000);
-/// Silence of a busy agent after which a link that is still up counts as hung.
+/// Time without a message after which the open link of a busy agent counts as hung.
 pub const HUNG_AFTER: Micros = Micros::from_millis(4_000);
-/// Factor on both for an idle agent, which says less. A request to it that it
-/// does not acknowledge is noticed much sooner.
+/// Factor on both limits for an idle agent, which reports less often. A request that it
+/// does not report on is detected by the unscaled limits.
 pub const IDLE_FACTOR: u64 = 8;
-/// Silence after which the endpoint is taken out of the table.
+/// Time without a message after which the endpoint is removed.
 pub const REMOVE_AFTER: Micros = Micros::from_secs(60);
 
-/// All endpoints that this process knows, with their load.
+/// Endpoints that this process knows, with their load.
 #[derive(Debug, Default)]
 pub struct EndpointRoster {
-    /// Arena shared with the routing table.
+    /// Endpoint states by key, shared with the routing table.
     pub arena: Arc<EndpointArena>,
-    /// Loads by key.
+    /// Loads by endpoint key.
     pub loads: SecondaryMap<EndpointKey, EndpointLoad>,
     entries: BTreeMap<String, RosterEntry>,
 }
 
 impl EndpointRoster {
-    /// The entry of one endpoint.
+    /// Returns the entry of an endpoint.
     pub fn get(
         &self,
         endpoint_id: &str,
@@ -41,7 +41,7 @@
         self.entries.get(endpoint_id)
     }
 
-    /// The entry of one endpoint, to change it.
+    /// Returns the mutable entry of an endpoint.
     pub fn get_mut(
         &mut self,
         endpoint_id: &str,
@@ -49,12 +49,12 @@
         self.entries.get_mut(endpoint_id)
     }
 
-    /// All entries by endpoint id.
+    /// Iterates over all entries, ordered by endpoint id.
     pub fn iter(&self) -> impl Iterator<Item = (&String, &RosterEntry)> {
         self.entries.iter()
     }
 
-    /// The state of one endpoint.
+    /// Returns the state of an endpoint.
     pub fn state(
         &self,
         endpoint_id: &str,
@@ -63,8 +63,9 @@
         self.arena.get(entry.key)
     }
 
-    /// Takes in what an agent says of itself.
-    pub fn heard(
+    /// Applies the beacon of an agent. Beacons of an earlier incarnation are ignored; a later
+    /// one replaces the endpoint.
+    pub fn apply_beacon(
         &mut self,
         beacon: &AgentBeacon,
         own: SentLoad,
@@ -77,22 +78,22 @@
             Some(known) if beacon.incarnation == known => {}
             _ => {
                 self.insert(beacon, config, now);
-                self.note_load(&beacon.endpoint_id, beacon.pulse, own, now);
+                self.update_load(&beacon.endpoint_id, beacon.pulse, own, now);
                 return RosterChange::Joined;
             }
         }
         let mut change = RosterChange::None;
         if self.set_version(&beacon.endpoint_id, &beacon.kind) {
-            change = RosterChange::Altered;
+            change = RosterChange::PoolMembership;
         }
         if let Some(entry) = self.entries.get_mut(&beacon.endpoint_id) {
             entry.revision = entry.revision.max(beacon.revision);
         }
-        match self.note_load(&beacon.endpoint_id, beacon.pulse, own, now) {
+        match self.update_load(&beacon.endpoint_id, beacon.pulse, own, now) {
             LoadChange::None => change,
             LoadChange::Load if change == RosterChange::None => RosterChange::Load,
             LoadChange::Load => change,
-            LoadChange::Refusal => RosterChange::Altered,
+            LoadChange::Refusal => RosterChange::PoolMembership,
         }
     }
 
@@ -119,18 +120,18 @@
             linked: false,
             refusing: beacon.pulse.refusing,
             exporting: beacon.pulse.exporting,
-            heard_at: now,
-            awaited: None,
+            received_at: now,
+            awaited_report: None,
             next_event: None,
             revision: beacon.revision,
-            notified: None,
+            last_notice: None,
             loading: None,
             guard: OutlierGuard::default(),
         };
         self.entries.insert(beacon.endpoint_id.clone(), entry);
     }
 
-    /// Takes an endpoint out.
+    /// Removes an endpoint.
     pub fn remove(
         &mut self,
         endpoint_id: &str,
@@ -141,7 +142,7 @@
         }
     }
 
-    /// Gives an endpoint a new key, so that everything noted under the old one is void.
+    /// Gives an endpoint a new key, which invalidates all references to the old one.
     pub fn renew_key(
         &mut self,
         endpoint_id: &str,
@@ -160,8 +161,8 @@
         }
     }
 
-    /// Notes the load of an endpoint.
-    pub fn note_load(
+    /// Updates the load of an endpoint from a pulse of its agent.
+    pub fn update_load(
         &mut self,
         endpoint_id: &str,
         pulse: AgentPulse,
@@ -171,8 +172,10 @@
         let Some(entry) = self.entries.get_mut(endpoint_id) else {
             return LoadChange::None;
         };
-        entry.heard_at = now;
-        entry.awaited = entry.awaited.and_then(|word| word.after(pulse, now));
+        entry.received_at = now;
+        entry.awaited_report = entry
+            .awaited_report
+            .and_then(|report| report.after_report(pulse, now));
         entry.exporting = pulse.exporting;
         let altered = entry.refusing != pulse.refusing;
         entry.refusing = pulse.refusing;
@@ -193,38 +196,41 @@
         }
     }
 
-    /// Judges anew who is alive.
-    pub fn judge(
+    /// Reevaluates which endpoints are alive, and finds hung links and endpoints to remove.
+    pub fn check_liveness(
         &mut self,
         now: Micros,
-    ) -> RosterVerdict {
-        let mut verdict = RosterVerdict::default();
+    ) -> LivenessReport {
+        let mut report = LivenessReport::default();
         for (id, entry) in &self.entries {
-            let silent = now.since(entry.heard_at);
-            let awaited = entry
-                .awaited
-                .map_or(Micros::ZERO, |word| now.since(word.since));
+            let silence = now.since(entry.received_at);
+            let unreported = entry
+                .awaited_report
+                .map_or(Micros::ZERO, |awaited| now.since(awaited.since));
             let load = self.loads.get_mut(entry.key);
             let idle = load.as_ref().is_none_or(|l| l.report.running == 0);
             let factor = if idle { IDLE_FACTOR } else { 1 };
-            if silent >= REMOVE_AFTER {
-                verdict.gone.push(id.clone());
-            } else if (silent.0 >= HUNG_AFTER.0 * factor || awaited >= HUNG_AFTER) && entry.linked {
-                verdict.hung_links.push(id.clone());
+            if silence >= REMOVE_AFTER {
+                report.expired.push(id.clone());
+            } else if (silence.0 >= HUNG_AFTER.0 * factor || unreported >= HUNG_AFTER)
+                && entry.linked
+            {
+                report.hung_links.push(id.clone());
             }
             if let Some(load) = load {
-                let heard = silent.0 < SUSPECT_AFTER.0 * factor && awaited < SUSPECT_AFTER;
-                let alive = entry.linked && heard && !entry.guard.is_out(now);
+                let is_reporting =
+                    silence.0 < SUSPECT_AFTER.0 * factor && unreported < SUSPECT_AFTER;
+                let alive = entry.linked && is_reporting && !entry.guard.is_out(now);
                 let penalty = entry.guard.penalty(now);
-                verdict.changed |= load.alive != alive || load.penalty != penalty;
+                report.changed |= load.alive != alive || load.penalty != penalty;
                 load.alive = alive;
                 load.penalty = penalty;
             }
         }
-        verdict
+        report
     }
 
-    /// Notes the version that an engine holds now; true when it is another.
+    /// Updates the kind of an endpoint with its weight version; returns whether it changed.
     pub fn set_version(
         &mut self,
         endpoint_id: &str,
@@ -243,7 +249,7 @@
         }
     }
 
-    /// Puts the operators' labels on all endpoints anew.
+    /// Recomputes the labels and the leaving flag of all endpoints from the configuration.
     pub fn relabel(
         &mut self,
         config: &FleetConfig,
--- a/core/src/role/entry_placement.rs
+++ b/core/src/role/entry_placement.rs
@@ -1,7 +1,7 @@
-//! Who can be sent to, and which pieces stay.
+//! Routing view, liveness of endpoints and eviction of stored pieces.
 
 use {
-    super::{engine_groups, AwaitedWord, EntryAction, EntryCore, PlacementKind, WorkTicket},
+    super::{engine_groups, AwaitedReport, EntryAction, EntryCore, PlacementKind, WorkTicket},
     crate::{
         kept::{PieceHolder, PieceKey},
         route::{PoolIndex, RouteTable},
@@ -10,27 +10,27 @@
     std::sync::Arc,
 };
 
-/// Buckets of the directory looked at for stale holders at a time.
-const SWEEP_STEP: usize = 16;
+/// Buckets of the piece directory that one sweep checks for stale holders.
+const SWEEP_BUCKETS: usize = 16;
 
 impl EntryCore {
-    pub(super) fn judge_endpoints(
+    pub(super) fn check_endpoints(
         &mut self,
         now: Micros,
         actions: &mut Vec<EntryAction>,
     ) {
-        let verdict = self.roster.judge(now);
-        self.table_stale |= verdict.changed;
-        for endpoint_id in verdict.hung_links {
-            self.link_lost(now, &endpoint_id);
+        let report = self.roster.check_liveness(now);
+        self.table_stale |= report.changed;
+        for endpoint_id in report.hung_links {
+            self.on_link_lost(now, &endpoint_id);
             actions.push(EntryAction::DropLink { endpoint_id });
         }
-        for endpoint_id in verdict.gone {
-            self.lose_endpoint(&endpoint_id, "silent", actions);
+        for endpoint_id in report.expired {
+            self.remove_endpoint(&endpoint_id, "silent", actions);
         }
     }
 
-    /// Publishes a new view if something changed since the last one.
+    /// Publishes a new view if the state changed since the last one.
     pub fn publish(
         &mut self,
         actions: &mut Vec<EntryAction>,
@@ -56,14 +56,15 @@
         };
         actions.push(EntryAction::Publish {
             table: Arc::new(table),
-            returns: self.prompts.model().clone(),
+            reuse_model: self.prompts.model().clone(),
             entries: self.peers.len() as u32 + 1,
         });
     }
 
-    /// Expects the pieces of a prompt where it was sent, so that a quick return
-    /// goes there too. If it never gets there, the next one finds out.
-    pub(super) fn routed(
+    /// Records the pieces of a prompt at the endpoint it was sent to before the engine reports
+    /// them, so that a prompt repeated shortly after is routed there too. If the prompt never
+    /// arrives there, the next request that relies on the record finds the pieces missing.
+    pub(super) fn on_routed(
         &mut self,
         now: Micros,
         endpoint_id: &str,
@@ -72,10 +73,10 @@
         let Some(entry) = self.roster.get_mut(endpoint_id) else {
             return;
         };
-        // A busy agent pulses several times a second; one that does not is frozen.
-        entry.awaited.get_or_insert(AwaitedWord {
+        // A busy agent sends a pulse several times per second; without one it counts as frozen.
+        entry.awaited_report.get_or_insert(AwaitedReport {
             since: now,
-            taken_up: 0,
+            min_taken_up: 0,
         });
         let key = entry.key;
         for piece in pieces {
@@ -84,8 +85,8 @@
         self.table_stale = true;
     }
 
-    /// An agent has a request: it owes a report that counts this one.
-    pub(super) fn taken_up(
+    /// Requires the next report of an agent to cover the request that it acknowledged.
+    pub(super) fn on_taken_up(
         &mut self,
         now: Micros,
         endpoint_id: &str,
@@ -94,14 +95,14 @@
         let Some(entry) = self.roster.get_mut(endpoint_id) else {
             return;
         };
-        let word = entry.awaited.get_or_insert(AwaitedWord {
+        let report = entry.awaited_report.get_or_insert(AwaitedReport {
             since: now,
-            taken_up: 0,
+            min_taken_up: 0,
         });
-        word.taken_up = word.taken_up.max(ticket.0 + 1);
+        report.min_taken_up = report.min_taken_up.max(ticket.0 + 1);
     }
 
-    /// Frees room on a full store box, if this process controls its group.
+    /// Evicts pieces from a full store box if this process holds the lease of its group.
     pub(super) fn evict_pieces(
         &mut self,
         now: Micros,
@@ -109,9 +110,9 @@
         store: &str,
         actions: &mut Vec<EntryAction>,
     ) {
-        let controls = |group: &str| self.keeper.epoch(group, now).is_some();
-        let chance = |identity| self.prompts.chance(identity, now);
-        let Some(eviction) = self.stores.evict(now, store, controls, chance) else {
+        let controls = |group: &str| self.shard_leases.epoch(group, now).is_some();
+        let reuse_probability = |identity| self.prompts.reuse_probability(identity, now);
+        let Some(eviction) = self.stores.evict(now, store, controls, reuse_probability) else {
             return;
         };
         let reason = format!(
@@ -124,10 +125,10 @@
             address: eviction.address,
             pieces: eviction.pieces,
         });
-        self.log(PlacementKind::PiecesEvicted, store, reason, actions);
+        self.log_decision(PlacementKind::PiecesEvicted, store, reason, actions);
     }
 
-    pub(super) fn try_ended(
+    pub(super) fn on_attempt_ended(
         &mut self,
         now: Micros,
         endpoint_id: &str,
@@ -142,14 +143,14 @@
             return;
         }
         if entry.guard.failed(now) {
-            self.roster.judge(now);
+            self.roster.check_liveness(now);
             self.table_stale = true;
             let reason = "failed several times in a row".to_string();
-            self.log(PlacementKind::EndpointEjected, endpoint_id, reason, actions);
+            self.log_decision(PlacementKind::EndpointEjected, endpoint_id, reason, actions);
         }
     }
 
-    pub(super) fn lose_endpoint(
+    pub(super) fn remove_endpoint(
         &mut self,
         endpoint_id: &str,
         reason: &str,
@@ -160,7 +161,7 @@
         actions.push(EntryAction::Disconnect {
             endpoint_id: endpoint_id.to_string(),
         });
-        self.log(
+        self.log_decision(
             PlacementKind::EndpointLost,
             endpoint_id,
             reason.to_string(),
@@ -171,9 +172,9 @@
     pub(super) fn sweep_pieces(&mut self) {
         let arena = self.roster.arena.clone();
         let stores = &self.stores.arena;
-        self.sweep_from = self
+        self.sweep_cursor = self
             .pieces
-            .sweep(self.sweep_from, SWEEP_STEP, |holder| match holder {
+            .sweep(self.sweep_cursor, SWEEP_BUCKETS, |holder| match holder {
                 PieceHolder::Endpoint(key) => !arena.contains_key(*key),
                 PieceHolder::Store(copy) => !stores.contains_key(copy.store),
             });
--- a/core/src/role/mod.rs
+++ b/core/src/role/mod.rs
@@ -1,4 +1,5 @@
-//! One event-driven core for each role: events in, actions out.
+//! Control state machines of agents and entry processes, free of I/O: the host feeds in events
+//! and executes the actions that come back.
 
 mod agent_action;
 mod agent_core;
@@ -11,23 +12,23 @@
 mod endpoint_roster;
 mod entry_action;
 mod entry_configs;
-mod entry_contacts;
 mod entry_core;
 mod entry_event;
+mod entry_messages;
 mod entry_placement;
 mod event_batch;
 mod gate_work;
-mod load_controller;
-mod prompt_memory;
+mod prompt_history;
 mod roster_change;
 mod roster_entry;
 mod service_meter;
-mod shard_keeper;
+mod shard_leases;
 mod store_roster;
+mod weight_load_controller;
 
 pub use {
     agent_action::*, agent_core::*, agent_event::*, agent_identity::*, cache_mirror::*,
     endpoint_order::*, endpoint_roster::*, entry_action::*, entry_core::*, entry_event::*,
-    event_batch::*, gate_work::*, load_controller::*, prompt_memory::*, roster_change::*,
-    roster_entry::*, service_meter::*, shard_keeper::*, store_roster::*,
+    event_batch::*, gate_work::*, prompt_history::*, roster_change::*, roster_entry::*,
+    service_meter::*, shard_leases::*, store_roster::*, weight_load_controller::*,
 };
--- a/core/src/role/prompt_memory.rs
+++ b/core/src/role/prompt_history.rs
@@ -10,11 +10,11 @@
     },
 };
 
-/// Prompts that are remembered at most.
-const PROMPT_LIMIT: usize = 32_768;
-/// Piece by whose key a prompt is recognised, counted from zero: deep enough to
-/// tell documents apart, early enough that most prompts have it.
-const IDENTITY_PIECE: usize = 3;
+/// Maximum number of prompts in the history.
+const MAX_PROMPTS: usize = 32_768;
+/// Zero-based index of the piece whose key identifies a prompt: late enough to distinguish
+/// documents, early enough for most prompts to have it.
+const IDENTITY_PIECE_INDEX: usize = 3;
 
 #[derive(Debug, Clone)]
 struct SeenPrompt {
@@ -22,75 +22,76 @@
     seen_at: Micros,
 }
 
-/// Remembers when prompts were last seen and learns their return gaps.
+/// Records when prompts were last used and learns the gaps between uses.
 #[derive(Debug, Clone, Default)]
-pub struct PromptMemory {
+pub struct PromptHistory {
     seen: BTreeMap<PieceKey, SeenPrompt>,
     order: VecDeque<PieceKey>,
     labels: BTreeSet<Arc<ReturnLabel>>,
     model: Arc<ReturnModel>,
 }
 
-/// The key by which a prompt is recognised; none when it is too short to be kept.
+/// Returns the key that identifies a prompt; none when it is shorter than one piece. A prompt
+/// too short for the usual piece is identified by its last one.
 pub fn prompt_identity(pieces: &[PieceKey]) -> Option<PieceKey> {
     let last = pieces.len().checked_sub(1)?;
-    pieces.get(last.min(IDENTITY_PIECE)).copied()
+    pieces.get(last.min(IDENTITY_PIECE_INDEX)).copied()
 }
 
-impl PromptMemory {
-    /// What has been learned; cheap to share.
+impl PromptHistory {
+    /// Returns the learned model; cloning the `Arc` is cheap.
     pub fn model(&self) -> &Arc<ReturnModel> {
         &self.model
     }
 
-    /// Prompts remembered.
+    /// Number of recorded prompts.
     pub fn len(&self) -> usize {
         self.seen.len()
     }
 
-    /// Whether nothing is remembered.
+    /// Whether no prompt is recorded.
     pub fn is_empty(&self) -> bool {
         self.seen.is_empty()
     }
 
-    /// Notes that a prompt was asked.
-    pub fn saw(
+    /// Records a use of a prompt. Beyond the maximum the prompt that was recorded first is evicted.
+    pub fn record(
         &mut self,
         identity: PieceKey,
         label: ReturnLabel,
         now: Micros,
     ) {
         let prompt = SeenPrompt {
-            label: self.shared(&label),
+            label: self.intern_label(&label),
             seen_at: now,
         };
         match self.seen.insert(identity, prompt) {
-            Some(before) => {
-                let gap = now.since(before.seen_at);
+            Some(previous) => {
+                let gap = now.since(previous.seen_at);
                 Arc::make_mut(&mut self.model).returned(&label, gap);
             }
             None => self.order.push_back(identity),
         }
-        if self.seen.len() > PROMPT_LIMIT {
-            self.forget_oldest();
+        if self.seen.len() > MAX_PROMPTS {
+            self.evict_oldest();
         }
     }
 
-    /// Chance that a prompt still comes back.
-    pub fn chance(
+    /// Returns the probability that a prompt is used again.
+    pub fn reuse_probability(
         &self,
         identity: PieceKey,
         now: Micros,
     ) -> f64 {
         match self.seen.get(&identity) {
             Some(prompt) => self.model.chance(&prompt.label, now.since(prompt.seen_at)),
-            // Nobody has asked for it as long as this process remembers.
+            // Not used within the history of this process.
             None => 0.0,
         }
     }
 
-    /// The one copy of a label that all prompts share.
-    fn shared(
+    /// Returns the shared copy of a label.
+    fn intern_label(
         &mut self,
         label: &ReturnLabel,
     ) -> Arc<ReturnLabel> {
@@ -102,7 +103,7 @@
         label
     }
 
-    fn forget_oldest(&mut self) {
+    fn evict_oldest(&mut self) {
         let Some(oldest) = self.order.pop_front() else {
             return;
         };
--- a/core/src/role/store_roster.rs
+++ b/core/src/role/store_roster.rs
@@ -1,5 +1,5 @@
 use {
-    super::{BoxNotice, BoxRole, EntryAction, MissingNotice, StoredNotice, StoredPiece},
+    super::{BoxRole, EntryAction, ListedBox, MissingNotice, StoredNotice, StoredPiece},
     crate::{
         kept::{PieceDirectory, PieceHolder, PieceKey, StoreTier, StoredCopy},
         place::{LedgerPiece, StoreLedger},
@@ -10,15 +10,15 @@
     std::{collections::BTreeMap, net::SocketAddr},
 };
 
-/// Link rate of a store box before anything was measured, in bytes a second.
-pub const DEFAULT_LINK_RATE: f64 = 1.0e9;
-/// Disk rate of a store box, in bytes a second.
-pub const DEFAULT_DISK_RATE: f64 = 4.0e8;
-/// Sealed pieces that are remembered until a store box has listed them itself.
-const STORED_MEMORY: usize = 20_000;
-/// Time between two evictions on one store box.
-const EVICT_PAUSE: Micros = Micros::from_millis(200);
-/// How often a store box is asked for all that it holds.
+/// Transfer rate of a store box before it was measured, in bytes per second.
+pub const DEFAULT_LINK_BYTES_PER_S: f64 = 1.0e9;
+/// Disk rate of a store box, in bytes per second.
+pub const DEFAULT_DISK_BYTES_PER_S: f64 = 4.0e8;
+/// Maximum number of stored pieces, over all store boxes, kept until the next listing.
+const MAX_UNLISTED_PIECES: usize = 20_000;
+/// Minimum time between two evictions on a store box.
+const MIN_EVICT_INTERVAL: Micros = Micros::from_millis(200);
+/// Interval of full listings of a store box.
 const LIST_INTERVAL: Micros = Micros::from_secs(30);
 
 #[derive(Debug)]
@@ -26,41 +26,41 @@
     key: StoreKey,
     listed_at: Micros,
     evicted_at: Option<Micros>,
-    ledger: StoreLedger,
+    inventory: StoreLedger,
 }
 
-/// All store boxes that this process knows, with what is sealed on them.
+/// Store boxes that this process knows, with the pieces stored on them.
 #[derive(Debug, Default)]
 pub struct StoreRoster {
-    /// Arena shared with the routing table.
+    /// Store states by key, copied into the routing table.
     pub arena: SlotMap<StoreKey, StoreState>,
     entries: BTreeMap<String, StoreEntry>,
-    stored_since_list: Vec<StoredNotice>,
+    stored_since_listing: Vec<StoredNotice>,
 }
 
-/// Pieces that a full store box should drop.
+/// Pieces to evict from a full store box.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct StoreEviction {
-    /// Where the box listens.
+    /// Address of the store box.
     pub address: SocketAddr,
     /// The pieces.
     pub pieces: Vec<StoredPiece>,
 }
 
 impl StoreRoster {
-    /// Takes in the box list; gives the names of boxes that are on it no more.
-    pub fn note_boxes(
+    /// Applies the box list and returns the names of store boxes that are no longer on it.
+    pub fn update_boxes(
         &mut self,
         now: Micros,
-        boxes: &[BoxNotice],
+        boxes: &[ListedBox],
         actions: &mut Vec<EntryAction>,
     ) -> Vec<String> {
         let stores = boxes
             .iter()
             .filter(|b| b.role == BoxRole::Store && !b.leaving);
-        let stores: Vec<&BoxNotice> = stores.collect();
+        let stores: Vec<&ListedBox> = stores.collect();
         for notice in &stores {
-            self.note_box(now, notice, actions);
+            self.update_box(now, notice, actions);
         }
         let listed = |id: &String| stores.iter().any(|notice| &notice.id == id);
         let lost: Vec<String> = self
@@ -77,10 +77,10 @@
         lost
     }
 
-    fn note_box(
+    fn update_box(
         &mut self,
         now: Micros,
-        notice: &BoxNotice,
+        notice: &ListedBox,
         actions: &mut Vec<EntryAction>,
     ) {
         if let Some(entry) = self.entries.get(&notice.id) {
@@ -94,15 +94,15 @@
             id: notice.id.clone(),
             group: notice.group.clone(),
             address: notice.address,
-            link_rate: DEFAULT_LINK_RATE,
+            link_rate: DEFAULT_LINK_BYTES_PER_S,
             link_queue: 0,
-            disk_rate: DEFAULT_DISK_RATE,
+            disk_rate: DEFAULT_DISK_BYTES_PER_S,
         });
         let entry = StoreEntry {
             key,
             listed_at: now,
             evicted_at: None,
-            ledger: StoreLedger::default(),
+            inventory: StoreLedger::default(),
         };
         self.entries.insert(notice.id.clone(), entry);
         actions.push(EntryAction::ListStore {
@@ -111,8 +111,8 @@
         });
     }
 
-    /// Asks the boxes that were not listed for long.
-    pub fn ask_lists(
+    /// Requests listings of the store boxes whose last one is older than the interval.
+    pub fn request_listings(
         &mut self,
         now: Micros,
         actions: &mut Vec<EntryAction>,
@@ -122,7 +122,8 @@
                 continue;
             }
             entry.listed_at = now;
-            self.stored_since_list.retain(|notice| &notice.store != id);
+            self.stored_since_listing
+                .retain(|notice| &notice.store != id);
             if let Some(state) = self.arena.get(entry.key) {
                 actions.push(EntryAction::ListStore {
                     store: id.clone(),
@@ -132,8 +133,8 @@
         }
     }
 
-    /// Replaces all that is known of a store box by its own list.
-    pub fn listed(
+    /// Replaces the known pieces of a store box by its listing.
+    pub fn replace_listing(
         &mut self,
         now: Micros,
         store: &str,
@@ -146,7 +147,7 @@
         let Some(state) = self.arena.remove(entry.key) else {
             return;
         };
-        // A new key voids all that is noted under the old one.
+        // The new key invalidates all references to the old one.
         entry.key = self.arena.insert(state);
         entry.listed_at = now;
         let mut listed = Vec::with_capacity(pieces.len());
@@ -162,15 +163,15 @@
                 generation: piece.generation,
             });
         }
-        entry.ledger.reconcile(listed);
-        // The list may be older than what agents have told since it was asked for.
-        for notice in std::mem::take(&mut self.stored_since_list) {
-            self.stored(notice, directory);
+        entry.inventory.reconcile(listed);
+        // Agents may have reported pieces after the listing was made.
+        for notice in std::mem::take(&mut self.stored_since_listing) {
+            self.add_piece(notice, directory);
         }
     }
 
-    /// Notes how fast the link of a store box was; false when it is not known.
-    pub fn measured(
+    /// Sets the measured transfer rate of a store box; returns false when the box is unknown.
+    pub fn set_link_rate(
         &mut self,
         store: &str,
         link_rate: f64,
@@ -186,8 +187,8 @@
         }
     }
 
-    /// Notes a sealed piece.
-    pub fn stored(
+    /// Adds a stored piece.
+    pub fn add_piece(
         &mut self,
         notice: StoredNotice,
         directory: &mut PieceDirectory,
@@ -205,14 +206,14 @@
             key: notice.key,
             generation: notice.generation,
         };
-        entry.ledger.add(notice.identity, piece);
-        if self.stored_since_list.len() < STORED_MEMORY {
-            self.stored_since_list.push(notice);
+        entry.inventory.add(notice.identity, piece);
+        if self.stored_since_listing.len() < MAX_UNLISTED_PIECES {
+            self.stored_since_listing.push(notice);
         }
     }
 
-    /// Forgets a copy, unless a newer one is known by now.
-    pub fn missing(
+    /// Removes a stored piece, unless a newer generation is known.
+    pub fn remove_piece(
         &self,
         notice: &MissingNotice,
         directory: &mut PieceDirectory,
@@ -232,27 +233,28 @@
         }
     }
 
-    /// Chooses what a full store box drops, whole prompts by their chance to return.
+    /// Chooses the pieces to evict from a full store box: whole prompts, least likely reused
+    /// first.
     ///
-    /// `controls` tells whether this process may decide for a group: only one
-    /// should, so that several do not each free their part.
+    /// `controls` tells whether this process holds the lease of a group. Only the holder evicts,
+    /// so that several processes do not free space for the same shortage.
     pub fn evict(
         &mut self,
         now: Micros,
         store: &str,
         controls: impl Fn(&str) -> bool,
-        chance: impl Fn(PieceKey) -> f64,
+        reuse_probability: impl Fn(PieceKey) -> f64,
     ) -> Option<StoreEviction> {
         let entry = self.entries.get_mut(store)?;
         let state = self.arena.get(entry.key)?;
-        let lately = entry
+        let evicted_recently = entry
             .evicted_at
-            .is_some_and(|at| now.since(at) < EVICT_PAUSE);
-        if lately || !controls(&state.group) {
+            .is_some_and(|at| now.since(at) < MIN_EVICT_INTERVAL);
+        if evicted_recently || !controls(&state.group) {
             return None;
         }
         entry.evicted_at = Some(now);
-        let evicted = entry.ledger.evict(chance);
+        let evicted = entry.inventory.evict(reuse_probability);
         let pieces = evicted.iter().map(|piece| StoredPiece {
             key: piece.key,
             tier: StoreTier::Memory,
--- a/core/src/role/load_controller.rs
+++ b/core/src/role/weight_load_controller.rs
@@ -1,6 +1,6 @@
 use {
     super::{
-        EndpointOrder, EndpointRoster, EntryAction, PlacementKind, PlacementLine, ShardKeeper,
+        EndpointOrder, EndpointRoster, EntryAction, PlacementKind, PlacementLine, ShardLeases,
         StampedOrder,
     },
     crate::{
@@ -13,40 +13,40 @@
     std::collections::{BTreeMap, BTreeSet},
 };
 
-/// Label that says which version an endpoint should hold, instead of the active one.
+/// Endpoint label with the version to load instead of the model's active one.
 pub const VERSION_LABEL: &str = "version";
-/// Time after which an order that nobody reported on is given up.
-const ORDER_PATIENCE: Micros = Micros::from_secs(60);
+/// Time after which an order without a reported outcome is abandoned.
+const ORDER_TIMEOUT: Micros = Micros::from_secs(60);
 
-/// Gives load orders to the engines of each group, under the lease of its shard.
+/// Orders the engines of each group to load weights, under the lease of the group's shard.
 #[derive(Debug, Default)]
-pub struct LoadController {
+pub struct WeightLoadController {
     ordered_at: BTreeMap<String, Micros>,
 }
 
-impl LoadController {
-    /// Gives the orders that are due.
+impl WeightLoadController {
+    /// Issues the orders that are due for the groups whose lease this process holds.
     pub fn tick(
         &mut self,
         now: Micros,
         config: &FleetConfig,
         roster: &mut EndpointRoster,
-        keeper: &mut ShardKeeper,
+        leases: &mut ShardLeases,
         actions: &mut Vec<EntryAction>,
     ) {
-        self.forget_old_orders(now, roster);
-        for group in groups_behind(config, roster) {
-            if keeper.epoch(&group, now).is_none() {
+        self.expire_orders(now, roster);
+        for group in outdated_groups(config, roster) {
+            if leases.epoch(&group, now).is_none() {
                 continue;
             }
             for step in due_loads(&group, config, roster) {
-                self.order(now, &group, step, config, roster, keeper, actions);
+                self.issue_order(now, &group, step, config, roster, leases, actions);
             }
         }
     }
 
-    /// An order whose outcome never came is not waited for any longer.
-    fn forget_old_orders(
+    /// Abandons orders whose outcome was not reported in time.
+    fn expire_orders(
         &mut self,
         now: Micros,
         roster: &mut EndpointRoster,
@@ -55,7 +55,7 @@
             let Some(entry) = roster.get_mut(id) else {
                 return false;
             };
-            if now.since(*ordered_at) >= ORDER_PATIENCE {
+            if now.since(*ordered_at) >= ORDER_TIMEOUT {
                 entry.loading = None;
             }
             entry.loading.is_some()
@@ -63,20 +63,20 @@
     }
 
     #[allow(clippy::too_many_arguments)]
-    fn order(
+    fn issue_order(
         &mut self,
         now: Micros,
         group: &str,
         step: LoadStep,
         config: &FleetConfig,
         roster: &mut EndpointRoster,
-        keeper: &mut ShardKeeper,
+        leases: &mut ShardLeases,
         actions: &mut Vec<EntryAction>,
     ) {
         let Some(state) = roster.arena.get(step.endpoint).cloned() else {
             return;
         };
-        let Some(stamp) = keeper.next_stamp(group, now) else {
+        let Some(stamp) = leases.next_stamp(group, now) else {
             return;
         };
         self.ordered_at.insert(state.id.clone(), now);
@@ -102,8 +102,8 @@
     }
 }
 
-/// Groups with an engine that does not hold the version it should.
-fn groups_behind(
+/// Returns the groups that have an engine without its wanted version.
+fn outdated_groups(
     config: &FleetConfig,
     roster: &EndpointRoster,
 ) -> BTreeSet<String> {
@@ -120,7 +120,7 @@
     groups
 }
 
-/// Groups that have engines.
+/// Returns the groups that have engines.
 pub fn engine_groups(roster: &EndpointRoster) -> BTreeSet<String> {
     let states = roster.arena.values();
     let engines = states.filter(|s| matches!(s.kind, EndpointKind::Engine { .. }));
@@ -162,8 +162,8 @@
     plan_loads(&engines)
 }
 
-/// The version that an engine should hold: what its label says if the model has
-/// that version, else the model's active one.
+/// Returns the version that an engine should load: the one in its label if the model has that
+/// version, else the model's active one.
 fn wanted_version<'a>(
     config: &'a FleetConfig,
     state: &'a EndpointState,
--- a/core/tests/silent_agents.rs
+++ b/core/tests/silent_agents.rs
@@ -1,9 +1,12 @@
-//! Agents that say nothing while they have work.
+//! Detection of agents that send no messages while they have requests.
+//!
+//! An agent can freeze after it accepted a request, and a report sent before that can still
+//! arrive later. Such a report must not keep the link of a frozen agent open.
 
-mod entry_world;
+mod entry_fixture;
 
 use {
-    entry_world::{linked, pulse, tick},
+    entry_fixture::{linked_core, pulse, run_ticks},
     pitchhitch_core::{
         role::{AgentPulse, EntryAction, EntryCore, EntryEvent, WorkTicket},
         route::SentLoad,
@@ -12,9 +15,9 @@
 };
 
 #[test]
-fn silent_endpoint_goes() {
-    let mut core = linked();
-    let busy = EntryEvent::PulseSeen {
+fn silent_endpoint_removed() {
+    let mut core = linked_core();
+    let busy = EntryEvent::PulseReceived {
         endpoint_id: "e1".to_string(),
         pulse: pulse(2),
         own: SentLoad::default(),
@@ -25,11 +28,11 @@
         core.roster().loads[entry.key].alive
     };
     assert!(alive(&core));
-    tick(&mut core, Micros::from_secs(3));
+    run_ticks(&mut core, Micros::from_secs(3));
     assert!(!alive(&core));
-    let actions = tick(&mut core, Micros::from_secs(5));
+    let actions = run_ticks(&mut core, Micros::from_secs(5));
     assert!(drops_link(&actions));
-    let actions = tick(&mut core, Micros::from_secs(90));
+    let actions = run_ticks(&mut core, Micros::from_secs(90));
     assert!(actions
         .iter()
         .any(|a| matches!(a, EntryAction::Disconnect { .. })));
@@ -37,13 +40,13 @@
 }
 
 #[test]
-fn frozen_idle_endpoint_goes() {
-    let mut core = linked();
-    // It was idle when it froze, so nothing of it was busy in any report.
+fn frozen_idle_endpoint_disconnected() {
+    let mut core = linked_core();
+    // It froze while idle, so every report shows it without requests.
     core.step(Micros::from_secs(5), routed());
-    let actions = tick(&mut core, Micros::from_secs(6));
+    let actions = run_ticks(&mut core, Micros::from_secs(6));
     assert!(!drops_link(&actions));
-    let actions = tick(&mut core, Micros::from_secs(10));
+    let actions = run_ticks(&mut core, Micros::from_secs(10));
     assert!(drops_link(&actions));
 }
 
@@ -61,9 +64,9 @@
     }
 }
 
-/// A report of an agent that has seen so many hand-overs and runs none of them.
+/// Report of an agent whose gate has seen all tickets below `taken_up`, with no request running.
 fn idle_report(taken_up: u64) -> EntryEvent {
-    EntryEvent::PulseSeen {
+    EntryEvent::PulseReceived {
         endpoint_id: "e1".to_string(),
         pulse: AgentPulse {
             taken_up,
@@ -79,41 +82,41 @@
         .any(|a| matches!(a, EntryAction::DropLink { .. }))
 }
 
-/// An agent takes up a request and freezes; a report from before comes after that.
+/// The agent accepts a request and freezes; a report sent before that arrives afterwards.
 #[test]
 fn earlier_report_proves_nothing() {
-    let mut core = linked();
+    let mut core = linked_core();
     core.step(Micros::from_secs(5), routed());
     core.step(Micros::from_secs(5), taken_up(3));
     core.step(Micros::from_millis(5_010), idle_report(3));
-    assert!(!drops_link(&tick(&mut core, Micros::from_secs(8))));
-    assert!(drops_link(&tick(&mut core, Micros::from_secs(10))));
+    assert!(!drops_link(&run_ticks(&mut core, Micros::from_secs(8))));
+    assert!(drops_link(&run_ticks(&mut core, Micros::from_secs(10))));
 }
 
-/// The same, where the report comes between the sending and the taking up.
+/// The same with the earlier report arriving between dispatch and acknowledgement.
 #[test]
-fn report_before_taking_up() {
-    let mut core = linked();
+fn report_before_acknowledgement() {
+    let mut core = linked_core();
     core.step(Micros::from_secs(5), routed());
     core.step(Micros::from_millis(5_010), idle_report(3));
     core.step(Micros::from_millis(5_020), taken_up(3));
-    assert!(drops_link(&tick(&mut core, Micros::from_secs(10))));
+    assert!(drops_link(&run_ticks(&mut core, Micros::from_secs(10))));
 }
 
-/// An agent that has done all that was sent there may be silent for long.
+/// An agent that has finished all its requests may stay silent until the limit for idle agents.
 #[test]
-fn done_agent_may_rest() {
-    let mut core = linked();
+fn finished_agent_may_be_silent() {
+    let mut core = linked_core();
     core.step(Micros::from_secs(5), routed());
     core.step(Micros::from_secs(5), taken_up(3));
     core.step(Micros::from_millis(5_300), idle_report(4));
-    assert!(!drops_link(&tick(&mut core, Micros::from_secs(15))));
+    assert!(!drops_link(&run_ticks(&mut core, Micros::from_secs(15))));
 }
 
-/// A busy agent's reports are always a little behind what is sent there.
+/// The reports of a busy agent always lag slightly behind the requests sent to it.
 #[test]
 fn late_reports_keep_link() {
-    let mut core = linked();
+    let mut core = linked_core();
     for step in 0..40 {
         let now = Micros::from_secs(5) + Micros::from_millis(300 * step);
         core.step(now, routed());
