--- a/core/src/conf/change_error.rs
+++ b/core/src/conf/change_error.rs
@@ -14,16 +14,16 @@
         name: String,
     },
     /// A label key or value has a character that labels may not have.
-    #[error("'{word}' is no label word; use letters, digits, '.', '_', '/' and '-'")]
-    BadWord {
+    #[error("'{text}' is no label word; use letters, digits, '.', '_', '/' and '-'")]
+    InvalidLabel {
         /// The text in question.
-        word: String,
+        text: String,
     },
     /// The target is not of the form kind/name.
     #[error(
         "'{text}' names no target; write endpoint/NAME, organisation/NAME or version/MODEL/NAME"
     )]
-    BadTarget {
+    InvalidTarget {
         /// The text in question.
         text: String,
     },
@@ -39,7 +39,7 @@
     #[error(
         "the change log jumps from revision {from} to {to}; the stored configuration is damaged"
     )]
-    BrokenLog {
+    RevisionGap {
         /// Last good revision.
         from: u64,
         /// The revision that does not follow.
--- a/core/src/conf/change_history.rs
+++ b/core/src/conf/change_history.rs
@@ -25,7 +25,7 @@
 
 impl ChangeHistory {
     /// Remembers changes; a gap before them makes it forget the older ones.
-    pub fn note(
+    pub fn append(
         &mut self,
         records: impl IntoIterator<Item = ChangeRecord>,
     ) {
@@ -50,18 +50,18 @@
         since: u64,
         config: &FleetConfig,
     ) -> PeerConfig {
-        let joins = self
+        let covers_start = self
             .records
             .front()
             .is_some_and(|first| first.revision <= since + 1);
-        let reaches = self
+        let covers_end = self
             .records
             .back()
             .is_some_and(|last| last.revision == config.revision);
         if since >= config.revision {
             return PeerConfig::Changes(Vec::new());
         }
-        if !joins || !reaches {
+        if !covers_start || !covers_end {
             return PeerConfig::Whole(Box::new(config.clone()));
         }
         let newer = self.records.iter().filter(|r| r.revision > since);
--- a/core/src/conf/config_head.rs
+++ b/core/src/conf/config_head.rs
@@ -7,7 +7,7 @@
 /// Log entries beyond which a writer folds the log into a new base.
 pub const TAIL_LIMIT: usize = 64;
 /// Settled change ids that outlive folding, so that late retries are recognised.
-pub const SETTLED_LIMIT: usize = 512;
+pub const COMPACTED_ID_LIMIT: usize = 512;
 
 /// The one row in the table that says which configuration is in force.
 ///
@@ -24,13 +24,13 @@
     pub base_name: String,
     /// Changes after the base, in order of revision.
     pub tail: VecDeque<ChangeRecord>,
-    /// Ids and revisions of changes that were folded into the base.
-    pub settled: VecDeque<SettledChange>,
+    /// Ids and revisions of changes that were compacted into the base.
+    pub settled: VecDeque<CompactedChange>,
 }
 
 /// A change that is part of the base by now.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct SettledChange {
+pub struct CompactedChange {
     /// Id of the change.
     pub change_id: String,
     /// Revision it made.
@@ -44,7 +44,7 @@
     }
 
     /// The revision that a change made, if it was accepted.
-    pub fn settled_revision(
+    pub fn change_revision(
         &self,
         change_id: &str,
     ) -> Option<u64> {
@@ -52,12 +52,12 @@
         if let Some(record) = in_tail {
             return Some(record.revision);
         }
-        let folded = self.settled.iter().find(|s| s.change_id == change_id);
-        folded.map(|s| s.revision)
+        let compacted = self.settled.iter().find(|s| s.change_id == change_id);
+        compacted.map(|s| s.revision)
     }
 
     /// The head after one more change.
-    pub fn appended(
+    pub fn with_change(
         &self,
         change_id: &str,
         operator: &str,
@@ -75,24 +75,24 @@
         head
     }
 
-    /// Whether the log is long enough to be folded.
-    pub fn wants_folding(&self) -> bool {
+    /// Whether the log is long enough to be compacted.
+    pub fn needs_compaction(&self) -> bool {
         self.tail.len() >= TAIL_LIMIT
     }
 
     /// The head after its whole log went into a base document.
-    pub fn folded(
+    pub fn compacted(
         &self,
         base_name: String,
     ) -> ConfigHead {
         let mut settled = self.settled.clone();
         for record in &self.tail {
-            settled.push_back(SettledChange {
+            settled.push_back(CompactedChange {
                 change_id: record.change_id.clone(),
                 revision: record.revision,
             });
         }
-        while settled.len() > SETTLED_LIMIT {
+        while settled.len() > COMPACTED_ID_LIMIT {
             settled.pop_front();
         }
         ConfigHead {
@@ -108,8 +108,8 @@
     /// A configuration that is already newer stays as it is: revisions never go down.
     ///
     /// # Errors
-    /// [`ChangeError::BrokenLog`] when the log does not join on to `config`.
-    pub fn bring_up(
+    /// [`ChangeError::RevisionGap`] when the log does not join on to `config`.
+    pub fn apply_to(
         &self,
         config: &FleetConfig,
     ) -> Result<FleetConfig, ChangeError> {
@@ -119,7 +119,7 @@
                 continue;
             }
             if record.revision != current.revision + 1 {
-                return Err(ChangeError::BrokenLog {
+                return Err(ChangeError::RevisionGap {
                     from: current.revision,
                     to: record.revision,
                 });
--- a/core/src/conf/fleet_config.rs
+++ b/core/src/conf/fleet_config.rs
@@ -3,7 +3,7 @@
         ChangeError, ConfigChange, EndpointConf, LabelTarget, ModelConf, OrganisationConf,
         PlacementRule, ServiceConf,
     },
-    crate::labels::{is_label_word, LabelSet},
+    crate::labels::{is_valid_label, LabelSet},
     serde::{Deserialize, Serialize},
     std::collections::BTreeMap,
 };
@@ -32,7 +32,7 @@
     pub rules: BTreeMap<String, PlacementRule>,
 }
 
-fn put<T>(
+fn set_or_remove<T>(
     rows: &mut BTreeMap<String, T>,
     what: &'static str,
     name: &str,
@@ -67,12 +67,18 @@
     ) -> Result<(), ChangeError> {
         match change {
             ConfigChange::Label { target, key, value } => self.set_label(target, key, value)?,
-            ConfigChange::Rule { name, rule } => put(&mut self.rules, "rule", name, rule)?,
+            ConfigChange::Rule { name, rule } => {
+                set_or_remove(&mut self.rules, "rule", name, rule)?
+            }
             ConfigChange::Organisation { name, conf } => {
-                put(&mut self.organisations, "organisation", name, conf)?
+                set_or_remove(&mut self.organisations, "organisation", name, conf)?
+            }
+            ConfigChange::Model { name, conf } => {
+                set_or_remove(&mut self.models, "model", name, conf)?
+            }
+            ConfigChange::Service { name, conf } => {
+                set_or_remove(&mut self.services, "service", name, conf)?
             }
-            ConfigChange::Model { name, conf } => put(&mut self.models, "model", name, conf)?,
-            ConfigChange::Service { name, conf } => put(&mut self.services, "service", name, conf)?,
         }
         self.revision += 1;
         Ok(())
@@ -85,13 +91,13 @@
         value: &Option<String>,
     ) -> Result<(), ChangeError> {
         for word in std::iter::once(key).chain(value.as_deref()) {
-            if !is_label_word(word) {
-                return Err(ChangeError::BadWord {
-                    word: word.to_string(),
+            if !is_valid_label(word) {
+                return Err(ChangeError::InvalidLabel {
+                    text: word.to_string(),
                 });
             }
         }
-        let labels = self.labels_of(target)?;
+        let labels = self.labels_mut(target)?;
         match value {
             Some(value) => labels.set(key, value),
             None => labels.remove(key),
@@ -99,7 +105,7 @@
         Ok(())
     }
 
-    fn labels_of(
+    fn labels_mut(
         &mut self,
         target: &LabelTarget,
     ) -> Result<&mut LabelSet, ChangeError> {
--- a/core/src/conf/label_target.rs
+++ b/core/src/conf/label_target.rs
@@ -25,9 +25,9 @@
     /// Reads `endpoint/NAME`, `organisation/NAME` or `version/MODEL/NAME`.
     ///
     /// # Errors
-    /// [`ChangeError::BadTarget`] for any other text.
+    /// [`ChangeError::InvalidTarget`] for any other text.
     pub fn parse(text: &str) -> Result<Self, ChangeError> {
-        let bad = || ChangeError::BadTarget {
+        let bad = || ChangeError::InvalidTarget {
             text: text.to_string(),
         };
         let (kind, name) = text.split_once('/').ok_or_else(bad)?;
--- a/core/src/conf/placement_rule.rs
+++ b/core/src/conf/placement_rule.rs
@@ -1,5 +1,5 @@
 use {
-    crate::labels::WorkSelector,
+    crate::labels::LabelSelector,
     serde::{Deserialize, Serialize},
 };
 
@@ -17,9 +17,9 @@
     pub precedence: i32,
     /// Matched over the labels of organisation and version, plus
     /// `organisation`, `model`, `version` and `service`.
-    pub work: WorkSelector,
+    pub work: LabelSelector,
     /// Matched over the labels of endpoints.
-    pub endpoints: WorkSelector,
+    pub endpoints: LabelSelector,
     /// What the rule does with the endpoints that match.
     #[serde(default)]
     pub effect: RuleEffect,
--- a/core/src/labels/label_set.rs
+++ b/core/src/labels/label_set.rs
@@ -37,7 +37,7 @@
     }
 
     /// These labels with those of `other` on top.
-    pub fn overlaid(
+    pub fn merged_with(
         &self,
         other: &LabelSet,
     ) -> LabelSet {
--- a/core/src/labels/selector_error.rs
+++ b/core/src/labels/selector_error.rs
@@ -4,14 +4,14 @@
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum SelectorError {
     /// A key or value is empty or has a character that labels may not have.
-    #[error("'{word}' is no label word; use letters, digits, '.', '_', '/' and '-'")]
-    BadWord {
+    #[error("'{text}' is no label word; use letters, digits, '.', '_', '/' and '-'")]
+    InvalidLabel {
         /// The text in question.
-        word: String,
+        text: String,
     },
     /// A term has none of the known forms.
     #[error("'{term}' is no selector term; write key=value, key!=value, key in (a|b), key notin (a|b), key or !key")]
-    BadTerm {
+    InvalidTerm {
         /// The text in question.
         term: String,
     },
--- a/core/src/labels/selector_term.rs
+++ b/core/src/labels/selector_term.rs
@@ -47,31 +47,31 @@
 }
 
 /// Whether `word` may stand as a label key or value.
-pub fn is_label_word(word: &str) -> bool {
+pub fn is_valid_label(word: &str) -> bool {
     let allowed = |c: char| c.is_ascii_alphanumeric() || "._/-".contains(c);
     !word.is_empty() && word.chars().all(allowed)
 }
 
-fn label_word(text: &str) -> Result<String, SelectorError> {
+fn parse_label(text: &str) -> Result<String, SelectorError> {
     let word = text.trim();
-    if is_label_word(word) {
+    if is_valid_label(word) {
         Ok(word.to_string())
     } else {
-        Err(SelectorError::BadWord {
-            word: word.to_string(),
+        Err(SelectorError::InvalidLabel {
+            text: word.to_string(),
         })
     }
 }
 
-fn value_set(text: &str) -> Result<BTreeSet<String>, SelectorError> {
+fn parse_values(text: &str) -> Result<BTreeSet<String>, SelectorError> {
     let inner = text
         .trim()
         .strip_prefix('(')
         .and_then(|t| t.strip_suffix(')'));
-    let inner = inner.ok_or_else(|| SelectorError::BadTerm {
+    let inner = inner.ok_or_else(|| SelectorError::InvalidTerm {
         term: text.trim().to_string(),
     })?;
-    inner.split('|').map(label_word).collect()
+    inner.split('|').map(parse_label).collect()
 }
 
 impl SelectorTerm {
@@ -82,35 +82,35 @@
     pub fn parse(text: &str) -> Result<Self, SelectorError> {
         let text = text.trim();
         if let Some((key, values)) = text.split_once(" notin ") {
-            let key = label_word(key)?;
-            let values = value_set(values)?;
+            let key = parse_label(key)?;
+            let values = parse_values(values)?;
             return Ok(SelectorTerm::NoneOf { key, values });
         }
         if let Some((key, values)) = text.split_once(" in ") {
-            let key = label_word(key)?;
-            let values = value_set(values)?;
+            let key = parse_label(key)?;
+            let values = parse_values(values)?;
             return Ok(SelectorTerm::OneOf { key, values });
         }
         if let Some((key, value)) = text.split_once("!=") {
-            let key = label_word(key)?;
-            let value = label_word(value)?;
+            let key = parse_label(key)?;
+            let value = parse_label(value)?;
             return Ok(SelectorTerm::Differs { key, value });
         }
         if let Some((key, value)) = text.split_once('=') {
-            let key = label_word(key)?;
-            let value = label_word(value)?;
+            let key = parse_label(key)?;
+            let value = parse_label(value)?;
             return Ok(SelectorTerm::Equals { key, value });
         }
         if let Some(key) = text.strip_prefix('!') {
-            let key = label_word(key)?;
+            let key = parse_label(key)?;
             return Ok(SelectorTerm::Absent { key });
         }
         if text.contains(' ') {
-            return Err(SelectorError::BadTerm {
+            return Err(SelectorError::InvalidTerm {
                 term: text.to_string(),
             });
         }
-        let key = label_word(text)?;
+        let key = parse_label(text)?;
         Ok(SelectorTerm::Exists { key })
     }
 
--- a/core/src/labels/work_selector.rs
+++ b/core/src/labels/work_selector.rs
@@ -10,11 +10,11 @@
 /// `site=nairobi-1,tier in (gold|silver),!leaving`.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(try_from = "String", into = "String")]
-pub struct WorkSelector {
+pub struct LabelSelector {
     terms: Vec<SelectorTerm>,
 }
 
-impl WorkSelector {
+impl LabelSelector {
     /// Reads a selector.
     ///
     /// # Errors
@@ -22,10 +22,10 @@
     pub fn parse(text: &str) -> Result<Self, SelectorError> {
         let text = text.trim();
         if text.is_empty() {
-            return Ok(WorkSelector::default());
+            return Ok(LabelSelector::default());
         }
         let terms: Result<Vec<_>, _> = text.split(',').map(SelectorTerm::parse).collect();
-        Ok(WorkSelector { terms: terms? })
+        Ok(LabelSelector { terms: terms? })
     }
 
     /// Whether the labels fulfil every term.
@@ -37,21 +37,21 @@
     }
 }
 
-impl TryFrom<String> for WorkSelector {
+impl TryFrom<String> for LabelSelector {
     type Error = SelectorError;
 
     fn try_from(text: String) -> Result<Self, SelectorError> {
-        WorkSelector::parse(&text)
+        LabelSelector::parse(&text)
     }
 }
 
-impl From<WorkSelector> for String {
-    fn from(selector: WorkSelector) -> String {
+impl From<LabelSelector> for String {
+    fn from(selector: LabelSelector) -> String {
         selector.to_string()
     }
 }
 
-impl fmt::Display for WorkSelector {
+impl fmt::Display for LabelSelector {
     fn fmt(
         &self,
         f: &mut fmt::Formatter<'_>,
--- a/core/src/role/endpoint_roster.rs
+++ b/core/src/role/endpoint_roster.rs
@@ -270,7 +270,7 @@
     own: &LabelSet,
 ) -> LabelSet {
     let mut labels = match config.endpoints.get(endpoint_id) {
-        Some(conf) => own.overlaid(&conf.labels),
+        Some(conf) => own.merged_with(&conf.labels),
         None => own.clone(),
     };
     labels.set("endpoint", endpoint_id);
--- a/core/src/role/entry_configs.rs
+++ b/core/src/role/entry_configs.rs
@@ -24,7 +24,7 @@
                 return;
             }
         }
-        self.history.note(records);
+        self.history.append(records);
         self.config_read(Arc::new(config), actions);
     }
 
--- a/core/src/route/route_pool.rs
+++ b/core/src/route/route_pool.rs
@@ -168,7 +168,7 @@
         WorkTarget::Service(name) => labels.set("service", name),
     }
     if let Some(conf) = config.organisations.get(organisation) {
-        labels = labels.overlaid(&conf.labels);
+        labels = labels.merged_with(&conf.labels);
     }
     labels.set("organisation", organisation);
     labels
--- a/core/tests/change_history.rs
+++ b/core/tests/change_history.rs
@@ -28,7 +28,7 @@
 #[test]
 fn only_newer_changes() {
     let mut history = ChangeHistory::default();
-    history.note((5..=9).map(record));
+    history.append((5..=9).map(record));
     let wanted = PeerConfig::Changes(vec![record(8), record(9)]);
     assert_eq!(history.for_peer(7, &config(9)), wanted);
     assert_eq!(
@@ -40,7 +40,7 @@
 #[test]
 fn forgotten_changes_whole() {
     let mut history = ChangeHistory::default();
-    history.note((5..=9).map(record));
+    history.append((5..=9).map(record));
     let whole = PeerConfig::Whole(Box::new(config(9)));
     assert_eq!(history.for_peer(3, &config(9)), whole);
 }
@@ -48,7 +48,7 @@
 #[test]
 fn gap_forgets_older() {
     let mut history = ChangeHistory::default();
-    history.note([record(1), record(2), record(7), record(7), record(8)]);
+    history.append([record(1), record(2), record(7), record(7), record(8)]);
     assert_eq!(
         history.for_peer(1, &config(8)),
         PeerConfig::Whole(Box::new(config(8)))
@@ -62,7 +62,7 @@
 #[test]
 fn history_behind_config() {
     let mut history = ChangeHistory::default();
-    history.note([record(1), record(2)]);
+    history.append([record(1), record(2)]);
     // The configuration came whole, so the history does not reach up to it.
     assert_eq!(
         history.for_peer(1, &config(5)),
--- a/core/tests/config_log.rs
+++ b/core/tests/config_log.rs
@@ -43,34 +43,34 @@
 #[test]
 fn older_head_ignored() {
     let mut config = FleetConfig::default();
-    let old = ConfigHead::default().appended("one", "ann", 0, label("e1", Some("a")));
-    let new = old.appended("two", "bob", 0, label("e1", Some("b")));
-    config = new.bring_up(&config).expect("new");
-    let same = old.bring_up(&config).expect("old");
+    let old = ConfigHead::default().with_change("one", "ann", 0, label("e1", Some("a")));
+    let new = old.with_change("two", "bob", 0, label("e1", Some("b")));
+    config = new.apply_to(&config).expect("new");
+    let same = old.apply_to(&config).expect("old");
     assert_eq!(same.revision, 2);
     assert_eq!(same, config);
 }
 
 #[test]
 fn broken_log_noticed() {
-    let head = ConfigHead::default().appended("one", "ann", 0, label("e1", Some("a")));
-    let mut head = head.appended("two", "ann", 0, label("e1", Some("b")));
+    let head = ConfigHead::default().with_change("one", "ann", 0, label("e1", Some("a")));
+    let mut head = head.with_change("two", "ann", 0, label("e1", Some("b")));
     head.tail.pop_front();
-    let error = head.bring_up(&FleetConfig::default()).expect_err("gap");
-    assert_eq!(error, ChangeError::BrokenLog { from: 0, to: 2 });
+    let error = head.apply_to(&FleetConfig::default()).expect_err("gap");
+    assert_eq!(error, ChangeError::RevisionGap { from: 0, to: 2 });
 }
 
 #[test]
 fn change_id_remembered() {
     let mut head = ConfigHead::default();
     for number in 0..70 {
-        head = head.appended(&format!("id-{number}"), "ann", 0, label("e1", Some("a")));
+        head = head.with_change(&format!("id-{number}"), "ann", 0, label("e1", Some("a")));
     }
-    assert!(head.wants_folding());
-    let folded = head.folded("base".to_string());
-    assert_eq!(folded.revision(), 70);
-    assert_eq!(folded.settled_revision("id-3"), Some(4));
-    assert_eq!(folded.settled_revision("id-99"), None);
+    assert!(head.needs_compaction());
+    let compacted = head.compacted("base".to_string());
+    assert_eq!(compacted.revision(), 70);
+    assert_eq!(compacted.change_revision("id-3"), Some(4));
+    assert_eq!(compacted.change_revision("id-99"), None);
 }
 
 #[derive(Debug, Clone)]
@@ -112,17 +112,17 @@
                     let mut next = truth.clone();
                     if next.apply(&change).is_ok() {
                         truth = next;
-                        head = head.appended(&format!("id-{number}"), "ann", 0, change);
+                        head = head.with_change(&format!("id-{number}"), "ann", 0, change);
                     }
                 }
                 Step::Fold => {
                     base = truth.clone();
-                    head = head.folded(format!("base-{number}"));
+                    head = head.compacted(format!("base-{number}"));
                 }
                 Step::Refresh => {
                     let before = reader.revision;
                     let from = if reader.revision >= head.base_revision { &reader } else { &base };
-                    reader = head.bring_up(from).expect("whole log");
+                    reader = head.apply_to(from).expect("whole log");
                     prop_assert_eq!(&reader, &truth);
                     prop_assert!(reader.revision >= before);
                 }
--- a/core/tests/route_fleet/mod.rs
+++ b/core/tests/route_fleet/mod.rs
@@ -8,7 +8,7 @@
         },
         errors::ErrorKind,
         kept::{prefix_chain, PieceHolder, PieceKey, StoreTier, StoredCopy},
-        labels::{LabelSet, WorkSelector},
+        labels::{LabelSelector, LabelSet},
         route::{
             EndpointArena, EndpointKey, EndpointKind, EndpointLoad, EndpointState, LoadReport,
             PoolIndex, RouteChoice, RouteRequest, RouteTable, SentLoad, StoreState, WorkTarget,
@@ -111,8 +111,8 @@
     ) {
         let rule = PlacementRule {
             precedence,
-            work: WorkSelector::parse(work).expect("work"),
-            endpoints: WorkSelector::parse(endpoints).expect("endpoints"),
+            work: LabelSelector::parse(work).expect("work"),
+            endpoints: LabelSelector::parse(endpoints).expect("endpoints"),
             effect,
         };
         self.config.rules.insert(name.to_string(), rule);
--- a/core/tests/selector_terms.rs
+++ b/core/tests/selector_terms.rs
@@ -1,7 +1,7 @@
 //! Selectors: their forms, what they match, and what they refuse.
 
 use {
-    pitchhitch_core::labels::{LabelSet, SelectorError, WorkSelector},
+    pitchhitch_core::labels::{LabelSelector, LabelSet, SelectorError},
     proptest::prelude::*,
 };
 
@@ -13,7 +13,7 @@
     selector: &str,
     pairs: &[(&str, &str)],
 ) -> bool {
-    WorkSelector::parse(selector)
+    LabelSelector::parse(selector)
         .expect("selector")
         .matches(&labels(pairs))
 }
@@ -64,11 +64,11 @@
         "a=b=c",
         "käse=a",
     ] {
-        let error = WorkSelector::parse(text).expect_err(text);
+        let error = LabelSelector::parse(text).expect_err(text);
         assert!(
             matches!(
                 error,
-                SelectorError::BadWord { .. } | SelectorError::BadTerm { .. }
+                SelectorError::InvalidLabel { .. } | SelectorError::InvalidTerm { .. }
             ),
             "{text}"
         );
@@ -92,13 +92,13 @@
 
     #[test]
     fn text_round_trip(terms in proptest::collection::vec(term(), 0..5)) {
-        let selector = WorkSelector::parse(&terms.join(",")).expect("selector");
-        let again = WorkSelector::parse(&selector.to_string()).expect("own text");
+        let selector = LabelSelector::parse(&terms.join(",")).expect("selector");
+        let again = LabelSelector::parse(&selector.to_string()).expect("own text");
         prop_assert_eq!(selector, again);
     }
 
     #[test]
     fn any_text_survives(text in ".{0,40}") {
-        let _ = WorkSelector::parse(&text);
+        let _ = LabelSelector::parse(&text);
     }
 }
--- a/entry/src/command/select.rs
+++ b/entry/src/command/select.rs
@@ -4,7 +4,7 @@
     getopts::Options,
     pitchhitch_core::{
         conf::{ConfigChange, PlacementRule, RuleEffect},
-        labels::WorkSelector,
+        labels::LabelSelector,
     },
 };
 
@@ -79,8 +79,8 @@
 fn read_selector(
     args: &CommandArgs,
     option: &str,
-) -> Result<WorkSelector, CliError> {
+) -> Result<LabelSelector, CliError> {
     let text = args.matches.opt_str(option);
     let text = text.ok_or_else(|| CliError::Usage(format!("--{option} is missing; see --help")))?;
-    WorkSelector::parse(&text).map_err(|e| CliError::Usage(format!("--{option}: {e}")))
+    LabelSelector::parse(&text).map_err(|e| CliError::Usage(format!("--{option}: {e}")))
 }
--- a/services/src/config/config_store.rs
+++ b/services/src/config/config_store.rs
@@ -114,10 +114,10 @@
             return Ok(known.clone());
         }
         if known.revision >= head.base_revision {
-            return head.bring_up(known).map_err(damaged);
+            return head.apply_to(known).map_err(damaged);
         }
         let base = self.read_base(head).await?;
-        head.bring_up(&base).map_err(damaged)
+        head.apply_to(&base).map_err(damaged)
     }
 
     async fn read_head(&self) -> Result<HeadRow, ConfigError> {
@@ -178,7 +178,7 @@
         seed: u64,
     ) -> Result<AcceptedChange, TryFailure> {
         let row = self.read_head().await.map_err(TryFailure::Unread)?;
-        if let Some(revision) = row.head.settled_revision(&request.change_id) {
+        if let Some(revision) = row.head.change_revision(&request.change_id) {
             return Ok(AcceptedChange {
                 revision,
                 repeated: true,
@@ -186,21 +186,21 @@
         }
         let base = self.read_base(&row.head).await;
         let base = base.map_err(TryFailure::Unread)?;
-        let mut config = row.head.bring_up(&base).map_err(TryFailure::Refused)?;
+        let mut config = row.head.apply_to(&base).map_err(TryFailure::Refused)?;
         check_expected(request, config.revision)?;
         config.apply(&request.change).map_err(TryFailure::Refused)?;
-        let mut head = row.head.appended(
+        let mut head = row.head.with_change(
             &request.change_id,
             &request.operator,
             request.at_secs,
             request.change.clone(),
         );
-        if head.wants_folding() {
+        if head.needs_compaction() {
             // The name is this writer's own: a writer that loses the race must
             // not overwrite the document of the one that wins.
             let name = format!("config-base-{}-{seed:016x}", config.revision);
             if self.write_base(&name, &config).await.is_ok() {
-                head = head.folded(name);
+                head = head.compacted(name);
             }
         }
         self.write_head(&row, &head, seed).await
--- a/testbed/examples/fuzz.rs
+++ b/testbed/examples/fuzz.rs
@@ -6,7 +6,7 @@
 use {
     pitchhitch_core::{
         conf::{ConfigHead, FleetConfig, PeerConfig},
-        labels::WorkSelector,
+        labels::LabelSelector,
         role::{AgentPulse, ConfigNotice, EventBatch, UpwardEvent},
         route::LoadReport,
     },
@@ -104,7 +104,7 @@
     let _ = serde_json::from_slice::<ConfigHead>(bytes);
     let _ = serde_json::from_slice::<PeerConfig>(bytes);
     if let Ok(text) = std::str::from_utf8(bytes) {
-        let _ = WorkSelector::parse(text);
+        let _ = LabelSelector::parse(text);
         let _ = EntrySettings::parse("fuzz", text);
     }
 }
--- a/testbed/examples/slopes/config_slopes.rs
+++ b/testbed/examples/slopes/config_slopes.rs
@@ -58,7 +58,7 @@
     for count in [1, 8, 32, 64] {
         let mut head = ConfigHead::default();
         for number in 0..count {
-            head = head.appended(&format!("{number:032x}"), "operator-1", 0, change(number));
+            head = head.with_change(&format!("{number:032x}"), "operator-1", 0, change(number));
         }
         let size = count as f64;
         let text = serde_json::to_vec(&head).unwrap_or_default();
@@ -68,7 +68,7 @@
         });
         let base = FleetConfig::default();
         let value = median_micros(21, || {
-            black_box(head.bring_up(&base)).ok();
+            black_box(head.apply_to(&base)).ok();
         });
         apply.push(Point { size, value });
     }
--- a/testbed/tests/bad_input.rs
+++ b/testbed/tests/bad_input.rs
@@ -2,7 +2,7 @@
 
 use {
     pitchhitch_core::conf::{ConfigChange, PlacementRule, RuleEffect},
-    pitchhitch_core::labels::WorkSelector,
+    pitchhitch_core::labels::LabelSelector,
     pitchhitch_testbed::{
         deploy::{Deployment, DeploymentShape},
         replay::{right_answer, CallHeader, CallOutcome, CallerClient},
@@ -138,8 +138,8 @@
         let bench = Bench::start().await;
         let rule = PlacementRule {
             precedence: 0,
-            work: WorkSelector::parse("organisation=bad-02").expect("work"),
-            endpoints: WorkSelector::parse("site=nowhere").expect("endpoints"),
+            work: LabelSelector::parse("organisation=bad-02").expect("work"),
+            endpoints: LabelSelector::parse("site=nowhere").expect("endpoints"),
             effect: RuleEffect::Allow,
         };
         let change = ConfigChange::Rule {
