--- a/core/src/drain/drain_state.rs
+++ b/core/src/drain/drain_state.rs
@@ -4,13 +4,13 @@
 };
 
 /// Age of a load report beyond which it proves nothing about a drain.
-pub const REPORT_MAX_AGE: Micros = Micros::from_secs(3);
+pub const MAX_REPORT_AGE: Micros = Micros::from_secs(3);
 
 /// What is known of an endpoint that may be draining.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct DrainView {
+pub struct DrainInput {
     /// Whether the configuration takes the endpoint out of service.
-    pub wanted: bool,
+    pub requested: bool,
     /// Whether its agent has said that it refuses new work.
     pub refusing: bool,
     /// Requests that run on it, by its agent's count.
@@ -18,7 +18,7 @@
     /// Pieces that its agent still carries to a store box.
     pub exporting: u32,
     /// Age of the agent's last word; none when it was never heard.
-    pub heard_ago: Option<Micros>,
+    pub report_age: Option<Micros>,
 }
 
 /// How far a drain is.
@@ -47,33 +47,33 @@
 
 impl DrainState {
     /// Judges a drain from what is known.
-    pub fn judge(view: &DrainView) -> DrainState {
-        if !view.wanted {
+    pub fn evaluate(input: &DrainInput) -> DrainState {
+        if !input.requested {
             return DrainState::Serving;
         }
-        match view.heard_ago {
+        match input.report_age {
             None => return DrainState::AgentSilent,
-            Some(age) if age > REPORT_MAX_AGE => return DrainState::AgentSilent,
+            Some(age) if age > MAX_REPORT_AGE => return DrainState::AgentSilent,
             Some(_) => {}
         }
-        if !view.refusing {
+        if !input.refusing {
             return DrainState::AwaitingAgent;
         }
-        if view.running > 0 {
+        if input.running > 0 {
             return DrainState::Running {
-                requests: view.running,
+                requests: input.running,
             };
         }
-        if view.exporting > 0 {
+        if input.exporting > 0 {
             return DrainState::Exporting {
-                pieces: view.exporting,
+                pieces: input.exporting,
             };
         }
         DrainState::MayStop
     }
 
     /// What a person is told.
-    pub fn text(&self) -> String {
+    pub fn describe(&self) -> String {
         match self {
             DrainState::Serving => "serving".to_string(),
             DrainState::AwaitingAgent => "draining: its agent has not confirmed yet".to_string(),
--- a/core/src/errors/answer_row.rs
+++ b/core/src/errors/answer_row.rs
@@ -2,7 +2,7 @@
 
 /// One row of the table from error kind to answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct AnswerRow {
+pub struct ErrorResponse {
     /// HTTP status.
     pub status: u16,
     /// The `type` field of the error object, as the OpenAI API words it.
@@ -22,15 +22,15 @@
 const LIMIT: &str = "rate_limit_error";
 const SERVER: &str = "server_error";
 
-const fn row(
+const fn response(
     status: u16,
     error_type: &'static str,
     code: &'static str,
     run_state: RunState,
     retry_after: Option<u32>,
     remedy: &'static str,
-) -> AnswerRow {
-    AnswerRow {
+) -> ErrorResponse {
+    ErrorResponse {
         status,
         error_type,
         code,
@@ -42,7 +42,7 @@
 
 use RunState::{NotRun, Unknown};
 
-static MALFORMED_BODY: AnswerRow = row(
+static MALFORMED_BODY: ErrorResponse = response(
     400,
     INVALID,
     "malformed_body",
@@ -50,7 +50,7 @@
     None,
     "send a JSON body of the documented shape",
 );
-static BODY_TOO_LARGE: AnswerRow = row(
+static BODY_TOO_LARGE: ErrorResponse = response(
     413,
     INVALID,
     "body_too_large",
@@ -58,7 +58,7 @@
     None,
     "send a shorter body",
 );
-static BAD_KEY: AnswerRow = row(
+static BAD_KEY: ErrorResponse = response(
     401,
     AUTH,
     "invalid_api_key",
@@ -66,7 +66,7 @@
     None,
     "send a valid key as a bearer token",
 );
-static UNKNOWN_MODEL: AnswerRow = row(
+static UNKNOWN_MODEL: ErrorResponse = response(
     404,
     INVALID,
     "model_not_found",
@@ -74,7 +74,7 @@
     None,
     "name a model that GET /v1/models lists",
 );
-static UNKNOWN_PATH: AnswerRow = row(
+static UNKNOWN_PATH: ErrorResponse = response(
     404,
     INVALID,
     "unknown_path",
@@ -82,7 +82,7 @@
     None,
     "use a path of the API or of a routed service",
 );
-static UNKNOWN_REQUEST: AnswerRow = row(
+static UNKNOWN_REQUEST: ErrorResponse = response(
     404,
     INVALID,
     "unknown_request",
@@ -90,7 +90,7 @@
     None,
     "name a recent request of your organisation",
 );
-static BAD_HEADER: AnswerRow = row(
+static BAD_HEADER: ErrorResponse = response(
     400,
     INVALID,
     "bad_header",
@@ -98,7 +98,7 @@
     None,
     "correct the header named in the message",
 );
-static NOTHING_SELECTED: AnswerRow = row(
+static NOTHING_SELECTED: ErrorResponse = response(
     503,
     SERVER,
     "nothing_selected",
@@ -106,7 +106,7 @@
     Some(5),
     "ask the operator: no selector admits an endpoint for this work",
 );
-static NONE_AVAILABLE: AnswerRow = row(
+static NONE_AVAILABLE: ErrorResponse = response(
     503,
     SERVER,
     "none_available",
@@ -114,7 +114,7 @@
     Some(2),
     "retry after the time in Retry-After",
 );
-static OVER_LIMIT: AnswerRow = row(
+static OVER_LIMIT: ErrorResponse = response(
     429,
     LIMIT,
     "over_limit",
@@ -122,7 +122,7 @@
     Some(1),
     "slow down; retry after the time in Retry-After",
 );
-static OVERLOADED: AnswerRow = row(
+static OVERLOADED: ErrorResponse = response(
     503,
     SERVER,
     "overloaded",
@@ -130,7 +130,7 @@
     Some(1),
     "retry after the time in Retry-After",
 );
-static DEADLINE_PASSED: AnswerRow = row(
+static DEADLINE_PASSED: ErrorResponse = response(
     504,
     SERVER,
     "deadline_passed",
@@ -138,7 +138,7 @@
     Some(1),
     "retry with a later deadline",
 );
-static ENDPOINT_LEAVING: AnswerRow = row(
+static ENDPOINT_LEAVING: ErrorResponse = response(
     503,
     SERVER,
     "endpoint_leaving",
@@ -146,7 +146,7 @@
     Some(1),
     "retry after the time in Retry-After",
 );
-static WRONG_VERSION: AnswerRow = row(
+static WRONG_VERSION: ErrorResponse = response(
     503,
     SERVER,
     "wrong_version",
@@ -154,7 +154,7 @@
     Some(1),
     "retry after the time in Retry-After",
 );
-static ENDPOINT_FULL: AnswerRow = row(
+static ENDPOINT_FULL: ErrorResponse = response(
     503,
     SERVER,
     "endpoint_full",
@@ -162,7 +162,7 @@
     Some(1),
     "retry after the time in Retry-After",
 );
-static ENDPOINT_UNREACHABLE: AnswerRow = row(
+static ENDPOINT_UNREACHABLE: ErrorResponse = response(
     503,
     SERVER,
     "endpoint_unreachable",
@@ -170,7 +170,7 @@
     Some(1),
     "retry after the time in Retry-After",
 );
-static ENDPOINT_LOST: AnswerRow = row(
+static ENDPOINT_LOST: ErrorResponse = response(
     502,
     SERVER,
     "endpoint_lost",
@@ -178,7 +178,7 @@
     None,
     "check whether it ran before you repeat it",
 );
-static BAD_ANSWER: AnswerRow = row(
+static BAD_ANSWER: ErrorResponse = response(
     502,
     SERVER,
     "bad_answer",
@@ -186,7 +186,7 @@
     None,
     "check whether it ran before you repeat it",
 );
-static ALREADY_STARTED: AnswerRow = row(
+static ALREADY_STARTED: ErrorResponse = response(
     409,
     INVALID,
     "already_started",
@@ -194,7 +194,7 @@
     None,
     "check whether the first request ran",
 );
-static CANNOT_SETTLE: AnswerRow = row(
+static CANNOT_SETTLE: ErrorResponse = response(
     503,
     SERVER,
     "cannot_settle",
@@ -202,7 +202,7 @@
     Some(5),
     "retry with the same idempotency key after the time in Retry-After",
 );
-static BAD_MESSAGE: AnswerRow = row(
+static BAD_MESSAGE: ErrorResponse = response(
     502,
     SERVER,
     "bad_message",
@@ -210,7 +210,7 @@
     None,
     "check whether it ran before you repeat it",
 );
-static NOT_READY: AnswerRow = row(
+static NOT_READY: ErrorResponse = response(
     503,
     SERVER,
     "not_ready",
@@ -218,7 +218,7 @@
     Some(2),
     "retry after the time in Retry-After",
 );
-static CALLER_GONE: AnswerRow = row(
+static CALLER_GONE: ErrorResponse = response(
     499,
     INVALID,
     "caller_gone",
@@ -227,9 +227,9 @@
     "the connection was closed by the caller",
 );
 
-impl AnswerRow {
+impl ErrorResponse {
     /// The row of one kind.
-    pub fn of(kind: ErrorKind) -> &'static AnswerRow {
+    pub fn for_kind(kind: ErrorKind) -> &'static ErrorResponse {
         match kind {
             ErrorKind::MalformedBody => &MALFORMED_BODY,
             ErrorKind::BodyTooLarge => &BODY_TOO_LARGE,
--- a/core/src/errors/error_kind.rs
+++ b/core/src/errors/error_kind.rs
@@ -1,5 +1,5 @@
 use {
-    super::{AnswerRow, RunState},
+    super::{ErrorResponse, RunState},
     serde::{Deserialize, Serialize},
 };
 
@@ -83,13 +83,13 @@
     ];
 
     /// What the caller is answered.
-    pub fn answer(self) -> &'static AnswerRow {
-        AnswerRow::of(self)
+    pub fn response(self) -> &'static ErrorResponse {
+        ErrorResponse::for_kind(self)
     }
 
     /// Whether a request that ended so may have run.
     pub fn run_state(self) -> RunState {
-        self.answer().run_state
+        self.response().run_state
     }
 
     /// Whether another endpoint may be tried for a request that may not be repeated.
--- a/core/src/errors/run_state.rs
+++ b/core/src/errors/run_state.rs
@@ -12,7 +12,7 @@
 
 impl RunState {
     /// The word that callers see.
-    pub const fn word(self) -> &'static str {
+    pub const fn as_str(self) -> &'static str {
         match self {
             RunState::NotRun => "not-run",
             RunState::Unknown => "unknown",
--- a/core/src/role/entry_core.rs
+++ b/core/src/role/entry_core.rs
@@ -5,7 +5,7 @@
     },
     crate::{
         conf::{ChangeHistory, FleetConfig, PeerConfig},
-        drain::{DrainState, DrainView},
+        drain::{DrainInput, DrainState},
         kept::PieceDirectory,
         lease::LeaseTimes,
         member::{rendezvous_weight, PeerTable},
@@ -304,12 +304,12 @@
     ) -> DrainState {
         let entry = self.roster.get(endpoint_id);
         let load = entry.and_then(|e| self.roster.loads.get(e.key));
-        DrainState::judge(&DrainView {
+        DrainState::evaluate(&DrainInput {
             wanted: self.config.is_leaving(endpoint_id),
             refusing: entry.is_some_and(|e| e.refusing),
             running: load.map_or(0, |l| l.report.running),
             exporting: entry.map_or(0, |e| e.exporting),
-            heard_ago: entry.map(|e| now.since(e.heard_at)),
+            report_age: entry.map(|e| now.since(e.heard_at)),
         })
     }
 }
--- a/core/src/route/route_choice.rs
+++ b/core/src/route/route_choice.rs
@@ -20,7 +20,7 @@
 
 impl RouteReason {
     /// The word in log lines.
-    pub const fn word(self) -> &'static str {
+    pub const fn as_str(self) -> &'static str {
         match self {
             RouteReason::OnlyOne => "only-one",
             RouteReason::ReusesPrefix => "reuses-prefix",
--- a/core/tests/retry_rules.rs
+++ b/core/tests/retry_rules.rs
@@ -121,7 +121,7 @@
 fn answers_fit_kinds() {
     let mut codes = BTreeSet::new();
     for kind in ErrorKind::ALL {
-        let row = kind.answer();
+        let row = kind.response();
         assert!((400..600).contains(&row.status), "{kind:?}");
         assert!(
             codes.insert(row.code),
--- a/entry/src/command/drain.rs
+++ b/entry/src/command/drain.rs
@@ -82,7 +82,7 @@
             return Ok(());
         }
         if started.elapsed() >= timeout {
-            let waits = last.map_or("nothing was heard".to_string(), |s| s.text());
+            let waits = last.map_or("nothing was heard".to_string(), |s| s.describe());
             let text = format!("{endpoint} is not drained after {timeout:?}: {waits}");
             return Err(CliError::Failed(text));
         }
@@ -99,6 +99,6 @@
         let state = serde_json::to_string(state).unwrap_or_default();
         println!(r#"{{"endpoint":"{endpoint}","state":{state}}}"#);
     } else {
-        println!("{endpoint}: {}", state.text());
+        println!("{endpoint}: {}", state.describe());
     }
 }
--- a/entry/src/command/status.rs
+++ b/entry/src/command/status.rs
@@ -65,7 +65,7 @@
             row.version,
             row.running,
             row.pending_tokens,
-            row.drain.text()
+            row.drain.describe()
         );
     }
     for (name, count) in &report.counts {
--- a/entry/src/filter/answer.rs
+++ b/entry/src/filter/answer.rs
@@ -141,12 +141,12 @@
         mut conn: Conn,
         request_id: &str,
     ) -> Conn {
-        let row = self.kind.answer();
+        let row = self.kind.response();
         let status = Status::try_from(row.status).unwrap_or(Status::InternalServerError);
         let headers = conn.response_headers_mut();
         headers.insert("content-type", "application/json");
         headers.insert(REQUEST_ID_HEADER, request_id.to_string());
-        headers.insert(RAN_HEADER, self.run_state().word());
+        headers.insert(RAN_HEADER, self.run_state().as_str());
         if let Some(seconds) = self.retry_seconds() {
             headers.insert("retry-after", seconds.to_string());
         }
--- a/entry/src/filter/refusal.rs
+++ b/entry/src/filter/refusal.rs
@@ -45,7 +45,7 @@
     /// Seconds after which the caller may come back.
     pub fn retry_seconds(&self) -> Option<u64> {
         let own = self.retry_after.map(|t| t.0.div_ceil(1_000_000).max(1));
-        own.or(self.kind.answer().retry_after.map(u64::from))
+        own.or(self.kind.response().retry_after.map(u64::from))
     }
 
     /// Body of the answer.
--- a/entry/src/filter/request_chain.rs
+++ b/entry/src/filter/request_chain.rs
@@ -29,12 +29,12 @@
         }
         Err(refusal) => {
             app.metrics.count("request.refused", 1);
-            app.ring.ended(&id, refusal.kind.answer().code);
+            app.ring.ended(&id, refusal.kind.response().code);
             log::info!(
                 event = "refused",
                 request = id.as_str(),
-                kind = refusal.kind.answer().code,
-                ran = refusal.run_state().word(),
+                kind = refusal.kind.response().code,
+                ran = refusal.run_state().as_str(),
                 detail = refusal.detail.as_str();
                 ""
             );
--- a/entry/src/filter/route.rs
+++ b/entry/src/filter/route.rs
@@ -200,7 +200,7 @@
         attempt,
         chosen: name(choice.endpoint),
         runner_up: choice.runner_up.map(|r| name(r.endpoint)),
-        reason: choice.reason.word().to_string(),
+        reason: choice.reason.as_str().to_string(),
         candidates: choice.candidates,
         input_tokens: work.input_tokens,
         reused_tokens: estimate.reused_pieces * PIECE_TOKENS,
--- a/entry/src/openai/error_body.rs
+++ b/entry/src/openai/error_body.rs
@@ -20,7 +20,7 @@
         kind: ErrorKind,
         detail: &str,
     ) -> Self {
-        let row = kind.answer();
+        let row = kind.response();
         ErrorBody {
             error: ErrorObject {
                 message: format!("{detail}; {}", row.remedy),
