--- a/agent/src/beacons/beacon_sender.rs
+++ b/agent/src/beacons/beacon_sender.rs
@@ -1,7 +1,7 @@
 use {
     crate::{conf::AgentSettings, control::ControlHandle},
     futures_lite::future,
-    pitchhitch_core::member::{home_set, Beacon, HomeCandidate},
+    pitchhitch_core::member::{rendezvous_select, Beacon, RendezvousCandidate},
     pitchhitch_services::boxes::{BoxClient, ListedRole},
     pitchhitch_wire::beacon::{BeaconKey, BeaconSocket},
     smol::Timer,
@@ -94,14 +94,14 @@
         .boxes
         .into_iter()
         .filter(|b| b.role == ListedRole::Entry && !b.leaving);
-    let candidates: Vec<HomeCandidate<SocketAddr>> = entries
-        .map(|row| HomeCandidate {
+    let candidates: Vec<RendezvousCandidate<SocketAddr>> = entries
+        .map(|row| RendezvousCandidate {
             id: row.id,
             failure_domain: row.failure_domain,
             value: row.address,
         })
         .collect();
-    let homes = home_set(
+    let homes = rendezvous_select(
         &settings.endpoint_id,
         &settings.failure_domain,
         &candidates,
--- a/core/src/kept/piece_directory.rs
+++ b/core/src/kept/piece_directory.rs
@@ -55,8 +55,8 @@
 /// Pieces that are known at most.
 const PIECE_LIMIT: usize = 400_000;
 /// Buckets of the directory, by the first bits of a key.
-const BUCKETS: usize = 4_096;
-const BUCKET_BITS: u32 = BUCKETS.trailing_zeros();
+const BUCKET_COUNT: usize = 4_096;
+const BUCKET_BITS: u32 = BUCKET_COUNT.trailing_zeros();
 
 /// Short form of a key. Two pieces may share one: then a hint is wrong, which
 /// the full key shows as soon as somebody asks the holder.
@@ -74,12 +74,12 @@
 }
 
 #[derive(Debug, Clone)]
-struct DirectoryRow {
+struct DirectoryEntry {
     key: ShortKey,
     holders: HolderList,
 }
 
-type Bucket = Vec<DirectoryRow>;
+type Bucket = Vec<DirectoryEntry>;
 
 /// Who holds which piece, as far as this process has heard.
 ///
@@ -95,7 +95,7 @@
 impl Default for PieceDirectory {
     fn default() -> Self {
         PieceDirectory {
-            buckets: Arc::new(vec![Arc::default(); BUCKETS]),
+            buckets: Arc::new(vec![Arc::default(); BUCKET_COUNT]),
             length: 0,
         }
     }
@@ -119,8 +119,8 @@
     ) -> impl Iterator<Item = PieceHolder> + '_ {
         let short = ShortKey::of(key);
         let bucket = &self.buckets[short.bucket()];
-        let place = bucket.binary_search_by_key(&short, |row| row.key);
-        let row = place.ok().map(|index| &bucket[index]);
+        let position = bucket.binary_search_by_key(&short, |row| row.key);
+        let row = position.ok().map(|index| &bucket[index]);
         row.into_iter().flat_map(|row| row.holders.iter())
     }
 
@@ -134,7 +134,7 @@
         if holders.contains(&holder) {
             return;
         }
-        holders.retain(|h| !same_place(h, &holder));
+        holders.retain(|h| !same_location(h, &holder));
         holders.push(holder);
         self.replace(ShortKey::of(key), holders);
     }
@@ -158,7 +158,7 @@
     ) {
         let mut holders: Vec<PieceHolder> = self.holders(key).collect();
         let before = holders.len();
-        holders.retain(|h| !same_place(h, holder));
+        holders.retain(|h| !same_location(h, holder));
         if holders.len() != before {
             self.replace(ShortKey::of(key), holders);
         }
@@ -173,20 +173,20 @@
         is_gone: impl Fn(&PieceHolder) -> bool,
     ) -> usize {
         for step in 0..buckets {
-            let index = (cursor + step) % BUCKETS;
+            let index = (cursor + step) % BUCKET_COUNT;
             let stale: Vec<ShortKey> = self.buckets[index]
                 .iter()
                 .filter(|row| row.holders.iter().any(|holder| is_gone(&holder)))
                 .map(|row| row.key)
                 .collect();
             for key in stale {
-                self.drop_gone(key, &is_gone);
+                self.remove_gone_holders(key, &is_gone);
             }
         }
-        (cursor + buckets) % BUCKETS
+        (cursor + buckets) % BUCKET_COUNT
     }
 
-    fn drop_gone(
+    fn remove_gone_holders(
         &mut self,
         key: ShortKey,
         is_gone: &impl Fn(&PieceHolder) -> bool,
@@ -206,8 +206,8 @@
     ) {
         let buckets = Arc::make_mut(&mut self.buckets);
         let bucket = Arc::make_mut(&mut buckets[key.bucket()]);
-        let place = bucket.binary_search_by_key(&key, |row| row.key);
-        match (place, HolderList::from_vec(holders)) {
+        let position = bucket.binary_search_by_key(&key, |row| row.key);
+        match (position, HolderList::from_vec(holders)) {
             (Ok(index), Some(holders)) => bucket[index].holders = holders,
             (Ok(index), None) => {
                 bucket.remove(index);
@@ -216,7 +216,7 @@
             (Err(index), Some(holders)) => {
                 // Buckets are many and small: room to spare would add up.
                 bucket.reserve_exact(1);
-                bucket.insert(index, DirectoryRow { key, holders });
+                bucket.insert(index, DirectoryEntry { key, holders });
                 self.length += 1;
             }
             (Err(_), None) => {}
@@ -224,7 +224,7 @@
     }
 }
 
-fn same_place(
+fn same_location(
     a: &PieceHolder,
     b: &PieceHolder,
 ) -> bool {
--- a/core/src/kept/prefix_chain.rs
+++ b/core/src/kept/prefix_chain.rs
@@ -10,7 +10,7 @@
 const CHAIN_CONTEXT: &str = "pitchhitch 2026-12 prefix chain";
 
 /// Tokens in a prompt of so many bytes, rounded up.
-pub fn estimated_tokens(text_bytes: usize) -> u32 {
+pub fn estimate_tokens(text_bytes: usize) -> u32 {
     text_bytes.div_ceil(BYTES_PER_TOKEN as usize) as u32
 }
 
@@ -18,7 +18,7 @@
 ///
 /// Each key covers the text from the start, so a key that is found stands for
 /// the whole prefix. The text after the last whole piece has no key.
-pub fn prefix_chain(
+pub fn prefix_keys(
     organisation: &str,
     version: &str,
     text: &[u8],
--- a/core/src/lease/control_shard.rs
+++ b/core/src/lease/control_shard.rs
@@ -13,15 +13,15 @@
     format!("shard-{number:02}")
 }
 
-/// Whether `me` is among the entry processes that contend for a shard.
+/// Whether `own_id` is among the entry processes that contend for a shard.
 ///
 /// Processes that see different lists may disagree; the lease itself decides.
-pub fn contends<'a>(
-    me: &str,
+pub fn is_contender<'a>(
+    own_id: &str,
     shard: &str,
     entries: impl Iterator<Item = &'a String>,
 ) -> bool {
-    let own = rendezvous_weight(shard, me);
-    let ahead = entries.filter(|id| *id != me && rendezvous_weight(shard, id) > own);
-    ahead.count() < CONTENDERS
+    let own = rendezvous_weight(shard, own_id);
+    let higher_ranked = entries.filter(|id| *id != own_id && rendezvous_weight(shard, id) > own);
+    higher_ranked.count() < CONTENDERS
 }
--- a/core/src/lease/lease_machine.rs
+++ b/core/src/lease/lease_machine.rs
@@ -4,7 +4,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct LeaseTimes {
     /// How long a renewal lasts, counted from before it was sent.
-    pub length: Micros,
+    pub duration: Micros,
     /// How often the holder renews and the others look.
     pub interval: Micros,
     /// What the others wait on top, for clocks that run at different speeds.
@@ -14,7 +14,7 @@
 impl Default for LeaseTimes {
     fn default() -> Self {
         LeaseTimes {
-            length: Micros::from_secs(9),
+            duration: Micros::from_secs(9),
             interval: Micros::from_secs(3),
             margin: Micros::from_secs(1),
         }
@@ -56,7 +56,7 @@
 /// it took effect, and the time of the lease counts from before the write.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct LeaseMachine {
-    me: String,
+    own_id: String,
     times: LeaseTimes,
     seen: Option<SeenRow>,
     held: Option<HeldLease>,
@@ -68,13 +68,13 @@
 impl LeaseMachine {
     /// A machine that holds nothing yet.
     ///
-    /// `me` must name this life of the process: a restarted process is another holder.
+    /// `own_id` must name this life of the process: a restarted process is another holder.
     pub fn new(
-        me: impl Into<String>,
+        own_id: impl Into<String>,
         times: LeaseTimes,
     ) -> Self {
         LeaseMachine {
-            me: me.into(),
+            own_id: own_id.into(),
             times,
             seen: None,
             held: None,
@@ -105,7 +105,7 @@
         let Some(seen) = self.seen.clone() else {
             return LeaseStep::Read;
         };
-        match self.wanted_row(&seen, now) {
+        match self.next_row(&seen, now) {
             Some(row) => {
                 self.pending_since = Some(now);
                 self.pending_row = Some(row.clone());
@@ -118,22 +118,22 @@
         }
     }
 
-    fn wanted_row(
+    fn next_row(
         &self,
         seen: &SeenRow,
         now: Micros,
     ) -> Option<LeaseRow> {
         let row = &seen.row;
-        if row.holder == self.me {
+        if row.holder == self.own_id {
             let mut renewed = row.clone();
             renewed.renewals += 1;
             return Some(renewed);
         }
-        let patience = self.times.length + self.times.margin;
-        let lapsed = now.since(seen.unchanged_since) >= patience;
+        let takeover_delay = self.times.duration + self.times.margin;
+        let lapsed = now.since(seen.unchanged_since) >= takeover_delay;
         if row.holder.is_empty() || lapsed {
             return Some(LeaseRow {
-                holder: self.me.clone(),
+                holder: self.own_id.clone(),
                 epoch: row.epoch + 1,
                 renewals: 0,
             });
@@ -141,16 +141,16 @@
         None
     }
 
-    /// The row was read; `asked_at` is when the read was sent.
-    pub fn row_read(
+    /// The row was read; `requested_at` is when the read was sent.
+    pub fn on_row_read(
         &mut self,
         row: Option<LeaseRow>,
         version: u64,
-        asked_at: Micros,
+        requested_at: Micros,
         now: Micros,
     ) {
         let row = row.unwrap_or_default();
-        self.settle_pending(&row);
+        self.resolve_pending(&row);
         let unchanged = self
             .seen
             .as_ref()
@@ -158,13 +158,13 @@
         let unchanged_since = unchanged.map_or(now, |s| s.unchanged_since);
         if self
             .held
-            .is_some_and(|h| row.holder != self.me || row.epoch != h.epoch)
+            .is_some_and(|h| row.holder != self.own_id || row.epoch != h.epoch)
         {
             self.held = None;
         }
         // A free row may be taken at once; waiting is for rows that somebody holds.
-        if row.holder.is_empty() || row.holder == self.me {
-            self.next_step = asked_at;
+        if row.holder.is_empty() || row.holder == self.own_id {
+            self.next_step = requested_at;
         }
         self.seen = Some(SeenRow {
             row,
@@ -174,7 +174,7 @@
     }
 
     /// The row was replaced; the table gave it a new version.
-    pub fn row_written(
+    pub fn on_row_written(
         &mut self,
         version: u64,
         now: Micros,
@@ -182,7 +182,7 @@
         let Some(row) = self.pending_row.take() else {
             return;
         };
-        self.hold(&row);
+        self.acquire(&row);
         self.pending_since = None;
         self.seen = Some(SeenRow {
             row,
@@ -192,7 +192,7 @@
     }
 
     /// The row had changed before the write; it must be read again.
-    pub fn write_refused(&mut self) {
+    pub fn on_write_conflict(&mut self) {
         self.pending_since = None;
         self.pending_row = None;
         self.held = None;
@@ -201,7 +201,7 @@
     }
 
     /// Nobody knows whether the write took effect; the row must be read again.
-    pub fn write_unknown(&mut self) {
+    pub fn on_write_unknown(&mut self) {
         self.seen = None;
         self.next_step = Micros::ZERO;
     }
@@ -210,7 +210,7 @@
     pub fn release(&mut self) -> Option<LeaseStep> {
         self.held = None;
         let seen = self.seen.as_ref()?;
-        if seen.row.holder != self.me {
+        if seen.row.holder != self.own_id {
             return None;
         }
         let mut row = seen.row.clone();
@@ -221,19 +221,19 @@
         })
     }
 
-    fn settle_pending(
+    fn resolve_pending(
         &mut self,
         row: &LeaseRow,
     ) {
         if self.pending_row.as_ref() == Some(row) {
             let row = row.clone();
-            self.hold(&row);
+            self.acquire(&row);
         }
         self.pending_row = None;
         self.pending_since = None;
     }
 
-    fn hold(
+    fn acquire(
         &mut self,
         row: &LeaseRow,
     ) {
@@ -242,7 +242,7 @@
         };
         self.held = Some(HeldLease {
             epoch: row.epoch,
-            valid_until: since + self.times.length,
+            valid_until: since + self.times.duration,
         });
     }
 }
--- a/core/src/lease/order_fence.rs
+++ b/core/src/lease/order_fence.rs
@@ -47,7 +47,7 @@
 
 impl OrderFence {
     /// Notes the epoch that the table has.
-    pub fn epoch_read(
+    pub fn on_epoch_read(
         &mut self,
         epoch: u64,
     ) {
@@ -58,7 +58,7 @@
     }
 
     /// Whether the epoch has been read since the start.
-    pub fn is_armed(&self) -> bool {
+    pub fn has_epoch(&self) -> bool {
         self.epoch_read
     }
 
@@ -66,7 +66,7 @@
     ///
     /// # Errors
     /// [`FenceRefusal`] when the order is not the newest.
-    pub fn pass(
+    pub fn admit(
         &mut self,
         stamp: OrderStamp,
     ) -> Result<(), FenceRefusal> {
--- a/core/src/member/home_set.rs
+++ b/core/src/member/home_set.rs
@@ -1,6 +1,6 @@
 /// A process that could be home for something.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct HomeCandidate<T> {
+pub struct RendezvousCandidate<T> {
     /// Its id; the hash is over this.
     pub id: String,
     /// Its failure domain.
@@ -13,22 +13,22 @@
 ///
 /// Those of the same failure domain go first; others fill up. When a candidate
 /// comes or goes, only the subjects move that it gains or loses.
-pub fn home_set<'a, T>(
+pub fn rendezvous_select<'a, T>(
     subject: &str,
     failure_domain: &str,
-    candidates: &'a [HomeCandidate<T>],
+    candidates: &'a [RendezvousCandidate<T>],
     size: usize,
-) -> Vec<&'a HomeCandidate<T>> {
-    let mut ranked: Vec<RankedHome<'a, T>> = candidates
+) -> Vec<&'a RendezvousCandidate<T>> {
+    let mut ranked: Vec<RankedCandidate<'a, T>> = candidates
         .iter()
-        .map(|candidate| RankedHome {
-            foreign: candidate.failure_domain != failure_domain,
+        .map(|candidate| RankedCandidate {
+            in_other_domain: candidate.failure_domain != failure_domain,
             weight: rendezvous_weight(subject, &candidate.id),
             candidate,
         })
         .collect();
     ranked.sort_by(|a, b| {
-        let by_domain = a.foreign.cmp(&b.foreign);
+        let by_domain = a.in_other_domain.cmp(&b.in_other_domain);
         let by_weight = b.weight.cmp(&a.weight);
         by_domain
             .then(by_weight)
@@ -37,10 +37,10 @@
     ranked.into_iter().take(size).map(|r| r.candidate).collect()
 }
 
-struct RankedHome<'a, T> {
-    foreign: bool,
+struct RankedCandidate<'a, T> {
+    in_other_domain: bool,
     weight: u64,
-    candidate: &'a HomeCandidate<T>,
+    candidate: &'a RendezvousCandidate<T>,
 }
 
 /// Weight of a pair in rendezvous hashing.
--- a/core/src/member/peer_table.rs
+++ b/core/src/member/peer_table.rs
@@ -1,7 +1,7 @@
 use {super::EntryBeacon, crate::time::Micros, std::collections::BTreeMap};
 
 /// Silence after which a peer does not count any more.
-pub const PEER_SILENCE: Micros = Micros::from_secs(5);
+pub const PEER_TIMEOUT: Micros = Micros::from_secs(5);
 
 /// One other entry process.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -9,7 +9,7 @@
     /// What it said last.
     pub beacon: EntryBeacon,
     /// When that was heard.
-    pub heard_at: Micros,
+    pub received_at: Micros,
 }
 
 /// The other entry processes, as heard by beacon.
@@ -20,30 +20,30 @@
 
 impl PeerTable {
     /// Notes a beacon. One of an earlier life of the same peer is passed over.
-    pub fn heard(
+    pub fn on_beacon(
         &mut self,
         beacon: EntryBeacon,
         now: Micros,
     ) {
         let known = self.peers.get(&beacon.entry_id);
-        let older = known.is_some_and(|p| p.beacon.incarnation > beacon.incarnation);
-        if older {
+        let outdated = known.is_some_and(|p| p.beacon.incarnation > beacon.incarnation);
+        if outdated {
             return;
         }
         let state = PeerState {
-            heard_at: now,
+            received_at: now,
             beacon,
         };
         self.peers.insert(state.beacon.entry_id.clone(), state);
     }
 
     /// Drops peers that have been silent for too long.
-    pub fn drop_silent(
+    pub fn remove_expired(
         &mut self,
         now: Micros,
     ) {
         self.peers
-            .retain(|_, peer| now.since(peer.heard_at) < PEER_SILENCE);
+            .retain(|_, peer| now.since(peer.received_at) < PEER_TIMEOUT);
     }
 
     /// All peers that count.
@@ -62,7 +62,7 @@
     }
 
     /// The peer with the highest configuration revision.
-    pub fn newest(&self) -> Option<&PeerState> {
+    pub fn highest_revision(&self) -> Option<&PeerState> {
         self.peers.values().max_by_key(|p| p.beacon.revision)
     }
 }
--- a/core/src/member/replay_guard.rs
+++ b/core/src/member/replay_guard.rs
@@ -9,12 +9,12 @@
 /// higher incarnation.
 #[derive(Debug, Clone, Default)]
 pub struct ReplayGuard {
-    newest: BTreeMap<String, BeaconNumber>,
+    newest: BTreeMap<String, BeaconSequence>,
 }
 
 /// Place of a beacon in the life of its sender.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub struct BeaconNumber {
+pub struct BeaconSequence {
     /// Start of the sender, in microseconds since 1970.
     pub incarnation: u64,
     /// Number of the beacon in that life.
@@ -23,15 +23,15 @@
 
 impl ReplayGuard {
     /// Whether a beacon is newer than all before it from this sender.
-    pub fn is_new(
+    pub fn accept(
         &mut self,
         sender: &str,
-        number: BeaconNumber,
+        number: BeaconSequence,
     ) -> bool {
         if let Some(newest) = self.newest.get_mut(sender) {
-            let is_new = number > *newest;
+            let is_newer = number > *newest;
             *newest = number.max(*newest);
-            return is_new;
+            return is_newer;
         }
         if self.newest.len() >= SENDER_LIMIT {
             return false;
--- a/core/src/role/agent_core.rs
+++ b/core/src/role/agent_core.rs
@@ -109,7 +109,7 @@
                 self.box_leaving = true;
                 self.refuse_queued(ErrorKind::EndpointLeaving, &mut actions);
             }
-            AgentEvent::EpochRead(epoch) => self.fence.epoch_read(epoch),
+            AgentEvent::EpochRead(epoch) => self.fence.on_epoch_read(epoch),
             AgentEvent::Ordered(order) => self.ordered(order, &mut actions),
             AgentEvent::OrderEnded(outcome) => self.order_ended(outcome, &mut actions),
         }
@@ -125,7 +125,7 @@
         for ticket in self.queue.overdue(now) {
             self.refuse(ticket, ErrorKind::DeadlinePassed, actions);
         }
-        if !self.fence.is_armed() {
+        if !self.fence.has_epoch() {
             actions.push(AgentAction::ReadEpoch);
         }
     }
--- a/core/src/role/agent_orders.rs
+++ b/core/src/role/agent_orders.rs
@@ -69,7 +69,7 @@
         order: StampedOrder,
         actions: &mut Vec<AgentAction>,
     ) {
-        match self.fence.pass(order.stamp) {
+        match self.fence.admit(order.stamp) {
             Ok(()) => {
                 if let EndpointOrder::LoadVersion { version } = &order.order {
                     self.loading = Some(version.clone());
--- a/core/src/role/entry_contacts.rs
+++ b/core/src/role/entry_contacts.rs
@@ -50,7 +50,7 @@
     ) {
         let newer = beacon.revision > self.config.revision;
         let peer = beacon.peer_address;
-        self.peers.heard(beacon, now);
+        self.peers.on_beacon(beacon, now);
         self.first_peer.get_or_insert(now);
         if newer {
             actions.push(EntryAction::PullConfig { peer });
--- a/core/src/role/entry_core.rs
+++ b/core/src/role/entry_core.rs
@@ -191,7 +191,7 @@
     ) {
         self.ticks += 1;
         if self.ticks % JUDGE_TICKS == 0 {
-            self.peers.drop_silent(now);
+            self.peers.remove_expired(now);
             self.judge_endpoints(now, actions);
             self.sweep_pieces();
             self.stores.ask_lists(now, actions);
--- a/core/src/role/shard_keeper.rs
+++ b/core/src/role/shard_keeper.rs
@@ -1,7 +1,9 @@
 use {
     super::{EntryAction, PlacementKind, PlacementLine},
     crate::{
-        lease::{contends, shard_of, LeaseMachine, LeaseRow, LeaseStep, LeaseTimes, OrderStamp},
+        lease::{
+            is_contender, shard_of, LeaseMachine, LeaseRow, LeaseStep, LeaseTimes, OrderStamp,
+        },
         time::Micros,
     },
     std::collections::{BTreeMap, BTreeSet},
@@ -89,10 +91,10 @@
                 row,
                 version,
                 asked_at,
-            } => kept.lease.row_read(row, version, asked_at, now),
-            LeaseOutcome::Written { version } => kept.lease.row_written(version, now),
-            LeaseOutcome::Refused => kept.lease.write_refused(),
-            LeaseOutcome::Unknown => kept.lease.write_unknown(),
+            } => kept.lease.on_row_read(row, version, asked_at, now),
+            LeaseOutcome::Written { version } => kept.lease.on_row_written(version, now),
+            LeaseOutcome::Refused => kept.lease.on_write_conflict(),
+            LeaseOutcome::Unknown => kept.lease.on_write_unknown(),
         }
     }
 
@@ -176,7 +178,7 @@
         actions: &mut Vec<EntryAction>,
     ) {
         let wanted: BTreeSet<String> = groups.iter().map(|group| shard_of(group)).collect();
-        let mine = |shard: &String| contends(&self.box_id, shard, self.entries.iter());
+        let mine = |shard: &String| is_contender(&self.box_id, shard, self.entries.iter());
         let wanted: BTreeSet<String> = wanted.into_iter().filter(mine).collect();
         self.shards.retain(|name, kept| {
             let keep = wanted.contains(name);
--- a/core/tests/lease_protocol.rs
+++ b/core/tests/lease_protocol.rs
@@ -3,14 +3,14 @@
 
 use pitchhitch_core::{
     lease::{
-        contends, shard_of, FenceRefusal, LeaseMachine, LeaseStep, LeaseTimes, OrderFence,
+        is_contender, shard_of, FenceRefusal, LeaseMachine, LeaseStep, LeaseTimes, OrderFence,
         OrderStamp,
     },
     time::Micros,
 };
 
 const TIMES: LeaseTimes = LeaseTimes {
-    length: Micros(3),
+    duration: Micros(3),
     interval: Micros(1),
     margin: Micros(1),
 };
@@ -18,11 +18,11 @@
 #[test]
 fn paused_holder_knows() {
     let mut machine = LeaseMachine::new("p", TIMES);
-    machine.row_read(None, 0, Micros(0), Micros(0));
+    machine.on_row_read(None, 0, Micros(0), Micros(0));
     let LeaseStep::Write { row, .. } = machine.step(Micros(0)) else {
         panic!("the free row is taken");
     };
-    machine.row_written(1, Micros(2));
+    machine.on_row_written(1, Micros(2));
     assert_eq!(machine.epoch(Micros(2)), Some(row.epoch));
     // The time of the lease counts from before the write.
     assert_eq!(machine.epoch(Micros(3)), None);
@@ -32,23 +32,23 @@
 fn fence_waits_for_epoch() {
     let mut fence = OrderFence::default();
     let stamp = |epoch, sequence| OrderStamp { epoch, sequence };
-    assert_eq!(fence.pass(stamp(9, 1)), Err(FenceRefusal::EpochUnknown));
-    fence.epoch_read(3);
+    assert_eq!(fence.admit(stamp(9, 1)), Err(FenceRefusal::EpochUnknown));
+    fence.on_epoch_read(3);
     assert_eq!(
-        fence.pass(stamp(2, 7)),
+        fence.admit(stamp(2, 7)),
         Err(FenceRefusal::OldEpoch {
             given: 2,
             newest: 3
         })
     );
-    assert_eq!(fence.pass(stamp(3, 1)), Ok(()));
+    assert_eq!(fence.admit(stamp(3, 1)), Ok(()));
     assert!(matches!(
-        fence.pass(stamp(3, 1)),
+        fence.admit(stamp(3, 1)),
         Err(FenceRefusal::OldSequence { .. })
     ));
-    assert_eq!(fence.pass(stamp(4, 1)), Ok(()));
+    assert_eq!(fence.admit(stamp(4, 1)), Ok(()));
     assert!(matches!(
-        fence.pass(stamp(3, 9)),
+        fence.admit(stamp(3, 9)),
         Err(FenceRefusal::OldEpoch { .. })
     ));
 }
@@ -60,7 +60,7 @@
         let shard = shard_of(group);
         let contenders = entries
             .iter()
-            .filter(|me| contends(me, &shard, entries.iter()));
+            .filter(|me| is_contender(me, &shard, entries.iter()));
         assert_eq!(contenders.count(), 3);
     }
 }
--- a/core/tests/prefix_keys.rs
+++ b/core/tests/prefix_keys.rs
@@ -1,6 +1,6 @@
 //! Names of kept pieces: apart for organisations, versions and prompts.
 
-use pitchhitch_core::kept::{estimated_tokens, prefix_chain, PieceKey, PIECE_TEXT_BYTES};
+use pitchhitch_core::kept::{estimate_tokens, prefix_keys, PieceKey, PIECE_TEXT_BYTES};
 
 fn text(pieces: usize) -> Vec<u8> {
     (0..pieces * PIECE_TEXT_BYTES + 100)
@@ -10,22 +10,22 @@
 
 #[test]
 fn organisations_apart() {
-    let ours = prefix_chain("mvinyo-01", "v1", &text(4));
-    let theirs = prefix_chain("mvinyo-02", "v1", &text(4));
+    let ours = prefix_keys("mvinyo-01", "v1", &text(4));
+    let theirs = prefix_keys("mvinyo-02", "v1", &text(4));
     assert!(ours.iter().all(|key| !theirs.contains(key)));
 }
 
 #[test]
 fn names_do_not_run_together() {
-    let one = prefix_chain("ab", "c", &text(2));
-    let other = prefix_chain("a", "bc", &text(2));
+    let one = prefix_keys("ab", "c", &text(2));
+    let other = prefix_keys("a", "bc", &text(2));
     assert!(one.iter().all(|key| !other.contains(key)));
 }
 
 #[test]
 fn versions_apart() {
-    let old = prefix_chain("mvinyo-01", "v1", &text(4));
-    let new = prefix_chain("mvinyo-01", "v2", &text(4));
+    let old = prefix_keys("mvinyo-01", "v1", &text(4));
+    let new = prefix_keys("mvinyo-01", "v2", &text(4));
     assert!(old.iter().all(|key| !new.contains(key)));
 }
 
@@ -34,8 +34,8 @@
     let mut longer = text(4);
     longer.truncate(3 * PIECE_TEXT_BYTES);
     longer.extend_from_slice(&[7; PIECE_TEXT_BYTES]);
-    let one = prefix_chain("org", "v1", &text(4));
-    let other = prefix_chain("org", "v1", &longer);
+    let one = prefix_keys("org", "v1", &text(4));
+    let other = prefix_keys("org", "v1", &longer);
     assert_eq!(one[..3], other[..3]);
     assert_ne!(one[3], other[3]);
 }
@@ -44,15 +44,15 @@
 fn early_change_changes_all() {
     let mut changed = text(4);
     changed[0] ^= 1;
-    let one = prefix_chain("org", "v1", &text(4));
-    let other = prefix_chain("org", "v1", &changed);
+    let one = prefix_keys("org", "v1", &text(4));
+    let other = prefix_keys("org", "v1", &changed);
     assert!(one.iter().zip(&other).all(|(a, b)| a != b));
 }
 
 #[test]
 fn short_prompt_unnamed() {
-    assert!(prefix_chain("org", "v1", b"hello").is_empty());
-    assert_eq!(estimated_tokens(5), 2);
+    assert!(prefix_keys("org", "v1", b"hello").is_empty());
+    assert_eq!(estimate_tokens(5), 2);
 }
 
 #[test]
--- a/core/tests/route_fleet/mod.rs
+++ b/core/tests/route_fleet/mod.rs
@@ -7,7 +7,7 @@
             VersionConf,
         },
         errors::ErrorKind,
-        kept::{prefix_chain, PieceHolder, PieceKey, StoreTier, StoredCopy},
+        kept::{prefix_keys, PieceHolder, PieceKey, StoreTier, StoredCopy},
         labels::{LabelSelector, LabelSet},
         route::{
             EndpointArena, EndpointKey, EndpointKind, EndpointLoad, EndpointState, LoadReport,
@@ -164,7 +164,7 @@
 
 pub fn prompt() -> Vec<PieceKey> {
     let text: Vec<u8> = (0..TOKENS as usize * 4).map(|n| (n % 251) as u8).collect();
-    prefix_chain("org", "v1", &text)
+    prefix_keys("org", "v1", &text)
 }
 
 pub fn choose(
--- a/entry/src/control/box_controller.rs
+++ b/entry/src/control/box_controller.rs
@@ -2,7 +2,7 @@
     super::ControlHandle,
     async_channel::Sender,
     pitchhitch_core::{
-        member::{home_set, HomeCandidate},
+        member::{rendezvous_select, RendezvousCandidate},
         role::{BoxNotice, EntryEvent},
     },
     pitchhitch_services::boxes::{BoxClient, BoxRow, ListedRole},
@@ -53,14 +53,14 @@
     let entries = rows
         .iter()
         .filter(|b| b.role == ListedRole::Entry && b.id != place.box_id);
-    let candidates: Vec<HomeCandidate<SocketAddr>> = entries
-        .map(|row| HomeCandidate {
+    let candidates: Vec<RendezvousCandidate<SocketAddr>> = entries
+        .map(|row| RendezvousCandidate {
             id: row.id.clone(),
             failure_domain: row.failure_domain.clone(),
             value: row.address,
         })
         .collect();
-    let chosen = home_set(
+    let chosen = rendezvous_select(
         &place.box_id,
         &place.failure_domain,
         &candidates,
--- a/entry/src/filter/route.rs
+++ b/entry/src/filter/route.rs
@@ -6,7 +6,7 @@
     },
     pitchhitch_core::{
         errors::ErrorKind,
-        kept::{prefix_chain, PieceKey, PIECE_TOKENS},
+        kept::{prefix_keys, PieceKey, PIECE_TOKENS},
         place::ReturnLabel,
         route::{EndpointKey, RouteChoice, RouteRequest},
     },
@@ -95,7 +95,7 @@
         if pinned_elsewhere {
             continue;
         }
-        let pieces = prefix_chain(&work.organisation, &pool.version, &work.prompt);
+        let pieces = prefix_keys(&work.organisation, &pool.version, &work.prompt);
         match choose(app, view, work, earlier, &pool.version, &pieces) {
             Ok(choice) => {
                 let cheaper = best
--- a/entry/src/filter/select.rs
+++ b/entry/src/filter/select.rs
@@ -5,7 +5,7 @@
         traffic::TrafficView,
     },
     pitchhitch_core::{
-        conf::FleetConfig, errors::ErrorKind, kept::estimated_tokens, route::WorkTarget,
+        conf::FleetConfig, errors::ErrorKind, kept::estimate_tokens, route::WorkTarget,
         time::Micros,
     },
     trillium::Method,
@@ -100,7 +100,7 @@
                 return Err(Refusal::new(ErrorKind::UnknownModel, detail));
             }
             Ok(SelectedWork {
-                input_tokens: estimated_tokens(prompt.text.len()),
+                input_tokens: estimate_tokens(prompt.text.len()),
                 target: WorkTarget::Model(prompt.model),
                 prompt: prompt.text,
                 repeatable: marked.unwrap_or(!keyed) && !keyed,
--- a/entry/src/front/order_lease.rs
+++ b/entry/src/front/order_lease.rs
@@ -13,7 +13,7 @@
 const LEASE_KEY: &str = "lease/orders";
 /// Times of that lease.
 const LEASE_TIMES: LeaseTimes = LeaseTimes {
-    length: Micros::from_secs(6),
+    duration: Micros::from_secs(6),
     interval: Micros::from_secs(2),
     margin: Micros::from_secs(1),
 };
@@ -62,7 +62,8 @@
                     RowValue::Bytes(bytes) => decode_body::<LeaseRow>(&bytes).ok(),
                     RowValue::Gone | RowValue::Unreadable => None,
                 });
-                self.machine.row_read(row, version, asked_at, front.now());
+                self.machine
+                    .on_row_read(row, version, asked_at, front.now());
                 Ok(())
             }
             LeaseStep::Write { version, row } => self.write(front, store, version, &row).await,
@@ -82,7 +83,7 @@
             return Ok(());
         };
         let written = self.write(front, store, version, &row).await;
-        self.machine.write_refused();
+        self.machine.on_write_conflict();
         written
     }
 
@@ -99,10 +100,10 @@
         let era = front.state().eras.known().unwrap_or_default();
         let expected = (version > 0).then_some(StorePosition { era, version });
         match store.replace_own(LEASE_KEY, expected, &bytes).await {
-            Ok(position) => self.machine.row_written(position.version, front.now()),
-            Err(StoreError::Conflict) => self.machine.write_refused(),
+            Ok(position) => self.machine.on_row_written(position.version, front.now()),
+            Err(StoreError::Conflict) => self.machine.on_write_conflict(),
             Err(error) => {
-                self.machine.write_unknown();
+                self.machine.on_write_unknown();
                 return Err(error);
             }
         }
--- a/testbed/examples/figures/route_figures.rs
+++ b/testbed/examples/figures/route_figures.rs
@@ -4,7 +4,7 @@
     crate::bench_place::row,
     pitchhitch_core::{
         conf::{CostWeights, FleetConfig, ModelConf, OrganisationConf, VersionConf},
-        kept::{prefix_chain, PieceHolder},
+        kept::{prefix_keys, PieceHolder},
         labels::LabelSet,
         route::{
             EndpointArena, EndpointKind, EndpointLoad, EndpointState, LoadReport, PoolIndex,
@@ -22,7 +22,7 @@
         let table = route_table(endpoints);
         let target = WorkTarget::Model("assistant".to_string());
         let text: Vec<u8> = (0..28_000).map(|n| (n % 251) as u8).collect();
-        let pieces = prefix_chain("org", "v1", &text);
+        let pieces = prefix_keys("org", "v1", &text);
         let mut spans = Vec::with_capacity(ROUNDS);
         let mut chosen = 0;
         for round in 0..ROUNDS {
@@ -75,7 +75,7 @@
     let mut loads = SecondaryMap::new();
     let mut table = RouteTable::default();
     let text: Vec<u8> = (0..28_000).map(|n| (n % 251) as u8).collect();
-    let pieces = prefix_chain("org", "v1", &text);
+    let pieces = prefix_keys("org", "v1", &text);
     for number in 0..endpoints {
         let key = arena.insert(Arc::new(EndpointState {
             id: format!("engine-{number}"),
--- a/testbed/examples/slopes/request_slopes.rs
+++ b/testbed/examples/slopes/request_slopes.rs
@@ -7,7 +7,7 @@
     },
     pitchhitch_core::{
         conf::{CostWeights, OrganisationLimits},
-        kept::prefix_chain,
+        kept::prefix_keys,
         limit::LimitTable,
         route::{RouteRequest, SentLoad, WorkTarget},
         time::Micros,
@@ -53,7 +53,7 @@
     for pieces in [4usize, 16, 64, 256] {
         let text = vec![7u8; pieces * 2_048];
         let value = median_micros(101, || {
-            black_box(prefix_chain("org", "v1", &text));
+            black_box(prefix_keys("org", "v1", &text));
         });
         hash.push(Point {
             size: pieces as f64,
--- a/testbed/src/check/lease_world.rs
+++ b/testbed/src/check/lease_world.rs
@@ -8,7 +8,7 @@
 
 /// Times of the lease, as short as they can be without losing their order.
 const TIMES: LeaseTimes = LeaseTimes {
-    length: Micros(2),
+    duration: Micros(2),
     interval: Micros(1),
     margin: Micros(1),
 };
@@ -142,9 +142,9 @@
                     row,
                     version,
                     asked_at,
-                } => process.machine.row_read(row, version, asked_at, now),
-                Answer::Written { version } => process.machine.row_written(version, now),
-                Answer::Refused => process.machine.write_refused(),
+                } => process.machine.on_row_read(row, version, asked_at, now),
+                Answer::Written { version } => process.machine.on_row_written(version, now),
+                Answer::Refused => process.machine.on_write_conflict(),
             }
             next.push(world);
             return;
@@ -196,7 +196,7 @@
                 let mut world = self.clone();
                 world.faults -= 1;
                 world.processes[number].sent = None;
-                world.processes[number].machine.write_unknown();
+                world.processes[number].machine.on_write_unknown();
                 if late {
                     world.late_writes.push((*version, row.clone()));
                 }
@@ -208,7 +208,7 @@
             let mut world = self.clone();
             world.faults -= 1;
             world.processes[number].answer = None;
-            world.processes[number].machine.write_unknown();
+            world.processes[number].machine.on_write_unknown();
             next.push(world);
         }
         // The process dies and is started anew; what it has sent goes on.
--- a/testbed/src/engine/prompt_run.rs
+++ b/testbed/src/engine/prompt_run.rs
@@ -4,7 +4,7 @@
     pitchhitch_agent::endpoint::{
         COMPUTED_HEADER, PIECES_HEADER, REFUSED_HEADER, RESUME_HEADER, VERSION_HEADER,
     },
-    pitchhitch_core::kept::{estimated_tokens, PieceKey, PIECE_TOKENS},
+    pitchhitch_core::kept::{estimate_tokens, PieceKey, PIECE_TOKENS},
     pitchhitch_entry::openai::{PromptRequest, PromptShape},
     pitchhitch_process::spawn_detached,
     serde::Deserialize,
@@ -89,7 +89,7 @@
         shape,
         answer: AnswerText::new(&prompt.text, &core.version()),
         answer_tokens: length.and_then(|l| l.max_tokens).unwrap_or(DEFAULT_TOKENS),
-        prompt_tokens: estimated_tokens(prompt.text.len()),
+        prompt_tokens: estimate_tokens(prompt.text.len()),
         model: prompt.model,
         stream: prompt.stream,
         resume_after: header_number(&conn, RESUME_HEADER),
--- a/wire/src/beacon/beacon_socket.rs
+++ b/wire/src/beacon/beacon_socket.rs
@@ -108,7 +108,7 @@
         let opened = NumberedBeacon::open(&datagram[..length], &self.key);
         let numbered = opened.map_err(|error| ReceiveError::Refused { from, error })?;
         let mut guard = self.guard.lock().unwrap_or_else(PoisonError::into_inner);
-        if !guard.is_new(numbered.sender(), numbered.number()) {
+        if !guard.accept(numbered.sender(), numbered.number()) {
             return Err(ReceiveError::Replayed {
                 from,
                 sender: numbered.sender().to_string(),
--- a/wire/src/beacon/sealed_beacon.rs
+++ b/wire/src/beacon/sealed_beacon.rs
@@ -1,7 +1,7 @@
 use {
     super::BeaconKey,
     crate::codec::{decode_body, encode_body, FrameError, WIRE_VERSION},
-    pitchhitch_core::member::{Beacon, BeaconNumber},
+    pitchhitch_core::member::{Beacon, BeaconSequence},
     serde::{Deserialize, Serialize},
     thiserror::Error,
 };
@@ -47,12 +47,12 @@
     }
 
     /// Its place in the life of the sender.
-    pub fn number(&self) -> BeaconNumber {
+    pub fn number(&self) -> BeaconSequence {
         let incarnation = match &self.beacon {
             Beacon::Agent(agent) => agent.incarnation,
             Beacon::Entry(entry) => entry.incarnation,
         };
-        BeaconNumber {
+        BeaconSequence {
             incarnation,
             counter: self.counter,
         }
