--- a/core/src/limit/fair_queue.rs
+++ b/core/src/limit/fair_queue.rs
@@ -13,7 +13,7 @@
 }
 
 /// A queue that serves organisations in turn by the tokens they ask for
-/// (start-time fair queuing), so that a long line of one does not hold up another.
+/// (start-time fair queuing), so that a long queue of one does not hold up another.
 #[derive(Debug, Clone)]
 pub struct FairQueue<K> {
     waiting: BTreeMap<String, Vec<QueuedWork<K>>>,
@@ -63,8 +63,8 @@
         let tag = last.max(self.virtual_time);
         let next = tag + f64::from(tokens.max(1));
         self.last_tags.insert(organisation.to_string(), next);
-        let line = self.waiting.entry(organisation.to_string()).or_default();
-        line.push(QueuedWork {
+        let queue = self.waiting.entry(organisation.to_string()).or_default();
+        queue.push(QueuedWork {
             key,
             tokens,
             deadline,
@@ -76,16 +76,16 @@
 
     /// Takes the work whose turn it is.
     pub fn pop(&mut self) -> Option<QueuedWork<K>> {
-        let heads = self.waiting.iter().filter_map(|(name, line)| {
-            let head = line.first()?;
+        let heads = self.waiting.iter().filter_map(|(name, queue)| {
+            let head = queue.first()?;
             Some((name, head.tag))
         });
         let next = heads.min_by(|a, b| a.1.total_cmp(&b.1));
         let organisation = next?.0.clone();
-        let line = self.waiting.get_mut(&organisation)?;
-        let work = line.remove(0);
+        let queue = self.waiting.get_mut(&organisation)?;
+        let work = queue.remove(0);
         self.virtual_time = self.virtual_time.max(work.tag);
-        self.took_out(&organisation, &work);
+        self.update_totals(&organisation, &work);
         Some(work)
     }
 
@@ -94,16 +94,16 @@
         &mut self,
         key: K,
     ) -> bool {
-        let place = self.waiting.iter().find_map(|(name, line)| {
-            let index = line.iter().position(|w| w.key == key)?;
+        let position = self.waiting.iter().find_map(|(name, queue)| {
+            let index = queue.iter().position(|w| w.key == key)?;
             Some((name.clone(), index))
         });
-        let Some((organisation, index)) = place else {
+        let Some((organisation, index)) = position else {
             return false;
         };
-        if let Some(line) = self.waiting.get_mut(&organisation) {
-            let work = line.remove(index);
-            self.took_out(&organisation, &work);
+        if let Some(queue) = self.waiting.get_mut(&organisation) {
+            let work = queue.remove(index);
+            self.update_totals(&organisation, &work);
         }
         true
     }
@@ -122,7 +122,7 @@
         self.waiting.values().flatten().map(|w| w.key).collect()
     }
 
-    fn took_out(
+    fn update_totals(
         &mut self,
         organisation: &str,
         work: &QueuedWork<K>,
--- a/core/src/limit/limit_table.rs
+++ b/core/src/limit/limit_table.rs
@@ -1,5 +1,5 @@
 use {
-    super::{fits, RateBucket, RoomUse},
+    super::{has_capacity, CapacityUsage, RateBucket},
     crate::{conf::OrganisationLimits, errors::ErrorKind, time::Micros},
     std::collections::BTreeMap,
 };
@@ -14,7 +14,7 @@
 }
 
 #[derive(Debug, Clone)]
-struct OrganisationUse {
+struct OrganisationUsage {
     bucket: RateBucket,
     running: u32,
 }
@@ -22,21 +22,21 @@
 /// Admission of requests in one entry process.
 #[derive(Debug, Clone)]
 pub struct LimitTable {
-    room: u32,
+    capacity: u32,
     running: u32,
-    uses: BTreeMap<String, OrganisationUse>,
+    usages: BTreeMap<String, OrganisationUsage>,
 }
 
 /// Time after which a caller should come back when the process is full.
-const OVERLOAD_RETRY: Micros = Micros::from_secs(1);
+const OVERLOAD_RETRY_AFTER: Micros = Micros::from_secs(1);
 
 impl LimitTable {
-    /// A table for a process that runs at most `room` requests at once.
-    pub fn new(room: u32) -> Self {
+    /// A table for a process that runs at most `capacity` requests at once.
+    pub fn new(capacity: u32) -> Self {
         LimitTable {
-            room,
+            capacity,
             running: 0,
-            uses: BTreeMap::new(),
+            usages: BTreeMap::new(),
         }
     }
 
@@ -51,7 +51,7 @@
     /// for the whole deployment.
     ///
     /// # Errors
-    /// [`LimitRefusal`] when the organisation or the process has no room.
+    /// [`LimitRefusal`] when the organisation or the process has no capacity.
     pub fn admit(
         &mut self,
         organisation: &str,
@@ -60,9 +60,9 @@
         now: Micros,
     ) -> Result<(), LimitRefusal> {
         let burst = (limits.burst * share).max(1.0);
-        let active = self.uses.values().filter(|u| u.running > 0).count() as u32;
-        let entry = self.uses.entry(organisation.to_string());
-        let usage = entry.or_insert_with(|| OrganisationUse {
+        let active = self.usages.values().filter(|u| u.running > 0).count() as u32;
+        let entry = self.usages.entry(organisation.to_string());
+        let usage = entry.or_insert_with(|| OrganisationUsage {
             bucket: RateBucket::full(burst, now),
             running: 0,
         });
@@ -70,19 +70,19 @@
         if usage.running >= concurrency {
             return Err(LimitRefusal {
                 kind: ErrorKind::OverLimit,
-                retry_after: OVERLOAD_RETRY,
+                retry_after: OVERLOAD_RETRY_AFTER,
             });
         }
-        let room = RoomUse {
+        let capacity = CapacityUsage {
             running: self.running,
-            room: self.room,
+            capacity: self.capacity,
             organisations: active + u32::from(usage.running == 0),
-            own: usage.running,
+            own_running: usage.running,
         };
-        if !fits(&room) {
+        if !has_capacity(&capacity) {
             return Err(LimitRefusal {
                 kind: ErrorKind::Overloaded,
-                retry_after: OVERLOAD_RETRY,
+                retry_after: OVERLOAD_RETRY_AFTER,
             });
         }
         let taken = usage
@@ -102,7 +102,7 @@
         &mut self,
         organisation: &str,
     ) {
-        if let Some(usage) = self.uses.get_mut(organisation) {
+        if let Some(usage) = self.usages.get_mut(organisation) {
             usage.running = usage.running.saturating_sub(1);
             self.running = self.running.saturating_sub(1);
         }
--- a/core/src/place/load_planner.rs
+++ b/core/src/place/load_planner.rs
@@ -1,11 +1,11 @@
 use crate::route::EndpointKey;
 
 /// Engines of one group that load weights at the same time at most.
-pub const LOADS_AT_ONCE: usize = 2;
+pub const MAX_CONCURRENT_LOADS: usize = 2;
 
 /// One engine of a group, as the planner sees it.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct EngineLoadView {
+pub struct EngineWeights {
     /// The engine.
     pub endpoint: EndpointKey,
     /// Version that it holds.
@@ -22,7 +22,7 @@
 
 /// An engine that should load a version now.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct LoadStep {
+pub struct WeightLoad {
     /// The engine.
     pub endpoint: EndpointKey,
     /// The version.
@@ -31,18 +31,18 @@
 
 /// Chooses which engines of a group load the version they should hold next.
 ///
-/// At most [`LOADS_AT_ONCE`] load together. Idle ones go first.
-pub fn plan_loads(engines: &[EngineLoadView]) -> Vec<LoadStep> {
+/// At most [`MAX_CONCURRENT_LOADS`] load together. Idle ones go first.
+pub fn plan_weight_loads(engines: &[EngineWeights]) -> Vec<WeightLoad> {
     let loading = engines.iter().filter(|e| e.loading.is_some()).count();
-    let mut behind: Vec<&EngineLoadView> = engines
+    let mut outdated: Vec<&EngineWeights> = engines
         .iter()
         .filter(|e| e.loading.is_none() && e.reachable && e.version != e.wanted)
         .collect();
-    behind.sort_by_key(|e| (e.running, e.endpoint));
-    let room = LOADS_AT_ONCE.saturating_sub(loading);
-    let steps = behind.into_iter().take(room);
-    steps
-        .map(|engine| LoadStep {
+    outdated.sort_by_key(|e| (e.running, e.endpoint));
+    let available = MAX_CONCURRENT_LOADS.saturating_sub(loading);
+    let loads = outdated.into_iter().take(available);
+    loads
+        .map(|engine| WeightLoad {
             endpoint: engine.endpoint,
             version: engine.wanted.clone(),
         })
--- a/core/src/place/return_model.rs
+++ b/core/src/place/return_model.rs
@@ -5,15 +5,15 @@
 /// Weight of what was known before anything was learned.
 const PRIOR_WEIGHT: f64 = 4.0;
 /// Chance of a return before anything was learned.
-const PRIOR_CHANCE: f64 = 0.5;
+const PRIOR_PROBABILITY: f64 = 0.5;
 /// Labels that are told apart at most; the rest share one entry.
 const LABEL_LIMIT: usize = 4_096;
 /// Counts at which old experience is halved, so that habits may change.
-const DECAY_AT: f64 = 10_000.0;
+const DECAY_THRESHOLD: f64 = 10_000.0;
 
 /// Kind of work whose returns are learned together.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct ReturnLabel {
+pub struct ReuseLabel {
     /// Organisation.
     pub organisation: String,
     /// Label that the caller put on the request; may be empty.
@@ -23,95 +23,95 @@
 #[derive(Debug, Clone)]
 struct GapCounts {
     gaps: [f64; GAP_BUCKETS],
-    ended: f64,
+    expired: f64,
 }
 
 impl Default for GapCounts {
     fn default() -> Self {
         GapCounts {
             gaps: [0.0; GAP_BUCKETS],
-            ended: 0.0,
+            expired: 0.0,
         }
     }
 }
 
 impl GapCounts {
-    fn returned(&self) -> f64 {
+    fn reuses(&self) -> f64 {
         self.gaps.iter().sum()
     }
 
     fn decay(&mut self) {
-        if self.returned() + self.ended > DECAY_AT {
-            self.ended /= 2.0;
+        if self.reuses() + self.expired > DECAY_THRESHOLD {
+            self.expired /= 2.0;
             self.gaps.iter_mut().for_each(|g| *g /= 2.0);
         }
     }
 }
 
-fn bucket_of(gap: Micros) -> usize {
+fn bucket_index(gap: Micros) -> usize {
     let millis = gap.as_millis().max(1);
     (millis.ilog2() as usize).min(GAP_BUCKETS - 1)
 }
 
 /// Learns after what gaps prompts return, per label.
 #[derive(Debug, Clone, Default)]
-pub struct ReturnModel {
-    counts: BTreeMap<ReturnLabel, GapCounts>,
+pub struct ReuseModel {
+    counts: BTreeMap<ReuseLabel, GapCounts>,
 }
 
-impl ReturnModel {
+impl ReuseModel {
     /// Notes that a prompt came back after `gap`.
-    pub fn returned(
+    pub fn record_reuse(
         &mut self,
-        label: &ReturnLabel,
+        label: &ReuseLabel,
         gap: Micros,
     ) {
         let counts = self.counts_mut(label);
-        counts.gaps[bucket_of(gap)] += 1.0;
+        counts.gaps[bucket_index(gap)] += 1.0;
         counts.decay();
     }
 
     /// Notes that a prompt was given up waiting for.
-    pub fn ended(
+    pub fn record_expiry(
         &mut self,
-        label: &ReturnLabel,
+        label: &ReuseLabel,
     ) {
         let counts = self.counts_mut(label);
-        counts.ended += 1.0;
+        counts.expired += 1.0;
         counts.decay();
     }
 
     /// Chance that a prompt which has been away for `age` still comes back.
-    pub fn chance(
+    pub fn reuse_probability(
         &self,
-        label: &ReturnLabel,
+        label: &ReuseLabel,
         age: Micros,
     ) -> f64 {
         let Some(counts) = self.counts.get(label) else {
-            return PRIOR_CHANCE;
+            return PRIOR_PROBABILITY;
         };
-        let from = bucket_of(age);
+        let from = bucket_index(age);
         let later: f64 = counts.gaps[from..].iter().sum();
-        let prior = PRIOR_CHANCE * PRIOR_WEIGHT;
-        (later + prior) / (later + counts.ended + PRIOR_WEIGHT)
+        let prior = PRIOR_PROBABILITY * PRIOR_WEIGHT;
+        (later + prior) / (later + counts.expired + PRIOR_WEIGHT)
     }
 
     /// The gap that half of the returns after `age` stay below; none when nothing is known.
     pub fn median_gap(
         &self,
-        label: &ReturnLabel,
+        label: &ReuseLabel,
         age: Micros,
     ) -> Option<Micros> {
         let counts = self.counts.get(label)?;
-        let from = bucket_of(age);
+        let from = bucket_index(age);
         let later: f64 = counts.gaps[from..].iter().sum();
         if later <= 0.0 {
             return None;
         }
-        let mut passed = 0.0;
+        let mut cumulative = 0.0;
         for bucket in from..GAP_BUCKETS {
-            passed += counts.gaps[bucket];
-            if passed >= later / 2.0 {
+            cumulative += counts.gaps[bucket];
+            if cumulative >= later / 2.0 {
                 return Some(Micros::from_millis(1 << bucket));
             }
         }
@@ -120,13 +120,13 @@
 
     fn counts_mut(
         &mut self,
-        label: &ReturnLabel,
+        label: &ReuseLabel,
     ) -> &mut GapCounts {
         let known = self.counts.contains_key(label);
         let key = if known || self.counts.len() < LABEL_LIMIT {
             label.clone()
         } else {
-            ReturnLabel {
+            ReuseLabel {
                 organisation: String::new(),
                 label: String::new(),
             }
--- a/core/src/place/store_ledger.rs
+++ b/core/src/place/store_ledger.rs
@@ -1,13 +1,13 @@
 use {crate::kept::PieceKey, std::collections::BTreeMap};
 
 /// Part of a full store box that is freed in one go: one in so many pieces.
-const EVICT_PART: usize = 16;
+const EVICTION_DIVISOR: usize = 16;
 /// Pieces that are freed at least.
-const EVICT_LEAST: usize = 32;
+const MIN_EVICTED_PIECES: usize = 32;
 
 /// One sealed piece of a prompt, as its store box has it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct LedgerPiece {
+pub struct InventoryPiece {
     /// The piece.
     pub key: PieceKey,
     /// Its generation.
@@ -16,12 +16,12 @@
 
 /// Which prompt the sealed pieces of one store box belong to.
 #[derive(Debug, Clone, Default)]
-pub struct StoreLedger {
-    prompts: BTreeMap<PieceKey, Vec<LedgerPiece>>,
+pub struct StoreInventory {
+    prompts: BTreeMap<PieceKey, Vec<InventoryPiece>>,
     length: usize,
 }
 
-impl StoreLedger {
+impl StoreInventory {
     /// Pieces in the ledger.
     pub fn len(&self) -> usize {
         self.length
@@ -36,7 +36,7 @@
     pub fn add(
         &mut self,
         identity: PieceKey,
-        piece: LedgerPiece,
+        piece: InventoryPiece,
     ) {
         let pieces = self.prompts.entry(identity).or_default();
         match pieces.iter_mut().find(|p| p.key == piece.key) {
@@ -52,7 +52,7 @@
     /// has told about stands for itself, and goes first.
     pub fn reconcile(
         &mut self,
-        listed: Vec<LedgerPiece>,
+        listed: Vec<InventoryPiece>,
     ) {
         let mut owners = BTreeMap::new();
         for (identity, pieces) in &self.prompts {
@@ -70,24 +70,24 @@
 
     /// Takes out the pieces that are worth least, whole prompts at a time.
     ///
-    /// `chance` tells how likely a prompt is to come back. All pieces are of one
+    /// `reuse_probability` tells how likely a prompt is to come back. All pieces are of one
     /// size, so what a byte is worth depends on that chance alone.
     pub fn evict(
         &mut self,
-        chance: impl Fn(PieceKey) -> f64,
-    ) -> Vec<LedgerPiece> {
-        let wanted = (self.length / EVICT_PART).max(EVICT_LEAST);
+        reuse_probability: impl Fn(PieceKey) -> f64,
+    ) -> Vec<InventoryPiece> {
+        let wanted = (self.length / EVICTION_DIVISOR).max(MIN_EVICTED_PIECES);
         let mut ranked: Vec<RankedPrompt> = self
             .prompts
             .keys()
             .map(|identity| RankedPrompt {
                 identity: *identity,
-                chance: chance(*identity),
+                reuse_probability: reuse_probability(*identity),
             })
             .collect();
         ranked.sort_by(|a, b| {
-            a.chance
-                .total_cmp(&b.chance)
+            a.reuse_probability
+                .total_cmp(&b.reuse_probability)
                 .then(a.identity.cmp(&b.identity))
         });
         let mut evicted = Vec::new();
@@ -106,5 +106,5 @@
 
 struct RankedPrompt {
     identity: PieceKey,
-    chance: f64,
+    reuse_probability: f64,
 }
--- a/core/src/role/entry_action.rs
+++ b/core/src/role/entry_action.rs
@@ -2,7 +2,7 @@
     super::{ConfigNotice, StampedOrder, StoredPiece},
     crate::{
         lease::LeaseRow,
-        place::ReturnModel,
+        place::ReuseModel,
         route::{EndpointState, RouteTable},
     },
     std::{net::SocketAddr, sync::Arc},
@@ -16,7 +16,7 @@
         /// The view for routing.
         table: Arc<RouteTable>,
         /// What is known of returns.
-        returns: Arc<ReturnModel>,
+        returns: Arc<ReuseModel>,
         /// Entry processes that share the load, this one included.
         entries: u32,
     },
--- a/core/src/role/entry_contacts.rs
+++ b/core/src/role/entry_contacts.rs
@@ -6,7 +6,7 @@
         RosterChange, UpwardEvent,
     },
     crate::{
-        kept::PieceHolder, member::EntryBeacon, place::ReturnLabel, route::SentLoad, time::Micros,
+        kept::PieceHolder, member::EntryBeacon, place::ReuseLabel, route::SentLoad, time::Micros,
     },
 };
 
@@ -174,7 +174,7 @@
             UpwardEvent::Stored(notice) => self.stores.stored(notice, &mut self.pieces),
             UpwardEvent::Missing(notice) => self.stores.missing(&notice, &mut self.pieces),
             UpwardEvent::PromptUsed(prompt) => {
-                let label = ReturnLabel {
+                let label = ReuseLabel {
                     organisation: prompt.organisation,
                     label: prompt.label,
                 };
--- a/core/src/role/load_controller.rs
+++ b/core/src/role/load_controller.rs
@@ -6,7 +6,7 @@
     crate::{
         conf::FleetConfig,
         lease::shard_of,
-        place::{plan_loads, EngineLoadView, LoadStep},
+        place::{plan_weight_loads, EngineWeights, WeightLoad},
         route::{EndpointKind, EndpointState},
         time::Micros,
     },
@@ -67,7 +67,7 @@
         &mut self,
         now: Micros,
         group: &str,
-        step: LoadStep,
+        step: WeightLoad,
         config: &FleetConfig,
         roster: &mut EndpointRoster,
         keeper: &mut ShardKeeper,
@@ -137,7 +137,7 @@
     group: &str,
     config: &FleetConfig,
     roster: &EndpointRoster,
-) -> Vec<LoadStep> {
+) -> Vec<WeightLoad> {
     let mut engines = Vec::new();
     for (_, entry) in roster.iter() {
         let Some(state) = roster.arena.get(entry.key).filter(|s| s.group == group) else {
@@ -150,7 +150,7 @@
             continue;
         };
         let load = roster.loads.get(entry.key);
-        engines.push(EngineLoadView {
+        engines.push(EngineWeights {
             endpoint: entry.key,
             version: version.clone(),
             wanted: wanted.to_string(),
@@ -159,7 +159,7 @@
             reachable: entry.linked && !state.leaving,
         });
     }
-    plan_loads(&engines)
+    plan_weight_loads(&engines)
 }
 
 /// The version that an engine should hold: what its label says if the model has
--- a/core/src/role/prompt_memory.rs
+++ b/core/src/role/prompt_memory.rs
@@ -1,7 +1,7 @@
 use {
     crate::{
         kept::PieceKey,
-        place::{ReturnLabel, ReturnModel},
+        place::{ReuseLabel, ReuseModel},
         time::Micros,
     },
     std::{
@@ -18,7 +18,7 @@
 
 #[derive(Debug, Clone)]
 struct SeenPrompt {
-    label: Arc<ReturnLabel>,
+    label: Arc<ReuseLabel>,
     seen_at: Micros,
 }
 
@@ -27,8 +27,8 @@
 pub struct PromptMemory {
     seen: BTreeMap<PieceKey, SeenPrompt>,
     order: VecDeque<PieceKey>,
-    labels: BTreeSet<Arc<ReturnLabel>>,
-    model: Arc<ReturnModel>,
+    labels: BTreeSet<Arc<ReuseLabel>>,
+    model: Arc<ReuseModel>,
 }
 
 /// The key by which a prompt is recognised; none when it is too short to be kept.
@@ -39,7 +39,7 @@
 
 impl PromptMemory {
     /// What has been learned; cheap to share.
-    pub fn model(&self) -> &Arc<ReturnModel> {
+    pub fn model(&self) -> &Arc<ReuseModel> {
         &self.model
     }
 
@@ -57,7 +57,7 @@
     pub fn saw(
         &mut self,
         identity: PieceKey,
-        label: ReturnLabel,
+        label: ReuseLabel,
         now: Micros,
     ) {
         let prompt = SeenPrompt {
@@ -67,7 +67,7 @@
         match self.seen.insert(identity, prompt) {
             Some(before) => {
                 let gap = now.since(before.seen_at);
-                Arc::make_mut(&mut self.model).returned(&label, gap);
+                Arc::make_mut(&mut self.model).record_reuse(&label, gap);
             }
             None => self.order.push_back(identity),
         }
@@ -83,7 +83,9 @@
         now: Micros,
     ) -> f64 {
         match self.seen.get(&identity) {
-            Some(prompt) => self.model.chance(&prompt.label, now.since(prompt.seen_at)),
+            Some(prompt) => self
+                .model
+                .reuse_probability(&prompt.label, now.since(prompt.seen_at)),
             // Nobody has asked for it as long as this process remembers.
             None => 0.0,
         }
@@ -92,8 +94,8 @@
     /// The one copy of a label that all prompts share.
     fn shared(
         &mut self,
-        label: &ReturnLabel,
-    ) -> Arc<ReturnLabel> {
+        label: &ReuseLabel,
+    ) -> Arc<ReuseLabel> {
         if let Some(known) = self.labels.get(label) {
             return known.clone();
         }
@@ -107,7 +109,7 @@
             return;
         };
         if let Some(prompt) = self.seen.remove(&oldest) {
-            Arc::make_mut(&mut self.model).ended(&prompt.label);
+            Arc::make_mut(&mut self.model).record_expiry(&prompt.label);
         }
     }
 }
--- a/core/src/role/store_roster.rs
+++ b/core/src/role/store_roster.rs
@@ -2,7 +2,7 @@
     super::{BoxNotice, BoxRole, EntryAction, MissingNotice, StoredNotice, StoredPiece},
     crate::{
         kept::{PieceDirectory, PieceHolder, PieceKey, StoreTier, StoredCopy},
-        place::{LedgerPiece, StoreLedger},
+        place::{InventoryPiece, StoreInventory},
         route::{StoreKey, StoreState},
         time::Micros,
     },
@@ -26,7 +26,7 @@
     key: StoreKey,
     listed_at: Micros,
     evicted_at: Option<Micros>,
-    ledger: StoreLedger,
+    ledger: StoreInventory,
 }
 
 /// All store boxes that this process knows, with what is sealed on them.
@@ -102,7 +102,7 @@
             key,
             listed_at: now,
             evicted_at: None,
-            ledger: StoreLedger::default(),
+            ledger: StoreInventory::default(),
         };
         self.entries.insert(notice.id.clone(), entry);
         actions.push(EntryAction::ListStore {
@@ -157,7 +157,7 @@
                 generation: piece.generation,
             };
             directory.add_bounded(piece.key, PieceHolder::Store(copy));
-            listed.push(LedgerPiece {
+            listed.push(InventoryPiece {
                 key: piece.key,
                 generation: piece.generation,
             });
@@ -201,7 +201,7 @@
             generation: notice.generation,
         };
         directory.add_bounded(notice.key, PieceHolder::Store(copy));
-        let piece = LedgerPiece {
+        let piece = InventoryPiece {
             key: notice.key,
             generation: notice.generation,
         };
--- a/core/tests/return_gaps.rs
+++ b/core/tests/return_gaps.rs
@@ -3,12 +3,14 @@
 use pitchhitch_core::{
     conf::CostWeights,
     kept::{PieceKey, StoreTier},
-    place::{decide_keep, KeepCase, LedgerPiece, ReturnLabel, ReturnModel, StoreLedger},
+    place::{
+        decide_retention, InventoryPiece, RetentionInput, ReuseLabel, ReuseModel, StoreInventory,
+    },
     time::Micros,
 };
 
-fn label(name: &str) -> ReturnLabel {
-    ReturnLabel {
+fn label(name: &str) -> ReuseLabel {
+    ReuseLabel {
         organisation: "org".to_string(),
         label: name.to_string(),
     }
@@ -16,23 +18,23 @@
 
 #[test]
 fn chance_learned() {
-    let mut model = ReturnModel::default();
+    let mut model = ReuseModel::default();
     for _ in 0..100 {
-        model.returned(&label("file"), Micros::from_secs(60));
-        model.ended(&label("note"));
+        model.record_reuse(&label("file"), Micros::from_secs(60));
+        model.record_expiry(&label("note"));
     }
-    assert!(model.chance(&label("file"), Micros::ZERO) > 0.95);
-    assert!(model.chance(&label("note"), Micros::ZERO) < 0.05);
+    assert!(model.reuse_probability(&label("file"), Micros::ZERO) > 0.95);
+    assert!(model.reuse_probability(&label("note"), Micros::ZERO) < 0.05);
     // After ten minutes a file that used to come back within one will not.
-    assert!(model.chance(&label("file"), Micros::from_secs(600)) < 0.6);
+    assert!(model.reuse_probability(&label("file"), Micros::from_secs(600)) < 0.6);
 }
 
 #[test]
 fn median_gap_found() {
-    let mut model = ReturnModel::default();
+    let mut model = ReuseModel::default();
     assert_eq!(model.median_gap(&label("file"), Micros::ZERO), None);
     for gap in [1, 60, 60, 60, 4_000] {
-        model.returned(&label("file"), Micros::from_secs(gap));
+        model.record_reuse(&label("file"), Micros::from_secs(gap));
     }
     let gap = model
         .median_gap(&label("file"), Micros::ZERO)
@@ -43,10 +45,10 @@
     );
 }
 
-fn case(chance: f64) -> KeepCase {
-    KeepCase {
-        chance,
-        gap: Some(Micros::from_secs(60)),
+fn case(reuse_probability: f64) -> RetentionInput {
+    RetentionInput {
+        reuse_probability,
+        expected_gap: Some(Micros::from_secs(60)),
         tokens: 4_096,
         token_bytes: 128,
         token_cost: 20.0,
@@ -57,48 +59,48 @@
 
 #[test]
 fn likely_return_kept() {
-    assert_eq!(decide_keep(&case(0.8)).tier, Some(StoreTier::Memory));
+    assert_eq!(decide_retention(&case(0.8)).tier, Some(StoreTier::Memory));
     let mut late = case(0.8);
-    late.gap = Some(Micros::from_secs(86_400));
-    assert_eq!(decide_keep(&late).tier, Some(StoreTier::Disk));
+    late.expected_gap = Some(Micros::from_secs(86_400));
+    assert_eq!(decide_retention(&late).tier, Some(StoreTier::Disk));
 }
 
 #[test]
 fn unlikely_return_dropped() {
-    assert_eq!(decide_keep(&case(0.0)).tier, None);
+    assert_eq!(decide_retention(&case(0.0)).tier, None);
     // State that is larger than it is worth.
     let mut large = case(0.9);
     large.token_bytes = 1 << 20;
-    assert_eq!(decide_keep(&large).tier, None);
+    assert_eq!(decide_retention(&large).tier, None);
 }
 
 #[test]
 fn ledger_drops_least_likely() {
-    let mut ledger = StoreLedger::default();
+    let mut inventory = StoreInventory::default();
     for prompt in 0..10u128 {
         for piece in 0..20u128 {
             let key = PieceKey(prompt * 100 + piece);
-            ledger.add(PieceKey(prompt), LedgerPiece { key, generation: 1 });
+            inventory.add(PieceKey(prompt), InventoryPiece { key, generation: 1 });
         }
     }
-    let evicted = ledger.evict(|identity| identity.0 as f64 / 10.0);
+    let evicted = inventory.evict(|identity| identity.0 as f64 / 10.0);
     assert_eq!(evicted.len(), 40);
     assert!(evicted.iter().all(|piece| piece.key.0 < 200));
-    assert_eq!(ledger.len(), 160);
+    assert_eq!(inventory.len(), 160);
 }
 
 #[test]
 fn ledger_follows_list() {
-    let mut ledger = StoreLedger::default();
-    let piece = |key| LedgerPiece {
+    let mut inventory = StoreInventory::default();
+    let piece = |key| InventoryPiece {
         key: PieceKey(key),
         generation: 1,
     };
-    ledger.add(PieceKey(1), piece(10));
-    ledger.add(PieceKey(1), piece(11));
-    ledger.reconcile(vec![piece(11), piece(12)]);
-    assert_eq!(ledger.len(), 2);
+    inventory.add(PieceKey(1), piece(10));
+    inventory.add(PieceKey(1), piece(11));
+    inventory.reconcile(vec![piece(11), piece(12)]);
+    assert_eq!(inventory.len(), 2);
     // The piece that nobody has told about stands for itself.
-    let evicted = ledger.evict(|identity| if identity == PieceKey(12) { 0.0 } else { 1.0 });
+    let evicted = inventory.evict(|identity| if identity == PieceKey(12) { 0.0 } else { 1.0 });
     assert_eq!(evicted[0], piece(12));
 }
--- a/entry/src/control/view_publisher.rs
+++ b/entry/src/control/view_publisher.rs
@@ -2,7 +2,7 @@
     crate::traffic::{EndpointLink, KeyIndex, TrafficView},
     arc_swap::ArcSwap,
     pitchhitch_core::{
-        place::ReturnModel,
+        place::ReuseModel,
         route::{EndpointArena, EndpointKey, RouteTable},
     },
     slotmap::SecondaryMap,
@@ -63,7 +63,7 @@
     pub fn publish(
         &mut self,
         table: Arc<RouteTable>,
-        returns: Arc<ReturnModel>,
+        returns: Arc<ReuseModel>,
         entries: u32,
         ready: bool,
     ) {
--- a/entry/src/filter/keep_plan.rs
+++ b/entry/src/filter/keep_plan.rs
@@ -4,7 +4,7 @@
         conf::CostWeights,
         kept::{PieceHolder, PieceKey, PIECE_TOKENS},
         member::rendezvous_weight,
-        place::{decide_keep, KeepCase, KeepDecision, ReturnLabel},
+        place::{decide_retention, RetentionDecision, RetentionInput, ReuseLabel},
         role::prompt_identity,
         route::{import_time, token_cost, EndpointKey, EndpointState, StoreKey, StoreState},
         time::Micros,
@@ -19,7 +19,7 @@
 #[derive(Debug, Clone, Copy)]
 pub struct KeepQuestion<'a> {
     /// Kind of work.
-    pub label: &'a ReturnLabel,
+    pub label: &'a ReuseLabel,
     /// Keys of the whole pieces of the prompt.
     pub pieces: &'a [PieceKey],
     /// Bytes of kept state for one token.
@@ -34,7 +34,7 @@
 #[derive(Debug, Clone, PartialEq)]
 pub struct KeepPlan {
     /// The decision.
-    pub decision: KeepDecision,
+    pub decision: RetentionDecision,
     /// What the agent is to export.
     pub export: Option<ExportPlan>,
 }
@@ -58,9 +58,9 @@
     question: &KeepQuestion<'_>,
 ) -> KeepPlan {
     let nothing = KeepPlan {
-        decision: KeepDecision {
+        decision: RetentionDecision {
             tier: None,
-            worth: 0.0,
+            expected_gain: 0.0,
         },
         export: None,
     };
@@ -77,7 +77,7 @@
     if missing.is_empty() {
         return nothing;
     }
-    let decision = decide_keep(&keep_case(
+    let decision = decide_retention(&keep_case(
         view,
         question,
         choice.state,
@@ -136,7 +136,7 @@
     question: &KeepQuestion<'_>,
     store: &StoreState,
     pieces: u32,
-) -> KeepCase {
+) -> RetentionInput {
     let tokens = pieces * PIECE_TOKENS;
     let load = view
         .table
@@ -145,9 +145,9 @@
         .copied()
         .unwrap_or_default();
     let bytes = u64::from(tokens) * question.token_bytes;
-    KeepCase {
-        chance: view.returns.chance(question.label, Micros::ZERO),
-        gap: view.returns.median_gap(question.label, Micros::ZERO),
+    RetentionInput {
+        reuse_probability: view.returns.reuse_probability(question.label, Micros::ZERO),
+        expected_gap: view.returns.median_gap(question.label, Micros::ZERO),
         tokens,
         token_bytes: question.token_bytes,
         token_cost: token_cost(&load),
--- a/entry/src/filter/route.rs
+++ b/entry/src/filter/route.rs
@@ -7,7 +7,7 @@
     pitchhitch_core::{
         errors::ErrorKind,
         kept::{prefix_keys, PieceKey, PIECE_TOKENS},
-        place::ReturnLabel,
+        place::ReuseLabel,
         route::{EndpointKey, RouteChoice, RouteRequest},
     },
     pitchhitch_wire::messages::{ImportPlan, PinnedPiece},
@@ -56,7 +56,7 @@
     earlier: EarlierTries<'_>,
 ) -> Result<RoutedTry, Refusal> {
     let best = best_version(app, view, work, earlier)?;
-    let label = ReturnLabel {
+    let label = ReuseLabel {
         organisation: work.organisation.clone(),
         label: work.request.marks.label.clone(),
     };
--- a/entry/src/traffic/traffic_view.rs
+++ b/entry/src/traffic/traffic_view.rs
@@ -1,7 +1,7 @@
 use {
     super::{EndpointLink, KeyIndex},
     pitchhitch_core::{
-        place::ReturnModel,
+        place::ReuseModel,
         route::{EndpointKey, RouteTable, SentLoad},
     },
     slotmap::SecondaryMap,
@@ -14,7 +14,7 @@
     /// For routing.
     pub table: Arc<RouteTable>,
     /// What is known of returns.
-    pub returns: Arc<ReturnModel>,
+    pub returns: Arc<ReuseModel>,
     /// Links by endpoint.
     pub links: Arc<SecondaryMap<EndpointKey, Arc<EndpointLink>>>,
     /// Keys of organisations.
