--- a/agent/src/conf/agent_settings.rs
+++ b/agent/src/conf/agent_settings.rs
@@ -91,7 +91,7 @@
             metrics: reader.optional_address("metrics"),
         };
         if settings.beacon_secret.is_none() && !settings.listen.ip().is_loopback() {
-            reader.refuse(
+            reader.add_problem(
                 "beacon_secret",
                 "nothing",
                 "a secret, as 'listen' is no loopback address",
--- a/core/src/retry/backoff_policy.rs
+++ b/core/src/retry/backoff_policy.rs
@@ -22,7 +22,7 @@
     };
 
     /// The pause before try number `attempt`, counted from one.
-    pub fn pause(
+    pub fn delay(
         &self,
         attempt: u32,
         random: &mut impl Rng,
--- a/core/src/retry/outlier_guard.rs
+++ b/core/src/retry/outlier_guard.rs
@@ -1,13 +1,13 @@
 use crate::time::Micros;
 
 /// Failures in a row after which an endpoint gets no requests for a while.
-const EJECT_AFTER: u32 = 3;
+const FAILURES_TO_EJECT: u32 = 3;
 /// First time out; it doubles with each further ejection.
-const FIRST_TIME_OUT: Micros = Micros::from_secs(2);
+const BASE_EJECTION_TIME: Micros = Micros::from_secs(2);
 /// Longest time out.
-const LONGEST_TIME_OUT: Micros = Micros::from_secs(60);
+const MAX_EJECTION_TIME: Micros = Micros::from_secs(60);
 /// Time over which an endpoint that comes back is slowly given its full part.
-const SLOW_START: Micros = Micros::from_secs(5);
+const SLOW_START_WINDOW: Micros = Micros::from_secs(5);
 /// Factor on the estimates of an endpoint that has just come back.
 const SLOW_START_PENALTY: f32 = 4.0;
 
@@ -16,48 +16,50 @@
 pub struct OutlierGuard {
     failures: u32,
     ejections: u32,
-    out_until: Option<Micros>,
-    back_since: Option<Micros>,
+    ejected_until: Option<Micros>,
+    readmitted_at: Option<Micros>,
 }
 
 impl OutlierGuard {
     /// Notes an answered request.
-    pub fn succeeded(
+    pub fn record_success(
         &mut self,
         now: Micros,
     ) {
         self.failures = 0;
-        let settled = self.back_since.is_some_and(|t| now.since(t) > SLOW_START);
-        if settled {
+        let recovered = self
+            .readmitted_at
+            .is_some_and(|t| now.since(t) > SLOW_START_WINDOW);
+        if recovered {
             self.ejections = 0;
-            self.back_since = None;
+            self.readmitted_at = None;
         }
     }
 
     /// Notes a failed request; true when the endpoint is taken out by it.
-    pub fn failed(
+    pub fn record_failure(
         &mut self,
         now: Micros,
     ) -> bool {
         self.failures += 1;
-        if self.failures < EJECT_AFTER || self.is_out(now) {
+        if self.failures < FAILURES_TO_EJECT || self.is_ejected(now) {
             return false;
         }
-        let doubled = FIRST_TIME_OUT.0 << self.ejections.min(10);
-        let time_out = Micros(doubled.min(LONGEST_TIME_OUT.0));
-        self.out_until = Some(now + time_out);
-        self.back_since = Some(now + time_out);
+        let doubled = BASE_EJECTION_TIME.0 << self.ejections.min(10);
+        let ejection_time = Micros(doubled.min(MAX_EJECTION_TIME.0));
+        self.ejected_until = Some(now + ejection_time);
+        self.readmitted_at = Some(now + ejection_time);
         self.ejections += 1;
         self.failures = 0;
         true
     }
 
     /// Whether the endpoint gets no requests now.
-    pub fn is_out(
+    pub fn is_ejected(
         &self,
         now: Micros,
     ) -> bool {
-        self.out_until.is_some_and(|until| now < until)
+        self.ejected_until.is_some_and(|until| now < until)
     }
 
     /// Factor on the endpoint's estimates; one when all is well.
@@ -65,14 +67,14 @@
         &self,
         now: Micros,
     ) -> f32 {
-        let Some(since) = self.back_since else {
+        let Some(since) = self.readmitted_at else {
             return 1.0;
         };
-        let back_for = now.since(since);
-        if back_for >= SLOW_START {
+        let since_readmission = now.since(since);
+        if since_readmission >= SLOW_START_WINDOW {
             return 1.0;
         }
-        let progress = back_for.0 as f32 / SLOW_START.0 as f32;
+        let progress = since_readmission.0 as f32 / SLOW_START_WINDOW.0 as f32;
         SLOW_START_PENALTY + (1.0 - SLOW_START_PENALTY) * progress
     }
 }
--- a/core/src/retry/retry_decision.rs
+++ b/core/src/retry/retry_decision.rs
@@ -1,17 +1,17 @@
 use crate::{errors::ErrorKind, time::Micros};
 
 /// Tries of one request, the first included.
-pub const MAX_TRIES: u32 = 4;
+pub const MAX_ATTEMPTS: u32 = 4;
 
-/// What is known of a request when one of its tries has failed.
+/// What is known of a request when one of its attempts has failed.
 #[derive(Debug, Clone, Copy)]
-pub struct FailedTry {
+pub struct FailedAttempt {
     /// How it failed.
     pub kind: ErrorKind,
     /// Whether the request may run more than once.
     pub repeatable: bool,
     /// Tries so far.
-    pub tries: u32,
+    pub attempts: u32,
     /// When the answer must have begun.
     pub deadline: Micros,
     /// Now.
@@ -22,7 +22,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RetryStep {
     /// Another endpoint is tried, and the try is taken out of the budget.
-    TryAnother,
+    RetryElsewhere,
     /// The caller is told.
     GiveUp,
 }
@@ -30,21 +30,21 @@
 /// Decides about a failed try, the budget apart.
 ///
 /// A request that may not be repeated is handed on only with proof that it did not run.
-pub fn after_failure(failed: &FailedTry) -> RetryStep {
-    if failed.tries >= MAX_TRIES || failed.now >= failed.deadline {
+pub fn decide_retry(failed: &FailedAttempt) -> RetryStep {
+    if failed.attempts >= MAX_ATTEMPTS || failed.now >= failed.deadline {
         return RetryStep::GiveUp;
     }
-    if !is_worth_another(failed.kind) {
+    if !is_retryable(failed.kind) {
         return RetryStep::GiveUp;
     }
     if failed.kind.proves_not_run() || failed.repeatable {
-        RetryStep::TryAnother
+        RetryStep::RetryElsewhere
     } else {
         RetryStep::GiveUp
     }
 }
 
-fn is_worth_another(kind: ErrorKind) -> bool {
+fn is_retryable(kind: ErrorKind) -> bool {
     matches!(
         kind,
         ErrorKind::EndpointLeaving
--- a/core/src/role/endpoint_roster.rs
+++ b/core/src/role/endpoint_roster.rs
@@ -5,7 +5,9 @@
         labels::LabelSet,
         member::AgentBeacon,
         retry::OutlierGuard,
-        route::{EndpointArena, EndpointKey, EndpointKind, EndpointLoad, EndpointState, SentLoad},
+        route::{
+            EndpointArena, EndpointKey, EndpointKind, EndpointLoad, EndpointState, InFlightLoad,
+        },
         time::Micros,
     },
     slotmap::SecondaryMap,
@@ -67,7 +69,7 @@
     pub fn heard(
         &mut self,
         beacon: &AgentBeacon,
-        own: SentLoad,
+        own: InFlightLoad,
         config: &FleetConfig,
         now: Micros,
     ) -> RosterChange {
@@ -165,7 +167,7 @@
         &mut self,
         endpoint_id: &str,
         pulse: AgentPulse,
-        own: SentLoad,
+        own: InFlightLoad,
         now: Micros,
     ) -> LoadChange {
         let Some(entry) = self.entries.get_mut(endpoint_id) else {
@@ -180,7 +182,7 @@
             report: pulse.load,
             own_tokens: own.tokens,
             own_running: own.running,
-            alive: entry.linked && !entry.guard.is_out(now),
+            alive: entry.linked && !entry.guard.is_ejected(now),
             penalty: entry.guard.penalty(now),
         };
         let before = self.loads.insert(entry.key, load);
@@ -214,7 +216,7 @@
             }
             if let Some(load) = load {
                 let heard = silent.0 < SUSPECT_AFTER.0 * factor && awaited < SUSPECT_AFTER;
-                let alive = entry.linked && heard && !entry.guard.is_out(now);
+                let alive = entry.linked && heard && !entry.guard.is_ejected(now);
                 let penalty = entry.guard.penalty(now);
                 verdict.changed |= load.alive != alive || load.penalty != penalty;
                 load.alive = alive;
--- a/core/src/role/entry_contacts.rs
+++ b/core/src/role/entry_contacts.rs
@@ -6,7 +6,8 @@
         RosterChange, UpwardEvent,
     },
     crate::{
-        kept::PieceHolder, member::EntryBeacon, place::ReuseLabel, route::SentLoad, time::Micros,
+        kept::PieceHolder, member::EntryBeacon, place::ReuseLabel, route::InFlightLoad,
+        time::Micros,
     },
 };
 
@@ -15,7 +16,7 @@
         &mut self,
         now: Micros,
         beacon: crate::member::AgentBeacon,
-        own: SentLoad,
+        own: InFlightLoad,
         actions: &mut Vec<EntryAction>,
     ) {
         match self.roster.heard(&beacon, own, &self.config, now) {
@@ -102,7 +103,7 @@
         now: Micros,
         endpoint_id: &str,
         pulse: AgentPulse,
-        own: SentLoad,
+        own: InFlightLoad,
     ) {
         match self.roster.note_load(endpoint_id, pulse, own, now) {
             LoadChange::None => {}
@@ -120,7 +121,7 @@
         endpoint_id: &str,
         incarnation: u64,
         batch: EventBatch,
-        own: SentLoad,
+        own: InFlightLoad,
         actions: &mut Vec<EntryAction>,
     ) {
         if self.roster.state(endpoint_id).map(|s| s.incarnation) != Some(incarnation) {
--- a/core/src/role/entry_event.rs
+++ b/core/src/role/entry_event.rs
@@ -6,7 +6,7 @@
         kept::{PieceKey, StoreTier},
         lease::LeaseRow,
         member::{AgentBeacon, EntryBeacon},
-        route::SentLoad,
+        route::InFlightLoad,
         time::Micros,
     },
     std::{net::SocketAddr, sync::Arc},
@@ -28,7 +28,7 @@
         /// The beacon.
         beacon: AgentBeacon,
         /// Own work at that moment.
-        own: SentLoad,
+        own: InFlightLoad,
     },
     /// Another entry process's beacon came.
     PeerHeard(EntryBeacon),
@@ -41,7 +41,7 @@
         /// The events.
         batch: EventBatch,
         /// Own work at that moment.
-        own: SentLoad,
+        own: InFlightLoad,
     },
     /// The event stream of an agent began anew; a whole list of its state follows.
     StreamOpened {
@@ -62,7 +62,7 @@
         /// The state.
         pulse: AgentPulse,
         /// Own work at that moment.
-        own: SentLoad,
+        own: InFlightLoad,
     },
     /// The box list was read.
     BoxesListed(Vec<BoxNotice>),
--- a/core/src/role/entry_placement.rs
+++ b/core/src/role/entry_placement.rs
@@ -138,10 +138,10 @@
             return;
         };
         if !failed {
-            entry.guard.succeeded(now);
+            entry.guard.record_success(now);
             return;
         }
-        if entry.guard.failed(now) {
+        if entry.guard.record_failure(now) {
             self.roster.judge(now);
             self.table_stale = true;
             let reason = "failed several times in a row".to_string();
--- a/core/src/route/cost_estimate.rs
+++ b/core/src/route/cost_estimate.rs
@@ -1,5 +1,5 @@
 use {
-    super::{EndpointLoad, RoutePolicy, RouteRequest, SentLoad, StoreKey, StoreState},
+    super::{EndpointLoad, InFlightLoad, RoutePolicy, RouteRequest, StoreKey, StoreState},
     crate::kept::{StoreTier, PIECE_TOKENS},
     serde::{Deserialize, Serialize},
 };
@@ -68,7 +68,7 @@
 #[inline]
 pub fn queue_time(
     load: &EndpointLoad,
-    sent: SentLoad,
+    sent: InFlightLoad,
 ) -> f64 {
     let report = &load.report;
     let others_tokens = report.pending_tokens.saturating_sub(load.own_tokens);
@@ -111,7 +111,7 @@
     /// Its load.
     pub load: &'a EndpointLoad,
     /// What this process has under way there.
-    pub sent: SentLoad,
+    pub sent: InFlightLoad,
     /// Pieces that it has in accelerator memory.
     pub reused_pieces: u32,
     /// The best import for it, if a store box has more than it.
@@ -148,19 +148,19 @@
 
 /// One way to get at the state of a prompt: what is waited for and what it takes.
 #[derive(Debug, Clone, Copy)]
-struct StatePath {
+struct PrefillPlan {
     import: f64,
     tokens: u32,
     link_kib: f64,
 }
 
-impl StatePath {
+impl PrefillPlan {
     #[inline]
     fn without_import(
         request: &RouteRequest<'_>,
         reused_pieces: u32,
     ) -> Self {
-        StatePath {
+        PrefillPlan {
             import: 0.0,
             tokens: request
                 .input_tokens
@@ -177,10 +177,10 @@
     ) -> Self {
         let imported = priced.offer.pieces - reused_pieces;
         let bytes = u64::from(imported * PIECE_TOKENS) * request.token_bytes;
-        StatePath {
+        PrefillPlan {
             import: priced.link_wait + f64::from(imported) * priced.piece_time,
             link_kib: bytes as f64 / BYTES_PER_KIB,
-            ..StatePath::without_import(request, priced.offer.pieces)
+            ..PrefillPlan::without_import(request, priced.offer.pieces)
         }
     }
 
@@ -224,12 +224,12 @@
     let load = candidate.load;
     let queue = queue_time(load, candidate.sent);
     let token_cost = token_cost(load);
-    let plain = StatePath::without_import(request, candidate.reused_pieces);
+    let plain = PrefillPlan::without_import(request, candidate.reused_pieces);
     let plain = plain.cost(request, load, queue, token_cost);
     let Some(priced) = usable_offer(candidate, policy) else {
         return plain;
     };
-    let import = StatePath::with_import(request, candidate.reused_pieces, &priced);
+    let import = PrefillPlan::with_import(request, candidate.reused_pieces, &priced);
     let import = import.cost(request, load, queue, token_cost);
     if policy == RoutePolicy::AlwaysImport {
         import
@@ -247,24 +247,24 @@
     let load = candidate.load;
     let queue = queue_time(load, candidate.sent);
     let token_cost = token_cost(load);
-    let explain = |path: StatePath, offer: Option<ImportOffer>| CostEstimate {
+    let itemize = |plan: PrefillPlan, offer: Option<ImportOffer>| CostEstimate {
         queue,
-        import: path.import,
-        compute: f64::from(path.tokens) * token_cost,
+        import: plan.import,
+        compute: f64::from(plan.tokens) * token_cost,
         reused_pieces: candidate.reused_pieces,
         imported_pieces: offer.map_or(0, |o| o.pieces - candidate.reused_pieces),
         store: offer.map(|o| o.store),
-        source: source_of(offer),
-        recomputed_tokens: path.tokens,
-        cost: path.cost(request, load, queue, token_cost),
+        source: state_source(offer),
+        recomputed_tokens: plan.tokens,
+        cost: plan.cost(request, load, queue, token_cost),
     };
-    let plain = StatePath::without_import(request, candidate.reused_pieces);
-    let plain = explain(plain, None);
+    let plain = PrefillPlan::without_import(request, candidate.reused_pieces);
+    let plain = itemize(plain, None);
     let Some(priced) = usable_offer(candidate, policy) else {
         return plain;
     };
-    let import = StatePath::with_import(request, candidate.reused_pieces, &priced);
-    let import = explain(import, Some(priced.offer));
+    let import = PrefillPlan::with_import(request, candidate.reused_pieces, &priced);
+    let import = itemize(import, Some(priced.offer));
     if policy == RoutePolicy::AlwaysImport || import.cost < plain.cost {
         import
     } else {
@@ -272,7 +272,7 @@
     }
 }
 
-fn source_of(offer: Option<ImportOffer>) -> StateSource {
+fn state_source(offer: Option<ImportOffer>) -> StateSource {
     match offer.map(|o| o.tier) {
         None => StateSource::Accelerator,
         Some(StoreTier::Memory) => StateSource::MemoryTier,
--- a/core/src/route/endpoint_state.rs
+++ b/core/src/route/endpoint_state.rs
@@ -82,7 +82,7 @@
 
 /// What this process has sent to an endpoint and not seen answered.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct SentLoad {
+pub struct InFlightLoad {
     /// Prompt tokens without a first answer token.
     pub tokens: u64,
     /// Requests not ended.
--- a/core/src/route/prefix_reuse.rs
+++ b/core/src/route/prefix_reuse.rs
@@ -4,7 +4,7 @@
 };
 
 #[derive(Debug, Clone, Copy)]
-struct EndpointRun {
+struct EndpointPrefix {
     endpoint: EndpointKey,
     pieces: u32,
 }
@@ -12,7 +12,7 @@
 /// How many leading pieces of a prompt each holder has without a gap.
 #[derive(Debug, Clone, Default)]
 pub struct PrefixReuse {
-    endpoints: Vec<EndpointRun>,
+    endpoints: Vec<EndpointPrefix>,
     stores: Vec<ImportOffer>,
 }
 
@@ -53,16 +53,16 @@
         endpoint: EndpointKey,
     ) -> bool {
         if depth == 0 {
-            self.endpoints.push(EndpointRun {
+            self.endpoints.push(EndpointPrefix {
                 endpoint,
                 pieces: 1,
             });
             return true;
         }
-        let run = self.endpoints.iter_mut().find(|r| r.endpoint == endpoint);
-        match run {
-            Some(run) if run.pieces == depth => {
-                run.pieces += 1;
+        let known_prefix = self.endpoints.iter_mut().find(|r| r.endpoint == endpoint);
+        match known_prefix {
+            Some(known_prefix) if known_prefix.pieces == depth => {
+                known_prefix.pieces += 1;
                 true
             }
             _ => false,
@@ -95,12 +95,12 @@
     }
 
     /// Leading pieces that an endpoint holds.
-    pub fn on_endpoint(
+    pub fn endpoint_pieces(
         &self,
         endpoint: EndpointKey,
     ) -> u32 {
-        let run = self.endpoints.iter().find(|r| r.endpoint == endpoint);
-        run.map_or(0, |r| r.pieces)
+        let known_prefix = self.endpoints.iter().find(|r| r.endpoint == endpoint);
+        known_prefix.map_or(0, |r| r.pieces)
     }
 
     /// What store boxes could give.
--- a/core/src/route/route_pool.rs
+++ b/core/src/route/route_pool.rs
@@ -51,22 +51,27 @@
         arena: &EndpointArena,
     ) -> PoolIndex {
         let mut index = PoolIndex::default();
-        for wanted in targets(config) {
-            let members = members_of(arena, &wanted);
+        for version_target in version_targets(config) {
+            let members = pool_members(arena, &version_target);
             let mut shared: BTreeMap<Vec<&str>, Arc<RoutePool>> = BTreeMap::new();
             for organisation in config.organisations.keys() {
-                let work = work_labels(config, organisation, &wanted.target, &wanted.version);
-                let rules = deciding_rules(config, &work);
+                let work = work_labels(
+                    config,
+                    organisation,
+                    &version_target.target,
+                    &version_target.version,
+                );
+                let rules = effective_rules(config, &work);
                 let names: Vec<&str> = rules.iter().map(|r| r.name).collect();
                 let pool = shared
                     .entry(names)
                     .or_insert_with(|| Arc::new(fill_pool(arena, &members, &rules)));
                 let pools = index.pools.entry(organisation.clone()).or_default();
                 pools
-                    .entry(wanted.target.clone())
+                    .entry(version_target.target.clone())
                     .or_default()
                     .push(VersionPool {
-                        version: wanted.version.clone(),
+                        version: version_target.version.clone(),
                         pool: pool.clone(),
                     });
             }
@@ -106,7 +111,7 @@
     usable: bool,
 }
 
-fn targets(config: &FleetConfig) -> Vec<VersionTarget> {
+fn version_targets(config: &FleetConfig) -> Vec<VersionTarget> {
     let mut targets = Vec::new();
     for (name, model) in &config.models {
         for version in model.versions.keys() {
@@ -125,15 +130,15 @@
     targets
 }
 
-fn members_of(
+fn pool_members(
     arena: &EndpointArena,
-    wanted: &VersionTarget,
+    version_target: &VersionTarget,
 ) -> Vec<PoolMember> {
     let mut members = Vec::new();
     for (key, state) in arena {
-        let usable = match (&state.kind, &wanted.target) {
+        let usable = match (&state.kind, &version_target.target) {
             (EndpointKind::Engine { model, version }, WorkTarget::Model(name)) if model == name => {
-                *version == wanted.version
+                *version == version_target.version
             }
             (EndpointKind::Service { service }, WorkTarget::Service(name)) if service == name => {
                 true
@@ -174,39 +179,39 @@
     labels
 }
 
-fn deciding_rules<'a>(
+fn effective_rules<'a>(
     config: &'a FleetConfig,
     work: &LabelSet,
 ) -> Vec<NamedRule<'a>> {
-    let mut deciding: Vec<NamedRule<'a>> = Vec::new();
+    let mut effective: Vec<NamedRule<'a>> = Vec::new();
     for (name, rule) in &config.rules {
         if !rule.work.matches(work) {
             continue;
         }
-        let best = deciding.first().map(|r| r.rule.precedence);
+        let best = effective.first().map(|r| r.rule.precedence);
         match best {
             Some(best) if rule.precedence < best => continue,
-            Some(best) if rule.precedence > best => deciding.clear(),
+            Some(best) if rule.precedence > best => effective.clear(),
             _ => {}
         }
-        deciding.push(NamedRule { name, rule });
+        effective.push(NamedRule { name, rule });
     }
-    deciding
+    effective
 }
 
 fn is_admitted(
     labels: &LabelSet,
     rules: &[NamedRule<'_>],
 ) -> bool {
-    let hit = |effect: RuleEffect| {
-        let mut of_effect = rules.iter().filter(|r| r.rule.effect == effect);
-        of_effect.any(|r| r.rule.endpoints.matches(labels))
+    let matches_any = |effect: RuleEffect| {
+        let mut same_effect = rules.iter().filter(|r| r.rule.effect == effect);
+        same_effect.any(|r| r.rule.endpoints.matches(labels))
     };
-    if hit(RuleEffect::Deny) {
+    if matches_any(RuleEffect::Deny) {
         return false;
     }
     let has_allow = rules.iter().any(|r| r.rule.effect == RuleEffect::Allow);
-    !has_allow || hit(RuleEffect::Allow)
+    !has_allow || matches_any(RuleEffect::Allow)
 }
 
 fn fill_pool(
--- a/core/src/route/route_table.rs
+++ b/core/src/route/route_table.rs
@@ -1,8 +1,8 @@
 use {
     super::{
         estimate, estimate_cost, CandidateState, CostEstimate, EndpointArena, EndpointKey,
-        EndpointLoad, PieceImport, PoolIndex, PrefixReuse, PricedOffer, RouteChoice, RoutePolicy,
-        RoutePool, RouteReason, RouteRequest, RunnerUp, SentLoad, StoreKey, StoreState,
+        EndpointLoad, InFlightLoad, PieceImport, PoolIndex, PrefixReuse, PricedOffer, RouteChoice,
+        RoutePolicy, RoutePool, RouteReason, RouteRequest, RunnerUp, StoreKey, StoreState,
     },
     crate::{
         conf::FleetConfig,
@@ -93,7 +93,7 @@
     pub fn choose(
         &self,
         request: &RouteRequest<'_>,
-        sent: impl Fn(EndpointKey) -> SentLoad,
+        sent: impl Fn(EndpointKey) -> InFlightLoad,
     ) -> Result<RouteChoice, ErrorKind> {
         let pool = self
             .pools
@@ -124,7 +124,7 @@
         request: &RouteRequest<'_>,
         pool: &RoutePool,
         reuse: &PrefixReuse,
-        sent: impl Fn(EndpointKey) -> SentLoad,
+        sent: impl Fn(EndpointKey) -> InFlightLoad,
     ) -> BestTwo<'_> {
         let mut random = Pcg32::seed_from_u64(request.seed);
         let mut best = BestTwo::default();
@@ -136,7 +136,7 @@
             if !load.alive || !load.report.healthy || request.excluded.contains(&endpoint) {
                 continue;
             }
-            let reused_pieces = reuse.on_endpoint(endpoint);
+            let reused_pieces = reuse.endpoint_pieces(endpoint);
             let state = CandidateState {
                 load,
                 sent: sent(endpoint),
@@ -178,8 +178,8 @@
             }
             RoutePolicy::LeastLoad => running() + 1.0,
             RoutePolicy::PrefixAffinity => {
-                let lacking = request.pieces.len() as f64 - f64::from(state.reused_pieces);
-                1.0 + lacking * 1e6 + running()
+                let missing_pieces = request.pieces.len() as f64 - f64::from(state.reused_pieces);
+                1.0 + missing_pieces * 1e6 + running()
             }
         }
     }
--- a/core/src/serving/endpoint_book.rs
+++ b/core/src/serving/endpoint_book.rs
@@ -323,10 +323,10 @@
         };
         if is_sound {
             entry.answered_at = Some(now);
-            entry.guard.succeeded(now);
+            entry.guard.record_success(now);
             return false;
         }
-        entry.guard.failed(now)
+        entry.guard.record_failure(now)
     }
 }
 
--- a/core/src/serving/endpoint_pick.rs
+++ b/core/src/serving/endpoint_pick.rs
@@ -173,7 +173,7 @@
     let is_away = load.is_some_and(|load| load.is_silent || load.is_swapping);
     let is_loading = entry.stage == SwapStage::Loading;
     let is_suspect = !ask.left_out.has(ServingMechanism::Suspicion) && entry.is_suspect(now);
-    !is_away && !is_loading && !is_suspect && !guard_of(entry, ask).is_out(now)
+    !is_away && !is_loading && !is_suspect && !guard_of(entry, ask).is_ejected(now)
 }
 
 /// What watches the endpoint's failures; one that has seen none, where it is left out.
--- a/core/src/settings/settings_reader.rs
+++ b/core/src/settings/settings_reader.rs
@@ -7,9 +7,9 @@
 };
 
 /// Fields whose name starts so are comments.
-const COMMENT_MARK: &str = "//";
+const COMMENT_PREFIX: &str = "//";
 /// Characters of a wrong value that are shown.
-const SHOWN_LIMIT: usize = 60;
+const SHOWN_VALUE_CHARS: usize = 60;
 
 /// Reads a settings file field by field and gathers what is wrong.
 ///
@@ -47,7 +47,7 @@
                 known: BTreeSet::new(),
                 problems: Vec::new(),
             }),
-            Ok(other) => Err(whole(shown(&other))),
+            Ok(other) => Err(whole(abbreviate(&other))),
             Err(error) => Err(whole(error.to_string())),
         }
     }
@@ -57,10 +57,10 @@
         &mut self,
         field: &'static str,
     ) -> String {
-        match self.take(field) {
+        match self.read_field(field) {
             Some(Value::String(text)) if !text.is_empty() => text,
             other => {
-                self.problem(field, &other, "a text");
+                self.add_field_problem(field, &other, "a text");
                 String::new()
             }
         }
@@ -71,11 +71,11 @@
         &mut self,
         field: &'static str,
     ) -> Option<String> {
-        match self.take(field) {
+        match self.read_field(field) {
             None | Some(Value::Null) => None,
             Some(Value::String(text)) if !text.is_empty() => Some(text),
             other => {
-                self.problem(field, &other, "a text, or nothing");
+                self.add_field_problem(field, &other, "a text, or nothing");
                 None
             }
         }
@@ -86,11 +86,11 @@
         &mut self,
         field: &'static str,
     ) -> SocketAddr {
-        let value = self.take(field);
+        let value = self.read_field(field);
         match parse_address(&value) {
             Some(address) => address,
             None => {
-                self.problem(
+                self.add_field_problem(
                     field,
                     &value,
                     "an IP address and port, such as \"127.0.0.1:8080\"",
@@ -109,7 +109,7 @@
         if present {
             return Some(self.address(field));
         }
-        self.take(field);
+        self.read_field(field);
         None
     }
 
@@ -120,14 +120,14 @@
         default: u64,
         bounds: RangeInclusive<u64>,
     ) -> u64 {
-        let value = self.take(field);
+        let value = self.read_field(field);
         let number = match &value {
             None | Some(Value::Null) => Some(default),
             Some(value) => value.as_u64().filter(|n| bounds.contains(n)),
         };
         number.unwrap_or_else(|| {
             let wanted = format!("a whole number from {} to {}", bounds.start(), bounds.end());
-            self.problem(field, &value, &wanted);
+            self.add_field_problem(field, &value, &wanted);
             default
         })
     }
@@ -139,14 +139,14 @@
         default: f64,
         bounds: RangeInclusive<f64>,
     ) -> f64 {
-        let value = self.take(field);
+        let value = self.read_field(field);
         let number = match &value {
             None | Some(Value::Null) => Some(default),
             Some(value) => value.as_f64().filter(|n| bounds.contains(n)),
         };
         number.unwrap_or_else(|| {
             let wanted = format!("a number from {} to {}", bounds.start(), bounds.end());
-            self.problem(field, &value, &wanted);
+            self.add_field_problem(field, &value, &wanted);
             default
         })
     }
@@ -177,11 +177,11 @@
         field: &'static str,
         default: bool,
     ) -> bool {
-        match self.take(field) {
+        match self.read_field(field) {
             None | Some(Value::Null) => default,
             Some(Value::Bool(flag)) => flag,
             other => {
-                self.problem(field, &other, "true or false");
+                self.add_field_problem(field, &other, "true or false");
                 default
             }
         }
@@ -189,33 +189,33 @@
 
     /// A yes or no that a template may have spelled as a text, which is empty where
     /// the template had nothing to fill in.
-    pub fn spelled_flag(
+    pub fn flag_or_text(
         &mut self,
         field: &'static str,
         default: bool,
     ) -> bool {
-        let spelled = match self.fields.get(field).and_then(Value::as_str) {
+        let parsed = match self.fields.get(field).and_then(Value::as_str) {
             Some("true") => true,
             Some("false") => false,
             Some("") => default,
             _ => return self.flag(field, default),
         };
-        self.take(field);
-        spelled
+        self.read_field(field);
+        parsed
     }
 
     /// A number that a template may have spelled as a text, which is empty where the template had
     /// nothing to fill in.
-    pub fn spelled_fraction(
+    pub fn fraction_or_text(
         &mut self,
         field: &'static str,
         default: f64,
         range: RangeInclusive<f64>,
     ) -> f64 {
-        let spelled = self.fields.get(field).and_then(Value::as_str);
-        let number = match spelled {
+        let parsed = self.fields.get(field).and_then(Value::as_str);
+        let number = match parsed {
             Some("") => {
-                self.take(field);
+                self.read_field(field);
                 return default;
             }
             Some(text) => text.parse::<f64>().ok(),
@@ -234,18 +234,18 @@
         default: Option<T>,
         wanted: &str,
     ) -> Option<T> {
-        let value = self.take(field);
+        let value = self.read_field(field);
         match &value {
             None | Some(Value::Null) if default.is_some() => default,
             None | Some(Value::Null) => {
-                self.problem(field, &value, wanted);
+                self.add_field_problem(field, &value, wanted);
                 None
             }
             Some(present) => match serde_json::from_value(present.clone()) {
                 Ok(read) => Some(read),
                 Err(error) => {
                     let wanted = format!("{wanted} ({error})");
-                    self.problem(field, &value, &wanted);
+                    self.add_field_problem(field, &value, &wanted);
                     default
                 }
             },
@@ -253,7 +253,7 @@
     }
 
     /// Notes a problem that only shows in several fields together.
-    pub fn refuse(
+    pub fn add_problem(
         &mut self,
         field: &'static str,
         found: &str,
@@ -273,12 +273,12 @@
     pub fn finish(mut self) -> Result<(), SettingsErrors> {
         let known: Vec<&str> = self.known.iter().copied().collect();
         for (field, value) in &self.fields {
-            if self.known.contains(field.as_str()) || field.starts_with(COMMENT_MARK) {
+            if self.known.contains(field.as_str()) || field.starts_with(COMMENT_PREFIX) {
                 continue;
             }
             self.problems.push(SettingsProblem {
                 field: field.clone(),
-                found: format!("an unknown field with {}", shown(value)),
+                found: format!("an unknown field with {}", abbreviate(value)),
                 wanted: format!("one of {}", known.join(", ")),
             });
         }
@@ -291,7 +291,7 @@
         })
     }
 
-    fn take(
+    fn read_field(
         &mut self,
         field: &'static str,
     ) -> Option<Value> {
@@ -299,7 +299,7 @@
         self.fields.get(field).cloned()
     }
 
-    fn problem(
+    fn add_field_problem(
         &mut self,
         field: &'static str,
         value: &Option<Value>,
@@ -307,9 +307,9 @@
     ) {
         let found = match value {
             None => "nothing".to_string(),
-            Some(value) => shown(value),
+            Some(value) => abbreviate(value),
         };
-        self.refuse(field, &found, wanted);
+        self.add_problem(field, &found, wanted);
     }
 }
 
@@ -317,9 +317,9 @@
     value.as_ref()?.as_str()?.parse().ok()
 }
 
-fn shown(value: &Value) -> String {
+fn abbreviate(value: &Value) -> String {
     let text = value.to_string();
-    match text.char_indices().nth(SHOWN_LIMIT) {
+    match text.char_indices().nth(SHOWN_VALUE_CHARS) {
         Some((cut, _)) => format!("{}...", &text[..cut]),
         None => text,
     }
--- a/core/tests/endpoint_lives.rs
+++ b/core/tests/endpoint_lives.rs
@@ -71,7 +71,7 @@
 
 fn forgot(entry: &EndpointEntry) -> bool {
     let has_parts = entry.parts.tokens() > 0 || entry.is_mirrored;
-    let is_out = entry.guard.is_out(Micros::ZERO);
+    let is_out = entry.guard.is_ejected(Micros::ZERO);
     !has_parts && entry.load.is_none() && !is_out
 }
 
--- a/core/tests/entry_control.rs
+++ b/core/tests/entry_control.rs
@@ -15,7 +15,7 @@
             BoxNotice, BoxRole, EntryAction, EntryCore, EntryEvent, PromptUse, StoredNotice,
             StoredPiece, UpwardEvent,
         },
-        route::{RouteTable, SentLoad},
+        route::{InFlightLoad, RouteTable},
         time::Micros,
     },
     std::sync::Arc,
@@ -144,7 +144,7 @@
     let event = |pulse| EntryEvent::PulseSeen {
         endpoint_id: "e1".to_string(),
         pulse,
-        own: SentLoad::default(),
+        own: InFlightLoad::default(),
     };
     core.step(now, event(refusing));
     assert_eq!(
@@ -302,7 +302,7 @@
             endpoint_id: endpoint_id.clone(),
             ..beacon(5)
         };
-        let own = SentLoad::default();
+        let own = InFlightLoad::default();
         core.step(Micros(1), EntryEvent::AgentHeard { beacon, own });
         core.step(
             Micros(2),
--- a/core/tests/entry_world/mod.rs
+++ b/core/tests/entry_world/mod.rs
@@ -12,7 +12,7 @@
         role::{
             AgentPulse, EntryAction, EntryCore, EntryEvent, EntrySetup, EventBatch, UpwardEvent,
         },
-        route::{EndpointKind, LoadReport, RoutePolicy, RouteTable, SentLoad},
+        route::{EndpointKind, InFlightLoad, LoadReport, RoutePolicy, RouteTable},
         time::Micros,
     },
     std::sync::Arc,
@@ -88,7 +88,7 @@
 pub fn heard(incarnation: u64) -> EntryEvent {
     EntryEvent::AgentHeard {
         beacon: beacon(incarnation),
-        own: SentLoad::default(),
+        own: InFlightLoad::default(),
     }
 }
 
@@ -112,7 +112,7 @@
             events,
             pulse: pulse(0),
         },
-        own: SentLoad::default(),
+        own: InFlightLoad::default(),
     }
 }
 
--- a/core/tests/retry_rules.rs
+++ b/core/tests/retry_rules.rs
@@ -4,8 +4,8 @@
     pitchhitch_core::{
         errors::{ErrorKind, RunState},
         retry::{
-            after_failure, BackoffPolicy, FailedTry, OutlierGuard, RetryBudget, RetryStep,
-            MAX_TRIES,
+            decide_retry, BackoffPolicy, FailedAttempt, OutlierGuard, RetryBudget, RetryStep,
+            MAX_ATTEMPTS,
         },
         time::Micros,
     },
@@ -17,12 +17,12 @@
 fn failed(
     kind: ErrorKind,
     repeatable: bool,
-    tries: u32,
-) -> FailedTry {
-    FailedTry {
+    attempts: u32,
+) -> FailedAttempt {
+    FailedAttempt {
         kind,
         repeatable,
-        tries,
+        attempts,
         deadline: Micros(1_000),
         now: Micros(10),
     }
@@ -33,7 +33,7 @@
     for kind in ErrorKind::ALL {
         if kind.run_state() == RunState::Unknown {
             assert_eq!(
-                after_failure(&failed(kind, false, 1)),
+                decide_retry(&failed(kind, false, 1)),
                 RetryStep::GiveUp,
                 "{kind:?}"
             );
@@ -49,21 +49,21 @@
         ErrorKind::EndpointFull,
     ] {
         assert_eq!(
-            after_failure(&failed(kind, false, 1)),
-            RetryStep::TryAnother
+            decide_retry(&failed(kind, false, 1)),
+            RetryStep::RetryElsewhere
         );
     }
     let lost = failed(ErrorKind::EndpointLost, true, 1);
-    assert_eq!(after_failure(&lost), RetryStep::TryAnother);
+    assert_eq!(decide_retry(&lost), RetryStep::RetryElsewhere);
 }
 
 #[test]
 fn tries_bounded() {
-    let last = failed(ErrorKind::EndpointFull, true, MAX_TRIES);
-    assert_eq!(after_failure(&last), RetryStep::GiveUp);
+    let last = failed(ErrorKind::EndpointFull, true, MAX_ATTEMPTS);
+    assert_eq!(decide_retry(&last), RetryStep::GiveUp);
     let mut late = failed(ErrorKind::EndpointFull, true, 1);
     late.now = late.deadline;
-    assert_eq!(after_failure(&late), RetryStep::GiveUp);
+    assert_eq!(decide_retry(&late), RetryStep::GiveUp);
 }
 
 #[test]
@@ -86,22 +86,22 @@
     let mut random = Pcg32::seed_from_u64(1);
     let policy = BackoffPolicy::PLATFORM;
     for attempt in 1..40 {
-        let pause = policy.pause(attempt, &mut random);
+        let pause = policy.delay(attempt, &mut random);
         assert!(pause <= policy.cap, "{pause:?}");
     }
-    assert!(policy.pause(30, &mut random).0 >= policy.cap.0 / 2);
+    assert!(policy.delay(30, &mut random).0 >= policy.cap.0 / 2);
 }
 
 #[test]
 fn outlier_taken_out() {
     let mut guard = OutlierGuard::default();
     let now = Micros::from_secs(1);
-    assert!(!guard.failed(now));
-    assert!(!guard.failed(now));
-    assert!(guard.failed(now));
-    assert!(guard.is_out(now));
+    assert!(!guard.record_failure(now));
+    assert!(!guard.record_failure(now));
+    assert!(guard.record_failure(now));
+    assert!(guard.is_ejected(now));
     let back = Micros::from_secs(4);
-    assert!(!guard.is_out(back));
+    assert!(!guard.is_ejected(back));
     assert!(guard.penalty(back) > 1.0);
     assert_eq!(guard.penalty(Micros::from_secs(30)), 1.0);
 }
@@ -111,9 +111,9 @@
     let mut guard = OutlierGuard::default();
     let now = Micros::from_secs(1);
     for _ in 0..10 {
-        assert!(!guard.failed(now));
-        assert!(!guard.failed(now));
-        guard.succeeded(now);
+        assert!(!guard.record_failure(now));
+        assert!(!guard.record_failure(now));
+        guard.record_success(now);
     }
 }
 
--- a/core/tests/route_fleet/mod.rs
+++ b/core/tests/route_fleet/mod.rs
@@ -10,8 +10,8 @@
         kept::{prefix_keys, PieceHolder, PieceKey, StoreTier, StoredCopy},
         labels::{LabelSelector, LabelSet},
         route::{
-            EndpointArena, EndpointKey, EndpointKind, EndpointLoad, EndpointState, LoadReport,
-            PoolIndex, RouteChoice, RouteRequest, RouteTable, SentLoad, StoreState, WorkTarget,
+            EndpointArena, EndpointKey, EndpointKind, EndpointLoad, EndpointState, InFlightLoad,
+            LoadReport, PoolIndex, RouteChoice, RouteRequest, RouteTable, StoreState, WorkTarget,
         },
         time::Micros,
     },
@@ -188,7 +188,7 @@
         now: Micros::ZERO,
         seed,
     };
-    table.choose(&request, |_| SentLoad::default())
+    table.choose(&request, |_| InFlightLoad::default())
 }
 
 pub fn chosen(
--- a/core/tests/settings_check.rs
+++ b/core/tests/settings_check.rs
@@ -53,7 +53,7 @@
     let read = |value: &str| {
         let text = format!("{{\"closed\": {value}}}");
         let mut reader = SettingsReader::parse("box.json", &text).expect("readable");
-        let flag = reader.spelled_flag("closed", true);
+        let flag = reader.flag_or_text("closed", true);
         reader.finish().map(|()| flag).map_err(|e| e.to_string())
     };
     for (value, wanted) in [
--- a/core/tests/silent_agents.rs
+++ b/core/tests/silent_agents.rs
@@ -6,7 +6,7 @@
     entry_world::{linked, pulse, tick},
     pitchhitch_core::{
         role::{AgentPulse, EntryAction, EntryCore, EntryEvent, WorkTicket},
-        route::SentLoad,
+        route::InFlightLoad,
         time::Micros,
     },
 };
@@ -17,7 +17,7 @@
     let busy = EntryEvent::PulseSeen {
         endpoint_id: "e1".to_string(),
         pulse: pulse(2),
-        own: SentLoad::default(),
+        own: InFlightLoad::default(),
     };
     core.step(Micros(3), busy);
     let alive = |core: &EntryCore| {
@@ -69,7 +69,7 @@
             taken_up,
             ..pulse(0)
         },
-        own: SentLoad::default(),
+        own: InFlightLoad::default(),
     }
 }
 
--- a/entry/src/conf/entry_settings.rs
+++ b/entry/src/conf/entry_settings.rs
@@ -86,7 +86,7 @@
             metrics: reader.optional_address("metrics"),
         };
         if settings.beacon_secret.is_none() && !settings.beacons.ip().is_loopback() {
-            reader.refuse(
+            reader.add_problem(
                 "beacon_secret",
                 "nothing",
                 "a secret, as 'beacons' is no loopback address",
--- a/entry/src/control/config_controller.rs
+++ b/entry/src/control/config_controller.rs
@@ -54,7 +54,7 @@
         let pause = match failures {
             0 if often => interval,
             0 => interval * SELDOM_FACTOR,
-            _ => to_duration(BackoffPolicy::PLATFORM.pause(failures, &mut random)),
+            _ => to_duration(BackoffPolicy::PLATFORM.delay(failures, &mut random)),
         };
         Timer::after(pause).await;
     }
--- a/entry/src/control/link_keeper.rs
+++ b/entry/src/control/link_keeper.rs
@@ -47,7 +47,7 @@
                 endpoint_id: self.state.id.clone(),
             });
             failures += 1;
-            let pause = BackoffPolicy::LINK.pause(failures, &mut random);
+            let pause = BackoffPolicy::LINK.delay(failures, &mut random);
             Timer::after(to_duration(pause)).await;
         }
     }
--- a/entry/src/filter/dispatch.rs
+++ b/entry/src/filter/dispatch.rs
@@ -3,7 +3,7 @@
     crate::traffic::{EntryApp, TrafficView},
     pitchhitch_core::{
         errors::{ErrorKind, RunState},
-        retry::{after_failure, BackoffPolicy, FailedTry, RetryStep},
+        retry::{decide_retry, BackoffPolicy, FailedAttempt, RetryStep},
         role::EntryEvent,
         route::EndpointKey,
     },
@@ -131,14 +131,14 @@
         &mut self,
         kind: ErrorKind,
     ) -> bool {
-        let step = after_failure(&FailedTry {
+        let step = decide_retry(&FailedAttempt {
             kind,
             repeatable: self.work.repeatable,
-            tries: self.tries,
+            attempts: self.tries,
             deadline: self.work.deadline,
             now: self.app.clock.now(),
         });
-        step == RetryStep::TryAnother && self.app.budget().spend()
+        step == RetryStep::RetryElsewhere && self.app.budget().spend()
     }
 
     /// The caller has the beginning of its answer in time; to go on after a break
@@ -170,7 +170,7 @@
 
     async fn pause(&self) {
         let mut random = Pcg32::seed_from_u64(self.work.request.number);
-        let pause = BackoffPolicy::LINK.pause(self.tries, &mut random);
+        let pause = BackoffPolicy::LINK.delay(self.tries, &mut random);
         let left = self.work.deadline.since(self.app.clock.now());
         Timer::after(Duration::from_micros(pause.0.min(left.0))).await;
     }
--- a/entry/src/front/front_settings.rs
+++ b/entry/src/front/front_settings.rs
@@ -130,7 +130,7 @@
         let secret = reader.optional_text("peer_secret");
         let weights_limit = reader.millis("weights_limit_ms", 12_000.0, LIMITS_MS);
         let key_limit = reader.millis("key_limit_ms", 5_000.0, LIMITS_MS);
-        let fails_closed = reader.spelled_flag("keys_fail_closed", true);
+        let fails_closed = reader.flag_or_text("keys_fail_closed", true);
         let settings = FrontSettings {
             box_id: reader.text("box_id"),
             failure_domain: reader.text("failure_domain"),
@@ -158,8 +158,8 @@
                 slack: reader.fraction("repeat_slack", 50.0, 0.0..=1_000_000.0),
             },
             slow_start: SlowStartBound {
-                ratio: reader.spelled_fraction("slow_start_ratio", 1.0, 0.0..=1_000.0),
-                slack: reader.spelled_fraction("slow_start_slack", 0.0, 0.0..=1_000_000.0),
+                ratio: reader.fraction_or_text("slow_start_ratio", 1.0, 0.0..=1_000.0),
+                slack: reader.fraction_or_text("slow_start_slack", 0.0, 0.0..=1_000_000.0),
             },
             order_gap: reader.millis("order_gap_ms", 3_000.0, 0.0..=600_000.0),
             stop_limit: Duration::from_micros(reader.seconds("stop_limit_s", 8.0, SPANS_S).0),
@@ -179,7 +179,7 @@
     for name in names.unwrap_or_default() {
         match ServingMechanism::named(&name) {
             Ok(mechanism) => mechanisms.push(mechanism),
-            Err(_) => reader.refuse("without", &name, &wanted),
+            Err(_) => reader.add_problem("without", &name, &wanted),
         }
     }
     MechanismSet::of(mechanisms)
--- a/entry/src/traffic/endpoint_link.rs
+++ b/entry/src/traffic/endpoint_link.rs
@@ -1,6 +1,6 @@
 use {
     arc_swap::ArcSwapOption,
-    pitchhitch_core::route::SentLoad,
+    pitchhitch_core::route::InFlightLoad,
     pitchhitch_wire::link::AgentLink,
     std::sync::atomic::{AtomicBool, AtomicU32, AtomicU64, Ordering},
 };
@@ -52,8 +52,8 @@
     }
 
     /// What is under way.
-    pub fn sent(&self) -> SentLoad {
-        SentLoad {
+    pub fn sent(&self) -> InFlightLoad {
+        InFlightLoad {
             tokens: self.tokens.load(Ordering::Relaxed),
             running: self.running.load(Ordering::Relaxed),
         }
--- a/entry/src/traffic/traffic_view.rs
+++ b/entry/src/traffic/traffic_view.rs
@@ -2,7 +2,7 @@
     super::{EndpointLink, KeyIndex},
     pitchhitch_core::{
         place::ReuseModel,
-        route::{EndpointKey, RouteTable, SentLoad},
+        route::{EndpointKey, InFlightLoad, RouteTable},
     },
     slotmap::SecondaryMap,
     std::sync::Arc,
@@ -30,10 +30,10 @@
     pub fn sent(
         &self,
         endpoint: EndpointKey,
-    ) -> SentLoad {
+    ) -> InFlightLoad {
         self.links
             .get(endpoint)
-            .map_or(SentLoad::default(), |l| l.sent())
+            .map_or(InFlightLoad::default(), |l| l.sent())
     }
 
     /// This process's part of limits that hold for the whole deployment.
--- a/services/src/config/config_store.rs
+++ b/services/src/config/config_store.rs
@@ -167,7 +167,7 @@
             if started.elapsed() >= patience {
                 return Err(give_up(request, may_have_written, reason));
             }
-            let pause = BackoffPolicy::PLATFORM.pause(attempt, &mut random);
+            let pause = BackoffPolicy::PLATFORM.delay(attempt, &mut random);
             Timer::after(Duration::from_micros(pause.0)).await;
         }
     }
--- a/services/src/table/table_client.rs
+++ b/services/src/table/table_client.rs
@@ -137,7 +137,7 @@
                     other => other,
                 };
             }
-            let pause = BackoffPolicy::PLATFORM.pause(attempt, &mut random);
+            let pause = BackoffPolicy::PLATFORM.delay(attempt, &mut random);
             Timer::after(Duration::from_micros(pause.0)).await;
         }
     }
--- a/testbed/examples/figures/route_figures.rs
+++ b/testbed/examples/figures/route_figures.rs
@@ -7,8 +7,8 @@
         kept::{prefix_keys, PieceHolder},
         labels::LabelSet,
         route::{
-            EndpointArena, EndpointKind, EndpointLoad, EndpointState, LoadReport, PoolIndex,
-            RouteRequest, RouteTable, SentLoad, WorkTarget,
+            EndpointArena, EndpointKind, EndpointLoad, EndpointState, InFlightLoad, LoadReport,
+            PoolIndex, RouteRequest, RouteTable, WorkTarget,
         },
         time::Micros,
     },
@@ -39,7 +39,7 @@
                 seed: round as u64,
             };
             let started = Instant::now();
-            let choice = table.choose(&request, |_| SentLoad::default());
+            let choice = table.choose(&request, |_| InFlightLoad::default());
             spans.push(started.elapsed());
             chosen += usize::from(choice.is_ok());
         }
--- a/testbed/examples/slopes/message_slopes.rs
+++ b/testbed/examples/slopes/message_slopes.rs
@@ -9,7 +9,7 @@
     pitchhitch_core::{
         member::{Beacon, EntryBeacon},
         role::EntryEvent,
-        route::SentLoad,
+        route::InFlightLoad,
         time::Micros,
     },
     pitchhitch_wire::beacon::{BeaconKey, NumberedBeacon},
@@ -95,7 +95,7 @@
                     EntryEvent::PulseSeen {
                         endpoint_id: format!("engine-{number:05}"),
                         pulse: pulse(pending),
-                        own: SentLoad::default(),
+                        own: InFlightLoad::default(),
                     },
                 );
             }
@@ -110,7 +110,7 @@
                 EntryEvent::PulseSeen {
                     endpoint_id: "engine-00001".to_string(),
                     pulse: pulse(now),
-                    own: SentLoad::default(),
+                    own: InFlightLoad::default(),
                 },
             );
             black_box(core.step(Micros(now), EntryEvent::Tick));
--- a/testbed/examples/slopes/piece_slopes.rs
+++ b/testbed/examples/slopes/piece_slopes.rs
@@ -11,7 +11,7 @@
             BoxNotice, BoxRole, EntryCore, EntryEvent, EventBatch, PromptUse, StoredNotice,
             UpwardEvent,
         },
-        route::SentLoad,
+        route::InFlightLoad,
         time::Micros,
     },
     pitchhitch_process::ProcessUsage,
@@ -40,7 +40,7 @@
             events,
             pulse: pulse(1),
         },
-        own: SentLoad::default(),
+        own: InFlightLoad::default(),
     }
 }
 
--- a/testbed/examples/slopes/request_slopes.rs
+++ b/testbed/examples/slopes/request_slopes.rs
@@ -9,7 +9,7 @@
         conf::{CostWeights, OrganisationLimits},
         kept::prefix_keys,
         limit::LimitTable,
-        route::{RouteRequest, SentLoad, WorkTarget},
+        route::{InFlightLoad, RouteRequest, WorkTarget},
         time::Micros,
     },
     std::hint::black_box,
@@ -41,7 +41,7 @@
                 now: Micros(40),
                 seed,
             };
-            black_box(table.choose(&request, |_| SentLoad::default())).ok();
+            black_box(table.choose(&request, |_| InFlightLoad::default())).ok();
         });
         decide.push(Point {
             size: count as f64,
--- a/testbed/examples/slopes/small_world.rs
+++ b/testbed/examples/slopes/small_world.rs
@@ -7,7 +7,7 @@
         lease::LeaseTimes,
         member::AgentBeacon,
         role::{AgentPulse, EntryAction, EntryCore, EntryEvent, EntrySetup},
-        route::{EndpointKind, LoadReport, RoutePolicy, RouteTable, SentLoad},
+        route::{EndpointKind, InFlightLoad, LoadReport, RoutePolicy, RouteTable},
         time::Micros,
     },
     std::{hint::black_box, net::SocketAddr, sync::Arc},
@@ -109,7 +109,7 @@
     for number in 0..endpoints {
         let beacon = agent_beacon(number);
         let endpoint_id = beacon.endpoint_id.clone();
-        let own = SentLoad::default();
+        let own = InFlightLoad::default();
         core.step(Micros(1), EntryEvent::AgentHeard { beacon, own });
         if let Some(entry) = core.roster().get(&endpoint_id) {
             black_box(entry.linked);
@@ -138,7 +138,7 @@
         EntryEvent::PulseSeen {
             endpoint_id: "engine-00001".to_string(),
             pulse: pulse(77),
-            own: SentLoad::default(),
+            own: InFlightLoad::default(),
         },
     );
     let mut actions = core.step(Micros(31), EntryEvent::Tick);
