--- a/agent/src/endpoint/endpoint_client.rs
+++ b/agent/src/endpoint/endpoint_client.rs
@@ -2,7 +2,7 @@
     super::{EngineCache, EngineHealth, EngineNews, EngineOrder},
     crate::conf::AgentSettings,
     pitchhitch_core::{
-        kept::PieceKey,
+        kv_cache::PieceKey,
         role::{EndpointOrder, StampedOrder},
         route::EndpointKind,
     },
--- a/agent/src/endpoint/engine_messages.rs
+++ b/agent/src/endpoint/engine_messages.rs
@@ -1,5 +1,5 @@
 use {
-    pitchhitch_core::{kept::PieceKey, lease::OrderStamp, role::CacheChange},
+    pitchhitch_core::{kv_cache::PieceKey, lease::OrderStamp, role::CacheChange},
     serde::{Deserialize, Serialize},
 };
 
--- a/agent/src/moves/piece_mover.rs
+++ b/agent/src/moves/piece_mover.rs
@@ -2,7 +2,7 @@
     crate::{control::ControlHandle, endpoint::EndpointClient},
     async_channel::{Receiver, Sender},
     pitchhitch_core::{
-        kept::PieceKey,
+        kv_cache::PieceKey,
         role::{AgentEvent, MissingNotice, StoredNotice},
     },
     pitchhitch_process::{spawn_detached, MetricSet},
--- a/core/src/lib.rs
+++ b/core/src/lib.rs
@@ -7,7 +7,7 @@
 pub mod conf;
 pub mod drain;
 pub mod errors;
-pub mod kept;
+pub mod kv_cache;
 pub mod labels;
 pub mod lease;
 pub mod limit;
--- a/core/src/place/keep_decision.rs
+++ b/core/src/place/keep_decision.rs
@@ -1,4 +1,4 @@
-use crate::{conf::CostWeights, kept::StoreTier, time::Micros};
+use crate::{conf::CostWeights, kv_cache::StoreTier, time::Micros};
 
 /// Returns that come sooner than this are worth memory; later ones go to disk.
 const MEMORY_HORIZON: Micros = Micros::from_secs(600);
--- a/core/src/place/store_ledger.rs
+++ b/core/src/place/store_ledger.rs
@@ -1,4 +1,4 @@
-use {crate::kept::PieceKey, std::collections::BTreeMap};
+use {crate::kv_cache::PieceKey, std::collections::BTreeMap};
 
 /// Part of a full store box that is freed in one go: one in so many pieces.
 const EVICTION_DIVISOR: usize = 16;
--- a/core/src/role/agent_event.rs
+++ b/core/src/role/agent_event.rs
@@ -2,7 +2,7 @@
     super::{
         ConfigNotice, GateWork, OrderOutcome, PromptUse, StampedOrder, StoredNotice, WorkTicket,
     },
-    crate::kept::PieceKey,
+    crate::kv_cache::PieceKey,
 };
 
 /// What can happen to an agent.
--- a/core/src/role/cache_mirror.rs
+++ b/core/src/role/cache_mirror.rs
@@ -1,6 +1,6 @@
 use {
     super::{CacheChange, MissingNotice, StoredNotice, UpwardEvent},
-    crate::kept::PieceKey,
+    crate::kv_cache::PieceKey,
     std::collections::{BTreeMap, BTreeSet},
 };
 
--- a/core/src/role/entry_contacts.rs
+++ b/core/src/role/entry_contacts.rs
@@ -6,7 +6,7 @@
         RosterChange, UpwardEvent,
     },
     crate::{
-        kept::PieceHolder, member::EntryBeacon, place::ReuseLabel, route::InFlightLoad,
+        kv_cache::PieceHolder, member::EntryBeacon, place::ReuseLabel, route::InFlightLoad,
         time::Micros,
     },
 };
--- a/core/src/role/entry_core.rs
+++ b/core/src/role/entry_core.rs
@@ -6,7 +6,7 @@
     crate::{
         conf::{ChangeHistory, FleetConfig, PeerConfig},
         drain::{DrainInput, DrainState},
-        kept::PieceDirectory,
+        kv_cache::PieceDirectory,
         lease::LeaseTimes,
         member::{rendezvous_weight, PeerTable},
         route::{PoolIndex, RoutePolicy},
--- a/core/src/role/entry_event.rs
+++ b/core/src/role/entry_event.rs
@@ -3,7 +3,7 @@
     crate::{
         conf::{ChangeRecord, FleetConfig},
         errors::ErrorKind,
-        kept::{PieceKey, StoreTier},
+        kv_cache::{PieceKey, StoreTier},
         lease::LeaseRow,
         member::{AgentBeacon, EntryBeacon},
         route::InFlightLoad,
--- a/core/src/role/entry_placement.rs
+++ b/core/src/role/entry_placement.rs
@@ -3,7 +3,7 @@
 use {
     super::{engine_groups, AwaitedWord, EntryAction, EntryCore, PlacementKind, WorkTicket},
     crate::{
-        kept::{PieceHolder, PieceKey},
+        kv_cache::{PieceHolder, PieceKey},
         route::{PoolIndex, RouteTable},
         time::Micros,
     },
--- a/core/src/role/event_batch.rs
+++ b/core/src/role/event_batch.rs
@@ -1,6 +1,6 @@
 use {
     crate::{
-        kept::{PieceKey, StoreTier},
+        kv_cache::{PieceKey, StoreTier},
         route::LoadReport,
     },
     serde::{Deserialize, Serialize},
--- a/core/src/role/prompt_memory.rs
+++ b/core/src/role/prompt_memory.rs
@@ -1,6 +1,6 @@
 use {
     crate::{
-        kept::PieceKey,
+        kv_cache::PieceKey,
         place::{ReuseLabel, ReuseModel},
         time::Micros,
     },
--- a/core/src/role/store_roster.rs
+++ b/core/src/role/store_roster.rs
@@ -1,7 +1,7 @@
 use {
     super::{BoxNotice, BoxRole, EntryAction, MissingNotice, StoredNotice, StoredPiece},
     crate::{
-        kept::{PieceDirectory, PieceHolder, PieceKey, StoreTier, StoredCopy},
+        kv_cache::{PieceDirectory, PieceHolder, PieceKey, StoreTier, StoredCopy},
         place::{InventoryPiece, StoreInventory},
         route::{StoreKey, StoreState},
         time::Micros,
--- a/core/src/route/cost_estimate.rs
+++ b/core/src/route/cost_estimate.rs
@@ -1,6 +1,6 @@
 use {
     super::{EndpointLoad, InFlightLoad, RoutePolicy, RouteRequest, StoreKey, StoreState},
-    crate::kept::{StoreTier, PIECE_TOKENS},
+    crate::kv_cache::{StoreTier, PIECE_TOKENS},
     serde::{Deserialize, Serialize},
 };
 
--- a/core/src/route/prefix_reuse.rs
+++ b/core/src/route/prefix_reuse.rs
@@ -1,6 +1,6 @@
 use {
     super::{EndpointKey, ImportOffer, StoreKey},
-    crate::kept::{PieceDirectory, PieceHolder, PieceKey, StoreTier},
+    crate::kv_cache::{PieceDirectory, PieceHolder, PieceKey, StoreTier},
 };
 
 #[derive(Debug, Clone, Copy)]
--- a/core/src/route/route_choice.rs
+++ b/core/src/route/route_choice.rs
@@ -1,6 +1,6 @@
 use {
     super::{CostEstimate, EndpointKey},
-    crate::kept::PieceKey,
+    crate::kv_cache::PieceKey,
 };
 
 /// Why an endpoint was chosen.
--- a/core/src/route/route_request.rs
+++ b/core/src/route/route_request.rs
@@ -1,6 +1,6 @@
 use {
     super::EndpointKey,
-    crate::{conf::CostWeights, kept::PieceKey, time::Micros},
+    crate::{conf::CostWeights, kv_cache::PieceKey, time::Micros},
     serde::{Deserialize, Serialize},
 };
 
--- a/core/src/route/route_table.rs
+++ b/core/src/route/route_table.rs
@@ -7,7 +7,7 @@
     crate::{
         conf::FleetConfig,
         errors::ErrorKind,
-        kept::{PieceDirectory, PieceHolder},
+        kv_cache::{PieceDirectory, PieceHolder},
     },
     rand::{Rng, SeedableRng},
     rand_pcg::Pcg32,
--- a/core/tests/agent_gate.rs
+++ b/core/tests/agent_gate.rs
@@ -2,7 +2,7 @@
 
 use pitchhitch_core::{
     errors::ErrorKind,
-    kept::PieceKey,
+    kv_cache::PieceKey,
     labels::LabelSet,
     lease::{FenceRefusal, OrderStamp},
     role::{
--- a/core/tests/entry_control.rs
+++ b/core/tests/entry_control.rs
@@ -8,7 +8,7 @@
         conf::{ConfigChange, LabelTarget, VersionConf},
         drain::DrainState,
         errors::ErrorKind,
-        kept::{PieceHolder, PieceKey, StoreTier},
+        kv_cache::{PieceHolder, PieceKey, StoreTier},
         lease::LeaseRow,
         member::{AgentBeacon, EntryBeacon},
         role::{
--- a/core/tests/prefix_keys.rs
+++ b/core/tests/prefix_keys.rs
@@ -1,6 +1,6 @@
 //! Names of kept pieces: apart for organisations, versions and prompts.
 
-use pitchhitch_core::kept::{estimate_tokens, prefix_keys, PieceKey, PIECE_TEXT_BYTES};
+use pitchhitch_core::kv_cache::{estimate_tokens, prefix_keys, PieceKey, PIECE_TEXT_BYTES};
 
 fn text(pieces: usize) -> Vec<u8> {
     (0..pieces * PIECE_TEXT_BYTES + 100)
--- a/core/tests/return_gaps.rs
+++ b/core/tests/return_gaps.rs
@@ -2,7 +2,7 @@
 
 use pitchhitch_core::{
     conf::CostWeights,
-    kept::{PieceKey, StoreTier},
+    kv_cache::{PieceKey, StoreTier},
     place::{
         decide_retention, InventoryPiece, RetentionInput, ReuseLabel, ReuseModel, StoreInventory,
     },
--- a/core/tests/route_choice.rs
+++ b/core/tests/route_choice.rs
@@ -6,7 +6,7 @@
     pitchhitch_core::{
         conf::RuleEffect,
         errors::ErrorKind,
-        kept::{PieceDirectory, PieceHolder, PieceKey},
+        kv_cache::{PieceDirectory, PieceHolder, PieceKey},
         route::{EndpointKey, RoutePolicy, RouteReason},
     },
     proptest::prelude::*,
--- a/core/tests/route_fleet/mod.rs
+++ b/core/tests/route_fleet/mod.rs
@@ -7,7 +7,7 @@
             VersionConf,
         },
         errors::ErrorKind,
-        kept::{prefix_keys, PieceHolder, PieceKey, StoreTier, StoredCopy},
+        kv_cache::{prefix_keys, PieceHolder, PieceKey, StoreTier, StoredCopy},
         labels::{LabelSelector, LabelSet},
         route::{
             EndpointArena, EndpointKey, EndpointKind, EndpointLoad, EndpointState, InFlightLoad,
--- a/entry/src/filter/keep_plan.rs
+++ b/entry/src/filter/keep_plan.rs
@@ -2,7 +2,7 @@
     crate::traffic::TrafficView,
     pitchhitch_core::{
         conf::CostWeights,
-        kept::{PieceHolder, PieceKey, PIECE_TOKENS},
+        kv_cache::{PieceHolder, PieceKey, PIECE_TOKENS},
         member::rendezvous_weight,
         place::{decide_retention, RetentionDecision, RetentionInput, ReuseLabel},
         role::prompt_identity,
@@ -45,8 +45,8 @@
         match &self.export {
             None => "no",
             Some(plan) => match plan.tier {
-                pitchhitch_core::kept::StoreTier::Memory => "memory",
-                pitchhitch_core::kept::StoreTier::Disk => "disk",
+                pitchhitch_core::kv_cache::StoreTier::Memory => "memory",
+                pitchhitch_core::kv_cache::StoreTier::Disk => "disk",
             },
         }
     }
@@ -151,7 +151,7 @@
         tokens,
         token_bytes: question.token_bytes,
         token_cost: token_cost(&load),
-        import_time: import_time(store, pitchhitch_core::kept::StoreTier::Memory, bytes),
+        import_time: import_time(store, pitchhitch_core::kv_cache::StoreTier::Memory, bytes),
         weights: question.weights,
     }
 }
--- a/entry/src/filter/route.rs
+++ b/entry/src/filter/route.rs
@@ -6,7 +6,7 @@
     },
     pitchhitch_core::{
         errors::ErrorKind,
-        kept::{prefix_keys, PieceKey, PIECE_TOKENS},
+        kv_cache::{prefix_keys, PieceKey, PIECE_TOKENS},
         place::ReuseLabel,
         route::{EndpointKey, RouteChoice, RouteRequest},
     },
--- a/entry/src/filter/select.rs
+++ b/entry/src/filter/select.rs
@@ -5,7 +5,7 @@
         traffic::TrafficView,
     },
     pitchhitch_core::{
-        conf::FleetConfig, errors::ErrorKind, kept::estimate_tokens, route::WorkTarget,
+        conf::FleetConfig, errors::ErrorKind, kv_cache::estimate_tokens, route::WorkTarget,
         time::Micros,
     },
     trillium::Method,
--- a/entry/src/filter/send.rs
+++ b/entry/src/filter/send.rs
@@ -228,7 +228,7 @@
     if head.imported_pieces == 0 || head.import_micros == 0 {
         return;
     }
-    let tokens = u64::from(head.imported_pieces * pitchhitch_core::kept::PIECE_TOKENS);
+    let tokens = u64::from(head.imported_pieces * pitchhitch_core::kv_cache::PIECE_TOKENS);
     let bytes = tokens * super::token_bytes(view, work);
     app.control.tell(EntryEvent::StoreMeasured {
         store: plan.store.clone(),
--- a/entry/src/operators/operator_server.rs
+++ b/entry/src/operators/operator_server.rs
@@ -8,7 +8,7 @@
     },
     pitchhitch_core::{
         drain::DrainState,
-        kept::{PieceHolder, PieceKey, StoreTier},
+        kv_cache::{PieceHolder, PieceKey, StoreTier},
     },
     pitchhitch_services::http::HttpCaller,
     serde::{Deserialize, Serialize},
--- a/services/src/stores/store_client.rs
+++ b/services/src/stores/store_client.rs
@@ -1,7 +1,7 @@
 use {
     super::{StoreContent, StoreError},
     crate::http::{CallError, HttpCaller},
-    pitchhitch_core::kept::{PieceKey, StoreTier},
+    pitchhitch_core::kv_cache::{PieceKey, StoreTier},
     std::{net::SocketAddr, time::Duration},
 };
 
--- a/services/src/stores/store_row.rs
+++ b/services/src/stores/store_row.rs
@@ -1,6 +1,6 @@
 use {
     pitchhitch_core::{
-        kept::{PieceKey, StoreTier},
+        kv_cache::{PieceKey, StoreTier},
         role::StoredPiece,
     },
     serde::{Deserialize, Serialize},
--- a/testbed/examples/figures/route_figures.rs
+++ b/testbed/examples/figures/route_figures.rs
@@ -4,7 +4,7 @@
     crate::bench_place::row,
     pitchhitch_core::{
         conf::{CostWeights, FleetConfig, ModelConf, OrganisationConf, VersionConf},
-        kept::{prefix_keys, PieceHolder},
+        kv_cache::{prefix_keys, PieceHolder},
         labels::LabelSet,
         route::{
             EndpointArena, EndpointKind, EndpointLoad, EndpointState, InFlightLoad, LoadReport,
--- a/testbed/examples/slopes/piece_slopes.rs
+++ b/testbed/examples/slopes/piece_slopes.rs
@@ -6,7 +6,7 @@
         small_world::{address, core_with, pulse},
     },
     pitchhitch_core::{
-        kept::{PieceKey, StoreTier},
+        kv_cache::{PieceKey, StoreTier},
         role::{
             BoxNotice, BoxRole, EntryCore, EntryEvent, EventBatch, PromptUse, StoredNotice,
             UpwardEvent,
--- a/testbed/examples/slopes/request_slopes.rs
+++ b/testbed/examples/slopes/request_slopes.rs
@@ -7,7 +7,7 @@
     },
     pitchhitch_core::{
         conf::{CostWeights, OrganisationLimits},
-        kept::prefix_keys,
+        kv_cache::prefix_keys,
         limit::LimitTable,
         route::{InFlightLoad, RouteRequest, WorkTarget},
         time::Micros,
--- a/testbed/src/deploy/deployment_shape.rs
+++ b/testbed/src/deploy/deployment_shape.rs
@@ -148,7 +148,7 @@
         &self,
         weights: std::net::SocketAddr,
     ) -> EngineShape {
-        let piece_tokens = u64::from(pitchhitch_core::kept::PIECE_TOKENS);
+        let piece_tokens = u64::from(pitchhitch_core::kv_cache::PIECE_TOKENS);
         EngineShape {
             prefill_token: self.prefill_token,
             decode_token: self.decode_token,
--- a/testbed/src/deploy/fake_agents.rs
+++ b/testbed/src/deploy/fake_agents.rs
@@ -1,7 +1,7 @@
 use {
     async_global_executor::Task,
     pitchhitch_core::{
-        kept::PieceKey,
+        kv_cache::PieceKey,
         labels::LabelSet,
         member::{AgentBeacon, Beacon},
         role::{AgentPulse, EventBatch, PromptUse, UpwardEvent},
--- a/testbed/src/engine/engine_stand_in.rs
+++ b/testbed/src/engine/engine_stand_in.rs
@@ -2,7 +2,7 @@
     super::{run_prompt, PrefillLine, PrefixCache},
     crate::stand_ins::{answer_json, answer_status, any_port, read_body, HttpStandIn},
     pitchhitch_agent::endpoint::{EngineHealth, EngineOrder, VERSION_HEADER},
-    pitchhitch_core::{kept::PieceKey, lease::OrderStamp},
+    pitchhitch_core::{kv_cache::PieceKey, lease::OrderStamp},
     pitchhitch_services::http::HttpCaller,
     std::{
         io,
--- a/testbed/src/engine/prefix_cache.rs
+++ b/testbed/src/engine/prefix_cache.rs
@@ -1,6 +1,6 @@
 use {
     pitchhitch_agent::endpoint::{EngineCache, EngineChange, EngineNews},
-    pitchhitch_core::kept::PieceKey,
+    pitchhitch_core::kv_cache::PieceKey,
     std::{
         collections::{BTreeMap, VecDeque},
         time::{Duration, Instant},
--- a/testbed/src/engine/prompt_run.rs
+++ b/testbed/src/engine/prompt_run.rs
@@ -4,7 +4,7 @@
     pitchhitch_agent::endpoint::{
         COMPUTED_HEADER, PIECES_HEADER, REFUSED_HEADER, RESUME_HEADER, VERSION_HEADER,
     },
-    pitchhitch_core::kept::{estimate_tokens, PieceKey, PIECE_TOKENS},
+    pitchhitch_core::kv_cache::{estimate_tokens, PieceKey, PIECE_TOKENS},
     pitchhitch_entry::openai::{PromptRequest, PromptShape},
     pitchhitch_process::spawn_detached,
     serde::Deserialize,
--- a/testbed/src/stand_ins/store_box.rs
+++ b/testbed/src/stand_ins/store_box.rs
@@ -1,7 +1,7 @@
 use {
     super::{answer_json, answer_status, any_port, HttpStandIn},
     pitchhitch_agent::moves::piece_checksum,
-    pitchhitch_core::kept::{PieceKey, StoreTier},
+    pitchhitch_core::kv_cache::{PieceKey, StoreTier},
     pitchhitch_services::stores::{StoreContent, StoreRow, CHECKSUM_HEADER, GENERATION_HEADER},
     smol::Timer,
     std::{
--- a/testbed/src/trace/trace_generator.rs
+++ b/testbed/src/trace/trace_generator.rs
@@ -1,6 +1,6 @@
 use {
     super::TraceRow,
-    pitchhitch_core::kept::PIECE_TOKENS,
+    pitchhitch_core::kv_cache::PIECE_TOKENS,
     rand::{distributions::WeightedIndex, prelude::Distribution, Rng, SeedableRng},
     rand_pcg::Pcg32,
 };
--- a/testbed/tests/kept_pieces.rs
+++ b/testbed/tests/kept_pieces.rs
@@ -3,7 +3,7 @@
 use {
     futures_lite::AsyncWriteExt,
     pitchhitch_agent::moves::piece_checksum,
-    pitchhitch_core::kept::{PieceKey, StoreTier},
+    pitchhitch_core::kv_cache::{PieceKey, StoreTier},
     pitchhitch_services::stores::{StoreClient, StoreError, CHECKSUM_HEADER},
     pitchhitch_testbed::stand_ins::{StoreBox, StoreBoxShape},
     smol::{block_on, net::TcpStream},
--- a/wire/src/messages/hand_over.rs
+++ b/wire/src/messages/hand_over.rs
@@ -1,6 +1,6 @@
 use {
     super::HeaderField,
-    pitchhitch_core::kept::{PieceKey, StoreTier},
+    pitchhitch_core::kv_cache::{PieceKey, StoreTier},
     serde::{Deserialize, Serialize},
     std::net::SocketAddr,
 };
