--- a/agent/src/beacons/beacon_sender.rs
+++ b/agent/src/beacons/beacon_sender.rs
@@ -1,7 +1,7 @@
 use {
     crate::{conf::AgentSettings, control::ControlHandle},
     futures_lite::future,
-    pitchhitch_core::member::{rendezvous_select, Beacon, RendezvousCandidate},
+    pitchhitch_core::membership::{rendezvous_select, Beacon, RendezvousCandidate},
     pitchhitch_services::boxes::{BoxClient, ListedRole},
     pitchhitch_wire::beacon::{BeaconKey, BeaconSocket},
     smol::Timer,
--- a/agent/src/control/agent_view.rs
+++ b/agent/src/control/agent_view.rs
@@ -1,4 +1,4 @@
-use pitchhitch_core::{member::AgentBeacon, role::AgentPulse};
+use pitchhitch_core::{membership::AgentBeacon, role::AgentPulse};
 
 /// What traffic and beacons see of the control state; replaced as a whole.
 #[derive(Debug, Clone)]
--- a/core/src/lease/control_shard.rs
+++ b/core/src/lease/control_shard.rs
@@ -1,4 +1,4 @@
-use crate::member::rendezvous_weight;
+use crate::membership::rendezvous_weight;
 
 /// Shards of control. The number is part of what processes agree on: agents
 /// compute from it whose orders they take.
--- a/core/src/lib.rs
+++ b/core/src/lib.rs
@@ -11,7 +11,7 @@
 pub mod labels;
 pub mod lease;
 pub mod limit;
-pub mod member;
+pub mod membership;
 pub mod place;
 pub mod retry;
 pub mod role;
--- a/core/src/role/agent_core.rs
+++ b/core/src/role/agent_core.rs
@@ -4,7 +4,7 @@
         ConfigNotice, GateWork, NewsOutcome, ServiceMeter, UpwardEvent, WorkTicket,
     },
     crate::{
-        errors::ErrorKind, lease::OrderFence, limit::FairQueue, member::AgentBeacon,
+        errors::ErrorKind, lease::OrderFence, limit::FairQueue, membership::AgentBeacon,
         route::LoadReport, time::Micros,
     },
     std::collections::BTreeMap,
--- a/core/src/role/endpoint_roster.rs
+++ b/core/src/role/endpoint_roster.rs
@@ -3,7 +3,7 @@
     crate::{
         conf::FleetConfig,
         labels::LabelSet,
-        member::AgentBeacon,
+        membership::AgentBeacon,
         retry::OutlierGuard,
         route::{
             EndpointArena, EndpointKey, EndpointKind, EndpointLoad, EndpointState, InFlightLoad,
--- a/core/src/role/entry_contacts.rs
+++ b/core/src/role/entry_contacts.rs
@@ -6,7 +6,7 @@
         RosterChange, UpwardEvent,
     },
     crate::{
-        kv_cache::PieceHolder, member::EntryBeacon, place::ReuseLabel, route::InFlightLoad,
+        kv_cache::PieceHolder, membership::EntryBeacon, place::ReuseLabel, route::InFlightLoad,
         time::Micros,
     },
 };
@@ -15,7 +15,7 @@
     pub(super) fn agent_heard(
         &mut self,
         now: Micros,
-        beacon: crate::member::AgentBeacon,
+        beacon: crate::membership::AgentBeacon,
         own: InFlightLoad,
         actions: &mut Vec<EntryAction>,
     ) {
--- a/core/src/role/entry_core.rs
+++ b/core/src/role/entry_core.rs
@@ -8,7 +8,7 @@
         drain::{DrainInput, DrainState},
         kv_cache::PieceDirectory,
         lease::LeaseTimes,
-        member::{rendezvous_weight, PeerTable},
+        membership::{rendezvous_weight, PeerTable},
         route::{PoolIndex, RoutePolicy},
         time::Micros,
     },
--- a/core/src/role/entry_event.rs
+++ b/core/src/role/entry_event.rs
@@ -5,7 +5,7 @@
         errors::ErrorKind,
         kv_cache::{PieceKey, StoreTier},
         lease::LeaseRow,
-        member::{AgentBeacon, EntryBeacon},
+        membership::{AgentBeacon, EntryBeacon},
         route::InFlightLoad,
         time::Micros,
     },
--- a/core/tests/entry_control.rs
+++ b/core/tests/entry_control.rs
@@ -10,7 +10,7 @@
         errors::ErrorKind,
         kv_cache::{PieceHolder, PieceKey, StoreTier},
         lease::LeaseRow,
-        member::{AgentBeacon, EntryBeacon},
+        membership::{AgentBeacon, EntryBeacon},
         role::{
             BoxNotice, BoxRole, EntryAction, EntryCore, EntryEvent, PromptUse, StoredNotice,
             StoredPiece, UpwardEvent,
--- a/core/tests/entry_world/mod.rs
+++ b/core/tests/entry_world/mod.rs
@@ -8,7 +8,7 @@
         conf::{FleetConfig, ModelConf, OrganisationConf, VersionConf},
         labels::LabelSet,
         lease::LeaseTimes,
-        member::AgentBeacon,
+        membership::AgentBeacon,
         role::{
             AgentPulse, EntryAction, EntryCore, EntryEvent, EntrySetup, EventBatch, UpwardEvent,
         },
--- a/entry/src/control/beacon_controller.rs
+++ b/entry/src/control/beacon_controller.rs
@@ -3,7 +3,7 @@
     crate::traffic::EntryApp,
     async_channel::Receiver,
     pitchhitch_core::{
-        member::{Beacon, EntryBeacon},
+        membership::{Beacon, EntryBeacon},
         role::EntryEvent,
     },
     pitchhitch_wire::beacon::{BeaconSocket, ReceiveError},
--- a/entry/src/control/box_controller.rs
+++ b/entry/src/control/box_controller.rs
@@ -2,7 +2,7 @@
     super::ControlHandle,
     async_channel::Sender,
     pitchhitch_core::{
-        member::{rendezvous_select, RendezvousCandidate},
+        membership::{rendezvous_select, RendezvousCandidate},
         role::{BoxNotice, EntryEvent},
     },
     pitchhitch_services::boxes::{BoxClient, BoxRow, ListedRole},
--- a/entry/src/control/control_handle.rs
+++ b/entry/src/control/control_handle.rs
@@ -3,7 +3,7 @@
     async_channel::Sender,
     pitchhitch_core::{
         errors::ErrorKind,
-        member::AgentBeacon,
+        membership::AgentBeacon,
         role::{EntryCore, EntryEvent},
         time::Micros,
     },
--- a/entry/src/filter/keep_plan.rs
+++ b/entry/src/filter/keep_plan.rs
@@ -3,7 +3,7 @@
     pitchhitch_core::{
         conf::CostWeights,
         kv_cache::{PieceHolder, PieceKey, PIECE_TOKENS},
-        member::rendezvous_weight,
+        membership::rendezvous_weight,
         place::{decide_retention, RetentionDecision, RetentionInput, ReuseLabel},
         role::prompt_identity,
         route::{import_time, token_cost, EndpointKey, EndpointState, StoreKey, StoreState},
--- a/testbed/examples/slopes/message_slopes.rs
+++ b/testbed/examples/slopes/message_slopes.rs
@@ -7,7 +7,7 @@
         small_world::{address, agent_beacon, config, core_with, pulse, ENDPOINTS},
     },
     pitchhitch_core::{
-        member::{Beacon, EntryBeacon},
+        membership::{Beacon, EntryBeacon},
         role::EntryEvent,
         route::InFlightLoad,
         time::Micros,
--- a/testbed/examples/slopes/small_world.rs
+++ b/testbed/examples/slopes/small_world.rs
@@ -5,7 +5,7 @@
         conf::{FleetConfig, ModelConf, OrganisationConf, VersionConf},
         labels::LabelSet,
         lease::LeaseTimes,
-        member::AgentBeacon,
+        membership::AgentBeacon,
         role::{AgentPulse, EntryAction, EntryCore, EntryEvent, EntrySetup},
         route::{EndpointKind, InFlightLoad, LoadReport, RoutePolicy, RouteTable},
         time::Micros,
--- a/testbed/src/deploy/fake_agents.rs
+++ b/testbed/src/deploy/fake_agents.rs
@@ -3,7 +3,7 @@
     pitchhitch_core::{
         kv_cache::PieceKey,
         labels::LabelSet,
-        member::{AgentBeacon, Beacon},
+        membership::{AgentBeacon, Beacon},
         role::{AgentPulse, EventBatch, PromptUse, UpwardEvent},
         route::{EndpointKind, LoadReport},
     },
--- a/wire/src/beacon/beacon_socket.rs
+++ b/wire/src/beacon/beacon_socket.rs
@@ -1,6 +1,6 @@
 use {
     super::{BeaconError, BeaconKey, NumberedBeacon, BEACON_LIMIT},
-    pitchhitch_core::member::{Beacon, ReplayGuard},
+    pitchhitch_core::membership::{Beacon, ReplayGuard},
     smol::net::UdpSocket,
     std::{
         io,
--- a/wire/src/beacon/sealed_beacon.rs
+++ b/wire/src/beacon/sealed_beacon.rs
@@ -1,7 +1,7 @@
 use {
     super::BeaconKey,
     crate::codec::{decode_body, encode_body, FrameError, WIRE_VERSION},
-    pitchhitch_core::member::{Beacon, BeaconSequence},
+    pitchhitch_core::membership::{Beacon, BeaconSequence},
     serde::{Deserialize, Serialize},
     thiserror::Error,
 };
--- a/wire/tests/beacon_seal.rs
+++ b/wire/tests/beacon_seal.rs
@@ -1,7 +1,7 @@
 //! Beacons: forged and replayed ones are passed over.
 
 use {
-    pitchhitch_core::member::{Beacon, EntryBeacon},
+    pitchhitch_core::membership::{Beacon, EntryBeacon},
     pitchhitch_wire::beacon::{
         BeaconError, BeaconKey, BeaconSocket, NumberedBeacon, ReceiveError, BEACON_LIMIT,
     },
