--- a/core/src/role/entry_action.rs
+++ b/core/src/role/entry_action.rs
@@ -2,7 +2,7 @@
     super::{ConfigNotice, StampedOrder, StoredPiece},
     crate::{
         lease::LeaseRow,
-        place::ReuseModel,
+        placement::ReuseModel,
         route::{EndpointState, RouteTable},
     },
     std::{net::SocketAddr, sync::Arc},
--- a/core/src/role/prompt_memory.rs
+++ b/core/src/role/prompt_memory.rs
@@ -1,7 +1,7 @@
 use {
     crate::{
         kv_cache::PieceKey,
-        place::{ReuseLabel, ReuseModel},
+        placement::{ReuseLabel, ReuseModel},
         time::Micros,
     },
     std::{
--- a/core/tests/return_gaps.rs
+++ b/core/tests/return_gaps.rs
@@ -3,7 +3,7 @@
 use pitchhitch_core::{
     conf::CostWeights,
     kv_cache::{PieceKey, StoreTier},
-    place::{
+    placement::{
         decide_retention, InventoryPiece, RetentionInput, ReuseLabel, ReuseModel, StoreInventory,
     },
     time::Micros,
--- a/entry/src/traffic/traffic_view.rs
+++ b/entry/src/traffic/traffic_view.rs
@@ -1,7 +1,7 @@
 use {
     super::{EndpointLink, KeyIndex},
     pitchhitch_core::{
-        place::ReuseModel,
+        placement::ReuseModel,
         route::{EndpointKey, InFlightLoad, RouteTable},
     },
     slotmap::SecondaryMap,
