--- a/core/src/membership/mod.rs
+++ b/core/src/membership/mod.rs
@@ -1,8 +1,8 @@
 //! Which processes and endpoints there are, and which of them are alive.
 
 mod beacon;
-mod home_set;
 mod peer_table;
+mod rendezvous;
 mod replay_guard;
 
-pub use {beacon::*, home_set::*, peer_table::*, replay_guard::*};
+pub use {beacon::*, peer_table::*, rendezvous::*, replay_guard::*};
