--- a/core/src/placement/mod.rs
+++ b/core/src/placement/mod.rs
@@ -1,8 +1,8 @@
 //! Which kept state is worth its room and its link, and which weights are loaded where.
 
 mod retention_decision;
-mod return_model;
+mod reuse_model;
 mod store_ledger;
 mod weight_load_planner;
 
-pub use {retention_decision::*, return_model::*, store_ledger::*, weight_load_planner::*};
+pub use {retention_decision::*, reuse_model::*, store_ledger::*, weight_load_planner::*};
