--- a/core/src/placement/mod.rs
+++ b/core/src/placement/mod.rs
@@ -2,7 +2,7 @@
 
 mod retention_decision;
 mod reuse_model;
-mod store_ledger;
+mod store_inventory;
 mod weight_load_planner;
 
-pub use {retention_decision::*, reuse_model::*, store_ledger::*, weight_load_planner::*};
+pub use {retention_decision::*, reuse_model::*, store_inventory::*, weight_load_planner::*};
