--- a/core/src/conf/change_error.rs
+++ b/core/src/conf/change_error.rs
@@ -1,48 +1,48 @@
 use thiserror::Error;
 
-/// Why a change of the configuration is refused.
+/// Why a configuration change is rejected.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum ChangeError {
-    /// The change names something that is not in the configuration.
+    /// The change refers to an object that is not in the configuration.
     #[error(
         "{what} '{name}' is not in the configuration; list what is there with 'pitchhitch show'"
     )]
     Unknown {
-        /// The kind of thing.
+        /// Kind of the object.
         what: &'static str,
-        /// Its name.
+        /// Name of the object.
         name: String,
     },
-    /// A label key or value has a character that labels may not have.
-    #[error("'{text}' is no label word; use letters, digits, '.', '_', '/' and '-'")]
+    /// A label key or value is empty or contains a disallowed character.
+    #[error("'{text}' is not a valid label key or value; use letters, digits, '.', '_', '/' and '-'")]
     InvalidLabel {
-        /// The text in question.
+        /// The rejected text.
         text: String,
     },
-    /// The target is not of the form kind/name.
+    /// The target does not have the form `kind/name`.
     #[error(
-        "'{text}' names no target; write endpoint/NAME, organisation/NAME or version/MODEL/NAME"
+        "'{text}' is not a valid target; use endpoint/NAME, organisation/NAME or version/MODEL/NAME"
     )]
     InvalidTarget {
-        /// The text in question.
+        /// The rejected text.
         text: String,
     },
-    /// The change was made against a revision that is no longer the newest.
-    #[error("revision {wanted} was expected, but the configuration is at {found}; look again with 'pitchhitch show' and repeat")]
+    /// The change is based on a revision that is no longer the current one.
+    #[error("revision {wanted} was expected, but the configuration is at {found}; run 'pitchhitch show' and repeat the change")]
     Outdated {
-        /// The revision the operator saw.
+        /// Revision that the change is based on.
         wanted: u64,
-        /// The revision in force.
+        /// Current revision.
         found: u64,
     },
-    /// Two records claim the same place in the history.
+    /// A record in the change log does not follow the one before it.
     #[error(
         "the change log jumps from revision {from} to {to}; the stored configuration is damaged"
     )]
     RevisionGap {
-        /// Last good revision.
+        /// Last consistent revision.
         from: u64,
-        /// The revision that does not follow.
+        /// Revision of the record that does not follow.
         to: u64,
     },
 }
--- a/core/src/conf/change_history.rs
+++ b/core/src/conf/change_history.rs
@@ -4,27 +4,28 @@
     std::collections::VecDeque,
 };
 
-/// Changes that are remembered for peers that are behind.
+/// Maximum number of recent changes kept for peers that need to catch up.
 const HISTORY_LIMIT: usize = 256;
 
-/// The last changes, without gaps, so that peers need not fetch everything.
+/// The most recent changes, with consecutive revisions, so that a peer that lags
+/// does not have to fetch the whole configuration.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct ChangeHistory {
     records: VecDeque<ChangeRecord>,
 }
 
-/// What a process gives to a peer that is behind.
+/// What a process sends to a peer with an older configuration.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum PeerConfig {
     /// The changes after the peer's revision.
     Changes(Vec<ChangeRecord>),
-    /// The whole configuration, where the changes are not remembered.
+    /// The whole configuration, if the history does not reach back to the peer's revision.
     Whole(Box<FleetConfig>),
 }
 
 impl ChangeHistory {
-    /// Remembers changes; a gap before them makes it forget the older ones.
+    /// Appends changes. Known revisions are skipped; a gap discards all older changes.
     pub fn append(
         &mut self,
         records: impl IntoIterator<Item = ChangeRecord>,
@@ -44,7 +45,7 @@
         }
     }
 
-    /// What a peer at a revision needs to come up to `config`.
+    /// What a peer at revision `since` needs to reach `config`.
     pub fn for_peer(
         &self,
         since: u64,
--- a/core/src/conf/change_record.rs
+++ b/core/src/conf/change_record.rs
@@ -3,17 +3,18 @@
     serde::{Deserialize, Serialize},
 };
 
-/// An accepted change, as the change log keeps it.
+/// An accepted change as stored in the change log.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ChangeRecord {
-    /// Revision that the change made.
+    /// Revision created by the change.
     pub revision: u64,
-    /// Chosen by the operator's command; settles a lost answer.
+    /// Chosen by the operator's command. If the response is lost, a retry with the same id
+    /// finds out whether the change was accepted.
     pub change_id: String,
-    /// Who asked.
+    /// Operator who requested the change.
     pub operator: String,
-    /// When, in seconds since 1970, by the operator's clock; for people only.
+    /// Time of the request by the operator's clock, in seconds since 1970; informational only.
     pub at_secs: u64,
-    /// What changed.
+    /// The change.
     pub change: ConfigChange,
 }
--- a/core/src/conf/config_head.rs
+++ b/core/src/conf/config_head.rs
@@ -4,46 +4,47 @@
     std::collections::VecDeque,
 };
 
-/// Log entries beyond which a writer folds the log into a new base.
+/// Log length from which a writer compacts the log into a new base document.
 pub const TAIL_LIMIT: usize = 64;
-/// Settled change ids that outlive folding, so that late retries are recognised.
+/// Number of compacted change ids that are kept, so that late retries are recognised.
 pub const COMPACTED_ID_LIMIT: usize = 512;
 
-/// The one row in the table that says which configuration is in force.
+/// The table row that defines the current configuration.
 ///
-/// It names a base document in the object store and holds the changes since.
-/// It is replaced by compare-and-set only, so a change is either wholly in
-/// force or not at all.
+/// It names a base document in the object store and holds the changes made since.
+/// It is only ever replaced by compare-and-set, so a change takes effect either
+/// completely or not at all.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct ConfigHead {
-    /// Revision of the base document; zero is the empty configuration.
+    /// Revision of the base document; zero stands for the empty configuration.
     pub base_revision: u64,
-    /// Name of the base document in the object store. Two writers that fold at
-    /// the same moment write different documents, and only the winner's is named here.
+    /// Name of the base document in the object store. Two writers that compact at the
+    /// same time write different documents; only the one that wins the compare-and-set
+    /// is named here.
     #[serde(default)]
     pub base_name: String,
-    /// Changes after the base, in order of revision.
+    /// Changes after the base document, in revision order.
     pub tail: VecDeque<ChangeRecord>,
-    /// Ids and revisions of changes that were compacted into the base.
+    /// Ids and revisions of changes that were compacted into the base document.
     pub settled: VecDeque<CompactedChange>,
 }
 
-/// A change that is part of the base by now.
+/// A change that has been compacted into the base document.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct CompactedChange {
     /// Id of the change.
     pub change_id: String,
-    /// Revision it made.
+    /// Revision it created.
     pub revision: u64,
 }
 
 impl ConfigHead {
-    /// The newest revision.
+    /// The current revision.
     pub fn revision(&self) -> u64 {
         self.tail.back().map_or(self.base_revision, |r| r.revision)
     }
 
-    /// The revision that a change made, if it was accepted.
+    /// The revision created by a change; `None` if the change is not known to be accepted.
     pub fn change_revision(
         &self,
         change_id: &str,
@@ -56,7 +57,7 @@
         compacted.map(|s| s.revision)
     }
 
-    /// The head after one more change.
+    /// Returns the head with one more change in the log.
     pub fn with_change(
         &self,
         change_id: &str,
@@ -75,12 +76,12 @@
         head
     }
 
-    /// Whether the log is long enough to be compacted.
+    /// Whether the log has reached [`TAIL_LIMIT`].
     pub fn needs_compaction(&self) -> bool {
         self.tail.len() >= TAIL_LIMIT
     }
 
-    /// The head after its whole log went into a base document.
+    /// Returns the head after the whole log was compacted into the base document `base_name`.
     pub fn compacted(
         &self,
         base_name: String,
@@ -103,12 +104,13 @@
         }
     }
 
-    /// Applies what `config` lacks.
+    /// Returns `config` with the changes from the log that it lacks.
     ///
-    /// A configuration that is already newer stays as it is: revisions never go down.
+    /// A newer configuration is returned unchanged: revisions never decrease.
     ///
     /// # Errors
-    /// [`ChangeError::RevisionGap`] when the log does not join on to `config`.
+    /// [`ChangeError::RevisionGap`] if a revision is missing between `config` and the log, and
+    /// the error of the first change that cannot be applied.
     pub fn apply_to(
         &self,
         config: &FleetConfig,
--- a/core/src/conf/fleet_config.rs
+++ b/core/src/conf/fleet_config.rs
@@ -12,7 +12,7 @@
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct FleetConfig {
-    /// Goes up by one with each change, never down.
+    /// Incremented by each change; never decreases.
     #[serde(default)]
     pub revision: u64,
     /// Organisations by name.
@@ -24,7 +24,7 @@
     /// Plain services by name.
     #[serde(default)]
     pub services: BTreeMap<String, ServiceConf>,
-    /// What operators said about endpoints, by endpoint id.
+    /// Operator configuration of endpoints, by endpoint id.
     #[serde(default)]
     pub endpoints: BTreeMap<String, EndpointConf>,
     /// Placement rules by name.
@@ -57,10 +57,10 @@
 }
 
 impl FleetConfig {
-    /// Applies one change and moves to the next revision.
+    /// Applies one change and increments the revision.
     ///
     /// # Errors
-    /// [`ChangeError`]; the configuration is then as it was.
+    /// [`ChangeError`]; the configuration is left unchanged.
     pub fn apply(
         &mut self,
         change: &ConfigChange,
@@ -110,7 +110,7 @@
         target: &LabelTarget,
     ) -> Result<&mut LabelSet, ChangeError> {
         match target {
-            // An endpoint may be labelled before it is first seen.
+            // An endpoint may be labelled before it first joins.
             LabelTarget::Endpoint(name) => {
                 Ok(&mut self.endpoints.entry(name.clone()).or_default().labels)
             }
@@ -134,7 +134,7 @@
         }
     }
 
-    /// Whether operators want an endpoint drained.
+    /// Whether an endpoint is to be drained.
     pub fn is_leaving(
         &self,
         endpoint_id: &str,
--- a/core/src/conf/label_target.rs
+++ b/core/src/conf/label_target.rs
@@ -4,7 +4,7 @@
     std::fmt,
 };
 
-/// What a label is put on.
+/// An object that can carry labels.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum LabelTarget {
@@ -22,7 +22,7 @@
 }
 
 impl LabelTarget {
-    /// Reads `endpoint/NAME`, `organisation/NAME` or `version/MODEL/NAME`.
+    /// Parses `endpoint/NAME`, `organisation/NAME` or `version/MODEL/NAME`.
     ///
     /// # Errors
     /// [`ChangeError::InvalidTarget`] for any other text.
--- a/core/src/conf/mod.rs
+++ b/core/src/conf/mod.rs
@@ -1,4 +1,4 @@
-//! The configuration that operators change: one revisioned document.
+//! The configuration that operators edit: a single document with a revision number.
 
 mod change_error;
 mod change_history;
--- a/core/src/conf/model_conf.rs
+++ b/core/src/conf/model_conf.rs
@@ -4,19 +4,19 @@
     std::collections::BTreeMap,
 };
 
-/// Bytes of kept state for one token where a model does not say it.
+/// Bytes of KV state per token for models that do not specify it.
 pub const DEFAULT_TOKEN_BYTES: u64 = 131_072;
 
 /// One model and its weight versions.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ModelConf {
-    /// The version that engines should hold, unless their label says another.
+    /// Version that engines should serve, unless their `version` label names another.
     pub active: String,
-    /// All versions that may answer, by name. While engines change over, both
-    /// the old and the new answer; removing a version here forbids it at once.
+    /// All versions that may serve requests, by name. During a rollout both the old and
+    /// the new version serve; a version removed here stops serving at once.
     pub versions: BTreeMap<String, VersionConf>,
-    /// Bytes of kept state for one token.
+    /// Bytes of KV state per token.
     #[serde(default = "default_token_bytes")]
     pub token_bytes: u64,
 }
@@ -29,7 +29,7 @@
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct VersionConf {
-    /// Labels, for selectors.
+    /// Labels matched by selectors.
     #[serde(default)]
     pub labels: LabelSet,
 }
--- a/core/src/conf/organisation_conf.rs
+++ b/core/src/conf/organisation_conf.rs
@@ -3,33 +3,33 @@
     serde::{Deserialize, Serialize},
 };
 
-/// One organisation: its keys, labels, limits and what it weighs most.
+/// One organisation: its labels, keys, cost weights and limits.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct OrganisationConf {
-    /// Labels, for selectors.
+    /// Labels matched by selectors.
     #[serde(default)]
     pub labels: LabelSet,
-    /// Hashes of the bearer keys, as 64 hexadecimal digits of BLAKE3.
+    /// BLAKE3 hashes of the bearer keys, each as 64 hexadecimal digits.
     #[serde(default)]
     pub key_hashes: Vec<String>,
-    /// What a decision costs this organisation.
+    /// Weights of the costs in routing and retention decisions.
     #[serde(default)]
     pub weights: CostWeights,
-    /// How much it may ask for.
+    /// Rate and concurrency limits.
     #[serde(default)]
     pub limits: OrganisationLimits,
 }
 
-/// Weights of the three costs of a decision.
+/// Weights of the three costs in a decision.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct CostWeights {
     /// Cost of one microsecond until the first token.
     pub first_token: f64,
-    /// Cost of one prompt token that is computed again.
+    /// Cost of computing one prompt token.
     pub recompute: f64,
-    /// Cost of one kibibyte over a link to a store box.
+    /// Cost of transferring one kibibyte over the link of a store box.
     pub link: f64,
 }
 
@@ -43,15 +43,15 @@
     }
 }
 
-/// Limits of one organisation over the whole deployment.
+/// Limits of one organisation across the whole deployment.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct OrganisationLimits {
-    /// Requests a second, long-run.
+    /// Sustained rate, in requests per second.
     pub requests_per_second: f64,
-    /// Requests that may come at once above the rate.
+    /// Burst size, in requests.
     pub burst: f64,
-    /// Requests running at the same time.
+    /// Maximum number of concurrent requests.
     pub concurrency: u32,
 }
 
--- a/core/src/conf/placement_rule.rs
+++ b/core/src/conf/placement_rule.rs
@@ -3,35 +3,35 @@
     serde::{Deserialize, Serialize},
 };
 
-/// Says which labelled work may go to which labelled endpoints.
+/// Allows or denies work with certain labels on endpoints with certain labels.
 ///
-/// Of the rules whose `work` matches a request, those of the highest
-/// precedence decide; lower ones are not looked at. Among these a `deny`
-/// beats an `allow`, and several `allow` add up. Without any matching rule
-/// every endpoint of the model or service is admitted.
+/// Of the rules whose `work` selector matches a request, only those with the highest
+/// precedence apply. Among them `deny` overrides `allow`, and the endpoints of several
+/// `allow` rules are combined. If no rule matches, every endpoint of the model or
+/// service is admitted.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct PlacementRule {
-    /// Higher decides first.
+    /// Only the matching rules with the highest precedence apply.
     #[serde(default)]
     pub precedence: i32,
-    /// Matched over the labels of organisation and version, plus
+    /// Selector over the labels of the organisation and version, plus
     /// `organisation`, `model`, `version` and `service`.
     pub work: LabelSelector,
-    /// Matched over the labels of endpoints.
+    /// Selector over the labels of endpoints.
     pub endpoints: LabelSelector,
-    /// What the rule does with the endpoints that match.
+    /// Effect on the matching endpoints.
     #[serde(default)]
     pub effect: RuleEffect,
 }
 
-/// What a rule does.
+/// Effect of a placement rule.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RuleEffect {
-    /// The work may go there.
+    /// The work may run on the matching endpoints.
     #[default]
     Allow,
-    /// The work may not go there.
+    /// The work may not run on the matching endpoints.
     Deny,
 }
--- a/core/src/conf/service_conf.rs
+++ b/core/src/conf/service_conf.rs
@@ -1,9 +1,9 @@
 use serde::{Deserialize, Serialize};
 
-/// One plain service, reached under a path prefix.
+/// A plain service, routed by path prefix.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ServiceConf {
-    /// Path prefix, with a slash at its head, for example `/orders`.
+    /// Path prefix with a leading slash, for example `/orders`.
     pub prefix: String,
 }
--- a/core/src/drain/drain_state.rs
+++ b/core/src/drain/drain_state.rs
@@ -3,42 +3,42 @@
     serde::{Deserialize, Serialize},
 };
 
-/// Age of a load report beyond which it proves nothing about a drain.
+/// Load reports older than this are not used to evaluate a drain.
 pub const MAX_REPORT_AGE: Micros = Micros::from_secs(3);
 
-/// What is known of an endpoint that may be draining.
+/// Inputs for evaluating the drain of an endpoint.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct DrainInput {
-    /// Whether the configuration takes the endpoint out of service.
+    /// Whether the configuration asks for the endpoint to be drained.
     pub requested: bool,
-    /// Whether its agent has said that it refuses new work.
+    /// Whether its agent has confirmed that it refuses new work.
     pub refusing: bool,
-    /// Requests that run on it, by its agent's count.
+    /// Requests running on it, as reported by its agent.
     pub running: u32,
-    /// Pieces that its agent still carries to a store box.
+    /// Pieces that its agent has yet to export to a store box.
     pub exporting: u32,
-    /// Age of the agent's last word; none when it was never heard.
+    /// Age of the agent's last report; `None` if there was none.
     pub report_age: Option<Micros>,
 }
 
-/// How far a drain is.
+/// Progress of a drain.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum DrainState {
-    /// No drain is asked for.
+    /// No drain is requested.
     Serving,
-    /// The agent has not confirmed yet that it refuses new work.
+    /// The agent has yet to confirm that it refuses new work.
     AwaitingAgent,
-    /// The agent has not been heard lately, so nobody can tell.
+    /// There is no recent report from the agent, so the progress is unknown.
     AgentSilent,
-    /// Requests still run.
+    /// Requests are still running.
     Running {
-        /// How many.
+        /// Number of requests.
         requests: u32,
     },
-    /// Pieces are still carried to a store box.
+    /// Pieces are still being exported to a store box.
     Exporting {
-        /// How many.
+        /// Number of pieces.
         pieces: u32,
     },
     /// The box may be stopped.
@@ -46,7 +46,7 @@
 }
 
 impl DrainState {
-    /// Judges a drain from what is known.
+    /// Derives the state of a drain from the last report of the agent.
     pub fn evaluate(input: &DrainInput) -> DrainState {
         if !input.requested {
             return DrainState::Serving;
@@ -72,15 +72,15 @@
         DrainState::MayStop
     }
 
-    /// What a person is told.
+    /// Description for operators.
     pub fn describe(&self) -> String {
         match self {
             DrainState::Serving => "serving".to_string(),
-            DrainState::AwaitingAgent => "draining: its agent has not confirmed yet".to_string(),
+            DrainState::AwaitingAgent => "draining: waiting for its agent to confirm".to_string(),
             DrainState::AgentSilent => {
-                "unknown: its agent has not been heard for seconds".to_string()
+                "unknown: no recent report from its agent".to_string()
             }
-            DrainState::Running { requests } => format!("draining: {requests} requests run"),
+            DrainState::Running { requests } => format!("draining: {requests} requests running"),
             DrainState::Exporting { pieces } => format!("draining: {pieces} pieces to export"),
             DrainState::MayStop => "drained: the box may stop".to_string(),
         }
--- a/core/src/drain/mod.rs
+++ b/core/src/drain/mod.rs
@@ -1,4 +1,4 @@
-//! When an endpoint may be stopped.
+//! Progress of draining an endpoint before it is stopped.
 
 mod drain_state;
 
--- a/core/src/errors/error_kind.rs
+++ b/core/src/errors/error_kind.rs
@@ -3,36 +3,36 @@
     serde::{Deserialize, Serialize},
 };
 
-/// Everything that can go wrong with a request, as a closed list.
+/// Closed list of the errors that end a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum ErrorKind {
-    /// The body is not the JSON that the path wants.
+    /// The body is not JSON of the shape that the path requires.
     MalformedBody,
-    /// The body is longer than the limit in the settings.
+    /// The body exceeds the limit in the settings.
     BodyTooLarge,
-    /// No bearer key, or one that no organisation has.
+    /// The bearer key is missing or belongs to no organisation.
     BadKey,
     /// The model is not in the configuration.
     UnknownModel,
-    /// The path belongs to no service.
+    /// The path matches no service.
     UnknownPath,
     /// The request id is unknown or belongs to another organisation.
     UnknownRequest,
-    /// A header has a value that cannot be used.
+    /// A header has an invalid value.
     BadHeader,
     /// The selectors admit no endpoint for this work.
     NothingSelected,
-    /// Endpoints are selected, but none of them is usable now.
+    /// Endpoints are admitted, but none of them is usable now.
     NoneAvailable,
-    /// The organisation is over its rate or its concurrency.
+    /// The organisation exceeds its rate or concurrency limit.
     OverLimit,
-    /// This process holds as much work as it may.
+    /// This process is at capacity.
     Overloaded,
-    /// The deadline cannot be met any more.
+    /// The deadline can no longer be met.
     DeadlinePassed,
-    /// The agent refused: its endpoint is leaving.
+    /// The agent refused: its endpoint is draining.
     EndpointLeaving,
-    /// The agent refused: the endpoint holds another weight version.
+    /// The agent refused: the endpoint serves another weight version.
     WrongVersion,
     /// The agent refused: the endpoint is full.
     EndpointFull,
@@ -40,22 +40,22 @@
     EndpointUnreachable,
     /// The endpoint was lost after the request may have reached it.
     EndpointLost,
-    /// The endpoint's answer broke its protocol.
+    /// The endpoint's response violated its protocol.
     BadAnswer,
-    /// The idempotency key was used before and its first request may have run.
+    /// The idempotency key was used before, and the first request with it may have run.
     AlreadyStarted,
-    /// The table service cannot settle whether the key was used before.
+    /// The table service cannot tell whether the idempotency key was used before.
     CannotSettle,
     /// A message from another process could not be decoded.
     BadMessage,
     /// This process has no configuration yet.
     NotReady,
-    /// The caller went away.
+    /// The caller closed the connection.
     CallerGone,
 }
 
 impl ErrorKind {
-    /// Every kind, in the order of the table.
+    /// All kinds, in declaration order.
     pub const ALL: [ErrorKind; 23] = [
         ErrorKind::MalformedBody,
         ErrorKind::BodyTooLarge,
@@ -82,17 +82,17 @@
         ErrorKind::CallerGone,
     ];
 
-    /// What the caller is answered.
+    /// The response sent to the caller.
     pub fn response(self) -> &'static ErrorResponse {
         ErrorResponse::for_kind(self)
     }
 
-    /// Whether a request that ended so may have run.
+    /// Whether a request that failed with this error may have run.
     pub fn run_state(self) -> RunState {
         self.response().run_state
     }
 
-    /// Whether another endpoint may be tried for a request that may not be repeated.
+    /// Whether even a non-idempotent request may be retried on another endpoint.
     pub fn proves_not_run(self) -> bool {
         self.run_state() == RunState::NotRun
     }
--- a/core/src/errors/error_response.rs
+++ b/core/src/errors/error_response.rs
@@ -1,19 +1,19 @@
 use super::{ErrorKind, RunState};
 
-/// One row of the table from error kind to answer.
+/// Response to one kind of error.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ErrorResponse {
     /// HTTP status.
     pub status: u16,
-    /// The `type` field of the error object, as the OpenAI API words it.
+    /// The `type` field of the error object, as in the OpenAI API.
     pub error_type: &'static str,
-    /// The `code` field of the error object; stable, for programs.
+    /// The `code` field of the error object; stable, meant for programs.
     pub code: &'static str,
     /// Whether the request may have run.
     pub run_state: RunState,
-    /// Seconds after which the caller may come back, when that helps.
+    /// Seconds after which the caller may retry, if a retry can succeed.
     pub retry_after: Option<u32>,
-    /// What the caller can do next.
+    /// Advice to the caller.
     pub remedy: &'static str,
 }
 
@@ -228,7 +228,7 @@
 );
 
 impl ErrorResponse {
-    /// The row of one kind.
+    /// The response to one kind of error.
     pub fn for_kind(kind: ErrorKind) -> &'static ErrorResponse {
         match kind {
             ErrorKind::MalformedBody => &MALFORMED_BODY,
--- a/core/src/errors/mod.rs
+++ b/core/src/errors/mod.rs
@@ -1,4 +1,4 @@
-//! The closed list of error kinds and the table from kind to answer.
+//! The closed list of error kinds and the response to each of them.
 
 mod error_kind;
 mod error_response;
--- a/core/src/errors/run_state.rs
+++ b/core/src/errors/run_state.rs
@@ -4,14 +4,14 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum RunState {
-    /// It is proven that the request did not run.
+    /// The request is known not to have run.
     NotRun,
-    /// The request may have run, in part or whole.
+    /// The request may have run, partly or completely.
     Unknown,
 }
 
 impl RunState {
-    /// The word that callers see.
+    /// The value sent to callers.
     pub const fn as_str(self) -> &'static str {
         match self {
             RunState::NotRun => "not-run",
--- a/core/src/kv_cache/mod.rs
+++ b/core/src/kv_cache/mod.rs
@@ -1,4 +1,4 @@
-//! Kept prompt state: how pieces are named and who holds them.
+//! Cached KV state of prompts: keys of its pieces and a directory of their holders.
 
 mod piece_directory;
 mod piece_key;
--- a/core/src/kv_cache/piece_directory.rs
+++ b/core/src/kv_cache/piece_directory.rs
@@ -4,27 +4,27 @@
     std::sync::Arc,
 };
 
-/// Somebody who holds a piece.
+/// Holder of a piece.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum PieceHolder {
-    /// In the accelerator memory of an endpoint.
+    /// An endpoint has it in accelerator memory.
     Endpoint(EndpointKey),
-    /// Sealed on a store box.
+    /// A store box has a sealed copy.
     Store(StoredCopy),
 }
 
 /// A sealed copy on a store box.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct StoredCopy {
-    /// The box.
+    /// The store box.
     pub store: StoreKey,
-    /// The tier it is in.
+    /// Storage tier of the copy.
     pub tier: StoreTier,
-    /// Generation that readers must pin.
+    /// Generation of the copy; readers must request exactly this one.
     pub generation: u64,
 }
 
-/// The holders of one piece, in as little room as the usual cases allow.
+/// The holders of one piece. A single holder, the usual case, needs no vector.
 #[derive(Debug, Clone)]
 enum HolderList {
     Endpoint(EndpointKey),
@@ -52,14 +52,14 @@
     }
 }
 
-/// Pieces that are known at most.
+/// Maximum number of pieces in the directory.
 const PIECE_LIMIT: usize = 400_000;
-/// Buckets of the directory, by the first bits of a key.
+/// Number of buckets; the leading bits of a key select its bucket.
 const BUCKET_COUNT: usize = 4_096;
 const BUCKET_BITS: u32 = BUCKET_COUNT.trailing_zeros();
 
-/// Short form of a key. Two pieces may share one: then a hint is wrong, which
-/// the full key shows as soon as somebody asks the holder.
+/// Upper half of a piece key. If two pieces share it, the directory may name a wrong
+/// holder; this is detected when the holder is queried with the full key.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct ShortKey(u64);
 
@@ -81,11 +81,11 @@
 
 type Bucket = Vec<DirectoryEntry>;
 
-/// Who holds which piece, as far as this process has heard.
+/// Directory of the holders of each piece, built from the events this process received.
 ///
-/// It is a hint: events come late and with gaps, so the agent checks before
-/// anything is read. Clones share all buckets that neither side has changed
-/// since, so that a snapshot for the traffic threads costs next to nothing.
+/// Entries are hints: events arrive late and some are lost, so the agent verifies a
+/// holder before it reads a piece. Clones share unmodified buckets (copy-on-write),
+/// which makes snapshots for the traffic threads cheap.
 #[derive(Debug, Clone)]
 pub struct PieceDirectory {
     buckets: Arc<Vec<Arc<Bucket>>>,
@@ -102,17 +102,17 @@
 }
 
 impl PieceDirectory {
-    /// Number of pieces known.
+    /// Number of pieces in the directory.
     pub fn len(&self) -> usize {
         self.length
     }
 
-    /// Whether no piece is known.
+    /// Whether the directory is empty.
     pub fn is_empty(&self) -> bool {
         self.length == 0
     }
 
-    /// All known holders of a piece; some may be gone by now.
+    /// All known holders of a piece; some may no longer have it.
     pub fn holders(
         &self,
         key: PieceKey,
@@ -124,7 +124,7 @@
         row.into_iter().flat_map(|row| row.holders.iter())
     }
 
-    /// Notes a holder. A newer copy on the same store box replaces the older one.
+    /// Adds a holder. A newer copy on the same store box replaces the older one.
     pub fn add(
         &mut self,
         key: PieceKey,
@@ -139,7 +139,7 @@
         self.replace(ShortKey::of(key), holders);
     }
 
-    /// Notes a holder, unless that would be one piece too many for the memory.
+    /// Adds a holder, unless the piece is new and the directory is full.
     pub fn add_bounded(
         &mut self,
         key: PieceKey,
@@ -150,7 +150,7 @@
         }
     }
 
-    /// Forgets a holder.
+    /// Removes a holder.
     pub fn remove(
         &mut self,
         key: PieceKey,
@@ -164,8 +164,9 @@
         }
     }
 
-    /// Forgets every holder that `is_gone` in some buckets from `cursor` on, and
-    /// gives the cursor for the next call. After enough calls all were looked at.
+    /// Removes the holders for which `is_gone` is true from `buckets` buckets, starting at
+    /// `cursor`, and returns the cursor for the next call. Repeated calls cover the whole
+    /// directory.
     pub fn sweep(
         &mut self,
         cursor: usize,
@@ -214,7 +215,7 @@
                 self.length -= 1;
             }
             (Err(index), Some(holders)) => {
-                // Buckets are many and small: room to spare would add up.
+                // There are many small buckets, so spare capacity would add up.
                 bucket.reserve_exact(1);
                 bucket.insert(index, DirectoryEntry { key, holders });
                 self.length += 1;
--- a/core/src/kv_cache/piece_key.rs
+++ b/core/src/kv_cache/piece_key.rs
@@ -4,19 +4,19 @@
     thiserror::Error,
 };
 
-/// Name of one piece of kept prompt state.
+/// Content key of one piece of KV state.
 ///
-/// It is a hash over the organisation, the weight version and the whole prompt
-/// up to the end of the piece, so equal keys mean equal state, and two
-/// organisations or versions never share one.
+/// It hashes the organisation, the weight version and the prompt up to the end of the
+/// piece. Equal keys therefore mean equal state, and keys of different organisations or
+/// versions never match.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct PieceKey(pub u128);
 
-/// A piece key that is not 32 hexadecimal digits.
+/// A text that is not a piece key.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
-#[error("'{text}' is no piece key; it must be 32 hexadecimal digits")]
+#[error("'{text}' is not a piece key; a key has 32 hexadecimal digits")]
 pub struct PieceKeyError {
-    /// The text in question.
+    /// The rejected text.
     pub text: String,
 }
 
@@ -36,7 +36,7 @@
     }
 }
 
-// Text for people, sixteen bytes between processes.
+// Hexadecimal text in human-readable formats, sixteen bytes in binary ones.
 impl Serialize for PieceKey {
     fn serialize<S: Serializer>(
         &self,
--- a/core/src/kv_cache/prefix_keys.rs
+++ b/core/src/kv_cache/prefix_keys.rs
@@ -1,23 +1,24 @@
 use super::PieceKey;
 
-/// Tokens in one piece.
+/// Tokens per piece.
 pub const PIECE_TOKENS: u32 = 512;
-/// Bytes of prompt text taken for one token where no tokenizer is at hand.
+/// Assumed bytes of prompt text per token, as no tokenizer is available here.
 pub const BYTES_PER_TOKEN: u32 = 4;
-/// Bytes of prompt text in one piece.
+/// Bytes of prompt text per piece.
 pub const PIECE_TEXT_BYTES: usize = (PIECE_TOKENS * BYTES_PER_TOKEN) as usize;
 
 const CHAIN_CONTEXT: &str = "pitchhitch 2026-12 prefix chain";
 
-/// Tokens in a prompt of so many bytes, rounded up.
+/// Estimated number of tokens in a prompt of `text_bytes` bytes, rounded up.
 pub fn estimate_tokens(text_bytes: usize) -> u32 {
     text_bytes.div_ceil(BYTES_PER_TOKEN as usize) as u32
 }
 
-/// Keys of all whole pieces of a prompt, first piece first.
+/// Keys of all complete pieces of a prompt, in order.
 ///
-/// Each key covers the text from the start, so a key that is found stands for
-/// the whole prefix. The text after the last whole piece has no key.
+/// The keys form a hash chain: each covers the text from the start of the prompt, so a
+/// matching key implies that the whole prefix matches. Text after the last complete
+/// piece has no key.
 pub fn prefix_keys(
     organisation: &str,
     version: &str,
@@ -37,7 +38,7 @@
     version: &str,
 ) -> [u8; 32] {
     let mut hasher = blake3::Hasher::new_derive_key(CHAIN_CONTEXT);
-    // The length in front keeps "ab"+"c" and "a"+"bc" apart.
+    // The length prefix distinguishes "ab"+"c" from "a"+"bc".
     hasher.update(&(organisation.len() as u64).to_le_bytes());
     hasher.update(organisation.as_bytes());
     hasher.update(version.as_bytes());
--- a/core/src/kv_cache/store_tier.rs
+++ b/core/src/kv_cache/store_tier.rs
@@ -1,11 +1,11 @@
 use serde::{Deserialize, Serialize};
 
-/// Where a store box keeps a piece.
+/// Storage tier of a store box.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum StoreTier {
-    /// In memory: quick to import, little room.
+    /// Memory: fast to import from, small.
     Memory,
-    /// On disk: slower, more room.
+    /// Disk: slower, larger.
     Disk,
 }
--- a/core/src/labels/label_selector.rs
+++ b/core/src/labels/label_selector.rs
@@ -4,9 +4,9 @@
     std::fmt,
 };
 
-/// A selector: all of its terms must hold. Without terms it matches everything.
+/// A conjunction of terms; the empty selector matches everything.
 ///
-/// Written as terms with commas between, for example
+/// Written as a comma-separated list of terms, for example
 /// `site=nairobi-1,tier in (gold|silver),!leaving`.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(try_from = "String", into = "String")]
@@ -15,10 +15,10 @@
 }
 
 impl LabelSelector {
-    /// Reads a selector.
+    /// Parses a selector.
     ///
     /// # Errors
-    /// [`SelectorError`] naming the first term that cannot be read.
+    /// [`SelectorError`] for the first term that cannot be parsed.
     pub fn parse(text: &str) -> Result<Self, SelectorError> {
         let text = text.trim();
         if text.is_empty() {
@@ -28,7 +28,7 @@
         Ok(LabelSelector { terms: terms? })
     }
 
-    /// Whether the labels fulfil every term.
+    /// Whether the labels satisfy every term.
     pub fn matches(
         &self,
         labels: &LabelSet,
--- a/core/src/labels/label_set.rs
+++ b/core/src/labels/label_set.rs
@@ -11,7 +11,7 @@
 }
 
 impl LabelSet {
-    /// The value of one label.
+    /// Value of the label `key`.
     pub fn get(
         &self,
         key: &str,
@@ -19,7 +19,7 @@
         self.labels.get(key).map(String::as_str)
     }
 
-    /// Sets one label, replacing its former value.
+    /// Sets a label, replacing any previous value.
     pub fn set(
         &mut self,
         key: impl Into<String>,
@@ -28,7 +28,7 @@
         self.labels.insert(key.into(), value.into());
     }
 
-    /// Removes one label if it is there.
+    /// Removes a label if it is present.
     pub fn remove(
         &mut self,
         key: &str,
@@ -36,7 +36,7 @@
         self.labels.remove(key);
     }
 
-    /// These labels with those of `other` on top.
+    /// Returns these labels merged with `other`, whose values take precedence.
     pub fn merged_with(
         &self,
         other: &LabelSet,
--- a/core/src/labels/mod.rs
+++ b/core/src/labels/mod.rs
@@ -1,4 +1,4 @@
-//! Labels and the selectors over them.
+//! Labels and label selectors.
 
 mod label_selector;
 mod label_set;
--- a/core/src/labels/selector_error.rs
+++ b/core/src/labels/selector_error.rs
@@ -1,18 +1,18 @@
 use thiserror::Error;
 
-/// Why a selector could not be read.
+/// Why a selector cannot be parsed.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum SelectorError {
-    /// A key or value is empty or has a character that labels may not have.
-    #[error("'{text}' is no label word; use letters, digits, '.', '_', '/' and '-'")]
+    /// A label key or value is empty or contains a disallowed character.
+    #[error("'{text}' is not a valid label key or value; use letters, digits, '.', '_', '/' and '-'")]
     InvalidLabel {
-        /// The text in question.
+        /// The rejected text.
         text: String,
     },
-    /// A term has none of the known forms.
-    #[error("'{term}' is no selector term; write key=value, key!=value, key in (a|b), key notin (a|b), key or !key")]
+    /// A term has an unknown form.
+    #[error("'{term}' is not a valid selector term; use key=value, key!=value, key in (a|b), key notin (a|b), key or !key")]
     InvalidTerm {
-        /// The text in question.
+        /// The rejected term.
         term: String,
     },
 }
--- a/core/src/labels/selector_term.rs
+++ b/core/src/labels/selector_term.rs
@@ -3,38 +3,38 @@
     std::{collections::BTreeSet, fmt},
 };
 
-/// One condition on a label.
+/// One condition on the labels of an object.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum SelectorTerm {
-    /// The label is there with this value.
+    /// The label has this value.
     Equals {
         /// Label key.
         key: String,
-        /// Wanted value.
+        /// Required value.
         value: String,
     },
-    /// The label is absent or has another value.
+    /// The label is absent or has a different value.
     Differs {
         /// Label key.
         key: String,
-        /// Unwanted value.
+        /// Excluded value.
         value: String,
     },
-    /// The label is there with one of these values.
+    /// The label has one of these values.
     OneOf {
         /// Label key.
         key: String,
-        /// Wanted values.
+        /// Accepted values.
         values: BTreeSet<String>,
     },
     /// The label is absent or has none of these values.
     NoneOf {
         /// Label key.
         key: String,
-        /// Unwanted values.
+        /// Excluded values.
         values: BTreeSet<String>,
     },
-    /// The label is there.
+    /// The label is present.
     Exists {
         /// Label key.
         key: String,
@@ -46,7 +46,7 @@
     },
 }
 
-/// Whether `word` may stand as a label key or value.
+/// Whether `word` is a valid label key or value.
 pub fn is_valid_label(word: &str) -> bool {
     let allowed = |c: char| c.is_ascii_alphanumeric() || "._/-".contains(c);
     !word.is_empty() && word.chars().all(allowed)
@@ -75,10 +75,10 @@
 }
 
 impl SelectorTerm {
-    /// Reads one term.
+    /// Parses one term.
     ///
     /// # Errors
-    /// [`SelectorError`] when the text has none of the known forms.
+    /// [`SelectorError`] if the text has an unknown form.
     pub fn parse(text: &str) -> Result<Self, SelectorError> {
         let text = text.trim();
         if let Some((key, values)) = text.split_once(" notin ") {
@@ -114,7 +114,7 @@
         Ok(SelectorTerm::Exists { key })
     }
 
-    /// Whether the labels fulfil this term.
+    /// Whether the labels satisfy this term.
     pub fn matches(
         &self,
         labels: &LabelSet,
--- a/core/src/lib.rs
+++ b/core/src/lib.rs
@@ -1,8 +1,8 @@
-//! Every decision of pitchhitch, without I/O.
+//! The decision logic of pitchhitch, without I/O.
 //!
-//! Nothing in this crate opens a socket, reads a clock or starts a thread: the
-//! current time, events and a seed go in, typed actions come out. Any host can
-//! drive it: the two binaries, a test or a bench.
+//! Nothing in this crate opens a socket, reads a clock or starts a thread. The host
+//! passes in the current time, events and a random seed, and executes the typed
+//! actions that are returned. Hosts are the two binaries, tests and benchmarks.
 
 pub mod conf;
 pub mod drain;
