--- a/core/src/conf/change_error.rs
+++ b/core/src/conf/change_error.rs
@@ -14,7 +14,9 @@
         name: String,
     },
     /// A label key or value is empty or contains a disallowed character.
-    #[error("'{text}' is not a valid label key or value; use letters, digits, '.', '_', '/' and '-'")]
+    #[error(
+        "'{text}' is not a valid label key or value; use letters, digits, '.', '_', '/' and '-'"
+    )]
     InvalidLabel {
         /// The rejected text.
         text: String,
--- a/core/src/drain/drain_state.rs
+++ b/core/src/drain/drain_state.rs
@@ -77,9 +77,7 @@
         match self {
             DrainState::Serving => "serving".to_string(),
             DrainState::AwaitingAgent => "draining: waiting for its agent to confirm".to_string(),
-            DrainState::AgentSilent => {
-                "unknown: no recent report from its agent".to_string()
-            }
+            DrainState::AgentSilent => "unknown: no recent report from its agent".to_string(),
             DrainState::Running { requests } => format!("draining: {requests} requests running"),
             DrainState::Exporting { pieces } => format!("draining: {pieces} pieces to export"),
             DrainState::MayStop => "drained: the box may stop".to_string(),
--- a/core/src/labels/selector_error.rs
+++ b/core/src/labels/selector_error.rs
@@ -4,7 +4,9 @@
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum SelectorError {
     /// A label key or value is empty or contains a disallowed character.
-    #[error("'{text}' is not a valid label key or value; use letters, digits, '.', '_', '/' and '-'")]
+    #[error(
+        "'{text}' is not a valid label key or value; use letters, digits, '.', '_', '/' and '-'"
+    )]
     InvalidLabel {
         /// The rejected text.
         text: String,
--- a/core/src/lease/control_shard.rs
+++ b/core/src/lease/control_shard.rs
@@ -1,21 +1,21 @@
 use crate::membership::rendezvous_weight;
 
-/// Shards of control. The number is part of what processes agree on: agents
-/// compute from it whose orders they take.
+/// Number of control shards. All processes must use the same number, because agents
+/// derive from it which shard's orders they accept.
 pub const SHARD_COUNT: u64 = 64;
-/// Entry processes that contend for the lease of one shard, so that the table
-/// is not read by all of them.
+/// Number of entry processes that contend for the lease of one shard. It is limited so
+/// that not all of them read the table.
 pub const CONTENDERS: usize = 3;
 
-/// The shard that controls a group of endpoints.
+/// Name of the shard that controls a group of endpoints.
 pub fn shard_of(group: &str) -> String {
     let number = rendezvous_weight(group, "shard") % SHARD_COUNT;
     format!("shard-{number:02}")
 }
 
-/// Whether `own_id` is among the entry processes that contend for a shard.
+/// Whether the entry process `own_id` contends for the lease of a shard.
 ///
-/// Processes that see different lists may disagree; the lease itself decides.
+/// Processes with different membership lists may disagree; the lease itself decides.
 pub fn is_contender<'a>(
     own_id: &str,
     shard: &str,
--- a/core/src/lease/lease_machine.rs
+++ b/core/src/lease/lease_machine.rs
@@ -1,13 +1,13 @@
 use {super::LeaseRow, crate::time::Micros};
 
-/// Times of a lease.
+/// Timing of a lease.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct LeaseTimes {
-    /// How long a renewal lasts, counted from before it was sent.
+    /// How long a renewal is valid, counted from before its write is sent.
     pub duration: Micros,
-    /// How often the holder renews and the others look.
+    /// How often the holder renews the lease and other processes read it.
     pub interval: Micros,
-    /// What the others wait on top, for clocks that run at different speeds.
+    /// Extra time that other processes wait before they take over, to allow for clock drift.
     pub margin: Micros,
 }
 
@@ -21,16 +21,16 @@
     }
 }
 
-/// What the host is to do for a lease.
+/// Action for the host to execute.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum LeaseStep {
-    /// Nothing now.
+    /// Nothing to do now.
     Wait,
-    /// Read the row.
+    /// Read the lease row.
     Read,
-    /// Replace the row if it still has this table version.
+    /// Replace the row if its table version is still `version`.
     Write {
-        /// Table version that was read; zero when there is no row.
+        /// Table version that was read; zero if there is no row.
         version: u64,
         /// The new row.
         row: LeaseRow,
@@ -50,10 +50,10 @@
     valid_until: Micros,
 }
 
-/// One process's side of one lease, without I/O.
+/// State machine of one process for one lease, without I/O.
 ///
-/// A lost answer to a write needs no special care: the next read shows whether
-/// it took effect, and the time of the lease counts from before the write.
+/// A lost response to a write is safe: the next read shows whether the write took
+/// effect, and the lease duration counts from before the write.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct LeaseMachine {
     own_id: String,
@@ -66,9 +66,10 @@
 }
 
 impl LeaseMachine {
-    /// A machine that holds nothing yet.
+    /// Creates a machine that does not hold the lease.
     ///
-    /// `own_id` must name this life of the process: a restarted process is another holder.
+    /// `own_id` must be unique to this incarnation of the process: a restarted process is
+    /// a different holder.
     pub fn new(
         own_id: impl Into<String>,
         times: LeaseTimes,
@@ -84,7 +85,7 @@
         }
     }
 
-    /// The epoch under which this process may give orders at this moment.
+    /// Epoch under which this process may issue orders at `now`; `None` without a valid lease.
     pub fn epoch(
         &self,
         now: Micros,
@@ -93,7 +94,7 @@
         (now < held.valid_until).then_some(held.epoch)
     }
 
-    /// What to do now. The host reports the outcome by one of the methods below.
+    /// Returns the next action. The host reports its outcome with one of the methods below.
     pub fn step(
         &mut self,
         now: Micros,
@@ -141,7 +142,7 @@
         None
     }
 
-    /// The row was read; `requested_at` is when the read was sent.
+    /// Handles a completed read that was sent at `requested_at`.
     pub fn on_row_read(
         &mut self,
         row: Option<LeaseRow>,
@@ -162,7 +163,7 @@
         {
             self.held = None;
         }
-        // A free row may be taken at once; waiting is for rows that somebody holds.
+        // A free row may be taken at once; only a held one has to lapse first.
         if row.holder.is_empty() || row.holder == self.own_id {
             self.next_step = requested_at;
         }
@@ -173,7 +174,7 @@
         });
     }
 
-    /// The row was replaced; the table gave it a new version.
+    /// Handles a successful write, which gave the row a new table version.
     pub fn on_row_written(
         &mut self,
         version: u64,
@@ -191,7 +192,7 @@
         });
     }
 
-    /// The row had changed before the write; it must be read again.
+    /// Handles a write rejected because the row had changed; the row is read again.
     pub fn on_write_conflict(&mut self) {
         self.pending_since = None;
         self.pending_row = None;
@@ -200,13 +201,14 @@
         self.next_step = Micros::ZERO;
     }
 
-    /// Nobody knows whether the write took effect; the row must be read again.
+    /// Handles a write with an unknown outcome; the row is read again.
     pub fn on_write_unknown(&mut self) {
         self.seen = None;
         self.next_step = Micros::ZERO;
     }
 
-    /// Stops acting at once; gives the write that hands the lease back, if this process held it.
+    /// Gives up the lease immediately. Returns the write that frees the row, if this
+    /// process holds it.
     pub fn release(&mut self) -> Option<LeaseStep> {
         self.held = None;
         let seen = self.seen.as_ref()?;
--- a/core/src/lease/lease_row.rs
+++ b/core/src/lease/lease_row.rs
@@ -1,15 +1,15 @@
 use serde::{Deserialize, Serialize};
 
-/// The row in the table that says who controls a shard.
+/// The table row that records the holder of a shard's lease.
 ///
-/// It holds no wall-clock time: others take over when the row has not changed
-/// for the length of a lease by their own clock.
+/// It contains no wall-clock time: other processes take over once the row has not
+/// changed for the lease duration, measured by their own clocks.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct LeaseRow {
-    /// Who holds the lease; empty after it was given back.
+    /// Holder of the lease; empty after it was released.
     pub holder: String,
-    /// Goes up by one with each change of holder.
+    /// Incremented each time the lease is acquired by a new holder.
     pub epoch: u64,
-    /// Goes up by one with each renewal.
+    /// Incremented by each renewal.
     pub renewals: u64,
 }
--- a/core/src/lease/mod.rs
+++ b/core/src/lease/mod.rs
@@ -1,4 +1,4 @@
-//! Leases on shards of control, and the fence that endpoints put before orders.
+//! Leases on control shards, and the fencing of orders at the endpoints.
 
 mod control_shard;
 mod lease_machine;
--- a/core/src/lease/order_fence.rs
+++ b/core/src/lease/order_fence.rs
@@ -3,42 +3,42 @@
     thiserror::Error,
 };
 
-/// Place of an order in the history of its shard.
+/// Fencing token of an order: its position in the order history of its shard.
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct OrderStamp {
-    /// Epoch of the lease under which it was given.
+    /// Epoch of the lease under which the order was issued.
     pub epoch: u64,
-    /// Number of the order under that epoch.
+    /// Sequence number of the order within that epoch.
     pub sequence: u64,
 }
 
-/// Why an order was refused.
+/// Why an order is refused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error, Serialize, Deserialize)]
 pub enum FenceRefusal {
-    /// The agent has not read the epoch since it started.
+    /// The agent has not read the lease epoch since it started.
     #[error("the agent has not read the lease epoch from the table yet")]
     EpochUnknown,
-    /// A newer holder has given orders or is known.
-    #[error("epoch {given} is over; the newest is {newest}")]
+    /// A newer epoch is known.
+    #[error("epoch {given} is outdated; the newest is {newest}")]
     OldEpoch {
         /// Epoch of the order.
         given: u64,
         /// Newest known epoch.
         newest: u64,
     },
-    /// The order comes after one that was given later.
-    #[error("order {given} comes after order {newest} of the same epoch")]
+    /// An order with the same or a higher sequence number was admitted before.
+    #[error("order {given} arrived after order {newest} of the same epoch")]
     OldSequence {
-        /// Sequence of the order.
+        /// Sequence number of the order.
         given: u64,
-        /// Newest known sequence.
+        /// Highest admitted sequence number.
         newest: u64,
     },
 }
 
-/// Lets through orders of the newest holder only, in order.
+/// Admits only orders of the newest lease epoch, with increasing sequence numbers.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct OrderFence {
     newest: OrderStamp,
@@ -46,7 +46,7 @@
 }
 
 impl OrderFence {
-    /// Notes the epoch that the table has.
+    /// Records the epoch read from the table.
     pub fn on_epoch_read(
         &mut self,
         epoch: u64,
@@ -57,15 +57,15 @@
         }
     }
 
-    /// Whether the epoch has been read since the start.
+    /// Whether the epoch has been read since the agent started.
     pub fn has_epoch(&self) -> bool {
         self.epoch_read
     }
 
-    /// Lets an order through or refuses it.
+    /// Admits an order or refuses it.
     ///
     /// # Errors
-    /// [`FenceRefusal`] when the order is not the newest.
+    /// [`FenceRefusal`] if the epoch is unknown or the order is not newer than all before it.
     pub fn admit(
         &mut self,
         stamp: OrderStamp,
--- a/core/src/limit/fair_queue.rs
+++ b/core/src/limit/fair_queue.rs
@@ -1,19 +1,19 @@
 use {crate::time::Micros, std::collections::BTreeMap};
 
-/// One waiting piece of work.
+/// Work waiting in a [`FairQueue`].
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct QueuedWork<K> {
-    /// Key of the work.
+    /// Key that identifies the work.
     pub key: K,
-    /// Its size, in tokens.
+    /// Size in tokens.
     pub tokens: u32,
-    /// When its answer must have begun.
+    /// Time by which its response must have begun.
     pub deadline: Micros,
     tag: f64,
 }
 
-/// A queue that serves organisations in turn by the tokens they ask for
-/// (start-time fair queuing), so that a long queue of one does not hold up another.
+/// A start-time fair queue over organisations, weighted by tokens, so that the backlog
+/// of one organisation does not delay another.
 #[derive(Debug, Clone)]
 pub struct FairQueue<K> {
     waiting: BTreeMap<String, Vec<QueuedWork<K>>>,
@@ -36,22 +36,22 @@
 }
 
 impl<K: Copy + PartialEq> FairQueue<K> {
-    /// Work waiting.
+    /// Number of entries.
     pub fn len(&self) -> usize {
         self.length
     }
 
-    /// Whether nothing waits.
+    /// Whether the queue is empty.
     pub fn is_empty(&self) -> bool {
         self.length == 0
     }
 
-    /// Tokens waiting.
+    /// Total size of the entries, in tokens.
     pub fn tokens(&self) -> u64 {
         self.tokens
     }
 
-    /// Puts work in line.
+    /// Enqueues work.
     pub fn push(
         &mut self,
         organisation: &str,
@@ -74,7 +74,7 @@
         self.tokens += u64::from(tokens);
     }
 
-    /// Takes the work whose turn it is.
+    /// Dequeues the entry with the lowest start tag.
     pub fn pop(&mut self) -> Option<QueuedWork<K>> {
         let heads = self.waiting.iter().filter_map(|(name, queue)| {
             let head = queue.first()?;
@@ -89,7 +89,7 @@
         Some(work)
     }
 
-    /// Takes one piece of work out of line; false when it is not there.
+    /// Removes one entry; returns false if there is none with this key.
     pub fn remove(
         &mut self,
         key: K,
@@ -108,7 +108,7 @@
         true
     }
 
-    /// Keys of the work whose deadline has passed.
+    /// Keys of the entries whose deadline has passed.
     pub fn overdue(
         &self,
         now: Micros,
@@ -117,7 +117,7 @@
         all.filter(|w| w.deadline <= now).map(|w| w.key).collect()
     }
 
-    /// Keys of everything that waits.
+    /// Keys of all entries.
     pub fn keys(&self) -> Vec<K> {
         self.waiting.values().flatten().map(|w| w.key).collect()
     }
--- a/core/src/limit/fair_share.rs
+++ b/core/src/limit/fair_share.rs
@@ -1,24 +1,23 @@
-/// Share of a process's capacity that is given to whoever comes first.
+/// Share of a process's capacity that is handed out first come, first served.
 pub const UNRESERVED_SHARE: f64 = 0.7;
 
-/// Use of a process's capacity for running requests.
+/// Capacity of a process and its current use, as seen by one organisation.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct CapacityUsage {
-    /// Requests running in all.
+    /// Requests running in total.
     pub running: u32,
-    /// Requests that may run in all.
+    /// Maximum number of running requests.
     pub capacity: u32,
-    /// Organisations with at least one request running, the asking one included.
+    /// Organisations with at least one running request, including the requesting one.
     pub organisations: u32,
-    /// Requests of the asking organisation that run.
+    /// Running requests of the requesting organisation.
     pub own_running: u32,
 }
 
-/// Whether one more request of an organisation fits.
+/// Whether one more request of the organisation may run.
 ///
-/// While there is plenty of capacity everyone gets it. After that an organisation
-/// gets more only below its equal share, so that a large one cannot take the
-/// last capacity from the small ones.
+/// Below [`UNRESERVED_SHARE`] every request may. Above it an organisation is limited to
+/// an equal share, so that a large one cannot use up the capacity left for small ones.
 pub fn has_capacity(usage: &CapacityUsage) -> bool {
     if usage.running >= usage.capacity {
         return false;
@@ -27,7 +26,7 @@
     if usage.running < unreserved {
         return true;
     }
-    // One share more than there are askers, so that a newcomer finds capacity too.
+    // One share is left for an organisation that has no running requests yet.
     let share = usage.capacity / (usage.organisations + 1);
     usage.own_running < share.max(1)
 }
--- a/core/src/limit/limit_table.rs
+++ b/core/src/limit/limit_table.rs
@@ -4,12 +4,12 @@
     std::collections::BTreeMap,
 };
 
-/// Why a request was not admitted, and when to come back.
+/// Why a request was not admitted, and when to retry.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LimitRefusal {
     /// [`ErrorKind::OverLimit`] or [`ErrorKind::Overloaded`].
     pub kind: ErrorKind,
-    /// After what time a new try makes sense.
+    /// Delay after which a retry may succeed.
     pub retry_after: Micros,
 }
 
@@ -19,7 +19,7 @@
     running: u32,
 }
 
-/// Admission of requests in one entry process.
+/// Admission control of one entry process, by organisation.
 #[derive(Debug, Clone)]
 pub struct LimitTable {
     capacity: u32,
@@ -27,11 +27,11 @@
     usages: BTreeMap<String, OrganisationUsage>,
 }
 
-/// Time after which a caller should come back when the process is full.
+/// Retry delay for callers when a concurrency limit is reached.
 const OVERLOAD_RETRY_AFTER: Micros = Micros::from_secs(1);
 
 impl LimitTable {
-    /// A table for a process that runs at most `capacity` requests at once.
+    /// Creates a table for a process that runs at most `capacity` concurrent requests.
     pub fn new(capacity: u32) -> Self {
         LimitTable {
             capacity,
@@ -40,18 +40,18 @@
         }
     }
 
-    /// Requests running in all.
+    /// Requests running in total.
     pub fn running(&self) -> u32 {
         self.running
     }
 
-    /// Admits a request or says why not.
+    /// Admits a request or refuses it.
     ///
-    /// `share` is this process's part of the organisation's limits, which hold
-    /// for the whole deployment.
+    /// `share` is the fraction of the organisation's limits that applies to this process;
+    /// the limits themselves apply to the whole deployment.
     ///
     /// # Errors
-    /// [`LimitRefusal`] when the organisation or the process has no capacity.
+    /// [`LimitRefusal`] if the organisation exceeds its limits or the process is at capacity.
     pub fn admit(
         &mut self,
         organisation: &str,
@@ -97,7 +97,7 @@
         Ok(())
     }
 
-    /// Notes that an admitted request ended.
+    /// Records that an admitted request has ended.
     pub fn release(
         &mut self,
         organisation: &str,
--- a/core/src/limit/mod.rs
+++ b/core/src/limit/mod.rs
@@ -1,4 +1,4 @@
-//! How much an organisation may ask for.
+//! Rate and concurrency limits, fair sharing and fair queuing between organisations.
 
 mod fair_queue;
 mod fair_share;
--- a/core/src/limit/rate_bucket.rs
+++ b/core/src/limit/rate_bucket.rs
@@ -1,6 +1,6 @@
 use crate::time::Micros;
 
-/// A token bucket: a long-run rate with a bounded burst.
+/// A token bucket: a sustained rate with a bounded burst.
 #[derive(Debug, Clone, Copy)]
 pub struct RateBucket {
     level: f64,
@@ -8,7 +8,7 @@
 }
 
 impl RateBucket {
-    /// A bucket that starts full.
+    /// Creates a full bucket.
     pub fn full(
         burst: f64,
         now: Micros,
@@ -19,10 +19,12 @@
         }
     }
 
-    /// Takes one token if there is one.
+    /// Takes one token if available.
     ///
-    /// `rate` is in tokens a second, `burst` in tokens. Otherwise tells after
-    /// what time there will be one.
+    /// `rate` is in tokens per second, `burst` in tokens.
+    ///
+    /// # Errors
+    /// The time until the next token is available.
     pub fn take(
         &mut self,
         rate: f64,
--- a/core/src/membership/beacon.rs
+++ b/core/src/membership/beacon.rs
@@ -4,51 +4,51 @@
     std::net::SocketAddr,
 };
 
-/// What a process says of itself every so often.
+/// Periodic announcement of a process.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum Beacon {
-    /// From the agent beside an endpoint.
+    /// Sent by the agent of an endpoint.
     Agent(AgentBeacon),
-    /// From an entry process.
+    /// Sent by an entry process.
     Entry(EntryBeacon),
 }
 
-/// What an agent says of itself and its endpoint.
+/// Announcement of an agent and its endpoint.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct AgentBeacon {
     /// Id of the endpoint.
     pub endpoint_id: String,
-    /// What the endpoint is.
+    /// Kind of the endpoint.
     pub kind: EndpointKind,
-    /// Group that shares a store.
+    /// Group of endpoints that share store boxes.
     pub group: String,
     /// Labels from the agent's settings.
     pub labels: LabelSet,
-    /// Where the agent takes links.
+    /// Address at which the agent accepts links.
     pub address: SocketAddr,
-    /// Start of the agent, in microseconds since 1970.
+    /// Start time of the agent, in microseconds since 1970.
     pub incarnation: u64,
-    /// Configuration revision that it knows of.
+    /// Highest configuration revision known to the agent.
     pub revision: u64,
-    /// Load of the endpoint, and what the agent does.
+    /// Load of the endpoint and status of the agent.
     pub pulse: AgentPulse,
 }
 
-/// What an entry process says of itself.
+/// Announcement of an entry process.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EntryBeacon {
-    /// Id of the process's box.
+    /// Id of the box that the process runs on.
     pub entry_id: String,
-    /// Failure domain it stands in.
+    /// Failure domain of the box.
     pub failure_domain: String,
-    /// Where it takes beacons.
+    /// Address at which it receives beacons.
     pub address: SocketAddr,
-    /// Where it answers its peers, over HTTP.
+    /// Address of its HTTP server for peers.
     pub peer_address: SocketAddr,
-    /// Start of the process, in microseconds since 1970.
+    /// Start time of the process, in microseconds since 1970.
     pub incarnation: u64,
-    /// Configuration revision in force.
+    /// Configuration revision in use.
     pub revision: u64,
-    /// Requests running.
+    /// Number of running requests.
     pub running: u32,
 }
--- a/core/src/membership/mod.rs
+++ b/core/src/membership/mod.rs
@@ -1,4 +1,4 @@
-//! Which processes and endpoints there are, and which of them are alive.
+//! Membership of entry processes and endpoints, learned from their beacons.
 
 mod beacon;
 mod peer_table;
--- a/core/src/membership/peer_table.rs
+++ b/core/src/membership/peer_table.rs
@@ -1,25 +1,25 @@
 use {super::EntryBeacon, crate::time::Micros, std::collections::BTreeMap};
 
-/// Silence after which a peer does not count any more.
+/// A peer is removed if no beacon from it arrives for this long.
 pub const PEER_TIMEOUT: Micros = Micros::from_secs(5);
 
-/// One other entry process.
+/// Another entry process.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct PeerState {
-    /// What it said last.
+    /// Its last beacon.
     pub beacon: EntryBeacon,
-    /// When that was heard.
+    /// When that beacon was received.
     pub received_at: Micros,
 }
 
-/// The other entry processes, as heard by beacon.
+/// The other entry processes, as known from their beacons.
 #[derive(Debug, Clone, Default)]
 pub struct PeerTable {
     peers: BTreeMap<String, PeerState>,
 }
 
 impl PeerTable {
-    /// Notes a beacon. One of an earlier life of the same peer is passed over.
+    /// Records a beacon. One from an earlier incarnation of the same peer is ignored.
     pub fn on_beacon(
         &mut self,
         beacon: EntryBeacon,
@@ -37,7 +37,7 @@
         self.peers.insert(state.beacon.entry_id.clone(), state);
     }
 
-    /// Drops peers that have been silent for too long.
+    /// Removes peers without a beacon for [`PEER_TIMEOUT`].
     pub fn remove_expired(
         &mut self,
         now: Micros,
@@ -46,17 +46,17 @@
             .retain(|_, peer| now.since(peer.received_at) < PEER_TIMEOUT);
     }
 
-    /// All peers that count.
+    /// Iterates over the live peers.
     pub fn iter(&self) -> impl Iterator<Item = &PeerState> {
         self.peers.values()
     }
 
-    /// Peers that count.
+    /// Number of live peers.
     pub fn len(&self) -> usize {
         self.peers.len()
     }
 
-    /// Whether no peer is heard.
+    /// Whether there are no live peers.
     pub fn is_empty(&self) -> bool {
         self.peers.is_empty()
     }
--- a/core/src/membership/rendezvous.rs
+++ b/core/src/membership/rendezvous.rs
@@ -1,18 +1,19 @@
-/// A process that could be home for something.
+/// Candidate of a rendezvous selection.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RendezvousCandidate<T> {
-    /// Its id; the hash is over this.
+    /// Id of the candidate; input of the hash.
     pub id: String,
-    /// Its failure domain.
+    /// Failure domain of the candidate.
     pub failure_domain: String,
-    /// What the caller wants back, such as an address.
+    /// Payload for the caller, such as an address.
     pub value: T,
 }
 
-/// Chooses up to `size` homes for `subject` by rendezvous hashing.
+/// Selects up to `size` candidates for `subject` by rendezvous hashing.
 ///
-/// Those of the same failure domain go first; others fill up. When a candidate
-/// comes or goes, only the subjects move that it gains or loses.
+/// Candidates in `failure_domain` are preferred; others fill the remaining positions.
+/// If a candidate joins or leaves, only the subjects that it gains or loses are
+/// reassigned.
 pub fn rendezvous_select<'a, T>(
     subject: &str,
     failure_domain: &str,
@@ -43,7 +44,7 @@
     candidate: &'a RendezvousCandidate<T>,
 }
 
-/// Weight of a pair in rendezvous hashing.
+/// Rendezvous weight of a subject and a candidate.
 pub fn rendezvous_weight(
     subject: &str,
     candidate: &str,
--- a/core/src/membership/replay_guard.rs
+++ b/core/src/membership/replay_guard.rs
@@ -1,28 +1,30 @@
 use std::collections::BTreeMap;
 
-/// Senders that are remembered at most.
+/// Maximum number of senders to track.
 const SENDER_LIMIT: usize = 65_536;
 
-/// Refuses beacons that were seen before.
+/// Rejects replayed beacons.
 ///
-/// Each sender numbers its beacons upwards within one life; a later life has a
-/// higher incarnation.
+/// Each sender numbers its beacons in increasing order within one incarnation, and
+/// each restart has a higher incarnation.
 #[derive(Debug, Clone, Default)]
 pub struct ReplayGuard {
     newest: BTreeMap<String, BeaconSequence>,
 }
 
-/// Place of a beacon in the life of its sender.
+/// Sequence number of a beacon.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct BeaconSequence {
-    /// Start of the sender, in microseconds since 1970.
+    /// Start time of the sender, in microseconds since 1970.
     pub incarnation: u64,
-    /// Number of the beacon in that life.
+    /// Number of the beacon within that incarnation.
     pub counter: u64,
 }
 
 impl ReplayGuard {
-    /// Whether a beacon is newer than all before it from this sender.
+    /// Records a beacon; returns true if it is newer than all earlier ones from this sender.
+    ///
+    /// Beacons of new senders are rejected once [`SENDER_LIMIT`] senders are tracked.
     pub fn accept(
         &mut self,
         sender: &str,
--- a/core/src/placement/mod.rs
+++ b/core/src/placement/mod.rs
@@ -1,4 +1,4 @@
-//! Which kept state is worth its room and its link, and which weights are loaded where.
+//! Which KV state is retained on store boxes, and which engines load which weights.
 
 mod retention_decision;
 mod reuse_model;
--- a/core/src/placement/retention_decision.rs
+++ b/core/src/placement/retention_decision.rs
@@ -1,40 +1,40 @@
 use crate::{conf::CostWeights, kv_cache::StoreTier, time::Micros};
 
-/// Returns that come sooner than this are worth memory; later ones go to disk.
+/// State expected to be reused sooner than this is stored in memory, later reuse on disk.
 const MEMORY_HORIZON: Micros = Micros::from_secs(600);
-/// Cost of holding one kibibyte until a return, in units of the link weight.
+/// Cost of storing one kibibyte until it is reused, in units of the link weight.
 const STORAGE_COST: f64 = 0.05;
 const BYTES_PER_KIB: f64 = 1024.0;
 
-/// What is known of a prompt whose state could be kept.
+/// Inputs for deciding whether to retain the KV state of a prompt.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct RetentionInput {
-    /// Chance that the prompt comes back.
+    /// Probability that the prompt is reused.
     pub reuse_probability: f64,
-    /// Likely gap until then, if known.
+    /// Expected time until then, if known.
     pub expected_gap: Option<Micros>,
-    /// Tokens whose state would be kept.
+    /// Number of tokens whose state would be stored.
     pub tokens: u32,
-    /// Bytes of kept state for one token.
+    /// Bytes of KV state per token.
     pub token_bytes: u64,
-    /// Microseconds that one token takes to compute.
+    /// Time to compute one token, in microseconds.
     pub token_cost: f64,
-    /// Microseconds that the import would take.
+    /// Time to import the state, in microseconds.
     pub import_time: f64,
-    /// What the organisation weighs.
+    /// Cost weights of the organisation.
     pub weights: CostWeights,
 }
 
-/// What to do with the state of a prompt.
+/// Decision on the KV state of a prompt.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct RetentionDecision {
-    /// The tier it goes to; none when it is not worth it.
+    /// Tier to store it in; `None` if it is not worth storing.
     pub tier: Option<StoreTier>,
-    /// Expected gain; negative when keeping costs more than it brings.
+    /// Expected gain; negative if storing costs more than it saves.
     pub expected_gain: f64,
 }
 
-/// Weighs the recompute that a return would save against link and room.
+/// Compares the computation that a reuse would save with the cost of transfer and storage.
 pub fn decide_retention(input: &RetentionInput) -> RetentionDecision {
     let weights = &input.weights;
     let tokens = f64::from(input.tokens);
--- a/core/src/placement/reuse_model.rs
+++ b/core/src/placement/reuse_model.rs
@@ -1,22 +1,22 @@
 use {crate::time::Micros, std::collections::BTreeMap};
 
-/// Buckets of return gaps; bucket `i` holds gaps from 2^i to 2^(i+1) milliseconds.
+/// Number of gap buckets; bucket `i` counts gaps from 2^i to 2^(i+1) milliseconds.
 const GAP_BUCKETS: usize = 32;
-/// Weight of what was known before anything was learned.
+/// Weight of the prior, in observations.
 const PRIOR_WEIGHT: f64 = 4.0;
-/// Chance of a return before anything was learned.
+/// Prior probability that a prompt is reused.
 const PRIOR_PROBABILITY: f64 = 0.5;
-/// Labels that are told apart at most; the rest share one entry.
+/// Maximum number of distinct labels; further ones share one entry.
 const LABEL_LIMIT: usize = 4_096;
-/// Counts at which old experience is halved, so that habits may change.
+/// Total count at which all counts are halved, so that the model follows changing usage.
 const DECAY_THRESHOLD: f64 = 10_000.0;
 
-/// Kind of work whose returns are learned together.
+/// Class of requests that share reuse statistics.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ReuseLabel {
-    /// Organisation.
+    /// Name of the organisation.
     pub organisation: String,
-    /// Label that the caller put on the request; may be empty.
+    /// Label set by the caller on the request; may be empty.
     pub label: String,
 }
 
@@ -53,14 +53,14 @@
     (millis.ilog2() as usize).min(GAP_BUCKETS - 1)
 }
 
-/// Learns after what gaps prompts return, per label.
+/// Statistics of the gaps after which prompts are reused, per label.
 #[derive(Debug, Clone, Default)]
 pub struct ReuseModel {
     counts: BTreeMap<ReuseLabel, GapCounts>,
 }
 
 impl ReuseModel {
-    /// Notes that a prompt came back after `gap`.
+    /// Records that a prompt was reused after `gap`.
     pub fn record_reuse(
         &mut self,
         label: &ReuseLabel,
@@ -71,7 +71,7 @@
         counts.decay();
     }
 
-    /// Notes that a prompt was given up waiting for.
+    /// Records that a prompt was dropped without being reused.
     pub fn record_expiry(
         &mut self,
         label: &ReuseLabel,
@@ -81,7 +81,7 @@
         counts.decay();
     }
 
-    /// Chance that a prompt which has been away for `age` still comes back.
+    /// Probability that a prompt last seen `age` ago is still reused.
     pub fn reuse_probability(
         &self,
         label: &ReuseLabel,
@@ -96,7 +96,8 @@
         (later + prior) / (later + counts.expired + PRIOR_WEIGHT)
     }
 
-    /// The gap that half of the returns after `age` stay below; none when nothing is known.
+    /// Median of the reuse gaps of at least `age`, rounded down to the start of its bucket;
+    /// `None` without observations.
     pub fn median_gap(
         &self,
         label: &ReuseLabel,
--- a/core/src/placement/store_inventory.rs
+++ b/core/src/placement/store_inventory.rs
@@ -1,20 +1,20 @@
 use {crate::kv_cache::PieceKey, std::collections::BTreeMap};
 
-/// Part of a full store box that is freed in one go: one in so many pieces.
+/// An eviction frees one in this many pieces.
 const EVICTION_DIVISOR: usize = 16;
-/// Pieces that are freed at least.
+/// Minimum number of pieces freed by an eviction.
 const MIN_EVICTED_PIECES: usize = 32;
 
-/// One sealed piece of a prompt, as its store box has it.
+/// A sealed piece on a store box.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct InventoryPiece {
-    /// The piece.
+    /// Key of the piece.
     pub key: PieceKey,
-    /// Its generation.
+    /// Generation of the copy.
     pub generation: u64,
 }
 
-/// Which prompt the sealed pieces of one store box belong to.
+/// The sealed pieces of one store box, grouped by prompt.
 #[derive(Debug, Clone, Default)]
 pub struct StoreInventory {
     prompts: BTreeMap<PieceKey, Vec<InventoryPiece>>,
@@ -22,17 +22,17 @@
 }
 
 impl StoreInventory {
-    /// Pieces in the ledger.
+    /// Number of pieces.
     pub fn len(&self) -> usize {
         self.length
     }
 
-    /// Whether no piece is known.
+    /// Whether there are no pieces.
     pub fn is_empty(&self) -> bool {
         self.length == 0
     }
 
-    /// Notes a sealed piece of a prompt.
+    /// Adds or replaces a sealed piece of a prompt.
     pub fn add(
         &mut self,
         identity: PieceKey,
@@ -48,8 +48,8 @@
         }
     }
 
-    /// Keeps just the pieces that the store box lists. One whose prompt nobody
-    /// has told about stands for itself, and goes first.
+    /// Replaces the inventory by the pieces that the store box lists. A piece whose prompt
+    /// is unknown becomes a prompt of its own, which is evicted first.
     pub fn reconcile(
         &mut self,
         listed: Vec<InventoryPiece>,
@@ -68,10 +68,10 @@
         }
     }
 
-    /// Takes out the pieces that are worth least, whole prompts at a time.
+    /// Removes and returns the least valuable pieces, whole prompts at a time.
     ///
-    /// `reuse_probability` tells how likely a prompt is to come back. All pieces are of one
-    /// size, so what a byte is worth depends on that chance alone.
+    /// `reuse_probability` maps a prompt to the probability of its reuse. All pieces have
+    /// the same size, so the value per byte depends on this probability alone.
     pub fn evict(
         &mut self,
         reuse_probability: impl Fn(PieceKey) -> f64,
--- a/core/src/placement/weight_load_planner.rs
+++ b/core/src/placement/weight_load_planner.rs
@@ -1,26 +1,26 @@
 use crate::route::EndpointKey;
 
-/// Engines of one group that load weights at the same time at most.
+/// Maximum number of engines in a group that load weights concurrently.
 pub const MAX_CONCURRENT_LOADS: usize = 2;
 
-/// One engine of a group, as the planner sees it.
+/// Weight versions of one engine, as input for the planner.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct EngineWeights {
     /// The engine.
     pub endpoint: EndpointKey,
-    /// Version that it holds.
+    /// Version that it serves.
     pub version: String,
-    /// Version that it should hold.
+    /// Version that it should serve.
     pub wanted: String,
-    /// Version that an order under way will give it.
+    /// Version that a pending order loads.
     pub loading: Option<String>,
-    /// Requests that run on it.
+    /// Number of requests running on it.
     pub running: u32,
-    /// Whether it can take orders now.
+    /// Whether it can receive orders now.
     pub reachable: bool,
 }
 
-/// An engine that should load a version now.
+/// A weight version to be loaded by an engine now.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct WeightLoad {
     /// The engine.
@@ -29,9 +29,10 @@
     pub version: String,
 }
 
-/// Chooses which engines of a group load the version they should hold next.
+/// Selects the engines of a group that load their wanted version next.
 ///
-/// At most [`MAX_CONCURRENT_LOADS`] load together. Idle ones go first.
+/// At most [`MAX_CONCURRENT_LOADS`] engines load concurrently; those with the fewest
+/// running requests go first.
 pub fn plan_weight_loads(engines: &[EngineWeights]) -> Vec<WeightLoad> {
     let loading = engines.iter().filter(|e| e.loading.is_some()).count();
     let mut outdated: Vec<&EngineWeights> = engines
--- a/core/src/retry/backoff_policy.rs
+++ b/core/src/retry/backoff_policy.rs
@@ -1,27 +1,27 @@
 use {crate::time::Micros, rand::Rng};
 
-/// Exponential back-off with full jitter and a cap.
+/// Exponential back-off with a cap and jitter over the upper half of each delay.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct BackoffPolicy {
-    /// Upper end of the first pause.
+    /// Upper bound of the first delay.
     pub base: Micros,
-    /// Upper end of every pause.
+    /// Upper bound of all delays.
     pub cap: Micros,
 }
 
 impl BackoffPolicy {
-    /// For calls of the platform.
+    /// For calls to the platform.
     pub const PLATFORM: BackoffPolicy = BackoffPolicy {
         base: Micros::from_millis(50),
         cap: Micros::from_secs(5),
     };
-    /// For connections between our own processes.
+    /// For connections between pitchhitch processes.
     pub const LINK: BackoffPolicy = BackoffPolicy {
         base: Micros::from_millis(20),
         cap: Micros::from_secs(2),
     };
 
-    /// The pause before try number `attempt`, counted from one.
+    /// Random delay for attempt number `attempt`, counted from one.
     pub fn delay(
         &self,
         attempt: u32,
--- a/core/src/retry/mod.rs
+++ b/core/src/retry/mod.rs
@@ -1,4 +1,4 @@
-//! Whether and when something is tried again.
+//! Retries: decisions, budget, back-off and outlier ejection.
 
 mod backoff_policy;
 mod outlier_guard;
--- a/core/src/retry/outlier_guard.rs
+++ b/core/src/retry/outlier_guard.rs
@@ -1,17 +1,17 @@
 use crate::time::Micros;
 
-/// Failures in a row after which an endpoint gets no requests for a while.
+/// Number of consecutive failures after which an endpoint is ejected.
 const FAILURES_TO_EJECT: u32 = 3;
-/// First time out; it doubles with each further ejection.
+/// Duration of the first ejection; it doubles with each further one.
 const BASE_EJECTION_TIME: Micros = Micros::from_secs(2);
-/// Longest time out.
+/// Maximum duration of an ejection.
 const MAX_EJECTION_TIME: Micros = Micros::from_secs(60);
-/// Time over which an endpoint that comes back is slowly given its full part.
+/// Time after an ejection during which the endpoint is gradually given its full load.
 const SLOW_START_WINDOW: Micros = Micros::from_secs(5);
-/// Factor on the estimates of an endpoint that has just come back.
+/// Factor on the cost estimates of an endpoint right after its ejection.
 const SLOW_START_PENALTY: f32 = 4.0;
 
-/// Watches one endpoint's failures and takes it out while it keeps failing.
+/// Outlier detection for one endpoint: ejects it temporarily after repeated failures.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct OutlierGuard {
     failures: u32,
@@ -21,7 +21,7 @@
 }
 
 impl OutlierGuard {
-    /// Notes an answered request.
+    /// Records a successful request.
     pub fn record_success(
         &mut self,
         now: Micros,
@@ -36,7 +36,7 @@
         }
     }
 
-    /// Notes a failed request; true when the endpoint is taken out by it.
+    /// Records a failed request; returns true if this ejects the endpoint.
     pub fn record_failure(
         &mut self,
         now: Micros,
@@ -54,7 +54,7 @@
         true
     }
 
-    /// Whether the endpoint gets no requests now.
+    /// Whether the endpoint is ejected, that is, receives no requests.
     pub fn is_ejected(
         &self,
         now: Micros,
@@ -62,7 +62,7 @@
         self.ejected_until.is_some_and(|until| now < until)
     }
 
-    /// Factor on the endpoint's estimates; one when all is well.
+    /// Factor on the cost estimates of the endpoint; one outside the slow start.
     pub fn penalty(
         &self,
         now: Micros,
--- a/core/src/retry/retry_budget.rs
+++ b/core/src/retry/retry_budget.rs
@@ -1,13 +1,13 @@
-/// Keeps retries to a share of first tries, so that a failing endpoint cannot
+/// Limits retries to a fraction of first attempts, so that failing endpoints do not
 /// multiply the load.
 #[derive(Debug, Clone, Copy)]
 pub struct RetryBudget {
     level: f64,
 }
 
-/// Retries earned by one first try.
+/// Number of retries earned by each first attempt.
 pub const RETRY_RATIO: f64 = 0.1;
-/// Retries that may be saved up.
+/// Maximum number of retries that can accumulate.
 const LEVEL_CAP: f64 = 20.0;
 
 impl Default for RetryBudget {
@@ -19,12 +19,12 @@
 }
 
 impl RetryBudget {
-    /// Notes a first try.
+    /// Records a first attempt.
     pub fn earn(&mut self) {
         self.level = (self.level + RETRY_RATIO).min(LEVEL_CAP);
     }
 
-    /// Takes one retry if the budget has it.
+    /// Takes one retry from the budget; returns false if there is none.
     pub fn spend(&mut self) -> bool {
         if self.level < 1.0 {
             return false;
--- a/core/src/retry/retry_decision.rs
+++ b/core/src/retry/retry_decision.rs
@@ -1,35 +1,35 @@
 use crate::{errors::ErrorKind, time::Micros};
 
-/// Tries of one request, the first included.
+/// Maximum number of attempts per request, including the first.
 pub const MAX_ATTEMPTS: u32 = 4;
 
-/// What is known of a request when one of its attempts has failed.
+/// State of a request after a failed attempt.
 #[derive(Debug, Clone, Copy)]
 pub struct FailedAttempt {
-    /// How it failed.
+    /// Error of the attempt.
     pub kind: ErrorKind,
-    /// Whether the request may run more than once.
+    /// Whether the request is idempotent.
     pub repeatable: bool,
-    /// Tries so far.
+    /// Attempts so far.
     pub attempts: u32,
-    /// When the answer must have begun.
+    /// Time by which the response must have begun.
     pub deadline: Micros,
-    /// Now.
+    /// Current time.
     pub now: Micros,
 }
 
-/// What is done about a failed try.
+/// What to do after a failed attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RetryStep {
-    /// Another endpoint is tried, and the try is taken out of the budget.
+    /// Retry on another endpoint, if the retry budget allows it.
     RetryElsewhere,
-    /// The caller is told.
+    /// Return the error to the caller.
     GiveUp,
 }
 
-/// Decides about a failed try, the budget apart.
+/// Decides whether to retry after a failed attempt, regardless of the budget.
 ///
-/// A request that may not be repeated is handed on only with proof that it did not run.
+/// A request that is not idempotent is retried only if it is known not to have run.
 pub fn decide_retry(failed: &FailedAttempt) -> RetryStep {
     if failed.attempts >= MAX_ATTEMPTS || failed.now >= failed.deadline {
         return RetryStep::GiveUp;
--- a/core/src/route/cost_estimate.rs
+++ b/core/src/route/cost_estimate.rs
@@ -4,15 +4,15 @@
     serde::{Deserialize, Serialize},
 };
 
-/// Cost of a prompt token where no endpoint has reported one yet, in microseconds.
+/// Time to compute a prompt token if the endpoint has not reported it, in microseconds.
 pub const DEFAULT_TOKEN_COST: f32 = 100.0;
 const BYTES_PER_KIB: f64 = 1024.0;
 
-/// Where the prompt state of a request comes from.
+/// Source of the KV state for a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum StateSource {
-    /// Whatever accelerator memory has; the rest is computed.
+    /// Accelerator memory of the endpoint; the rest is computed.
     Accelerator,
     /// Imported from the memory tier of a store box; the rest is computed.
     MemoryTier,
@@ -20,51 +20,51 @@
     DiskTier,
 }
 
-/// What one endpoint would cost a request.
+/// Estimated cost of running a request on one endpoint.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct CostEstimate {
-    /// Microseconds until work on the request starts.
+    /// Queueing time, in microseconds.
     pub queue: f64,
-    /// Microseconds for importing kept state.
+    /// Time to import cached KV state, in microseconds.
     pub import: f64,
-    /// Microseconds for computing the rest of the prompt.
+    /// Time to compute the rest of the prompt, in microseconds.
     pub compute: f64,
-    /// Pieces found in accelerator memory.
+    /// Leading pieces available in accelerator memory.
     pub reused_pieces: u32,
-    /// Pieces that would be imported after those.
+    /// Pieces imported after those.
     pub imported_pieces: u32,
-    /// Store box to import from.
+    /// Store box that they are imported from.
     pub store: Option<StoreKey>,
-    /// Where the state comes from.
+    /// Source of the KV state.
     pub source: StateSource,
-    /// Prompt tokens that would be computed.
+    /// Prompt tokens left to compute.
     pub recomputed_tokens: u32,
     /// Weighted sum of the costs.
     pub cost: f64,
 }
 
 impl CostEstimate {
-    /// Microseconds until the first token.
+    /// Time to first token, in microseconds.
     pub fn first_token(&self) -> f64 {
         self.queue + self.import + self.compute
     }
 }
 
-/// Kept state that a store box could give for a request.
+/// Cached KV state that a store box has for a request.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct ImportOffer {
     /// The store box.
     pub store: StoreKey,
     /// The slowest tier among the pieces.
     pub tier: StoreTier,
-    /// Leading pieces that it holds without a gap.
+    /// Number of consecutive leading pieces on the store box.
     pub pieces: u32,
 }
 
-/// Microseconds until an endpoint starts on one more request.
+/// Queueing time of one more request on an endpoint, in microseconds.
 ///
-/// The report lags: what this process had sent when it came is taken out of it
-/// and what this process has sent by now is put in.
+/// The load report lags, so this process's own load at the time of the report is
+/// subtracted from it and its current in-flight load is added.
 #[inline]
 pub fn queue_time(
     load: &EndpointLoad,
@@ -84,14 +84,14 @@
     compute + waiting * f64::from(report.service_time) / slots
 }
 
-/// Microseconds that one prompt token takes on an endpoint.
+/// Time to compute one prompt token on an endpoint, in microseconds.
 #[inline]
 pub fn token_cost(load: &EndpointLoad) -> f64 {
     let cost = load.report.token_cost;
     f64::from(if cost > 0.0 { cost } else { DEFAULT_TOKEN_COST })
 }
 
-/// Microseconds for importing so many bytes, the link's present queue included.
+/// Time to import `bytes` from a store box, in microseconds, including the current link queue.
 pub fn import_time(
     store: &StoreState,
     tier: StoreTier,
@@ -105,32 +105,32 @@
     (link + disk) * 1e6
 }
 
-/// What one endpoint brings to an estimate.
+/// Inputs of the cost estimate that depend on the endpoint.
 #[derive(Debug, Clone, Copy)]
 pub struct CandidateState<'a> {
-    /// Its load.
+    /// Load of the endpoint.
     pub load: &'a EndpointLoad,
-    /// What this process has under way there.
+    /// Load that this process has in flight there.
     pub sent: InFlightLoad,
-    /// Pieces that it has in accelerator memory.
+    /// Leading pieces in its accelerator memory.
     pub reused_pieces: u32,
-    /// The best import for it, if a store box has more than it.
+    /// Best import offer for it, if any.
     pub offer: Option<PricedOffer>,
 }
 
-/// An import whose cost does not depend on the endpoint.
+/// An import offer with its costs, which do not depend on the endpoint.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct PricedOffer {
-    /// What the store box has.
+    /// The offer of the store box.
     pub offer: ImportOffer,
-    /// Microseconds for importing one piece.
+    /// Time to import one piece, in microseconds.
     pub piece_time: f64,
-    /// Microseconds that the import waits for the link.
+    /// Time the import waits for the link, in microseconds.
     pub link_wait: f64,
 }
 
 impl PricedOffer {
-    /// Prices an offer of a store box.
+    /// Computes the costs of an offer.
     pub fn new(
         request: &RouteRequest<'_>,
         store: &StoreState,
@@ -146,7 +146,8 @@
     }
 }
 
-/// One way to get at the state of a prompt: what is waited for and what it takes.
+/// One way to obtain the KV state of a prompt: import time, tokens to compute and
+/// transferred kibibytes.
 #[derive(Debug, Clone, Copy)]
 struct PrefillPlan {
     import: f64,
@@ -201,7 +202,8 @@
     }
 }
 
-/// The import that is worth looking at under a policy.
+/// The import offer, if it covers more than accelerator memory does and the policy allows
+/// imports.
 #[inline]
 fn usable_offer(
     candidate: &CandidateState<'_>,
@@ -214,7 +216,7 @@
         .filter(|_| policy != RoutePolicy::AlwaysRecompute)
 }
 
-/// Cost of one endpoint for a request, by the cheapest source of its state.
+/// Cost of a request on one endpoint with the cheapest source of KV state.
 #[inline]
 pub fn estimate_cost(
     request: &RouteRequest<'_>,
@@ -238,7 +240,7 @@
     }
 }
 
-/// The same as [`estimate_cost`], with all that it is made of.
+/// Same as [`estimate_cost`], but itemized.
 pub fn estimate(
     request: &RouteRequest<'_>,
     candidate: &CandidateState<'_>,
--- a/core/src/route/endpoint_state.rs
+++ b/core/src/route/endpoint_state.rs
@@ -6,12 +6,12 @@
 };
 
 new_key_type! {
-    /// Key of one life of an endpoint. A restart or a lost event gets a new key,
-    /// so whatever is still noted under the old one is void.
+    /// Key of one incarnation of an endpoint. A restart or a lost event assigns a new
+    /// key, which invalidates everything recorded under the old one.
     pub struct EndpointKey;
 }
 
-/// What an endpoint is.
+/// Kind of an endpoint.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum EndpointKind {
@@ -19,7 +19,7 @@
     Engine {
         /// Model it serves.
         model: String,
-        /// Weight version it holds.
+        /// Weight version it serves.
         version: String,
     },
     /// A plain service.
@@ -29,62 +29,62 @@
     },
 }
 
-/// What is known of an endpoint apart from its load.
+/// State of an endpoint except its load.
 #[derive(Debug, Clone, PartialEq)]
 pub struct EndpointState {
-    /// Name that operators use.
+    /// Endpoint id.
     pub id: String,
-    /// What it is.
+    /// Kind of the endpoint.
     pub kind: EndpointKind,
-    /// Group that shares a store and a load limit for weights.
+    /// Group of endpoints that share store boxes and the limit on concurrent weight loads.
     pub group: String,
-    /// Labels from the agent's settings with those of the operators on top.
+    /// Labels from the agent's settings, overridden by those from operators.
     pub labels: LabelSet,
-    /// Where its agent listens.
+    /// Address of its agent.
     pub address: SocketAddr,
-    /// Start of its agent, in microseconds since 1970; goes up with each restart.
+    /// Start time of its agent, in microseconds since 1970; increases with each restart.
     pub incarnation: u64,
-    /// Whether it takes new work no more.
+    /// Whether it is draining and takes no new work.
     pub leaving: bool,
 }
 
-/// Load of one endpoint, as its agent reports it.
+/// Load of an endpoint as reported by its agent.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize, Deserialize)]
 pub struct LoadReport {
-    /// Prompt tokens handed over whose first answer token has not come yet.
+    /// Prompt tokens of requests that have not produced their first output token.
     pub pending_tokens: u64,
-    /// Requests handed over and not ended.
+    /// Requests sent to the endpoint and not ended.
     pub running: u32,
-    /// Requests that the endpoint runs at the same time at most.
+    /// Maximum number of requests that the endpoint runs concurrently.
     pub slots: u32,
-    /// Microseconds that one prompt token takes to compute.
+    /// Time to compute one prompt token, in microseconds.
     pub token_cost: f32,
-    /// Microseconds that a request takes from start to end, lately.
+    /// Recent duration of a request from start to end, in microseconds.
     pub service_time: f32,
-    /// Whether the endpoint answers its agent.
+    /// Whether the endpoint responds to its agent.
     pub healthy: bool,
 }
 
-/// Load of one endpoint as this process sees it.
+/// Load of an endpoint as seen by this process.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct EndpointLoad {
-    /// The last report.
+    /// Last load report.
     pub report: LoadReport,
-    /// This process's own pending tokens when the report came; they are part of it.
+    /// Pending tokens of this process when the report arrived; the report includes them.
     pub own_tokens: u64,
-    /// This process's own running requests when the report came.
+    /// Running requests of this process when the report arrived; the report includes them.
     pub own_running: u32,
-    /// Whether the membership counts the endpoint as alive.
+    /// Whether the endpoint is a live member.
     pub alive: bool,
-    /// Factor on its estimates after failures or slowness; one is normal.
+    /// Factor on its cost estimates after failures or slowness; one is normal.
     pub penalty: f32,
 }
 
-/// What this process has sent to an endpoint and not seen answered.
+/// Load that this process has in flight on an endpoint.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct InFlightLoad {
-    /// Prompt tokens without a first answer token.
+    /// Prompt tokens of requests without a first output token.
     pub tokens: u64,
-    /// Requests not ended.
+    /// Requests that have not ended.
     pub running: u32,
 }
--- a/core/src/route/mod.rs
+++ b/core/src/route/mod.rs
@@ -1,4 +1,4 @@
-//! Which endpoint takes a request.
+//! Choice of the endpoint for a request.
 
 mod cost_estimate;
 mod endpoint_state;
--- a/core/src/route/prefix_reuse.rs
+++ b/core/src/route/prefix_reuse.rs
@@ -9,7 +9,7 @@
     pieces: u32,
 }
 
-/// How many leading pieces of a prompt each holder has without a gap.
+/// Number of consecutive leading pieces of a prompt that each holder has.
 #[derive(Debug, Clone, Default)]
 pub struct PrefixReuse {
     endpoints: Vec<EndpointPrefix>,
@@ -17,7 +17,7 @@
 }
 
 impl PrefixReuse {
-    /// Looks a prompt up in the directory.
+    /// Looks up the pieces of a prompt in the directory.
     pub fn find(
         directory: &PieceDirectory,
         pieces: &[PieceKey],
@@ -31,7 +31,7 @@
         reuse
     }
 
-    /// Adds the holders of the piece at `depth`; false when nobody goes that far.
+    /// Adds the holders of the piece at `depth`; returns false if this extends no prefix.
     fn extend(
         &mut self,
         depth: u32,
@@ -94,7 +94,7 @@
         }
     }
 
-    /// Leading pieces that an endpoint holds.
+    /// Number of leading pieces that an endpoint holds.
     pub fn endpoint_pieces(
         &self,
         endpoint: EndpointKey,
@@ -103,7 +103,7 @@
         known_prefix.map_or(0, |r| r.pieces)
     }
 
-    /// What store boxes could give.
+    /// Import offers of the store boxes.
     pub fn offers(&self) -> &[ImportOffer] {
         &self.stores
     }
--- a/core/src/route/route_choice.rs
+++ b/core/src/route/route_choice.rs
@@ -6,20 +6,20 @@
 /// Why an endpoint was chosen.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RouteReason {
-    /// It was the only usable one.
+    /// It was the only usable endpoint.
     OnlyOne,
-    /// It holds a part of the prompt, and that made it cheapest.
+    /// It had the lowest cost and holds a prefix of the prompt.
     ReusesPrefix,
-    /// Importing kept state made it cheapest.
+    /// It had the lowest cost and imports cached KV state.
     ImportsPrefix,
-    /// It was cheapest by its queue.
+    /// It had the lowest cost without any cached KV state.
     ShortestQueue,
     /// A baseline policy chose it.
     Baseline,
 }
 
 impl RouteReason {
-    /// The word in log lines.
+    /// The value in log lines.
     pub const fn as_str(self) -> &'static str {
         match self {
             RouteReason::OnlyOne => "only-one",
@@ -34,34 +34,34 @@
 /// A routing decision.
 #[derive(Debug, Clone, PartialEq)]
 pub struct RouteChoice {
-    /// Who takes the request.
+    /// The chosen endpoint.
     pub endpoint: EndpointKey,
-    /// Its estimate.
+    /// Cost estimate of the chosen endpoint.
     pub estimate: CostEstimate,
-    /// The next best and its estimate.
+    /// The second-best endpoint, if any.
     pub runner_up: Option<RunnerUp>,
-    /// Why.
+    /// Why it was chosen.
     pub reason: RouteReason,
-    /// Endpoints that were looked at.
+    /// Number of usable endpoints that were compared.
     pub candidates: u32,
-    /// Pieces to import, in order.
+    /// Pieces to import, in prompt order.
     pub imports: Vec<PieceImport>,
 }
 
-/// The endpoint that was second.
+/// The second-best endpoint.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct RunnerUp {
     /// The endpoint.
     pub endpoint: EndpointKey,
-    /// Its estimate.
+    /// Its cost estimate.
     pub estimate: CostEstimate,
 }
 
-/// One piece that the agent is to import.
+/// A piece to be imported by the agent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PieceImport {
-    /// The piece.
+    /// Key of the piece.
     pub key: PieceKey,
-    /// Generation that must still be there.
+    /// Generation that the store box must still have.
     pub generation: u64,
 }
--- a/core/src/route/route_policy.rs
+++ b/core/src/route/route_policy.rs
@@ -1,17 +1,17 @@
 use serde::{Deserialize, Serialize};
 
-/// How an endpoint is chosen; all but the first are baselines to compare with.
+/// Routing policy; all but the first are baselines for comparison.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RoutePolicy {
     /// Lowest estimated cost.
     #[default]
     Estimate,
-    /// One after the other.
+    /// Endpoints in turn.
     RoundRobin,
-    /// Fewest requests running.
+    /// Fewest running requests.
     LeastLoad,
-    /// Longest prefix in accelerator memory, then fewest requests running.
+    /// Longest prefix in accelerator memory, then fewest running requests.
     PrefixAffinity,
     /// Lowest estimated cost, importing whatever a store box holds.
     AlwaysImport,
--- a/core/src/route/route_pool.rs
+++ b/core/src/route/route_pool.rs
@@ -8,17 +8,17 @@
     std::{collections::BTreeMap, sync::Arc},
 };
 
-/// Arena of endpoints.
+/// All known endpoints.
 pub type EndpointArena = SlotMap<EndpointKey, Arc<EndpointState>>;
 
-/// Endpoints that the selectors admit for one organisation, target and version.
+/// Endpoints admitted by the selectors for one organisation, target and version.
 #[derive(Debug, Clone, Default)]
 pub struct RoutePool {
-    /// Admitted endpoints that hold the version and are not leaving.
+    /// Admitted endpoints that serve the version and are not draining.
     pub members: Vec<EndpointKey>,
-    /// Endpoints of the model or service, admitted or not.
+    /// Number of endpoints of the model or service, admitted or not.
     pub known: usize,
-    /// Endpoints admitted by the selectors, usable or not.
+    /// Number of endpoints admitted by the selectors, usable or not.
     pub admitted: usize,
 }
 
@@ -43,7 +43,7 @@
 }
 
 impl PoolIndex {
-    /// Evaluates all selectors of a configuration.
+    /// Evaluates all selectors of a configuration against the known endpoints.
     ///
     /// Organisations to which the same rules apply share one pool.
     pub fn build(
@@ -153,7 +153,7 @@
     members
 }
 
-/// Labels that the `work` selectors of rules see for a request.
+/// Labels of a request, as matched by the `work` selectors of rules.
 pub fn work_labels(
     config: &FleetConfig,
     organisation: &str,
--- a/core/src/route/route_request.rs
+++ b/core/src/route/route_request.rs
@@ -4,13 +4,13 @@
     serde::{Deserialize, Serialize},
 };
 
-/// What kind of work a request is.
+/// What a request is for.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum WorkTarget {
     /// A prompt for a model.
     Model(String),
-    /// A call of a plain service.
+    /// A call to a plain service.
     Service(String),
 }
 
@@ -23,27 +23,27 @@
     }
 }
 
-/// What the routing decision needs to know of a request.
+/// Inputs of the routing decision for a request.
 #[derive(Debug, Clone, Copy)]
 pub struct RouteRequest<'a> {
     /// Name of the organisation.
     pub organisation: &'a str,
-    /// What is asked for.
+    /// Requested model or service.
     pub target: &'a WorkTarget,
-    /// Weight version that would answer; empty for plain services.
+    /// Weight version to serve the request; empty for plain services.
     pub version: &'a str,
-    /// Keys of the whole pieces of the prompt, in order.
+    /// Keys of the complete pieces of the prompt, in order.
     pub pieces: &'a [PieceKey],
     /// Length of the prompt, in tokens.
     pub input_tokens: u32,
-    /// What the organisation weighs.
+    /// Cost weights of the organisation.
     pub weights: CostWeights,
-    /// Bytes of kept state for one token of this model.
+    /// Bytes of KV state per token of the model.
     pub token_bytes: u64,
-    /// Endpoints that were tried before.
+    /// Endpoints that were already tried.
     pub excluded: &'a [EndpointKey],
-    /// When the decision is made.
+    /// Time of the decision.
     pub now: Micros,
-    /// Seed of the random part of the decision.
+    /// Random seed of the decision.
     pub seed: u64,
 }
--- a/core/src/route/route_table.rs
+++ b/core/src/route/route_table.rs
@@ -15,31 +15,31 @@
     std::sync::Arc,
 };
 
-/// Share by which two equal costs may be told apart at random, so that several
-/// entry processes that see the same report do not all choose the same endpoint.
+/// Maximum relative jitter on costs, so that entry processes with the same load report do
+/// not all choose the same endpoint.
 const JITTER: f64 = 0.05;
-/// The same for one step of a random number of 32 bits.
+/// Jitter per unit of a random `u32`.
 const JITTER_STEP: f64 = JITTER / (u32::MAX as f64);
 
-/// One immutable view of everything that routing decisions need.
+/// Immutable snapshot of the state that routing decisions need.
 ///
-/// The control thread makes a new one on change; a request is decided on one
-/// table throughout.
+/// The control thread publishes a new one on each change; every decision uses a single
+/// snapshot.
 #[derive(Debug, Clone, Default)]
 pub struct RouteTable {
-    /// The configuration in force.
+    /// The current configuration.
     pub config: Arc<FleetConfig>,
     /// All known endpoints.
     pub endpoints: Arc<EndpointArena>,
-    /// Their load.
+    /// Load of the endpoints.
     pub loads: SecondaryMap<EndpointKey, EndpointLoad>,
     /// All known store boxes.
     pub stores: SlotMap<StoreKey, StoreState>,
-    /// Who holds which piece.
+    /// Holders of pieces.
     pub pieces: PieceDirectory,
-    /// Which endpoints the selectors admit.
+    /// Endpoints admitted by the selectors.
     pub pools: Arc<PoolIndex>,
-    /// How endpoints are chosen.
+    /// Routing policy.
     pub policy: RoutePolicy,
 }
 
@@ -76,7 +76,7 @@
     }
 }
 
-/// An offer of a store box, with the group whose endpoints it is for.
+/// An offer of a store box and the group of endpoints it applies to.
 struct GroupOffer<'a> {
     group: &'a str,
     priced: PricedOffer,
@@ -85,11 +85,11 @@
 impl RouteTable {
     /// Chooses the endpoint for a request.
     ///
-    /// `sent` tells what this process has under way at an endpoint.
+    /// `sent` returns the load that this process has in flight on an endpoint.
     ///
     /// # Errors
-    /// [`ErrorKind::NothingSelected`] when the selectors admit no endpoint, and
-    /// [`ErrorKind::NoneAvailable`] when they do, but none of these is usable.
+    /// [`ErrorKind::NothingSelected`] if the selectors admit no endpoint, and
+    /// [`ErrorKind::NoneAvailable`] if no admitted endpoint is usable.
     pub fn choose(
         &self,
         request: &RouteRequest<'_>,
@@ -201,7 +201,7 @@
         offers
     }
 
-    /// The longest offer for the group of an endpoint.
+    /// The offer with the most pieces for the group of an endpoint.
     #[inline]
     fn best_offer(
         &self,
--- a/core/src/route/store_state.rs
+++ b/core/src/route/store_state.rs
@@ -1,23 +1,23 @@
 use {slotmap::new_key_type, std::net::SocketAddr};
 
 new_key_type! {
-    /// Key of one life of a store box.
+    /// Key of one incarnation of a store box.
     pub struct StoreKey;
 }
 
-/// What is known of a store box.
+/// State of a store box.
 #[derive(Debug, Clone, PartialEq)]
 pub struct StoreState {
-    /// Name of the box.
+    /// Id of the box.
     pub id: String,
-    /// Group of endpoints that it serves.
+    /// Group of endpoints that use it.
     pub group: String,
-    /// Where it listens.
+    /// Address it listens on.
     pub address: SocketAddr,
-    /// Bytes a second that imports get over its link.
+    /// Import throughput of its link, in bytes per second.
     pub link_rate: f64,
-    /// Bytes that this process knows to be waiting for the link.
+    /// Bytes known to this process to be queued for the link.
     pub link_queue: u64,
-    /// Bytes a second that its disk tier gives.
+    /// Read throughput of its disk tier, in bytes per second.
     pub disk_rate: f64,
 }
--- a/core/src/settings/mod.rs
+++ b/core/src/settings/mod.rs
@@ -1,4 +1,5 @@
-//! Checking of settings: every field by itself, all problems at once.
+//! Parsing of settings files. Each field is checked on its own, and all problems are
+//! reported together.
 
 mod settings_errors;
 mod settings_reader;
--- a/core/src/settings/settings_errors.rs
+++ b/core/src/settings/settings_errors.rs
@@ -1,22 +1,22 @@
 use std::{error::Error, fmt};
 
-/// One thing that is wrong in a settings file.
+/// A problem in a settings file.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct SettingsProblem {
-    /// Path of the field, with dots.
+    /// Dotted path of the field.
     pub field: String,
-    /// What stands there.
+    /// Value that was found.
     pub found: String,
-    /// What should stand there.
+    /// Description of valid values.
     pub wanted: String,
 }
 
-/// Everything that is wrong in a settings file.
+/// All problems in a settings file.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct SettingsErrors {
-    /// The file.
+    /// Name of the file.
     pub file: String,
-    /// The problems, in the order of the fields.
+    /// The problems, in the order in which the fields were read.
     pub problems: Vec<SettingsProblem>,
 }
 
--- a/core/src/settings/settings_reader.rs
+++ b/core/src/settings/settings_reader.rs
@@ -6,15 +6,15 @@
     std::{collections::BTreeSet, net::SocketAddr, ops::RangeInclusive},
 };
 
-/// Fields whose name starts so are comments.
+/// Fields whose name starts with this prefix are comments.
 const COMMENT_PREFIX: &str = "//";
-/// Characters of a wrong value that are shown.
+/// Maximum number of characters of an invalid value in an error message.
 const SHOWN_VALUE_CHARS: usize = 60;
 
-/// Reads a settings file field by field and gathers what is wrong.
+/// Reads a settings file field by field and collects all problems.
 ///
-/// A field that is wrong yields a stand-in value, so that reading goes on;
-/// [`SettingsReader::finish`] then refuses the whole file.
+/// An invalid field yields a placeholder value, so that reading can continue;
+/// [`SettingsReader::finish`] then rejects the file.
 #[derive(Debug)]
 pub struct SettingsReader {
     file: String,
@@ -24,10 +24,10 @@
 }
 
 impl SettingsReader {
-    /// Takes the text of a file; it must hold one JSON object.
+    /// Parses the text of a file, which must be a JSON object.
     ///
     /// # Errors
-    /// [`SettingsErrors`] when it does not.
+    /// [`SettingsErrors`] if it is not.
     pub fn parse(
         file: &str,
         text: &str,
@@ -52,7 +52,7 @@
         }
     }
 
-    /// A text that must not be empty.
+    /// A required, non-empty string.
     pub fn text(
         &mut self,
         field: &'static str,
@@ -60,13 +60,13 @@
         match self.read_field(field) {
             Some(Value::String(text)) if !text.is_empty() => text,
             other => {
-                self.add_field_problem(field, &other, "a text");
+                self.add_field_problem(field, &other, "a non-empty string");
                 String::new()
             }
         }
     }
 
-    /// A text that may be missing.
+    /// An optional, non-empty string.
     pub fn optional_text(
         &mut self,
         field: &'static str,
@@ -75,13 +75,13 @@
             None | Some(Value::Null) => None,
             Some(Value::String(text)) if !text.is_empty() => Some(text),
             other => {
-                self.add_field_problem(field, &other, "a text, or nothing");
+                self.add_field_problem(field, &other, "a non-empty string, or nothing");
                 None
             }
         }
     }
 
-    /// An address and port by number.
+    /// A required IP address and port.
     pub fn address(
         &mut self,
         field: &'static str,
@@ -100,7 +100,7 @@
         }
     }
 
-    /// An address and port by number that may be missing.
+    /// An optional IP address and port.
     pub fn optional_address(
         &mut self,
         field: &'static str,
@@ -113,7 +113,7 @@
         None
     }
 
-    /// A whole number within bounds.
+    /// An integer within bounds.
     pub fn number(
         &mut self,
         field: &'static str,
@@ -132,7 +132,7 @@
         })
     }
 
-    /// A number within bounds that may be a fraction, such as a share of another.
+    /// A number within bounds, fractions allowed.
     pub fn fraction(
         &mut self,
         field: &'static str,
@@ -151,7 +151,7 @@
         })
     }
 
-    /// A time in milliseconds within bounds, fractions included.
+    /// A duration in milliseconds within bounds, fractions allowed.
     pub fn millis(
         &mut self,
         field: &'static str,
@@ -161,7 +161,7 @@
         Micros((self.fraction(field, default, bounds) * 1_000.0).round() as u64)
     }
 
-    /// A time in seconds within bounds, fractions included.
+    /// A duration in seconds within bounds, fractions allowed.
     pub fn seconds(
         &mut self,
         field: &'static str,
@@ -171,7 +171,7 @@
         Micros((self.fraction(field, default, bounds) * 1_000_000.0).round() as u64)
     }
 
-    /// A yes or no.
+    /// A boolean.
     pub fn flag(
         &mut self,
         field: &'static str,
@@ -187,8 +187,8 @@
         }
     }
 
-    /// A yes or no that a template may have spelled as a text, which is empty where
-    /// the template had nothing to fill in.
+    /// A boolean that a template may have written as a string. The string is empty if the
+    /// template had no value; the default applies then.
     pub fn flag_or_text(
         &mut self,
         field: &'static str,
@@ -204,8 +204,8 @@
         parsed
     }
 
-    /// A number that a template may have spelled as a text, which is empty where the template had
-    /// nothing to fill in.
+    /// A number that a template may have written as a string. The string is empty if the
+    /// template had no value; the default applies then.
     pub fn fraction_or_text(
         &mut self,
         field: &'static str,
@@ -227,7 +227,7 @@
         self.fraction(field, default, range)
     }
 
-    /// A value of any type that can be read from JSON.
+    /// A value of any type that can be deserialized from JSON.
     pub fn value<T: DeserializeOwned>(
         &mut self,
         field: &'static str,
@@ -252,7 +252,7 @@
         }
     }
 
-    /// Notes a problem that only shows in several fields together.
+    /// Adds a problem that involves several fields.
     pub fn add_problem(
         &mut self,
         field: &'static str,
@@ -266,10 +266,10 @@
         });
     }
 
-    /// Ends reading.
+    /// Checks for unknown fields and returns all problems.
     ///
     /// # Errors
-    /// [`SettingsErrors`] with every problem, fields that nobody asked for included.
+    /// [`SettingsErrors`] with every problem, including unknown fields.
     pub fn finish(mut self) -> Result<(), SettingsErrors> {
         let known: Vec<&str> = self.known.iter().copied().collect();
         for (field, value) in &self.fields {
--- a/core/src/time/micros.rs
+++ b/core/src/time/micros.rs
@@ -3,9 +3,9 @@
     std::ops::{Add, Sub},
 };
 
-/// A point in time or a span, in microseconds.
+/// A point in time or a duration, in microseconds.
 ///
-/// The host chooses the origin; only differences and order matter here.
+/// The host chooses the origin; only differences and ordering are used.
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -15,27 +15,27 @@
     /// The origin of the host's clock.
     pub const ZERO: Micros = Micros(0);
 
-    /// A span of whole milliseconds.
+    /// A duration of whole milliseconds.
     pub const fn from_millis(millis: u64) -> Self {
         Micros(millis * 1_000)
     }
 
-    /// A span of whole seconds.
+    /// A duration of whole seconds.
     pub const fn from_secs(secs: u64) -> Self {
         Micros(secs * 1_000_000)
     }
 
-    /// This span in seconds, with fractions.
+    /// This duration in seconds, with fractions.
     pub fn as_secs_f64(self) -> f64 {
         self.0 as f64 / 1e6
     }
 
-    /// This span in whole milliseconds, rounded down.
+    /// This duration in whole milliseconds, rounded down.
     pub const fn as_millis(self) -> u64 {
         self.0 / 1_000
     }
 
-    /// The span from `earlier` to this point, zero when the order is reversed.
+    /// Time elapsed since `earlier`; zero if `earlier` is later.
     pub const fn since(
         self,
         earlier: Micros,
--- a/core/src/time/mod.rs
+++ b/core/src/time/mod.rs
@@ -1,4 +1,4 @@
-//! Time as the decisions see it: a number of microseconds handed in by the host.
+//! Time in microseconds, passed in by the host.
 
 mod micros;
 
