--- a/core/src/role/entry_core.rs
+++ b/core/src/role/entry_core.rs
@@ -305,7 +305,7 @@
         let entry = self.roster.get(endpoint_id);
         let load = entry.and_then(|e| self.roster.loads.get(e.key));
         DrainState::evaluate(&DrainInput {
-            wanted: self.config.is_leaving(endpoint_id),
+            requested: self.config.is_leaving(endpoint_id),
             refusing: entry.is_some_and(|e| e.refusing),
             running: load.map_or(0, |l| l.report.running),
             exporting: entry.map_or(0, |e| e.exporting),
