--- a/core/tests/change_history.rs
+++ b/core/tests/change_history.rs
@@ -1,4 +1,4 @@
-//! What peers are given when they are behind.
+//! Catch-up of peers with an older configuration.
 
 use pitchhitch_core::conf::{
     ChangeHistory, ChangeRecord, ConfigChange, FleetConfig, LabelTarget, PeerConfig,
@@ -63,7 +63,7 @@
 fn history_behind_config() {
     let mut history = ChangeHistory::default();
     history.append([record(1), record(2)]);
-    // The configuration came whole, so the history does not reach up to it.
+    // The configuration was fetched as a whole, so the history does not reach its revision.
     assert_eq!(
         history.for_peer(1, &config(5)),
         PeerConfig::Whole(Box::new(config(5)))
--- a/core/tests/config_log.rs
+++ b/core/tests/config_log.rs
@@ -1,4 +1,4 @@
-//! The change log: nothing reverts, nothing is applied by half.
+//! The change log: revisions never go back, and changes apply completely or not at all.
 
 use {
     pitchhitch_core::conf::{
@@ -98,8 +98,8 @@
 proptest! {
     #![proptest_config(ProptestConfig { rng_seed: proptest::test_runner::RngSeed::Fixed(8), ..ProptestConfig::default() })]
 
-    /// A reader that looks now and then has what a writer had at that moment, and
-    /// its revision never goes down.
+    /// A reader that refreshes occasionally has the writer's configuration of that
+    /// moment, and its revision never decreases.
     #[test]
     fn reader_follows_writer(steps in proptest::collection::vec(step(), 1..80)) {
         let mut head = ConfigHead::default();
--- a/core/tests/lease_protocol.rs
+++ b/core/tests/lease_protocol.rs
@@ -1,5 +1,5 @@
-//! Leases and the fence, one process at a time. All orders of events of two
-//! processes are tried in the testbed's test of the same name.
+//! Leases and the order fence, for a single process. The testbed's test of the same name
+//! covers all interleavings of events of two processes.
 
 use pitchhitch_core::{
     lease::{
@@ -24,7 +24,7 @@
     };
     machine.on_row_written(1, Micros(2));
     assert_eq!(machine.epoch(Micros(2)), Some(row.epoch));
-    // The time of the lease counts from before the write.
+    // The lease duration counts from before the write.
     assert_eq!(machine.epoch(Micros(3)), None);
 }
 
--- a/core/tests/limit_table.rs
+++ b/core/tests/limit_table.rs
@@ -1,4 +1,4 @@
-//! Limits, fair shares and the fair queue.
+//! Limits, fair sharing and the fair queue.
 
 use pitchhitch_core::{
     conf::OrganisationLimits,
@@ -31,7 +31,7 @@
             table.release("org");
         }
     }
-    // Ten seconds at ten a second, and the burst.
+    // Ten seconds at ten requests per second, plus the burst.
     assert!((100..=106).contains(&admitted), "{admitted}");
 }
 
--- a/core/tests/prefix_keys.rs
+++ b/core/tests/prefix_keys.rs
@@ -1,4 +1,4 @@
-//! Names of kept pieces: apart for organisations, versions and prompts.
+//! Piece keys differ between organisations, versions and prompts.
 
 use pitchhitch_core::kv_cache::{estimate_tokens, prefix_keys, PieceKey, PIECE_TEXT_BYTES};
 
--- a/core/tests/retry_rules.rs
+++ b/core/tests/retry_rules.rs
@@ -1,4 +1,4 @@
-//! Retries: never a second run of what may not be repeated, never a flood.
+//! Retries never run a non-idempotent request twice and never multiply the load.
 
 use {
     pitchhitch_core::{
@@ -73,7 +73,7 @@
     for _ in 0..10_000 {
         budget.earn();
         sent += 1;
-        // Every try fails, and every failure asks for another try.
+        // Every attempt fails, and every failure requests a retry.
         while budget.spend() {
             sent += 1;
         }
@@ -128,7 +128,7 @@
             "{kind:?}: code {} stands twice",
             row.code
         );
-        // Whoever may come back is told when.
+        // Responses that invite a retry state the delay.
         if row.status == 503 || row.status == 429 {
             assert!(row.retry_after.is_some(), "{kind:?}");
         }
--- a/core/tests/return_gaps.rs
+++ b/core/tests/return_gaps.rs
@@ -1,4 +1,4 @@
-//! Learning of return gaps, and what is kept because of them.
+//! Reuse statistics of prompts, and retention decisions based on them.
 
 use pitchhitch_core::{
     conf::CostWeights,
@@ -25,7 +25,7 @@
     }
     assert!(model.reuse_probability(&label("file"), Micros::ZERO) > 0.95);
     assert!(model.reuse_probability(&label("note"), Micros::ZERO) < 0.05);
-    // After ten minutes a file that used to come back within one will not.
+    // Reuse gaps were one minute, so after ten minutes reuse is unlikely.
     assert!(model.reuse_probability(&label("file"), Micros::from_secs(600)) < 0.6);
 }
 
@@ -68,7 +68,7 @@
 #[test]
 fn unlikely_return_dropped() {
     assert_eq!(decide_retention(&case(0.0)).tier, None);
-    // State that is larger than it is worth.
+    // State so large that it costs more than it saves.
     let mut large = case(0.9);
     large.token_bytes = 1 << 20;
     assert_eq!(decide_retention(&large).tier, None);
@@ -100,7 +100,7 @@
     inventory.add(PieceKey(1), piece(11));
     inventory.reconcile(vec![piece(11), piece(12)]);
     assert_eq!(inventory.len(), 2);
-    // The piece that nobody has told about stands for itself.
+    // A listed piece of an unknown prompt is a prompt of its own.
     let evicted = inventory.evict(|identity| if identity == PieceKey(12) { 0.0 } else { 1.0 });
     assert_eq!(evicted[0], piece(12));
 }
--- a/core/tests/route_choice.rs
+++ b/core/tests/route_choice.rs
@@ -39,7 +39,7 @@
 #[test]
 fn own_sends_counted_once() {
     let mut fleet = fleet(2);
-    // The report holds 1,000 tokens, all of them this process's own, and all computed by now.
+    // The report contains 1,000 tokens, all sent by this process and computed since.
     let key = fleet.keys[0];
     fleet.loads[key].report.pending_tokens = 1_000;
     fleet.loads[key].own_tokens = 1_000;
@@ -191,8 +191,8 @@
 proptest! {
     #![proptest_config(ProptestConfig { rng_seed: proptest::test_runner::RngSeed::Fixed(9), ..ProptestConfig::default() })]
 
-    /// The same view, request and seed make the same decision, and the decision
-    /// is a usable, admitted endpoint of the right version.
+    /// The same table, request and seed yield the same decision, which is a usable,
+    /// admitted endpoint of the right version.
     #[test]
     fn same_input_same_choice(
         engines in 1usize..20,
@@ -227,7 +227,7 @@
         }
     }
 
-    /// The directory agrees with a plain list of what was added and removed.
+    /// The directory behaves like a plain list of additions and removals.
     #[test]
     fn directory_like_list(steps in proptest::collection::vec((0u64..30, 0usize..4, any::<bool>()), 1..200)) {
         let fleet = fleet(4);
--- a/core/tests/route_fleet/mod.rs
+++ b/core/tests/route_fleet/mod.rs
@@ -1,4 +1,4 @@
-//! Engines, services and organisations to choose among, for tests.
+//! Test fixture: a fleet of engines with organisations, rules and cached pieces.
 
 use {
     pitchhitch_core::{
--- a/core/tests/selector_terms.rs
+++ b/core/tests/selector_terms.rs
@@ -1,4 +1,4 @@
-//! Selectors: their forms, what they match, and what they refuse.
+//! Selectors: syntax, matching and rejected input.
 
 use {
     pitchhitch_core::labels::{LabelSelector, LabelSet, SelectorError},
--- a/core/tests/settings_check.rs
+++ b/core/tests/settings_check.rs
@@ -1,4 +1,4 @@
-//! Checking of settings.
+//! Parsing of settings files.
 
 use pitchhitch_core::settings::SettingsReader;
 
@@ -47,7 +47,7 @@
     assert!(error.contains("wanted one JSON object"), "{error}");
 }
 
-/// A template fills a text, or nothing where it does not know: then the default holds.
+/// Templates write strings, and an empty one for a missing value: the default applies then.
 #[test]
 fn spelled_flags() {
     let read = |value: &str| {
