--- a/core/src/membership/mod.rs
+++ b/core/src/membership/mod.rs
@@ -1,4 +1,4 @@
-//! Membership of entry processes and endpoints, learned from their beacons.
+//! Which processes and endpoints there are, and which of them are alive.
 
 mod beacon;
 mod peer_table;
--- a/core/src/placement/retention_decision.rs
+++ b/core/src/placement/retention_decision.rs
@@ -1,14 +1,14 @@
 use crate::{conf::CostWeights, kv_cache::StoreTier, time::Micros};
 
-/// State expected to be reused sooner than this is stored in memory, later reuse on disk.
+/// State expected to be reused sooner than this goes to memory, other state to disk.
 const MEMORY_HORIZON: Micros = Micros::from_secs(600);
 /// Cost of storing one kibibyte until it is reused, in units of the link weight.
 const STORAGE_COST: f64 = 0.05;
 const BYTES_PER_KIB: f64 = 1024.0;
 
-/// Inputs for deciding whether to retain the KV state of a prompt.
+/// A prompt whose KV state could be retained.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct RetentionInput {
+pub struct RetentionCase {
     /// Probability that the prompt is reused.
     pub reuse_probability: f64,
     /// Expected time until then, if known.
@@ -17,15 +17,15 @@
     pub tokens: u32,
     /// Bytes of KV state per token.
     pub token_bytes: u64,
-    /// Time to compute one token, in microseconds.
+    /// Microseconds that one token takes to compute.
     pub token_cost: f64,
-    /// Time to import the state, in microseconds.
+    /// Microseconds that the import would take.
     pub import_time: f64,
     /// Cost weights of the organisation.
     pub weights: CostWeights,
 }
 
-/// Decision on the KV state of a prompt.
+/// What to do with the KV state of a prompt.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct RetentionDecision {
     /// Tier to store it in; `None` if it is not worth storing.
@@ -35,19 +35,19 @@
 }
 
 /// Compares the computation that a reuse would save with the cost of transfer and storage.
-pub fn decide_retention(input: &RetentionInput) -> RetentionDecision {
-    let weights = &input.weights;
-    let tokens = f64::from(input.tokens);
-    let kib = tokens * input.token_bytes as f64 / BYTES_PER_KIB;
-    let saved_time = (tokens * input.token_cost - input.import_time).max(0.0);
+pub fn decide_retention(case: &RetentionCase) -> RetentionDecision {
+    let weights = &case.weights;
+    let tokens = f64::from(case.tokens);
+    let kib = tokens * case.token_bytes as f64 / BYTES_PER_KIB;
+    let saved_time = (tokens * case.token_cost - case.import_time).max(0.0);
     let saved = weights.first_token * saved_time + weights.recompute * tokens;
     let import_cost = weights.link * kib;
     let gain = (saved - import_cost).max(0.0);
     let export_cost = weights.link * kib;
     let storage_cost = STORAGE_COST * weights.link * kib;
-    let expected_gain = input.reuse_probability * gain - export_cost - storage_cost;
-    let is_soon = input.expected_gap.is_none_or(|gap| gap < MEMORY_HORIZON);
-    let tier = if is_soon {
+    let expected_gain = case.reuse_probability * gain - export_cost - storage_cost;
+    let soon = case.expected_gap.is_none_or(|gap| gap < MEMORY_HORIZON);
+    let tier = if soon {
         StoreTier::Memory
     } else {
         StoreTier::Disk
--- a/core/tests/return_gaps.rs
+++ b/core/tests/return_gaps.rs
@@ -4,7 +4,7 @@
     conf::CostWeights,
     kv_cache::{PieceKey, StoreTier},
     placement::{
-        decide_retention, InventoryPiece, RetentionInput, ReuseLabel, ReuseModel, StoreInventory,
+        decide_retention, InventoryPiece, RetentionCase, ReuseLabel, ReuseModel, StoreInventory,
     },
     time::Micros,
 };
@@ -45,8 +45,8 @@
     );
 }
 
-fn case(reuse_probability: f64) -> RetentionInput {
-    RetentionInput {
+fn case(reuse_probability: f64) -> RetentionCase {
+    RetentionCase {
         reuse_probability,
         expected_gap: Some(Micros::from_secs(60)),
         tokens: 4_096,
--- a/entry/src/filter/keep_plan.rs
+++ b/entry/src/filter/keep_plan.rs
@@ -4,7 +4,7 @@
         conf::CostWeights,
         kv_cache::{PieceHolder, PieceKey, PIECE_TOKENS},
         membership::rendezvous_weight,
-        placement::{decide_retention, RetentionDecision, RetentionInput, ReuseLabel},
+        placement::{decide_retention, RetentionCase, RetentionDecision, ReuseLabel},
         role::prompt_identity,
         route::{import_time, token_cost, EndpointKey, EndpointState, StoreKey, StoreState},
         time::Micros,
@@ -136,7 +136,7 @@
     question: &KeepQuestion<'_>,
     store: &StoreState,
     pieces: u32,
-) -> RetentionInput {
+) -> RetentionCase {
     let tokens = pieces * PIECE_TOKENS;
     let load = view
         .table
@@ -145,7 +145,7 @@
         .copied()
         .unwrap_or_default();
     let bytes = u64::from(tokens) * question.token_bytes;
-    RetentionInput {
+    RetentionCase {
         reuse_probability: view.returns.reuse_probability(question.label, Micros::ZERO),
         expected_gap: view.returns.median_gap(question.label, Micros::ZERO),
         tokens,
