--- a/core/src/kv_cache/mod.rs
+++ b/core/src/kv_cache/mod.rs
@@ -2,7 +2,7 @@
 
 mod piece_directory;
 mod piece_key;
-mod prefix_keys;
+mod prefix_chain;
 mod store_tier;
 
-pub use {piece_directory::*, piece_key::*, prefix_keys::*, store_tier::*};
+pub use {piece_directory::*, piece_key::*, prefix_chain::*, store_tier::*};
