--- a/core/src/lib.rs
+++ b/core/src/lib.rs
@@ -12,7 +12,7 @@
 pub mod lease;
 pub mod limit;
 pub mod membership;
-pub mod placement;
+pub mod place;
 pub mod retry;
 pub mod role;
 pub mod route;
--- a/core/src/role/entry_action.rs
+++ b/core/src/role/entry_action.rs
@@ -2,7 +2,7 @@
     super::{ConfigNotice, StampedOrder, StoredPiece},
     crate::{
         lease::LeaseRow,
-        placement::ReuseModel,
+        place::ReuseModel,
         route::{EndpointState, RouteTable},
     },
     std::{net::SocketAddr, sync::Arc},
--- a/core/src/role/entry_contacts.rs
+++ b/core/src/role/entry_contacts.rs
@@ -6,7 +6,7 @@
         RosterChange, UpwardEvent,
     },
     crate::{
-        kv_cache::PieceHolder, membership::EntryBeacon, placement::ReuseLabel, route::InFlightLoad,
+        kv_cache::PieceHolder, membership::EntryBeacon, place::ReuseLabel, route::InFlightLoad,
         time::Micros,
     },
 };
--- a/core/src/role/load_controller.rs
+++ b/core/src/role/load_controller.rs
@@ -6,7 +6,7 @@
     crate::{
         conf::FleetConfig,
         lease::shard_of,
-        placement::{plan_weight_loads, EngineWeights, WeightLoad},
+        place::{plan_weight_loads, EngineWeights, WeightLoad},
         route::{EndpointKind, EndpointState},
         time::Micros,
     },
--- a/core/src/role/prompt_memory.rs
+++ b/core/src/role/prompt_memory.rs
@@ -1,7 +1,7 @@
 use {
     crate::{
         kv_cache::PieceKey,
-        placement::{ReuseLabel, ReuseModel},
+        place::{ReuseLabel, ReuseModel},
         time::Micros,
     },
     std::{
--- a/core/src/role/store_roster.rs
+++ b/core/src/role/store_roster.rs
@@ -2,7 +2,7 @@
     super::{BoxNotice, BoxRole, EntryAction, MissingNotice, StoredNotice, StoredPiece},
     crate::{
         kv_cache::{PieceDirectory, PieceHolder, PieceKey, StoreTier, StoredCopy},
-        placement::{InventoryPiece, StoreInventory},
+        place::{InventoryPiece, StoreInventory},
         route::{StoreKey, StoreState},
         time::Micros,
     },
--- a/core/tests/return_gaps.rs
+++ b/core/tests/return_gaps.rs
@@ -3,7 +3,7 @@
 use pitchhitch_core::{
     conf::CostWeights,
     kv_cache::{PieceKey, StoreTier},
-    placement::{
+    place::{
         decide_retention, InventoryPiece, RetentionCase, ReuseLabel, ReuseModel, StoreInventory,
     },
     time::Micros,
--- a/entry/src/control/view_publisher.rs
+++ b/entry/src/control/view_publisher.rs
@@ -2,7 +2,7 @@
     crate::traffic::{EndpointLink, KeyIndex, TrafficView},
     arc_swap::ArcSwap,
     pitchhitch_core::{
-        placement::ReuseModel,
+        place::ReuseModel,
         route::{EndpointArena, EndpointKey, RouteTable},
     },
     slotmap::SecondaryMap,
--- a/entry/src/filter/keep_plan.rs
+++ b/entry/src/filter/keep_plan.rs
@@ -4,7 +4,7 @@
         conf::CostWeights,
         kv_cache::{PieceHolder, PieceKey, PIECE_TOKENS},
         membership::rendezvous_weight,
-        placement::{decide_retention, RetentionCase, RetentionDecision, ReuseLabel},
+        place::{decide_retention, RetentionCase, RetentionDecision, ReuseLabel},
         role::prompt_identity,
         route::{import_time, token_cost, EndpointKey, EndpointState, StoreKey, StoreState},
         time::Micros,
--- a/entry/src/filter/route.rs
+++ b/entry/src/filter/route.rs
@@ -7,7 +7,7 @@
     pitchhitch_core::{
         errors::ErrorKind,
         kv_cache::{prefix_keys, PieceKey, PIECE_TOKENS},
-        placement::ReuseLabel,
+        place::ReuseLabel,
         route::{EndpointKey, RouteChoice, RouteRequest},
     },
     pitchhitch_wire::messages::{ImportPlan, PinnedPiece},
--- a/entry/src/traffic/traffic_view.rs
+++ b/entry/src/traffic/traffic_view.rs
@@ -1,7 +1,7 @@
 use {
     super::{EndpointLink, KeyIndex},
     pitchhitch_core::{
-        placement::ReuseModel,
+        place::ReuseModel,
         route::{EndpointKey, InFlightLoad, RouteTable},
     },
     slotmap::SecondaryMap,
