--- a/core/src/conf/fleet_config.rs
+++ b/core/src/conf/fleet_config.rs
@@ -90,10 +90,10 @@
         key: &str,
         value: &Option<String>,
     ) -> Result<(), ChangeError> {
-        for word in std::iter::once(key).chain(value.as_deref()) {
-            if !is_valid_label(word) {
+        for label in std::iter::once(key).chain(value.as_deref()) {
+            if !is_valid_label(label) {
                 return Err(ChangeError::InvalidLabel {
-                    text: word.to_string(),
+                    text: label.to_string(),
                 });
             }
         }
--- a/core/src/kv_cache/piece_directory.rs
+++ b/core/src/kv_cache/piece_directory.rs
@@ -119,9 +119,9 @@
     ) -> impl Iterator<Item = PieceHolder> + '_ {
         let short = ShortKey::of(key);
         let bucket = &self.buckets[short.bucket()];
-        let position = bucket.binary_search_by_key(&short, |row| row.key);
-        let row = position.ok().map(|index| &bucket[index]);
-        row.into_iter().flat_map(|row| row.holders.iter())
+        let position = bucket.binary_search_by_key(&short, |entry| entry.key);
+        let entry = position.ok().map(|index| &bucket[index]);
+        entry.into_iter().flat_map(|entry| entry.holders.iter())
     }
 
     /// Adds a holder. A newer copy on the same store box replaces the older one.
@@ -177,8 +177,8 @@
             let index = (cursor + step) % BUCKET_COUNT;
             let stale: Vec<ShortKey> = self.buckets[index]
                 .iter()
-                .filter(|row| row.holders.iter().any(|holder| is_gone(&holder)))
-                .map(|row| row.key)
+                .filter(|entry| entry.holders.iter().any(|holder| is_gone(&holder)))
+                .map(|entry| entry.key)
                 .collect();
             for key in stale {
                 self.remove_gone_holders(key, &is_gone);
@@ -193,10 +193,10 @@
         is_gone: &impl Fn(&PieceHolder) -> bool,
     ) {
         let bucket = &self.buckets[key.bucket()];
-        if let Ok(index) = bucket.binary_search_by_key(&key, |row| row.key) {
+        if let Ok(index) = bucket.binary_search_by_key(&key, |entry| entry.key) {
             let holders = bucket[index].holders.iter();
-            let left: Vec<PieceHolder> = holders.filter(|holder| !is_gone(holder)).collect();
-            self.replace(key, left);
+            let remaining: Vec<PieceHolder> = holders.filter(|holder| !is_gone(holder)).collect();
+            self.replace(key, remaining);
         }
     }
 
@@ -207,7 +207,7 @@
     ) {
         let buckets = Arc::make_mut(&mut self.buckets);
         let bucket = Arc::make_mut(&mut buckets[key.bucket()]);
-        let position = bucket.binary_search_by_key(&key, |row| row.key);
+        let position = bucket.binary_search_by_key(&key, |entry| entry.key);
         match (position, HolderList::from_vec(holders)) {
             (Ok(index), Some(holders)) => bucket[index].holders = holders,
             (Ok(index), None) => {
--- a/core/src/labels/selector_term.rs
+++ b/core/src/labels/selector_term.rs
@@ -46,19 +46,19 @@
     },
 }
 
-/// Whether `word` is a valid label key or value.
-pub fn is_valid_label(word: &str) -> bool {
+/// Whether `label` is a valid label key or value.
+pub fn is_valid_label(label: &str) -> bool {
     let allowed = |c: char| c.is_ascii_alphanumeric() || "._/-".contains(c);
-    !word.is_empty() && word.chars().all(allowed)
+    !label.is_empty() && label.chars().all(allowed)
 }
 
 fn parse_label(text: &str) -> Result<String, SelectorError> {
-    let word = text.trim();
-    if is_valid_label(word) {
-        Ok(word.to_string())
+    let label = text.trim();
+    if is_valid_label(label) {
+        Ok(label.to_string())
     } else {
         Err(SelectorError::InvalidLabel {
-            text: word.to_string(),
+            text: label.to_string(),
         })
     }
 }
--- a/core/src/lease/control_shard.rs
+++ b/core/src/lease/control_shard.rs
@@ -21,7 +21,8 @@
     shard: &str,
     entries: impl Iterator<Item = &'a String>,
 ) -> bool {
-    let own = rendezvous_weight(shard, own_id);
-    let higher_ranked = entries.filter(|id| *id != own_id && rendezvous_weight(shard, id) > own);
+    let own_weight = rendezvous_weight(shard, own_id);
+    let higher_ranked =
+        entries.filter(|id| *id != own_id && rendezvous_weight(shard, id) > own_weight);
     higher_ranked.count() < CONTENDERS
 }
--- a/core/src/route/cost_estimate.rs
+++ b/core/src/route/cost_estimate.rs
@@ -226,17 +226,17 @@
     let load = candidate.load;
     let queue = queue_time(load, candidate.sent);
     let token_cost = token_cost(load);
-    let plain = PrefillPlan::without_import(request, candidate.reused_pieces);
-    let plain = plain.cost(request, load, queue, token_cost);
+    let local = PrefillPlan::without_import(request, candidate.reused_pieces);
+    let local = local.cost(request, load, queue, token_cost);
     let Some(priced) = usable_offer(candidate, policy) else {
-        return plain;
+        return local;
     };
     let import = PrefillPlan::with_import(request, candidate.reused_pieces, &priced);
     let import = import.cost(request, load, queue, token_cost);
     if policy == RoutePolicy::AlwaysImport {
         import
     } else {
-        plain.min(import)
+        local.min(import)
     }
 }
 
@@ -260,17 +260,17 @@
         recomputed_tokens: plan.tokens,
         cost: plan.cost(request, load, queue, token_cost),
     };
-    let plain = PrefillPlan::without_import(request, candidate.reused_pieces);
-    let plain = itemize(plain, None);
+    let local = PrefillPlan::without_import(request, candidate.reused_pieces);
+    let local = itemize(local, None);
     let Some(priced) = usable_offer(candidate, policy) else {
-        return plain;
+        return local;
     };
     let import = PrefillPlan::with_import(request, candidate.reused_pieces, &priced);
     let import = itemize(import, Some(priced.offer));
-    if policy == RoutePolicy::AlwaysImport || import.cost < plain.cost {
+    if policy == RoutePolicy::AlwaysImport || import.cost < local.cost {
         import
     } else {
-        plain
+        local
     }
 }
 
--- a/core/src/route/route_pool.rs
+++ b/core/src/route/route_pool.rs
@@ -65,7 +65,7 @@
                 let names: Vec<&str> = rules.iter().map(|r| r.name).collect();
                 let pool = shared
                     .entry(names)
-                    .or_insert_with(|| Arc::new(fill_pool(arena, &members, &rules)));
+                    .or_insert_with(|| Arc::new(build_pool(arena, &members, &rules)));
                 let pools = index.pools.entry(organisation.clone()).or_default();
                 pools
                     .entry(version_target.target.clone())
@@ -214,7 +214,7 @@
     !has_allow || matches_any(RuleEffect::Allow)
 }
 
-fn fill_pool(
+fn build_pool(
     arena: &EndpointArena,
     members: &[PoolMember],
     rules: &[NamedRule<'_>],
--- a/core/src/route/route_table.rs
+++ b/core/src/route/route_table.rs
@@ -212,8 +212,9 @@
             return None;
         }
         let group = &self.endpoints.get(endpoint)?.group;
-        let own = offers.iter().filter(|offer| offer.group == group.as_str());
-        own.map(|offer| offer.priced)
+        let group_offers = offers.iter().filter(|offer| offer.group == group.as_str());
+        group_offers
+            .map(|offer| offer.priced)
             .max_by_key(|priced| priced.offer.pieces)
     }
 
--- a/core/tests/limit_table.rs
+++ b/core/tests/limit_table.rs
@@ -96,8 +96,8 @@
         queue.push("large", number, 1_000, never);
     }
     queue.push("small", 1_000, 1_000, never);
-    let place = (0..).find(|_| queue.pop().expect("work").key == 1_000);
-    assert!(place.expect("found") <= 2, "{place:?}");
+    let position = (0..).find(|_| queue.pop().expect("work").key == 1_000);
+    assert!(position.expect("found") <= 2, "{position:?}");
 }
 
 #[test]
--- a/core/tests/retry_rules.rs
+++ b/core/tests/retry_rules.rs
@@ -100,9 +100,9 @@
     assert!(!guard.record_failure(now));
     assert!(guard.record_failure(now));
     assert!(guard.is_ejected(now));
-    let back = Micros::from_secs(4);
-    assert!(!guard.is_ejected(back));
-    assert!(guard.penalty(back) > 1.0);
+    let readmitted = Micros::from_secs(4);
+    assert!(!guard.is_ejected(readmitted));
+    assert!(guard.penalty(readmitted) > 1.0);
     assert_eq!(guard.penalty(Micros::from_secs(30)), 1.0);
 }
 
--- a/core/tests/route_choice.rs
+++ b/core/tests/route_choice.rs
@@ -16,7 +16,7 @@
 #[test]
 fn holder_preferred() {
     let mut fleet = fleet(5);
-    fleet.hold(3, &prompt());
+    fleet.cache(3, &prompt());
     let table = fleet.build();
     let choice = choose(&table, "org", "v1", &prompt(), &[], 1).expect("choice");
     assert_eq!(chosen(&table, &choice), "e3");
@@ -28,7 +28,7 @@
 #[test]
 fn busy_holder_passed_over() {
     let mut fleet = fleet(3);
-    fleet.hold(1, &prompt());
+    fleet.cache(1, &prompt());
     let key = fleet.keys[1];
     fleet.loads[key].report.pending_tokens = 1_000_000;
     let table = fleet.build();
@@ -196,7 +196,7 @@
     #[test]
     fn same_input_same_choice(
         engines in 1usize..20,
-        dead in proptest::collection::vec(any::<bool>(), 20),
+        is_dead in proptest::collection::vec(any::<bool>(), 20),
         pending in proptest::collection::vec(0u64..50_000, 20),
         holders in proptest::collection::vec(0usize..20, 0..4),
         seed in any::<u64>(),
@@ -206,12 +206,12 @@
             fleet.rule("site", 0, "organisation=org", "site=a", RuleEffect::Allow);
             for number in 0..engines {
                 let key = fleet.keys[number];
-                fleet.loads[key].alive = !dead[number];
+                fleet.loads[key].alive = !is_dead[number];
                 fleet.loads[key].report.pending_tokens = pending[number];
             }
             for holder in &holders {
                 if *holder < engines {
-                    fleet.hold(*holder, &prompt());
+                    fleet.cache(*holder, &prompt());
                 }
             }
             fleet.build()
@@ -222,7 +222,7 @@
         prop_assert_eq!(&one, &two);
         if let Ok(choice) = one {
             let number: usize = chosen(&table, &choice)[1..].parse().expect("number");
-            prop_assert!(!dead[number]);
+            prop_assert!(!is_dead[number]);
             prop_assert_eq!(number % 2, 0);
         }
     }
--- a/core/tests/route_fleet/mod.rs
+++ b/core/tests/route_fleet/mod.rs
@@ -118,7 +118,7 @@
         self.config.rules.insert(name.to_string(), rule);
     }
 
-    pub fn hold(
+    pub fn cache(
         &mut self,
         endpoint: usize,
         pieces: &[PieceKey],
