--- a/core/tests/lease_protocol.rs
+++ b/core/tests/lease_protocol.rs
@@ -20,7 +20,7 @@
     let mut machine = LeaseMachine::new("p", TIMES);
     machine.on_row_read(None, 0, Micros(0), Micros(0));
     let LeaseStep::Write { row, .. } = machine.step(Micros(0)) else {
-        panic!("the free row is taken");
+        panic!("a free row is acquired");
     };
     machine.on_row_written(1, Micros(2));
     assert_eq!(machine.epoch(Micros(2)), Some(row.epoch));
--- a/core/tests/limit_table.rs
+++ b/core/tests/limit_table.rs
@@ -64,12 +64,12 @@
     while table.admit("large", &limits, 1.0, Micros::ZERO).is_ok() {}
     let refusal = table
         .admit("large", &limits, 1.0, Micros::ZERO)
-        .expect_err("full for it");
+        .expect_err("at its share");
     assert_eq!(refusal.kind, ErrorKind::Overloaded);
     for _ in 0..20 {
         table
             .admit("small", &limits, 1.0, Micros::ZERO)
-            .expect("room for the small one");
+            .expect("capacity for the small organisation");
     }
 }
 
--- a/core/tests/retry_rules.rs
+++ b/core/tests/retry_rules.rs
@@ -125,7 +125,7 @@
         assert!((400..600).contains(&row.status), "{kind:?}");
         assert!(
             codes.insert(row.code),
-            "{kind:?}: code {} stands twice",
+            "{kind:?}: code {} is used twice",
             row.code
         );
         // Responses that invite a retry state the delay.
