--- a/core/src/kv_cache/piece_directory.rs
+++ b/core/src/kv_cache/piece_directory.rs
@@ -24,7 +24,8 @@
     pub generation: u64,
 }
 
-/// The holders of one piece. A single holder, the usual case, needs no vector.
+/// The holders of one piece, in a representation that is compact for a single holder, the
+/// usual case.
 #[derive(Debug, Clone)]
 enum HolderList {
     Endpoint(EndpointKey),
--- a/core/src/lease/lease_machine.rs
+++ b/core/src/lease/lease_machine.rs
@@ -163,7 +163,7 @@
         {
             self.held = None;
         }
-        // A free row may be taken at once; only a held one has to lapse first.
+        // A free row may be taken at once; a row held by another process has to lapse first.
         if row.holder.is_empty() || row.holder == self.own_id {
             self.next_step = requested_at;
         }
