--- a/core/src/conf/fleet_config.rs
+++ b/core/src/conf/fleet_config.rs
@@ -3,7 +3,7 @@
         ChangeError, ConfigChange, EndpointConf, LabelTarget, ModelConf, OrganisationConf,
         PlacementRule, ServiceConf,
     },
-    crate::labels::{is_label_word, LabelSet},
+    crate::labels::{is_valid_label, LabelSet},
     serde::{Deserialize, Serialize},
     std::collections::BTreeMap,
 };
@@ -12,7 +12,7 @@
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct FleetConfig {
-    /// Goes up by one with each change, never down.
+    /// Incremented by each change; never decreases.
     #[serde(default)]
     pub revision: u64,
     /// Organisations by name.
@@ -24,7 +24,7 @@
     /// Plain services by name.
     #[serde(default)]
     pub services: BTreeMap<String, ServiceConf>,
-    /// What operators said about endpoints, by endpoint id.
+    /// Operator configuration of endpoints, by endpoint id.
     #[serde(default)]
     pub endpoints: BTreeMap<String, EndpointConf>,
     /// Placement rules by name.
@@ -32,7 +32,7 @@
     pub rules: BTreeMap<String, PlacementRule>,
 }
 
-fn put<T>(
+fn set_or_remove<T>(
     rows: &mut BTreeMap<String, T>,
     what: &'static str,
     name: &str,
@@ -57,22 +57,28 @@
 }
 
 impl FleetConfig {
-    /// Applies one change and moves to the next revision.
+    /// Applies one change and increments the revision.
     ///
     /// # Errors
-    /// [`ChangeError`]; the configuration is then as it was.
+    /// [`ChangeError`]; the configuration is left unchanged.
     pub fn apply(
         &mut self,
         change: &ConfigChange,
     ) -> Result<(), ChangeError> {
         match change {
             ConfigChange::Label { target, key, value } => self.set_label(target, key, value)?,
-            ConfigChange::Rule { name, rule } => put(&mut self.rules, "rule", name, rule)?,
+            ConfigChange::Rule { name, rule } => {
+                set_or_remove(&mut self.rules, "rule", name, rule)?
+            }
             ConfigChange::Organisation { name, conf } => {
-                put(&mut self.organisations, "organisation", name, conf)?
+                set_or_remove(&mut self.organisations, "organisation", name, conf)?
+            }
+            ConfigChange::Model { name, conf } => {
+                set_or_remove(&mut self.models, "model", name, conf)?
+            }
+            ConfigChange::Service { name, conf } => {
+                set_or_remove(&mut self.services, "service", name, conf)?
             }
-            ConfigChange::Model { name, conf } => put(&mut self.models, "model", name, conf)?,
-            ConfigChange::Service { name, conf } => put(&mut self.services, "service", name, conf)?,
         }
         self.revision += 1;
         Ok(())
@@ -84,14 +90,14 @@
         key: &str,
         value: &Option<String>,
     ) -> Result<(), ChangeError> {
-        for word in std::iter::once(key).chain(value.as_deref()) {
-            if !is_label_word(word) {
-                return Err(ChangeError::BadWord {
-                    word: word.to_string(),
+        for label in std::iter::once(key).chain(value.as_deref()) {
+            if !is_valid_label(label) {
+                return Err(ChangeError::InvalidLabel {
+                    text: label.to_string(),
                 });
             }
         }
-        let labels = self.labels_of(target)?;
+        let labels = self.labels_mut(target)?;
         match value {
             Some(value) => labels.set(key, value),
             None => labels.remove(key),
@@ -99,12 +105,12 @@
         Ok(())
     }
 
-    fn labels_of(
+    fn labels_mut(
         &mut self,
         target: &LabelTarget,
     ) -> Result<&mut LabelSet, ChangeError> {
         match target {
-            // An endpoint may be labelled before it is first seen.
+            // An endpoint may be labelled before it first joins.
             LabelTarget::Endpoint(name) => {
                 Ok(&mut self.endpoints.entry(name.clone()).or_default().labels)
             }
@@ -128,7 +134,7 @@
         }
     }
 
-    /// Whether operators want an endpoint drained.
+    /// Whether an endpoint is to be drained.
     pub fn is_leaving(
         &self,
         endpoint_id: &str,
--- a/core/src/conf/label_target.rs
+++ b/core/src/conf/label_target.rs
@@ -4,7 +4,7 @@
     std::fmt,
 };
 
-/// What a label is put on.
+/// An object that can carry labels.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum LabelTarget {
@@ -22,12 +22,12 @@
 }
 
 impl LabelTarget {
-    /// Reads `endpoint/NAME`, `organisation/NAME` or `version/MODEL/NAME`.
+    /// Parses `endpoint/NAME`, `organisation/NAME` or `version/MODEL/NAME`.
     ///
     /// # Errors
-    /// [`ChangeError::BadTarget`] for any other text.
+    /// [`ChangeError::InvalidTarget`] for any other text.
     pub fn parse(text: &str) -> Result<Self, ChangeError> {
-        let bad = || ChangeError::BadTarget {
+        let bad = || ChangeError::InvalidTarget {
             text: text.to_string(),
         };
         let (kind, name) = text.split_once('/').ok_or_else(bad)?;
--- a/core/src/kept/piece_directory.rs
+++ b/core/src/kv_cache/piece_directory.rs
@@ -4,27 +4,28 @@
     std::sync::Arc,
 };
 
-/// Somebody who holds a piece.
+/// Holder of a piece.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum PieceHolder {
-    /// In the accelerator memory of an endpoint.
+    /// An endpoint has it in accelerator memory.
     Endpoint(EndpointKey),
-    /// Sealed on a store box.
+    /// A store box has a sealed copy.
     Store(StoredCopy),
 }
 
 /// A sealed copy on a store box.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct StoredCopy {
-    /// The box.
+    /// The store box.
     pub store: StoreKey,
-    /// The tier it is in.
+    /// Storage tier of the copy.
     pub tier: StoreTier,
-    /// Generation that readers must pin.
+    /// Generation of the copy; readers must request exactly this one.
     pub generation: u64,
 }
 
-/// The holders of one piece, in as little room as the usual cases allow.
+/// The holders of one piece, in a representation that is compact for a single holder, the
+/// usual case.
 #[derive(Debug, Clone)]
 enum HolderList {
     Endpoint(EndpointKey),
@@ -52,14 +53,14 @@
     }
 }
 
-/// Pieces that are known at most.
+/// Maximum number of pieces in the directory.
 const PIECE_LIMIT: usize = 400_000;
-/// Buckets of the directory, by the first bits of a key.
-const BUCKETS: usize = 4_096;
-const BUCKET_BITS: u32 = BUCKETS.trailing_zeros();
+/// Number of buckets; the leading bits of a key select its bucket.
+const BUCKET_COUNT: usize = 4_096;
+const BUCKET_BITS: u32 = BUCKET_COUNT.trailing_zeros();
 
-/// Short form of a key. Two pieces may share one: then a hint is wrong, which
-/// the full key shows as soon as somebody asks the holder.
+/// Upper half of a piece key. If two pieces share it, the directory may name a wrong
+/// holder; this is detected when the holder is queried with the full key.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct ShortKey(u64);
 
@@ -74,18 +75,18 @@
 }
 
 #[derive(Debug, Clone)]
-struct DirectoryRow {
+struct DirectoryEntry {
     key: ShortKey,
     holders: HolderList,
 }
 
-type Bucket = Vec<DirectoryRow>;
+type Bucket = Vec<DirectoryEntry>;
 
-/// Who holds which piece, as far as this process has heard.
+/// Directory of the holders of each piece, built from the events this process received.
 ///
-/// It is a hint: events come late and with gaps, so the agent checks before
-/// anything is read. Clones share all buckets that neither side has changed
-/// since, so that a snapshot for the traffic threads costs next to nothing.
+/// Entries are hints: events arrive late and some are lost, so the agent verifies a
+/// holder before it reads a piece. Clones share unmodified buckets (copy-on-write),
+/// which makes snapshots for the traffic threads cheap.
 #[derive(Debug, Clone)]
 pub struct PieceDirectory {
     buckets: Arc<Vec<Arc<Bucket>>>,
@@ -95,36 +96,36 @@
 impl Default for PieceDirectory {
     fn default() -> Self {
         PieceDirectory {
-            buckets: Arc::new(vec![Arc::default(); BUCKETS]),
+            buckets: Arc::new(vec![Arc::default(); BUCKET_COUNT]),
             length: 0,
         }
     }
 }
 
 impl PieceDirectory {
-    /// Number of pieces known.
+    /// Number of pieces in the directory.
     pub fn len(&self) -> usize {
         self.length
     }
 
-    /// Whether no piece is known.
+    /// Whether the directory is empty.
     pub fn is_empty(&self) -> bool {
         self.length == 0
     }
 
-    /// All known holders of a piece; some may be gone by now.
+    /// All known holders of a piece; some may no longer have it.
     pub fn holders(
         &self,
         key: PieceKey,
     ) -> impl Iterator<Item = PieceHolder> + '_ {
         let short = ShortKey::of(key);
         let bucket = &self.buckets[short.bucket()];
-        let place = bucket.binary_search_by_key(&short, |row| row.key);
-        let row = place.ok().map(|index| &bucket[index]);
-        row.into_iter().flat_map(|row| row.holders.iter())
+        let position = bucket.binary_search_by_key(&short, |entry| entry.key);
+        let entry = position.ok().map(|index| &bucket[index]);
+        entry.into_iter().flat_map(|entry| entry.holders.iter())
     }
 
-    /// Notes a holder. A newer copy on the same store box replaces the older one.
+    /// Adds a holder. A newer copy on the same store box replaces the older one.
     pub fn add(
         &mut self,
         key: PieceKey,
@@ -134,12 +135,12 @@
         if holders.contains(&holder) {
             return;
         }
-        holders.retain(|h| !same_place(h, &holder));
+        holders.retain(|h| !same_location(h, &holder));
         holders.push(holder);
         self.replace(ShortKey::of(key), holders);
     }
 
-    /// Notes a holder, unless that would be one piece too many for the memory.
+    /// Adds a holder, unless the piece is new and the directory is full.
     pub fn add_bounded(
         &mut self,
         key: PieceKey,
@@ -150,7 +151,7 @@
         }
     }
 
-    /// Forgets a holder.
+    /// Removes a holder.
     pub fn remove(
         &mut self,
         key: PieceKey,
@@ -158,14 +159,15 @@
     ) {
         let mut holders: Vec<PieceHolder> = self.holders(key).collect();
         let before = holders.len();
-        holders.retain(|h| !same_place(h, holder));
+        holders.retain(|h| !same_location(h, holder));
         if holders.len() != before {
             self.replace(ShortKey::of(key), holders);
         }
     }
 
-    /// Forgets every holder that `is_gone` in some buckets from `cursor` on, and
-    /// gives the cursor for the next call. After enough calls all were looked at.
+    /// Removes the holders for which `is_gone` is true from `buckets` buckets, starting at
+    /// `cursor`, and returns the cursor for the next call. Repeated calls cover the whole
+    /// directory.
     pub fn sweep(
         &mut self,
         cursor: usize,
@@ -173,29 +175,29 @@
         is_gone: impl Fn(&PieceHolder) -> bool,
     ) -> usize {
         for step in 0..buckets {
-            let index = (cursor + step) % BUCKETS;
+            let index = (cursor + step) % BUCKET_COUNT;
             let stale: Vec<ShortKey> = self.buckets[index]
                 .iter()
-                .filter(|row| row.holders.iter().any(|holder| is_gone(&holder)))
-                .map(|row| row.key)
+                .filter(|entry| entry.holders.iter().any(|holder| is_gone(&holder)))
+                .map(|entry| entry.key)
                 .collect();
             for key in stale {
-                self.drop_gone(key, &is_gone);
+                self.remove_gone_holders(key, &is_gone);
             }
         }
-        (cursor + buckets) % BUCKETS
+        (cursor + buckets) % BUCKET_COUNT
     }
 
-    fn drop_gone(
+    fn remove_gone_holders(
         &mut self,
         key: ShortKey,
         is_gone: &impl Fn(&PieceHolder) -> bool,
     ) {
         let bucket = &self.buckets[key.bucket()];
-        if let Ok(index) = bucket.binary_search_by_key(&key, |row| row.key) {
+        if let Ok(index) = bucket.binary_search_by_key(&key, |entry| entry.key) {
             let holders = bucket[index].holders.iter();
-            let left: Vec<PieceHolder> = holders.filter(|holder| !is_gone(holder)).collect();
-            self.replace(key, left);
+            let remaining: Vec<PieceHolder> = holders.filter(|holder| !is_gone(holder)).collect();
+            self.replace(key, remaining);
         }
     }
 
@@ -206,17 +208,17 @@
     ) {
         let buckets = Arc::make_mut(&mut self.buckets);
         let bucket = Arc::make_mut(&mut buckets[key.bucket()]);
-        let place = bucket.binary_search_by_key(&key, |row| row.key);
-        match (place, HolderList::from_vec(holders)) {
+        let position = bucket.binary_search_by_key(&key, |entry| entry.key);
+        match (position, HolderList::from_vec(holders)) {
             (Ok(index), Some(holders)) => bucket[index].holders = holders,
             (Ok(index), None) => {
                 bucket.remove(index);
                 self.length -= 1;
             }
             (Err(index), Some(holders)) => {
-                // Buckets are many and small: room to spare would add up.
+                // There are many small buckets, so spare capacity would add up.
                 bucket.reserve_exact(1);
-                bucket.insert(index, DirectoryRow { key, holders });
+                bucket.insert(index, DirectoryEntry { key, holders });
                 self.length += 1;
             }
             (Err(_), None) => {}
@@ -224,7 +226,7 @@
     }
 }
 
-fn same_place(
+fn same_location(
     a: &PieceHolder,
     b: &PieceHolder,
 ) -> bool {
--- a/core/src/labels/work_selector.rs
+++ b/core/src/labels/label_selector.rs
@@ -4,31 +4,31 @@
     std::fmt,
 };
 
-/// A selector: all of its terms must hold. Without terms it matches everything.
+/// A conjunction of terms; the empty selector matches everything.
 ///
-/// Written as terms with commas between, for example
+/// Written as a comma-separated list of terms, for example
 /// `site=nairobi-1,tier in (gold|silver),!leaving`.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(try_from = "String", into = "String")]
-pub struct WorkSelector {
+pub struct LabelSelector {
     terms: Vec<SelectorTerm>,
 }
 
-impl WorkSelector {
-    /// Reads a selector.
+impl LabelSelector {
+    /// Parses a selector.
     ///
     /// # Errors
-    /// [`SelectorError`] naming the first term that cannot be read.
+    /// [`SelectorError`] for the first term that cannot be parsed.
     pub fn parse(text: &str) -> Result<Self, SelectorError> {
         let text = text.trim();
         if text.is_empty() {
-            return Ok(WorkSelector::default());
+            return Ok(LabelSelector::default());
         }
         let terms: Result<Vec<_>, _> = text.split(',').map(SelectorTerm::parse).collect();
-        Ok(WorkSelector { terms: terms? })
+        Ok(LabelSelector { terms: terms? })
     }
 
-    /// Whether the labels fulfil every term.
+    /// Whether the labels satisfy every term.
     pub fn matches(
         &self,
         labels: &LabelSet,
@@ -37,21 +37,21 @@
     }
 }
 
-impl TryFrom<String> for WorkSelector {
+impl TryFrom<String> for LabelSelector {
     type Error = SelectorError;
 
     fn try_from(text: String) -> Result<Self, SelectorError> {
-        WorkSelector::parse(&text)
+        LabelSelector::parse(&text)
     }
 }
 
-impl From<WorkSelector> for String {
-    fn from(selector: WorkSelector) -> String {
+impl From<LabelSelector> for String {
+    fn from(selector: LabelSelector) -> String {
         selector.to_string()
     }
 }
 
-impl fmt::Display for WorkSelector {
+impl fmt::Display for LabelSelector {
     fn fmt(
         &self,
         f: &mut fmt::Formatter<'_>,
--- a/core/src/labels/selector_term.rs
+++ b/core/src/labels/selector_term.rs
@@ -3,38 +3,38 @@
     std::{collections::BTreeSet, fmt},
 };
 
-/// One condition on a label.
+/// One condition on the labels of an object.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum SelectorTerm {
-    /// The label is there with this value.
+    /// The label has this value.
     Equals {
         /// Label key.
         key: String,
-        /// Wanted value.
+        /// Required value.
         value: String,
     },
-    /// The label is absent or has another value.
+    /// The label is absent or has a different value.
     Differs {
         /// Label key.
         key: String,
-        /// Unwanted value.
+        /// Excluded value.
         value: String,
     },
-    /// The label is there with one of these values.
+    /// The label has one of these values.
     OneOf {
         /// Label key.
         key: String,
-        /// Wanted values.
+        /// Accepted values.
         values: BTreeSet<String>,
     },
     /// The label is absent or has none of these values.
     NoneOf {
         /// Label key.
         key: String,
-        /// Unwanted values.
+        /// Excluded values.
         values: BTreeSet<String>,
     },
-    /// The label is there.
+    /// The label is present.
     Exists {
         /// Label key.
         key: String,
@@ -46,75 +46,75 @@
     },
 }
 
-/// Whether `word` may stand as a label key or value.
-pub fn is_label_word(word: &str) -> bool {
+/// Whether `label` is a valid label key or value.
+pub fn is_valid_label(label: &str) -> bool {
     let allowed = |c: char| c.is_ascii_alphanumeric() || "._/-".contains(c);
-    !word.is_empty() && word.chars().all(allowed)
+    !label.is_empty() && label.chars().all(allowed)
 }
 
-fn label_word(text: &str) -> Result<String, SelectorError> {
-    let word = text.trim();
-    if is_label_word(word) {
-        Ok(word.to_string())
+fn parse_label(text: &str) -> Result<String, SelectorError> {
+    let label = text.trim();
+    if is_valid_label(label) {
+        Ok(label.to_string())
     } else {
-        Err(SelectorError::BadWord {
-            word: word.to_string(),
+        Err(SelectorError::InvalidLabel {
+            text: label.to_string(),
         })
     }
 }
 
-fn value_set(text: &str) -> Result<BTreeSet<String>, SelectorError> {
+fn parse_values(text: &str) -> Result<BTreeSet<String>, SelectorError> {
     let inner = text
         .trim()
         .strip_prefix('(')
         .and_then(|t| t.strip_suffix(')'));
-    let inner = inner.ok_or_else(|| SelectorError::BadTerm {
+    let inner = inner.ok_or_else(|| SelectorError::InvalidTerm {
         term: text.trim().to_string(),
     })?;
-    inner.split('|').map(label_word).collect()
+    inner.split('|').map(parse_label).collect()
 }
 
 impl SelectorTerm {
-    /// Reads one term.
+    /// Parses one term.
     ///
     /// # Errors
-    /// [`SelectorError`] when the text has none of the known forms.
+    /// [`SelectorError`] if the text has an unknown form.
     pub fn parse(text: &str) -> Result<Self, SelectorError> {
         let text = text.trim();
         if let Some((key, values)) = text.split_once(" notin ") {
-            let key = label_word(key)?;
-            let values = value_set(values)?;
+            let key = parse_label(key)?;
+            let values = parse_values(values)?;
             return Ok(SelectorTerm::NoneOf { key, values });
         }
         if let Some((key, values)) = text.split_once(" in ") {
-            let key = label_word(key)?;
-            let values = value_set(values)?;
+            let key = parse_label(key)?;
+            let values = parse_values(values)?;
             return Ok(SelectorTerm::OneOf { key, values });
         }
         if let Some((key, value)) = text.split_once("!=") {
-            let key = label_word(key)?;
-            let value = label_word(value)?;
+            let key = parse_label(key)?;
+            let value = parse_label(value)?;
             return Ok(SelectorTerm::Differs { key, value });
         }
         if let Some((key, value)) = text.split_once('=') {
-            let key = label_word(key)?;
-            let value = label_word(value)?;
+            let key = parse_label(key)?;
+            let value = parse_label(value)?;
             return Ok(SelectorTerm::Equals { key, value });
         }
         if let Some(key) = text.strip_prefix('!') {
-            let key = label_word(key)?;
+            let key = parse_label(key)?;
             return Ok(SelectorTerm::Absent { key });
         }
         if text.contains(' ') {
-            return Err(SelectorError::BadTerm {
+            return Err(SelectorError::InvalidTerm {
                 term: text.to_string(),
             });
         }
-        let key = label_word(text)?;
+        let key = parse_label(text)?;
         Ok(SelectorTerm::Exists { key })
     }
 
-    /// Whether the labels fulfil this term.
+    /// Whether the labels satisfy this term.
     pub fn matches(
         &self,
         labels: &LabelSet,
--- a/core/src/lease/lease_machine.rs
+++ b/core/src/lease/lease_machine.rs
@@ -1,36 +1,36 @@
 use {super::LeaseRow, crate::time::Micros};
 
-/// Times of a lease.
+/// Timing of a lease.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct LeaseTimes {
-    /// How long a renewal lasts, counted from before it was sent.
-    pub length: Micros,
-    /// How often the holder renews and the others look.
+    /// How long a renewal is valid, counted from before its write is sent.
+    pub duration: Micros,
+    /// How often the holder renews the lease and other processes read it.
     pub interval: Micros,
-    /// What the others wait on top, for clocks that run at different speeds.
+    /// Extra time that other processes wait before they take over, to allow for clock drift.
     pub margin: Micros,
 }
 
 impl Default for LeaseTimes {
     fn default() -> Self {
         LeaseTimes {
-            length: Micros::from_secs(9),
+            duration: Micros::from_secs(9),
             interval: Micros::from_secs(3),
             margin: Micros::from_secs(1),
         }
     }
 }
 
-/// What the host is to do for a lease.
+/// Action for the host to execute.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum LeaseStep {
-    /// Nothing now.
+    /// Nothing to do now.
     Wait,
-    /// Read the row.
+    /// Read the lease row.
     Read,
-    /// Replace the row if it still has this table version.
+    /// Replace the row if its table version is still `version`.
     Write {
-        /// Table version that was read; zero when there is no row.
+        /// Table version that was read; zero if there is no row.
         version: u64,
         /// The new row.
         row: LeaseRow,
@@ -50,13 +50,13 @@
     valid_until: Micros,
 }
 
-/// One process's side of one lease, without I/O.
+/// State machine of one process for one lease, without I/O.
 ///
-/// A lost answer to a write needs no special care: the next read shows whether
-/// it took effect, and the time of the lease counts from before the write.
+/// A lost response to a write is safe: the next read shows whether the write took
+/// effect, and the lease duration counts from before the write.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct LeaseMachine {
-    me: String,
+    own_id: String,
     times: LeaseTimes,
     seen: Option<SeenRow>,
     held: Option<HeldLease>,
@@ -66,15 +66,16 @@
 }
 
 impl LeaseMachine {
-    /// A machine that holds nothing yet.
+    /// Creates a machine that does not hold the lease.
     ///
-    /// `me` must name this life of the process: a restarted process is another holder.
+    /// `own_id` must be unique to this incarnation of the process: a restarted process is
+    /// a different holder.
     pub fn new(
-        me: impl Into<String>,
+        own_id: impl Into<String>,
         times: LeaseTimes,
     ) -> Self {
         LeaseMachine {
-            me: me.into(),
+            own_id: own_id.into(),
             times,
             seen: None,
             held: None,
@@ -84,7 +85,7 @@
         }
     }
 
-    /// The epoch under which this process may give orders at this moment.
+    /// Epoch under which this process may issue orders at `now`; `None` without a valid lease.
     pub fn epoch(
         &self,
         now: Micros,
@@ -93,7 +94,7 @@
         (now < held.valid_until).then_some(held.epoch)
     }
 
-    /// What to do now. The host reports the outcome by one of the methods below.
+    /// Returns the next action. The host reports its outcome with one of the methods below.
     pub fn step(
         &mut self,
         now: Micros,
@@ -105,7 +106,7 @@
         let Some(seen) = self.seen.clone() else {
             return LeaseStep::Read;
         };
-        match self.wanted_row(&seen, now) {
+        match self.next_row(&seen, now) {
             Some(row) => {
                 self.pending_since = Some(now);
                 self.pending_row = Some(row.clone());
@@ -118,22 +119,22 @@
         }
     }
 
-    fn wanted_row(
+    fn next_row(
         &self,
         seen: &SeenRow,
         now: Micros,
     ) -> Option<LeaseRow> {
         let row = &seen.row;
-        if row.holder == self.me {
+        if row.holder == self.own_id {
             let mut renewed = row.clone();
             renewed.renewals += 1;
             return Some(renewed);
         }
-        let patience = self.times.length + self.times.margin;
-        let lapsed = now.since(seen.unchanged_since) >= patience;
+        let takeover_delay = self.times.duration + self.times.margin;
+        let lapsed = now.since(seen.unchanged_since) >= takeover_delay;
         if row.holder.is_empty() || lapsed {
             return Some(LeaseRow {
-                holder: self.me.clone(),
+                holder: self.own_id.clone(),
                 epoch: row.epoch + 1,
                 renewals: 0,
             });
@@ -141,16 +142,16 @@
         None
     }
 
-    /// The row was read; `asked_at` is when the read was sent.
-    pub fn row_read(
+    /// Handles a completed read that was sent at `requested_at`.
+    pub fn on_row_read(
         &mut self,
         row: Option<LeaseRow>,
         version: u64,
-        asked_at: Micros,
+        requested_at: Micros,
         now: Micros,
     ) {
         let row = row.unwrap_or_default();
-        self.settle_pending(&row);
+        self.resolve_pending(&row);
         let unchanged = self
             .seen
             .as_ref()
@@ -158,13 +159,13 @@
         let unchanged_since = unchanged.map_or(now, |s| s.unchanged_since);
         if self
             .held
-            .is_some_and(|h| row.holder != self.me || row.epoch != h.epoch)
+            .is_some_and(|h| row.holder != self.own_id || row.epoch != h.epoch)
         {
             self.held = None;
         }
-        // A free row may be taken at once; waiting is for rows that somebody holds.
-        if row.holder.is_empty() || row.holder == self.me {
-            self.next_step = asked_at;
+        // A free row may be taken at once; a row held by another process has to lapse first.
+        if row.holder.is_empty() || row.holder == self.own_id {
+            self.next_step = requested_at;
         }
         self.seen = Some(SeenRow {
             row,
@@ -173,8 +174,8 @@
         });
     }
 
-    /// The row was replaced; the table gave it a new version.
-    pub fn row_written(
+    /// Handles a successful write, which gave the row a new table version.
+    pub fn on_row_written(
         &mut self,
         version: u64,
         now: Micros,
@@ -182,7 +183,7 @@
         let Some(row) = self.pending_row.take() else {
             return;
         };
-        self.hold(&row);
+        self.acquire(&row);
         self.pending_since = None;
         self.seen = Some(SeenRow {
             row,
@@ -191,8 +192,8 @@
         });
     }
 
-    /// The row had changed before the write; it must be read again.
-    pub fn write_refused(&mut self) {
+    /// Handles a write rejected because the row had changed; the row is read again.
+    pub fn on_write_conflict(&mut self) {
         self.pending_since = None;
         self.pending_row = None;
         self.held = None;
@@ -200,17 +201,18 @@
         self.next_step = Micros::ZERO;
     }
 
-    /// Nobody knows whether the write took effect; the row must be read again.
-    pub fn write_unknown(&mut self) {
+    /// Handles a write with an unknown outcome; the row is read again.
+    pub fn on_write_unknown(&mut self) {
         self.seen = None;
         self.next_step = Micros::ZERO;
     }
 
-    /// Stops acting at once; gives the write that hands the lease back, if this process held it.
+    /// Gives up the lease immediately. Returns the write that frees the row, if this
+    /// process holds it.
     pub fn release(&mut self) -> Option<LeaseStep> {
         self.held = None;
         let seen = self.seen.as_ref()?;
-        if seen.row.holder != self.me {
+        if seen.row.holder != self.own_id {
             return None;
         }
         let mut row = seen.row.clone();
@@ -221,19 +223,19 @@
         })
     }
 
-    fn settle_pending(
+    fn resolve_pending(
         &mut self,
         row: &LeaseRow,
     ) {
         if self.pending_row.as_ref() == Some(row) {
             let row = row.clone();
-            self.hold(&row);
+            self.acquire(&row);
         }
         self.pending_row = None;
         self.pending_since = None;
     }
 
-    fn hold(
+    fn acquire(
         &mut self,
         row: &LeaseRow,
     ) {
@@ -242,7 +244,7 @@
         };
         self.held = Some(HeldLease {
             epoch: row.epoch,
-            valid_until: since + self.times.length,
+            valid_until: since + self.times.duration,
         });
     }
 }
--- a/core/src/limit/fair_queue.rs
+++ b/core/src/limit/fair_queue.rs
@@ -1,19 +1,19 @@
 use {crate::time::Micros, std::collections::BTreeMap};
 
-/// One waiting piece of work.
+/// Work waiting in a [`FairQueue`].
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct QueuedWork<K> {
-    /// Key of the work.
+    /// Key that identifies the work.
     pub key: K,
-    /// Its size, in tokens.
+    /// Size in tokens.
     pub tokens: u32,
-    /// When its answer must have begun.
+    /// Time by which its response must have begun.
     pub deadline: Micros,
     tag: f64,
 }
 
-/// A queue that serves organisations in turn by the tokens they ask for
-/// (start-time fair queuing), so that a long line of one does not hold up another.
+/// A start-time fair queue over organisations, weighted by tokens, so that the backlog
+/// of one organisation does not delay another.
 #[derive(Debug, Clone)]
 pub struct FairQueue<K> {
     waiting: BTreeMap<String, Vec<QueuedWork<K>>>,
@@ -36,22 +36,22 @@
 }
 
 impl<K: Copy + PartialEq> FairQueue<K> {
-    /// Work waiting.
+    /// Number of entries.
     pub fn len(&self) -> usize {
         self.length
     }
 
-    /// Whether nothing waits.
+    /// Whether the queue is empty.
     pub fn is_empty(&self) -> bool {
         self.length == 0
     }
 
-    /// Tokens waiting.
+    /// Total size of the entries, in tokens.
     pub fn tokens(&self) -> u64 {
         self.tokens
     }
 
-    /// Puts work in line.
+    /// Enqueues work.
     pub fn push(
         &mut self,
         organisation: &str,
@@ -63,8 +63,8 @@
         let tag = last.max(self.virtual_time);
         let next = tag + f64::from(tokens.max(1));
         self.last_tags.insert(organisation.to_string(), next);
-        let line = self.waiting.entry(organisation.to_string()).or_default();
-        line.push(QueuedWork {
+        let queue = self.waiting.entry(organisation.to_string()).or_default();
+        queue.push(QueuedWork {
             key,
             tokens,
             deadline,
@@ -74,41 +74,41 @@
         self.tokens += u64::from(tokens);
     }
 
-    /// Takes the work whose turn it is.
+    /// Dequeues the entry with the lowest start tag.
     pub fn pop(&mut self) -> Option<QueuedWork<K>> {
-        let heads = self.waiting.iter().filter_map(|(name, line)| {
-            let head = line.first()?;
+        let heads = self.waiting.iter().filter_map(|(name, queue)| {
+            let head = queue.first()?;
             Some((name, head.tag))
         });
         let next = heads.min_by(|a, b| a.1.total_cmp(&b.1));
         let organisation = next?.0.clone();
-        let line = self.waiting.get_mut(&organisation)?;
-        let work = line.remove(0);
+        let queue = self.waiting.get_mut(&organisation)?;
+        let work = queue.remove(0);
         self.virtual_time = self.virtual_time.max(work.tag);
-        self.took_out(&organisation, &work);
+        self.update_totals(&organisation, &work);
         Some(work)
     }
 
-    /// Takes one piece of work out of line; false when it is not there.
+    /// Removes one entry; returns false if there is none with this key.
     pub fn remove(
         &mut self,
         key: K,
     ) -> bool {
-        let place = self.waiting.iter().find_map(|(name, line)| {
-            let index = line.iter().position(|w| w.key == key)?;
+        let position = self.waiting.iter().find_map(|(name, queue)| {
+            let index = queue.iter().position(|w| w.key == key)?;
             Some((name.clone(), index))
         });
-        let Some((organisation, index)) = place else {
+        let Some((organisation, index)) = position else {
             return false;
         };
-        if let Some(line) = self.waiting.get_mut(&organisation) {
-            let work = line.remove(index);
-            self.took_out(&organisation, &work);
+        if let Some(queue) = self.waiting.get_mut(&organisation) {
+            let work = queue.remove(index);
+            self.update_totals(&organisation, &work);
         }
         true
     }
 
-    /// Keys of the work whose deadline has passed.
+    /// Keys of the entries whose deadline has passed.
     pub fn overdue(
         &self,
         now: Micros,
@@ -117,12 +117,12 @@
         all.filter(|w| w.deadline <= now).map(|w| w.key).collect()
     }
 
-    /// Keys of everything that waits.
+    /// Keys of all entries.
     pub fn keys(&self) -> Vec<K> {
         self.waiting.values().flatten().map(|w| w.key).collect()
     }
 
-    fn took_out(
+    fn update_totals(
         &mut self,
         organisation: &str,
         work: &QueuedWork<K>,
--- a/core/src/limit/limit_table.rs
+++ b/core/src/limit/limit_table.rs
@@ -1,57 +1,57 @@
 use {
-    super::{fits, RateBucket, RoomUse},
+    super::{has_capacity, CapacityUsage, RateBucket},
     crate::{conf::OrganisationLimits, errors::ErrorKind, time::Micros},
     std::collections::BTreeMap,
 };
 
-/// Why a request was not admitted, and when to come back.
+/// Why a request was not admitted, and when to retry.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LimitRefusal {
     /// [`ErrorKind::OverLimit`] or [`ErrorKind::Overloaded`].
     pub kind: ErrorKind,
-    /// After what time a new try makes sense.
+    /// Delay after which a retry may succeed.
     pub retry_after: Micros,
 }
 
 #[derive(Debug, Clone)]
-struct OrganisationUse {
+struct OrganisationUsage {
     bucket: RateBucket,
     running: u32,
 }
 
-/// Admission of requests in one entry process.
+/// Admission control of one entry process, by organisation.
 #[derive(Debug, Clone)]
 pub struct LimitTable {
-    room: u32,
+    capacity: u32,
     running: u32,
-    uses: BTreeMap<String, OrganisationUse>,
+    usages: BTreeMap<String, OrganisationUsage>,
 }
 
-/// Time after which a caller should come back when the process is full.
-const OVERLOAD_RETRY: Micros = Micros::from_secs(1);
+/// Retry delay for callers when a concurrency limit is reached.
+const OVERLOAD_RETRY_AFTER: Micros = Micros::from_secs(1);
 
 impl LimitTable {
-    /// A table for a process that runs at most `room` requests at once.
-    pub fn new(room: u32) -> Self {
+    /// Creates a table for a process that runs at most `capacity` concurrent requests.
+    pub fn new(capacity: u32) -> Self {
         LimitTable {
-            room,
+            capacity,
             running: 0,
-            uses: BTreeMap::new(),
+            usages: BTreeMap::new(),
         }
     }
 
-    /// Requests running in all.
+    /// Requests running in total.
     pub fn running(&self) -> u32 {
         self.running
     }
 
-    /// Admits a request or says why not.
+    /// Admits a request or refuses it.
     ///
-    /// `share` is this process's part of the organisation's limits, which hold
-    /// for the whole deployment.
+    /// `share` is the fraction of the organisation's limits that applies to this process;
+    /// the limits themselves apply to the whole deployment.
     ///
     /// # Errors
-    /// [`LimitRefusal`] when the organisation or the process has no room.
+    /// [`LimitRefusal`] if the organisation exceeds its limits or the process is at capacity.
     pub fn admit(
         &mut self,
         organisation: &str,
@@ -60,9 +60,9 @@
         now: Micros,
     ) -> Result<(), LimitRefusal> {
         let burst = (limits.burst * share).max(1.0);
-        let active = self.uses.values().filter(|u| u.running > 0).count() as u32;
-        let entry = self.uses.entry(organisation.to_string());
-        let usage = entry.or_insert_with(|| OrganisationUse {
+        let active = self.usages.values().filter(|u| u.running > 0).count() as u32;
+        let entry = self.usages.entry(organisation.to_string());
+        let usage = entry.or_insert_with(|| OrganisationUsage {
             bucket: RateBucket::full(burst, now),
             running: 0,
         });
@@ -70,19 +70,19 @@
         if usage.running >= concurrency {
             return Err(LimitRefusal {
                 kind: ErrorKind::OverLimit,
-                retry_after: OVERLOAD_RETRY,
+                retry_after: OVERLOAD_RETRY_AFTER,
             });
         }
-        let room = RoomUse {
+        let capacity = CapacityUsage {
             running: self.running,
-            room: self.room,
+            capacity: self.capacity,
             organisations: active + u32::from(usage.running == 0),
-            own: usage.running,
+            own_running: usage.running,
         };
-        if !fits(&room) {
+        if !has_capacity(&capacity) {
             return Err(LimitRefusal {
                 kind: ErrorKind::Overloaded,
-                retry_after: OVERLOAD_RETRY,
+                retry_after: OVERLOAD_RETRY_AFTER,
             });
         }
         let taken = usage
@@ -97,12 +97,12 @@
         Ok(())
     }
 
-    /// Notes that an admitted request ended.
+    /// Records that an admitted request has ended.
     pub fn release(
         &mut self,
         organisation: &str,
     ) {
-        if let Some(usage) = self.uses.get_mut(organisation) {
+        if let Some(usage) = self.usages.get_mut(organisation) {
             usage.running = usage.running.saturating_sub(1);
             self.running = self.running.saturating_sub(1);
         }
--- a/core/src/member/peer_table.rs
+++ b/core/src/membership/peer_table.rs
@@ -1,68 +1,68 @@
 use {super::EntryBeacon, crate::time::Micros, std::collections::BTreeMap};
 
-/// Silence after which a peer does not count any more.
-pub const PEER_SILENCE: Micros = Micros::from_secs(5);
+/// A peer is removed if no beacon from it arrives for this long.
+pub const PEER_TIMEOUT: Micros = Micros::from_secs(5);
 
-/// One other entry process.
+/// Another entry process.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct PeerState {
-    /// What it said last.
+    /// Its last beacon.
     pub beacon: EntryBeacon,
-    /// When that was heard.
-    pub heard_at: Micros,
+    /// When that beacon was received.
+    pub received_at: Micros,
 }
 
-/// The other entry processes, as heard by beacon.
+/// The other entry processes, as known from their beacons.
 #[derive(Debug, Clone, Default)]
 pub struct PeerTable {
     peers: BTreeMap<String, PeerState>,
 }
 
 impl PeerTable {
-    /// Notes a beacon. One of an earlier life of the same peer is passed over.
-    pub fn heard(
+    /// Records a beacon. One from an earlier incarnation of the same peer is ignored.
+    pub fn on_beacon(
         &mut self,
         beacon: EntryBeacon,
         now: Micros,
     ) {
         let known = self.peers.get(&beacon.entry_id);
-        let older = known.is_some_and(|p| p.beacon.incarnation > beacon.incarnation);
-        if older {
+        let outdated = known.is_some_and(|p| p.beacon.incarnation > beacon.incarnation);
+        if outdated {
             return;
         }
         let state = PeerState {
-            heard_at: now,
+            received_at: now,
             beacon,
         };
         self.peers.insert(state.beacon.entry_id.clone(), state);
     }
 
-    /// Drops peers that have been silent for too long.
-    pub fn drop_silent(
+    /// Removes peers without a beacon for [`PEER_TIMEOUT`].
+    pub fn remove_expired(
         &mut self,
         now: Micros,
     ) {
         self.peers
-            .retain(|_, peer| now.since(peer.heard_at) < PEER_SILENCE);
+            .retain(|_, peer| now.since(peer.received_at) < PEER_TIMEOUT);
     }
 
-    /// All peers that count.
+    /// Iterates over the live peers.
     pub fn iter(&self) -> impl Iterator<Item = &PeerState> {
         self.peers.values()
     }
 
-    /// Peers that count.
+    /// Number of live peers.
     pub fn len(&self) -> usize {
         self.peers.len()
     }
 
-    /// Whether no peer is heard.
+    /// Whether there are no live peers.
     pub fn is_empty(&self) -> bool {
         self.peers.is_empty()
     }
 
     /// The peer with the highest configuration revision.
-    pub fn newest(&self) -> Option<&PeerState> {
+    pub fn highest_revision(&self) -> Option<&PeerState> {
         self.peers.values().max_by_key(|p| p.beacon.revision)
     }
 }
--- a/core/src/place/mod.rs
+++ b/core/src/place/mod.rs
@@ -1,8 +1,8 @@
-//! Which kept state is worth its room and its link, and which weights are loaded where.
+//! Which KV state is retained on store boxes, and which engines load which weights.
 
-mod keep_decision;
-mod load_planner;
-mod return_model;
-mod store_ledger;
+mod retention_decision;
+mod reuse_model;
+mod store_inventory;
+mod weight_load_planner;
 
-pub use {keep_decision::*, load_planner::*, return_model::*, store_ledger::*};
+pub use {retention_decision::*, reuse_model::*, store_inventory::*, weight_load_planner::*};
--- a/core/src/place/store_ledger.rs
+++ b/core/src/place/store_inventory.rs
@@ -1,42 +1,42 @@
-use {crate::kept::PieceKey, std::collections::BTreeMap};
+use {crate::kv_cache::PieceKey, std::collections::BTreeMap};
 
-/// Part of a full store box that is freed in one go: one in so many pieces.
-const EVICT_PART: usize = 16;
-/// Pieces that are freed at least.
-const EVICT_LEAST: usize = 32;
+/// An eviction frees one in this many pieces.
+const EVICTION_DIVISOR: usize = 16;
+/// Minimum number of pieces freed by an eviction.
+const MIN_EVICTED_PIECES: usize = 32;
 
-/// One sealed piece of a prompt, as its store box has it.
+/// A sealed piece on a store box.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct LedgerPiece {
-    /// The piece.
+pub struct InventoryPiece {
+    /// Key of the piece.
     pub key: PieceKey,
-    /// Its generation.
+    /// Generation of the copy.
     pub generation: u64,
 }
 
-/// Which prompt the sealed pieces of one store box belong to.
+/// The sealed pieces of one store box, grouped by prompt.
 #[derive(Debug, Clone, Default)]
-pub struct StoreLedger {
-    prompts: BTreeMap<PieceKey, Vec<LedgerPiece>>,
+pub struct StoreInventory {
+    prompts: BTreeMap<PieceKey, Vec<InventoryPiece>>,
     length: usize,
 }
 
-impl StoreLedger {
-    /// Pieces in the ledger.
+impl StoreInventory {
+    /// Number of pieces.
     pub fn len(&self) -> usize {
         self.length
     }
 
-    /// Whether no piece is known.
+    /// Whether there are no pieces.
     pub fn is_empty(&self) -> bool {
         self.length == 0
     }
 
-    /// Notes a sealed piece of a prompt.
+    /// Adds or replaces a sealed piece of a prompt.
     pub fn add(
         &mut self,
         identity: PieceKey,
-        piece: LedgerPiece,
+        piece: InventoryPiece,
     ) {
         let pieces = self.prompts.entry(identity).or_default();
         match pieces.iter_mut().find(|p| p.key == piece.key) {
@@ -48,11 +48,11 @@
         }
     }
 
-    /// Keeps just the pieces that the store box lists. One whose prompt nobody
-    /// has told about stands for itself, and goes first.
+    /// Replaces the inventory by the pieces that the store box lists. A piece whose prompt
+    /// is unknown becomes a prompt of its own, which is evicted first.
     pub fn reconcile(
         &mut self,
-        listed: Vec<LedgerPiece>,
+        listed: Vec<InventoryPiece>,
     ) {
         let mut owners = BTreeMap::new();
         for (identity, pieces) in &self.prompts {
@@ -68,26 +68,26 @@
         }
     }
 
-    /// Takes out the pieces that are worth least, whole prompts at a time.
+    /// Removes and returns the least valuable pieces, whole prompts at a time.
     ///
-    /// `chance` tells how likely a prompt is to come back. All pieces are of one
-    /// size, so what a byte is worth depends on that chance alone.
+    /// `reuse_probability` maps a prompt to the probability of its reuse. All pieces have
+    /// the same size, so the value per byte depends on this probability alone.
     pub fn evict(
         &mut self,
-        chance: impl Fn(PieceKey) -> f64,
-    ) -> Vec<LedgerPiece> {
-        let wanted = (self.length / EVICT_PART).max(EVICT_LEAST);
+        reuse_probability: impl Fn(PieceKey) -> f64,
+    ) -> Vec<InventoryPiece> {
+        let wanted = (self.length / EVICTION_DIVISOR).max(MIN_EVICTED_PIECES);
         let mut ranked: Vec<RankedPrompt> = self
             .prompts
             .keys()
             .map(|identity| RankedPrompt {
                 identity: *identity,
-                chance: chance(*identity),
+                reuse_probability: reuse_probability(*identity),
             })
             .collect();
         ranked.sort_by(|a, b| {
-            a.chance
-                .total_cmp(&b.chance)
+            a.reuse_probability
+                .total_cmp(&b.reuse_probability)
                 .then(a.identity.cmp(&b.identity))
         });
         let mut evicted = Vec::new();
@@ -106,5 +106,5 @@
 
 struct RankedPrompt {
     identity: PieceKey,
-    chance: f64,
+    reuse_probability: f64,
 }
--- a/core/src/role/agent_core.rs
+++ b/core/src/role/agent_core.rs
@@ -4,7 +4,7 @@
         ChangeOutcome, ConfigNotice, EndpointEvent, GateWork, ServiceMeter, WorkTicket,
     },
     crate::{
-        errors::ErrorKind, lease::OrderFence, limit::FairQueue, member::AgentBeacon,
+        errors::ErrorKind, lease::OrderFence, limit::FairQueue, membership::AgentBeacon,
         route::LoadReport, time::Micros,
     },
     std::collections::BTreeMap,
@@ -116,7 +116,7 @@
                 self.box_leaving = true;
                 self.refuse_queued(ErrorKind::EndpointLeaving, &mut actions);
             }
-            AgentEvent::EpochRead(epoch) => self.fence.epoch_read(epoch),
+            AgentEvent::EpochRead(epoch) => self.fence.on_epoch_read(epoch),
             AgentEvent::OrderReceived(order) => self.on_order(order, &mut actions),
             AgentEvent::OrderEnded(outcome) => self.on_order_ended(outcome, &mut actions),
         }
@@ -132,7 +132,7 @@
         for ticket in self.queue.overdue(now) {
             self.refuse(ticket, ErrorKind::DeadlinePassed, actions);
         }
-        if !self.fence.is_armed() {
+        if !self.fence.has_epoch() {
             actions.push(AgentAction::ReadEpoch);
         }
     }
--- a/core/src/role/endpoint_roster.rs
+++ b/core/src/role/endpoint_roster.rs
@@ -3,9 +3,9 @@
     crate::{
         conf::FleetConfig,
         labels::LabelSet,
-        member::AgentBeacon,
+        membership::AgentBeacon,
         retry::OutlierGuard,
-        route::{EndpointArena, EndpointKey, EndpointKind, EndpointLoad, EndpointState, SentLoad},
+        route::{EndpointArena, EndpointKey, EndpointKind, EndpointLoad, EndpointState, InFlightLoad},
         time::Micros,
     },
     slotmap::SecondaryMap,
@@ -68,7 +68,7 @@
     pub fn apply_beacon(
         &mut self,
         beacon: &AgentBeacon,
-        own: SentLoad,
+        own: InFlightLoad,
         config: &FleetConfig,
         now: Micros,
     ) -> RosterChange {
@@ -166,7 +166,7 @@
         &mut self,
         endpoint_id: &str,
         pulse: AgentPulse,
-        own: SentLoad,
+        own: InFlightLoad,
         now: Micros,
     ) -> LoadChange {
         let Some(entry) = self.entries.get_mut(endpoint_id) else {
@@ -183,7 +183,7 @@
             report: pulse.load,
             own_tokens: own.tokens,
             own_running: own.running,
-            alive: entry.linked && !entry.guard.is_out(now),
+            alive: entry.linked && !entry.guard.is_ejected(now),
             penalty: entry.guard.penalty(now),
         };
         let before = self.loads.insert(entry.key, load);
@@ -220,7 +220,7 @@
             if let Some(load) = load {
                 let is_reporting =
                     silence.0 < SUSPECT_AFTER.0 * factor && unreported < SUSPECT_AFTER;
-                let alive = entry.linked && is_reporting && !entry.guard.is_out(now);
+                let alive = entry.linked && is_reporting && !entry.guard.is_ejected(now);
                 let penalty = entry.guard.penalty(now);
                 report.changed |= load.alive != alive || load.penalty != penalty;
                 load.alive = alive;
@@ -276,7 +276,7 @@
     own: &LabelSet,
 ) -> LabelSet {
     let mut labels = match config.endpoints.get(endpoint_id) {
-        Some(conf) => own.overlaid(&conf.labels),
+        Some(conf) => own.merged_with(&conf.labels),
         None => own.clone(),
     };
     labels.set("endpoint", endpoint_id);
--- a/core/src/role/entry_action.rs
+++ b/core/src/role/entry_action.rs
@@ -2,7 +2,7 @@
     super::{ConfigNotice, StampedOrder, StoredPiece},
     crate::{
         lease::LeaseRow,
-        place::ReturnModel,
+        place::ReuseModel,
         route::{EndpointState, RouteTable},
     },
     std::{net::SocketAddr, sync::Arc},
@@ -16,7 +16,7 @@
         /// Routing table.
         table: Arc<RouteTable>,
         /// Learned reuse of prompts.
-        reuse_model: Arc<ReturnModel>,
+        reuse_model: Arc<ReuseModel>,
         /// Number of live entry processes, including this one.
         entries: u32,
     },
--- a/core/src/role/entry_configs.rs
+++ b/core/src/role/entry_configs.rs
@@ -25,7 +25,7 @@
                 return;
             }
         }
-        self.history.note(records);
+        self.history.append(records);
         self.on_config_read(Arc::new(config), actions);
     }
 
--- a/core/src/role/entry_core.rs
+++ b/core/src/role/entry_core.rs
@@ -5,10 +5,10 @@
     },
     crate::{
         conf::{ChangeHistory, FleetConfig, PeerConfig},
-        drain::{DrainState, DrainView},
-        kept::PieceDirectory,
+        drain::{DrainState, DrainInput},
+        kv_cache::PieceDirectory,
         lease::LeaseTimes,
-        member::{rendezvous_weight, PeerTable},
+        membership::{rendezvous_weight, PeerTable},
         route::{PoolIndex, RoutePolicy},
         time::Micros,
     },
@@ -196,7 +196,7 @@
     ) {
         self.ticks += 1;
         if self.ticks % LIVENESS_TICKS == 0 {
-            self.peers.drop_silent(now);
+            self.peers.remove_expired(now);
             self.check_endpoints(now, actions);
             self.sweep_pieces();
             self.stores.request_listings(now, actions);
@@ -314,12 +314,12 @@
     ) -> DrainState {
         let entry = self.roster.get(endpoint_id);
         let load = entry.and_then(|e| self.roster.loads.get(e.key));
-        DrainState::judge(&DrainView {
-            wanted: self.config.is_leaving(endpoint_id),
+        DrainState::evaluate(&DrainInput {
+            requested: self.config.is_leaving(endpoint_id),
             refusing: entry.is_some_and(|e| e.refusing),
             running: load.map_or(0, |l| l.report.running),
             exporting: entry.map_or(0, |e| e.exporting),
-            heard_ago: entry.map(|e| now.since(e.received_at)),
+            report_age: entry.map(|e| now.since(e.received_at)),
         })
     }
 }
--- a/core/src/role/entry_event.rs
+++ b/core/src/role/entry_event.rs
@@ -3,10 +3,10 @@
     crate::{
         conf::{ChangeRecord, FleetConfig},
         errors::ErrorKind,
-        kept::{PieceKey, StoreTier},
+        kv_cache::{PieceKey, StoreTier},
         lease::LeaseRow,
-        member::{AgentBeacon, EntryBeacon},
-        route::SentLoad,
+        membership::{AgentBeacon, EntryBeacon},
+        route::InFlightLoad,
         time::Micros,
     },
     std::{net::SocketAddr, sync::Arc},
@@ -28,7 +28,7 @@
         /// The beacon.
         beacon: AgentBeacon,
         /// Load that this process has in flight to the endpoint.
-        own: SentLoad,
+        own: InFlightLoad,
     },
     /// A beacon of another entry process arrived.
     PeerBeaconReceived(EntryBeacon),
@@ -41,7 +41,7 @@
         /// The events.
         batch: EventBatch,
         /// Load that this process has in flight to the endpoint.
-        own: SentLoad,
+        own: InFlightLoad,
     },
     /// The event stream of an agent was reopened; its first batch is a full snapshot.
     StreamOpened {
@@ -62,7 +62,7 @@
         /// The pulse.
         pulse: AgentPulse,
         /// Load that this process has in flight to the endpoint.
-        own: SentLoad,
+        own: InFlightLoad,
     },
     /// The box list was read.
     BoxesListed(Vec<ListedBox>),
--- a/core/src/role/entry_messages.rs
+++ b/core/src/role/entry_messages.rs
@@ -6,7 +6,7 @@
         PlacementKind, RosterChange,
     },
     crate::{
-        kept::PieceHolder, member::EntryBeacon, place::ReturnLabel, route::SentLoad, time::Micros,
+        kv_cache::PieceHolder, membership::EntryBeacon, place::ReuseLabel, route::InFlightLoad, time::Micros,
     },
 };
 
@@ -14,8 +14,8 @@
     pub(super) fn on_agent_beacon(
         &mut self,
         now: Micros,
-        beacon: crate::member::AgentBeacon,
-        own: SentLoad,
+        beacon: crate::membership::AgentBeacon,
+        own: InFlightLoad,
         actions: &mut Vec<EntryAction>,
     ) {
         match self.roster.apply_beacon(&beacon, own, &self.config, now) {
@@ -50,7 +50,7 @@
     ) {
         let newer = beacon.revision > self.config.revision;
         let peer = beacon.peer_address;
-        self.peers.heard(beacon, now);
+        self.peers.on_beacon(beacon, now);
         self.first_peer_at.get_or_insert(now);
         if newer {
             actions.push(EntryAction::PullConfig { peer });
@@ -102,7 +102,7 @@
         now: Micros,
         endpoint_id: &str,
         pulse: AgentPulse,
-        own: SentLoad,
+        own: InFlightLoad,
     ) {
         match self.roster.update_load(endpoint_id, pulse, own, now) {
             LoadChange::None => {}
@@ -120,7 +120,7 @@
         endpoint_id: &str,
         incarnation: u64,
         batch: EventBatch,
-        own: SentLoad,
+        own: InFlightLoad,
         actions: &mut Vec<EntryAction>,
     ) {
         if self.roster.state(endpoint_id).map(|s| s.incarnation) != Some(incarnation) {
@@ -174,7 +174,7 @@
             EndpointEvent::Stored(notice) => self.stores.add_piece(notice, &mut self.pieces),
             EndpointEvent::Missing(notice) => self.stores.remove_piece(&notice, &mut self.pieces),
             EndpointEvent::PromptUsed(prompt) => {
-                let label = ReturnLabel {
+                let label = ReuseLabel {
                     organisation: prompt.organisation,
                     label: prompt.label,
                 };
--- a/core/src/role/entry_placement.rs
+++ b/core/src/role/entry_placement.rs
@@ -3,7 +3,7 @@
 use {
     super::{engine_groups, AwaitedReport, EntryAction, EntryCore, PlacementKind, WorkTicket},
     crate::{
-        kept::{PieceHolder, PieceKey},
+        kv_cache::{PieceHolder, PieceKey},
         route::{PoolIndex, RouteTable},
         time::Micros,
     },
@@ -139,10 +139,10 @@
             return;
         };
         if !failed {
-            entry.guard.succeeded(now);
+            entry.guard.record_success(now);
             return;
         }
-        if entry.guard.failed(now) {
+        if entry.guard.record_failure(now) {
             self.roster.check_liveness(now);
             self.table_stale = true;
             let reason = "failed several times in a row".to_string();
--- a/core/src/role/prompt_history.rs
+++ b/core/src/role/prompt_history.rs
@@ -1,7 +1,7 @@
 use {
     crate::{
-        kept::PieceKey,
-        place::{ReturnLabel, ReturnModel},
+        kv_cache::PieceKey,
+        place::{ReuseLabel, ReuseModel},
         time::Micros,
     },
     std::{
@@ -18,7 +18,7 @@
 
 #[derive(Debug, Clone)]
 struct SeenPrompt {
-    label: Arc<ReturnLabel>,
+    label: Arc<ReuseLabel>,
     seen_at: Micros,
 }
 
@@ -27,8 +27,8 @@
 pub struct PromptHistory {
     seen: BTreeMap<PieceKey, SeenPrompt>,
     order: VecDeque<PieceKey>,
-    labels: BTreeSet<Arc<ReturnLabel>>,
-    model: Arc<ReturnModel>,
+    labels: BTreeSet<Arc<ReuseLabel>>,
+    model: Arc<ReuseModel>,
 }
 
 /// Returns the key that identifies a prompt; none when it is shorter than one piece. A prompt
@@ -40,7 +40,7 @@
 
 impl PromptHistory {
     /// Returns the learned model; cloning the `Arc` is cheap.
-    pub fn model(&self) -> &Arc<ReturnModel> {
+    pub fn model(&self) -> &Arc<ReuseModel> {
         &self.model
     }
 
@@ -58,7 +58,7 @@
     pub fn record(
         &mut self,
         identity: PieceKey,
-        label: ReturnLabel,
+        label: ReuseLabel,
         now: Micros,
     ) {
         let prompt = SeenPrompt {
@@ -68,7 +68,7 @@
         match self.seen.insert(identity, prompt) {
             Some(previous) => {
                 let gap = now.since(previous.seen_at);
-                Arc::make_mut(&mut self.model).returned(&label, gap);
+                Arc::make_mut(&mut self.model).record_reuse(&label, gap);
             }
             None => self.order.push_back(identity),
         }
@@ -84,7 +84,7 @@
         now: Micros,
     ) -> f64 {
         match self.seen.get(&identity) {
-            Some(prompt) => self.model.chance(&prompt.label, now.since(prompt.seen_at)),
+            Some(prompt) => self.model.reuse_probability(&prompt.label, now.since(prompt.seen_at)),
             // Not used within the history of this process.
             None => 0.0,
         }
@@ -93,8 +93,8 @@
     /// Returns the shared copy of a label.
     fn intern_label(
         &mut self,
-        label: &ReturnLabel,
-    ) -> Arc<ReturnLabel> {
+        label: &ReuseLabel,
+    ) -> Arc<ReuseLabel> {
         if let Some(known) = self.labels.get(label) {
             return known.clone();
         }
@@ -108,7 +108,7 @@
             return;
         };
         if let Some(prompt) = self.seen.remove(&oldest) {
-            Arc::make_mut(&mut self.model).ended(&prompt.label);
+            Arc::make_mut(&mut self.model).record_expiry(&prompt.label);
         }
     }
 }
--- a/core/src/role/shard_leases.rs
+++ b/core/src/role/shard_leases.rs
@@ -1,7 +1,7 @@
 use {
     super::{EntryAction, PlacementKind, PlacementLine},
     crate::{
-        lease::{contends, shard_of, LeaseMachine, LeaseRow, LeaseStep, LeaseTimes, OrderStamp},
+        lease::{is_contender, shard_of, LeaseMachine, LeaseRow, LeaseStep, LeaseTimes, OrderStamp},
         time::Micros,
     },
     std::collections::{BTreeMap, BTreeSet},
@@ -89,10 +89,10 @@
                 row,
                 version,
                 asked_at,
-            } => lease.machine.row_read(row, version, asked_at, now),
-            LeaseOutcome::Written { version } => lease.machine.row_written(version, now),
-            LeaseOutcome::Conflict => lease.machine.write_refused(),
-            LeaseOutcome::Unknown => lease.machine.write_unknown(),
+            } => lease.machine.on_row_read(row, version, asked_at, now),
+            LeaseOutcome::Written { version } => lease.machine.on_row_written(version, now),
+            LeaseOutcome::Conflict => lease.machine.on_write_conflict(),
+            LeaseOutcome::Unknown => lease.machine.on_write_unknown(),
         }
     }
 
@@ -176,7 +176,7 @@
         actions: &mut Vec<EntryAction>,
     ) {
         let wanted: BTreeSet<String> = groups.iter().map(|group| shard_of(group)).collect();
-        let mine = |shard: &String| contends(&self.box_id, shard, self.entries.iter());
+        let mine = |shard: &String| is_contender(&self.box_id, shard, self.entries.iter());
         let wanted: BTreeSet<String> = wanted.into_iter().filter(mine).collect();
         self.shards.retain(|name, lease| {
             let keep = wanted.contains(name);
--- a/core/src/role/store_roster.rs
+++ b/core/src/role/store_roster.rs
@@ -1,8 +1,8 @@
 use {
     super::{BoxRole, EntryAction, ListedBox, MissingNotice, StoredNotice, StoredPiece},
     crate::{
-        kept::{PieceDirectory, PieceHolder, PieceKey, StoreTier, StoredCopy},
-        place::{LedgerPiece, StoreLedger},
+        kv_cache::{PieceDirectory, PieceHolder, PieceKey, StoreTier, StoredCopy},
+        place::{InventoryPiece, StoreInventory},
         route::{StoreKey, StoreState},
         time::Micros,
     },
@@ -26,7 +26,7 @@
     key: StoreKey,
     listed_at: Micros,
     evicted_at: Option<Micros>,
-    inventory: StoreLedger,
+    inventory: StoreInventory,
 }
 
 /// Store boxes that this process knows, with the pieces stored on them.
@@ -102,7 +102,7 @@
             key,
             listed_at: now,
             evicted_at: None,
-            inventory: StoreLedger::default(),
+            inventory: StoreInventory::default(),
         };
         self.entries.insert(notice.id.clone(), entry);
         actions.push(EntryAction::ListStore {
@@ -158,7 +158,7 @@
                 generation: piece.generation,
             };
             directory.add_bounded(piece.key, PieceHolder::Store(copy));
-            listed.push(LedgerPiece {
+            listed.push(InventoryPiece {
                 key: piece.key,
                 generation: piece.generation,
             });
@@ -202,7 +202,7 @@
             generation: notice.generation,
         };
         directory.add_bounded(notice.key, PieceHolder::Store(copy));
-        let piece = LedgerPiece {
+        let piece = InventoryPiece {
             key: notice.key,
             generation: notice.generation,
         };
--- a/core/src/route/prefix_reuse.rs
+++ b/core/src/route/prefix_reuse.rs
@@ -1,23 +1,23 @@
 use {
     super::{EndpointKey, ImportOffer, StoreKey},
-    crate::kept::{PieceDirectory, PieceHolder, PieceKey, StoreTier},
+    crate::kv_cache::{PieceDirectory, PieceHolder, PieceKey, StoreTier},
 };
 
 #[derive(Debug, Clone, Copy)]
-struct EndpointRun {
+struct EndpointPrefix {
     endpoint: EndpointKey,
     pieces: u32,
 }
 
-/// How many leading pieces of a prompt each holder has without a gap.
+/// Number of consecutive leading pieces of a prompt that each holder has.
 #[derive(Debug, Clone, Default)]
 pub struct PrefixReuse {
-    endpoints: Vec<EndpointRun>,
+    endpoints: Vec<EndpointPrefix>,
     stores: Vec<ImportOffer>,
 }
 
 impl PrefixReuse {
-    /// Looks a prompt up in the directory.
+    /// Looks up the pieces of a prompt in the directory.
     pub fn find(
         directory: &PieceDirectory,
         pieces: &[PieceKey],
@@ -31,7 +31,7 @@
         reuse
     }
 
-    /// Adds the holders of the piece at `depth`; false when nobody goes that far.
+    /// Adds the holders of the piece at `depth`; returns false if this extends no prefix.
     fn extend(
         &mut self,
         depth: u32,
@@ -53,16 +53,16 @@
         endpoint: EndpointKey,
     ) -> bool {
         if depth == 0 {
-            self.endpoints.push(EndpointRun {
+            self.endpoints.push(EndpointPrefix {
                 endpoint,
                 pieces: 1,
             });
             return true;
         }
-        let run = self.endpoints.iter_mut().find(|r| r.endpoint == endpoint);
-        match run {
-            Some(run) if run.pieces == depth => {
-                run.pieces += 1;
+        let known_prefix = self.endpoints.iter_mut().find(|r| r.endpoint == endpoint);
+        match known_prefix {
+            Some(known_prefix) if known_prefix.pieces == depth => {
+                known_prefix.pieces += 1;
                 true
             }
             _ => false,
@@ -94,16 +94,16 @@
         }
     }
 
-    /// Leading pieces that an endpoint holds.
-    pub fn on_endpoint(
+    /// Number of leading pieces that an endpoint holds.
+    pub fn endpoint_pieces(
         &self,
         endpoint: EndpointKey,
     ) -> u32 {
-        let run = self.endpoints.iter().find(|r| r.endpoint == endpoint);
-        run.map_or(0, |r| r.pieces)
+        let known_prefix = self.endpoints.iter().find(|r| r.endpoint == endpoint);
+        known_prefix.map_or(0, |r| r.pieces)
     }
 
-    /// What store boxes could give.
+    /// Import offers of the store boxes.
     pub fn offers(&self) -> &[ImportOffer] {
         &self.stores
     }
--- a/core/src/route/route_pool.rs
+++ b/core/src/route/route_pool.rs
@@ -8,17 +8,17 @@
     std::{collections::BTreeMap, sync::Arc},
 };
 
-/// Arena of endpoints.
+/// All known endpoints.
 pub type EndpointArena = SlotMap<EndpointKey, Arc<EndpointState>>;
 
-/// Endpoints that the selectors admit for one organisation, target and version.
+/// Endpoints admitted by the selectors for one organisation, target and version.
 #[derive(Debug, Clone, Default)]
 pub struct RoutePool {
-    /// Admitted endpoints that hold the version and are not leaving.
+    /// Admitted endpoints that serve the version and are not draining.
     pub members: Vec<EndpointKey>,
-    /// Endpoints of the model or service, admitted or not.
+    /// Number of endpoints of the model or service, admitted or not.
     pub known: usize,
-    /// Endpoints admitted by the selectors, usable or not.
+    /// Number of endpoints admitted by the selectors, usable or not.
     pub admitted: usize,
 }
 
@@ -43,7 +43,7 @@
 }
 
 impl PoolIndex {
-    /// Evaluates all selectors of a configuration.
+    /// Evaluates all selectors of a configuration against the known endpoints.
     ///
     /// Organisations to which the same rules apply share one pool.
     pub fn build(
@@ -51,22 +51,27 @@
         arena: &EndpointArena,
     ) -> PoolIndex {
         let mut index = PoolIndex::default();
-        for wanted in targets(config) {
-            let members = members_of(arena, &wanted);
+        for version_target in version_targets(config) {
+            let members = pool_members(arena, &version_target);
             let mut shared: BTreeMap<Vec<&str>, Arc<RoutePool>> = BTreeMap::new();
             for organisation in config.organisations.keys() {
-                let work = work_labels(config, organisation, &wanted.target, &wanted.version);
-                let rules = deciding_rules(config, &work);
+                let work = work_labels(
+                    config,
+                    organisation,
+                    &version_target.target,
+                    &version_target.version,
+                );
+                let rules = effective_rules(config, &work);
                 let names: Vec<&str> = rules.iter().map(|r| r.name).collect();
                 let pool = shared
                     .entry(names)
-                    .or_insert_with(|| Arc::new(fill_pool(arena, &members, &rules)));
+                    .or_insert_with(|| Arc::new(build_pool(arena, &members, &rules)));
                 let pools = index.pools.entry(organisation.clone()).or_default();
                 pools
-                    .entry(wanted.target.clone())
+                    .entry(version_target.target.clone())
                     .or_default()
                     .push(VersionPool {
-                        version: wanted.version.clone(),
+                        version: version_target.version.clone(),
                         pool: pool.clone(),
                     });
             }
@@ -106,7 +111,7 @@
     usable: bool,
 }
 
-fn targets(config: &FleetConfig) -> Vec<VersionTarget> {
+fn version_targets(config: &FleetConfig) -> Vec<VersionTarget> {
     let mut targets = Vec::new();
     for (name, model) in &config.models {
         for version in model.versions.keys() {
@@ -125,15 +130,15 @@
     targets
 }
 
-fn members_of(
+fn pool_members(
     arena: &EndpointArena,
-    wanted: &VersionTarget,
+    version_target: &VersionTarget,
 ) -> Vec<PoolMember> {
     let mut members = Vec::new();
     for (key, state) in arena {
-        let usable = match (&state.kind, &wanted.target) {
+        let usable = match (&state.kind, &version_target.target) {
             (EndpointKind::Engine { model, version }, WorkTarget::Model(name)) if model == name => {
-                *version == wanted.version
+                *version == version_target.version
             }
             (EndpointKind::Service { service }, WorkTarget::Service(name)) if service == name => {
                 true
@@ -148,7 +153,7 @@
     members
 }
 
-/// Labels that the `work` selectors of rules see for a request.
+/// Labels of a request, as matched by the `work` selectors of rules.
 pub fn work_labels(
     config: &FleetConfig,
     organisation: &str,
@@ -168,48 +173,48 @@
         WorkTarget::Service(name) => labels.set("service", name),
     }
     if let Some(conf) = config.organisations.get(organisation) {
-        labels = labels.overlaid(&conf.labels);
+        labels = labels.merged_with(&conf.labels);
     }
     labels.set("organisation", organisation);
     labels
 }
 
-fn deciding_rules<'a>(
+fn effective_rules<'a>(
     config: &'a FleetConfig,
     work: &LabelSet,
 ) -> Vec<NamedRule<'a>> {
-    let mut deciding: Vec<NamedRule<'a>> = Vec::new();
+    let mut effective: Vec<NamedRule<'a>> = Vec::new();
     for (name, rule) in &config.rules {
         if !rule.work.matches(work) {
             continue;
         }
-        let best = deciding.first().map(|r| r.rule.precedence);
+        let best = effective.first().map(|r| r.rule.precedence);
         match best {
             Some(best) if rule.precedence < best => continue,
-            Some(best) if rule.precedence > best => deciding.clear(),
+            Some(best) if rule.precedence > best => effective.clear(),
             _ => {}
         }
-        deciding.push(NamedRule { name, rule });
+        effective.push(NamedRule { name, rule });
     }
-    deciding
+    effective
 }
 
 fn is_admitted(
     labels: &LabelSet,
     rules: &[NamedRule<'_>],
 ) -> bool {
-    let hit = |effect: RuleEffect| {
-        let mut of_effect = rules.iter().filter(|r| r.rule.effect == effect);
-        of_effect.any(|r| r.rule.endpoints.matches(labels))
+    let matches_any = |effect: RuleEffect| {
+        let mut same_effect = rules.iter().filter(|r| r.rule.effect == effect);
+        same_effect.any(|r| r.rule.endpoints.matches(labels))
     };
-    if hit(RuleEffect::Deny) {
+    if matches_any(RuleEffect::Deny) {
         return false;
     }
     let has_allow = rules.iter().any(|r| r.rule.effect == RuleEffect::Allow);
-    !has_allow || hit(RuleEffect::Allow)
+    !has_allow || matches_any(RuleEffect::Allow)
 }
 
-fn fill_pool(
+fn build_pool(
     arena: &EndpointArena,
     members: &[PoolMember],
     rules: &[NamedRule<'_>],
--- a/core/src/settings/settings_reader.rs
+++ b/core/src/settings/settings_reader.rs
@@ -6,15 +6,15 @@
     std::{collections::BTreeSet, net::SocketAddr, ops::RangeInclusive},
 };
 
-/// Fields whose name starts so are comments.
-const COMMENT_MARK: &str = "//";
-/// Characters of a wrong value that are shown.
-const SHOWN_LIMIT: usize = 60;
+/// Fields whose name starts with this prefix are comments.
+const COMMENT_PREFIX: &str = "//";
+/// Maximum number of characters of an invalid value in an error message.
+const SHOWN_VALUE_CHARS: usize = 60;
 
-/// Reads a settings file field by field and gathers what is wrong.
+/// Reads a settings file field by field and collects all problems.
 ///
-/// A field that is wrong yields a stand-in value, so that reading goes on;
-/// [`SettingsReader::finish`] then refuses the whole file.
+/// An invalid field yields a placeholder value, so that reading can continue;
+/// [`SettingsReader::finish`] then rejects the file.
 #[derive(Debug)]
 pub struct SettingsReader {
     file: String,
@@ -24,10 +24,10 @@
 }
 
 impl SettingsReader {
-    /// Takes the text of a file; it must hold one JSON object.
+    /// Parses the text of a file, which must be a JSON object.
     ///
     /// # Errors
-    /// [`SettingsErrors`] when it does not.
+    /// [`SettingsErrors`] if it is not.
     pub fn parse(
         file: &str,
         text: &str,
@@ -47,50 +47,50 @@
                 known: BTreeSet::new(),
                 problems: Vec::new(),
             }),
-            Ok(other) => Err(whole(shown(&other))),
+            Ok(other) => Err(whole(abbreviate(&other))),
             Err(error) => Err(whole(error.to_string())),
         }
     }
 
-    /// A text that must not be empty.
+    /// A required, non-empty string.
     pub fn text(
         &mut self,
         field: &'static str,
     ) -> String {
-        match self.take(field) {
+        match self.read_field(field) {
             Some(Value::String(text)) if !text.is_empty() => text,
             other => {
-                self.problem(field, &other, "a text");
+                self.add_field_problem(field, &other, "a non-empty string");
                 String::new()
             }
         }
     }
 
-    /// A text that may be missing.
+    /// An optional, non-empty string.
     pub fn optional_text(
         &mut self,
         field: &'static str,
     ) -> Option<String> {
-        match self.take(field) {
+        match self.read_field(field) {
             None | Some(Value::Null) => None,
             Some(Value::String(text)) if !text.is_empty() => Some(text),
             other => {
-                self.problem(field, &other, "a text, or nothing");
+                self.add_field_problem(field, &other, "a non-empty string, or nothing");
                 None
             }
         }
     }
 
-    /// An address and port by number.
+    /// A required IP address and port.
     pub fn address(
         &mut self,
         field: &'static str,
     ) -> SocketAddr {
-        let value = self.take(field);
+        let value = self.read_field(field);
         match parse_address(&value) {
             Some(address) => address,
             None => {
-                self.problem(
+                self.add_field_problem(
                     field,
                     &value,
                     "an IP address and port, such as \"127.0.0.1:8080\"",
@@ -100,7 +100,7 @@
         }
     }
 
-    /// An address and port by number that may be missing.
+    /// An optional IP address and port.
     pub fn optional_address(
         &mut self,
         field: &'static str,
@@ -109,49 +109,49 @@
         if present {
             return Some(self.address(field));
         }
-        self.take(field);
+        self.read_field(field);
         None
     }
 
-    /// A whole number within bounds.
+    /// An integer within bounds.
     pub fn number(
         &mut self,
         field: &'static str,
         default: u64,
         bounds: RangeInclusive<u64>,
     ) -> u64 {
-        let value = self.take(field);
+        let value = self.read_field(field);
         let number = match &value {
             None | Some(Value::Null) => Some(default),
             Some(value) => value.as_u64().filter(|n| bounds.contains(n)),
         };
         number.unwrap_or_else(|| {
             let wanted = format!("a whole number from {} to {}", bounds.start(), bounds.end());
-            self.problem(field, &value, &wanted);
+            self.add_field_problem(field, &value, &wanted);
             default
         })
     }
 
-    /// A number within bounds that may be a fraction, such as a share of another.
+    /// A number within bounds, fractions allowed.
     pub fn fraction(
         &mut self,
         field: &'static str,
         default: f64,
         bounds: RangeInclusive<f64>,
     ) -> f64 {
-        let value = self.take(field);
+        let value = self.read_field(field);
         let number = match &value {
             None | Some(Value::Null) => Some(default),
             Some(value) => value.as_f64().filter(|n| bounds.contains(n)),
         };
         number.unwrap_or_else(|| {
             let wanted = format!("a number from {} to {}", bounds.start(), bounds.end());
-            self.problem(field, &value, &wanted);
+            self.add_field_problem(field, &value, &wanted);
             default
         })
     }
 
-    /// A time in milliseconds within bounds, fractions included.
+    /// A duration in milliseconds within bounds, fractions allowed.
     pub fn millis(
         &mut self,
         field: &'static str,
@@ -161,7 +161,7 @@
         Micros((self.fraction(field, default, bounds) * 1_000.0).round() as u64)
     }
 
-    /// A time in seconds within bounds, fractions included.
+    /// A duration in seconds within bounds, fractions allowed.
     pub fn seconds(
         &mut self,
         field: &'static str,
@@ -171,51 +171,51 @@
         Micros((self.fraction(field, default, bounds) * 1_000_000.0).round() as u64)
     }
 
-    /// A yes or no.
+    /// A boolean.
     pub fn flag(
         &mut self,
         field: &'static str,
         default: bool,
     ) -> bool {
-        match self.take(field) {
+        match self.read_field(field) {
             None | Some(Value::Null) => default,
             Some(Value::Bool(flag)) => flag,
             other => {
-                self.problem(field, &other, "true or false");
+                self.add_field_problem(field, &other, "true or false");
                 default
             }
         }
     }
 
-    /// A yes or no that a template may have spelled as a text, which is empty where
-    /// the template had nothing to fill in.
-    pub fn spelled_flag(
+    /// A boolean that a template may have written as a string. The string is empty if the
+    /// template had no value; the default applies then.
+    pub fn flag_or_text(
         &mut self,
         field: &'static str,
         default: bool,
     ) -> bool {
-        let spelled = match self.fields.get(field).and_then(Value::as_str) {
+        let parsed = match self.fields.get(field).and_then(Value::as_str) {
             Some("true") => true,
             Some("false") => false,
             Some("") => default,
             _ => return self.flag(field, default),
         };
-        self.take(field);
-        spelled
+        self.read_field(field);
+        parsed
     }
 
-    /// A number that a template may have spelled as a text, which is empty where the template had
-    /// nothing to fill in.
-    pub fn spelled_fraction(
+    /// A number that a template may have written as a string. The string is empty if the
+    /// template had no value; the default applies then.
+    pub fn fraction_or_text(
         &mut self,
         field: &'static str,
         default: f64,
         range: RangeInclusive<f64>,
     ) -> f64 {
-        let spelled = self.fields.get(field).and_then(Value::as_str);
-        let number = match spelled {
+        let parsed = self.fields.get(field).and_then(Value::as_str);
+        let number = match parsed {
             Some("") => {
-                self.take(field);
+                self.read_field(field);
                 return default;
             }
             Some(text) => text.parse::<f64>().ok(),
@@ -227,33 +227,33 @@
         self.fraction(field, default, range)
     }
 
-    /// A value of any type that can be read from JSON.
+    /// A value of any type that can be deserialized from JSON.
     pub fn value<T: DeserializeOwned>(
         &mut self,
         field: &'static str,
         default: Option<T>,
         wanted: &str,
     ) -> Option<T> {
-        let value = self.take(field);
+        let value = self.read_field(field);
         match &value {
             None | Some(Value::Null) if default.is_some() => default,
             None | Some(Value::Null) => {
-                self.problem(field, &value, wanted);
+                self.add_field_problem(field, &value, wanted);
                 None
             }
             Some(present) => match serde_json::from_value(present.clone()) {
                 Ok(read) => Some(read),
                 Err(error) => {
                     let wanted = format!("{wanted} ({error})");
-                    self.problem(field, &value, &wanted);
+                    self.add_field_problem(field, &value, &wanted);
                     default
                 }
             },
         }
     }
 
-    /// Notes a problem that only shows in several fields together.
-    pub fn refuse(
+    /// Adds a problem that involves several fields.
+    pub fn add_problem(
         &mut self,
         field: &'static str,
         found: &str,
@@ -266,19 +266,19 @@
         });
     }
 
-    /// Ends reading.
+    /// Checks for unknown fields and returns all problems.
     ///
     /// # Errors
-    /// [`SettingsErrors`] with every problem, fields that nobody asked for included.
+    /// [`SettingsErrors`] with every problem, including unknown fields.
     pub fn finish(mut self) -> Result<(), SettingsErrors> {
         let known: Vec<&str> = self.known.iter().copied().collect();
         for (field, value) in &self.fields {
-            if self.known.contains(field.as_str()) || field.starts_with(COMMENT_MARK) {
+            if self.known.contains(field.as_str()) || field.starts_with(COMMENT_PREFIX) {
                 continue;
             }
             self.problems.push(SettingsProblem {
                 field: field.clone(),
-                found: format!("an unknown field with {}", shown(value)),
+                found: format!("an unknown field with {}", abbreviate(value)),
                 wanted: format!("one of {}", known.join(", ")),
             });
         }
@@ -291,7 +291,7 @@
         })
     }
 
-    fn take(
+    fn read_field(
         &mut self,
         field: &'static str,
     ) -> Option<Value> {
@@ -299,7 +299,7 @@
         self.fields.get(field).cloned()
     }
 
-    fn problem(
+    fn add_field_problem(
         &mut self,
         field: &'static str,
         value: &Option<Value>,
@@ -307,9 +307,9 @@
     ) {
         let found = match value {
             None => "nothing".to_string(),
-            Some(value) => shown(value),
+            Some(value) => abbreviate(value),
         };
-        self.refuse(field, &found, wanted);
+        self.add_problem(field, &found, wanted);
     }
 }
 
@@ -317,9 +317,9 @@
     value.as_ref()?.as_str()?.parse().ok()
 }
 
-fn shown(value: &Value) -> String {
+fn abbreviate(value: &Value) -> String {
     let text = value.to_string();
-    match text.char_indices().nth(SHOWN_LIMIT) {
+    match text.char_indices().nth(SHOWN_VALUE_CHARS) {
         Some((cut, _)) => format!("{}...", &text[..cut]),
         None => text,
     }
--- a/core/tests/entry_control.rs
+++ b/core/tests/entry_control.rs
@@ -11,14 +11,14 @@
         conf::{ConfigChange, LabelTarget, VersionConf},
         drain::DrainState,
         errors::ErrorKind,
-        kept::{PieceHolder, PieceKey, StoreTier},
+        kv_cache::{PieceHolder, PieceKey, StoreTier},
         lease::LeaseRow,
-        member::{AgentBeacon, EntryBeacon},
+        membership::{AgentBeacon, EntryBeacon},
         role::{
             BoxRole, EndpointEvent, EntryAction, EntryCore, EntryEvent, ListedBox, PromptUse,
             StoredNotice, StoredPiece,
         },
-        route::{RouteTable, SentLoad},
+        route::{RouteTable, InFlightLoad},
         time::Micros,
     },
     std::sync::Arc,
@@ -150,7 +150,7 @@
     let event = |pulse| EntryEvent::PulseReceived {
         endpoint_id: "e1".to_string(),
         pulse,
-        own: SentLoad::default(),
+        own: InFlightLoad::default(),
     };
     core.step(now, event(refusing));
     assert_eq!(
@@ -308,7 +308,7 @@
             endpoint_id: endpoint_id.clone(),
             ..beacon(5)
         };
-        let own = SentLoad::default();
+        let own = InFlightLoad::default();
         core.step(Micros(1), EntryEvent::AgentBeaconReceived { beacon, own });
         core.step(
             Micros(2),
--- a/core/tests/entry_fixture/mod.rs
+++ b/core/tests/entry_fixture/mod.rs
@@ -8,11 +8,11 @@
         conf::{FleetConfig, ModelConf, OrganisationConf, VersionConf},
         labels::LabelSet,
         lease::LeaseTimes,
-        member::AgentBeacon,
+        membership::AgentBeacon,
         role::{
             AgentPulse, EndpointEvent, EntryAction, EntryCore, EntryEvent, EntrySetup, EventBatch,
         },
-        route::{EndpointKind, LoadReport, RoutePolicy, RouteTable, SentLoad},
+        route::{EndpointKind, LoadReport, RoutePolicy, RouteTable, InFlightLoad},
         time::Micros,
     },
     std::sync::Arc,
@@ -88,7 +88,7 @@
 pub fn beacon_event(incarnation: u64) -> EntryEvent {
     EntryEvent::AgentBeaconReceived {
         beacon: beacon(incarnation),
-        own: SentLoad::default(),
+        own: InFlightLoad::default(),
     }
 }
 
@@ -112,7 +112,7 @@
             events,
             pulse: pulse(0),
         },
-        own: SentLoad::default(),
+        own: InFlightLoad::default(),
     }
 }
 
--- a/core/tests/limit_table.rs
+++ b/core/tests/limit_table.rs
@@ -1,4 +1,4 @@
-//! Limits, fair shares and the fair queue.
+//! Limits, fair sharing and the fair queue.
 
 use pitchhitch_core::{
     conf::OrganisationLimits,
@@ -31,7 +31,7 @@
             table.release("org");
         }
     }
-    // Ten seconds at ten a second, and the burst.
+    // Ten seconds at ten requests per second, plus the burst.
     assert!((100..=106).contains(&admitted), "{admitted}");
 }
 
@@ -64,12 +64,12 @@
     while table.admit("large", &limits, 1.0, Micros::ZERO).is_ok() {}
     let refusal = table
         .admit("large", &limits, 1.0, Micros::ZERO)
-        .expect_err("full for it");
+        .expect_err("at its share");
     assert_eq!(refusal.kind, ErrorKind::Overloaded);
     for _ in 0..20 {
         table
             .admit("small", &limits, 1.0, Micros::ZERO)
-            .expect("room for the small one");
+            .expect("capacity for the small organisation");
     }
 }
 
@@ -96,8 +96,8 @@
         queue.push("large", number, 1_000, never);
     }
     queue.push("small", 1_000, 1_000, never);
-    let place = (0..).find(|_| queue.pop().expect("work").key == 1_000);
-    assert!(place.expect("found") <= 2, "{place:?}");
+    let position = (0..).find(|_| queue.pop().expect("work").key == 1_000);
+    assert!(position.expect("found") <= 2, "{position:?}");
 }
 
 #[test]
--- a/core/tests/route_choice.rs
+++ b/core/tests/route_choice.rs
@@ -6,7 +6,7 @@
     pitchhitch_core::{
         conf::RuleEffect,
         errors::ErrorKind,
-        kept::{PieceDirectory, PieceHolder, PieceKey},
+        kv_cache::{PieceDirectory, PieceHolder, PieceKey},
         route::{EndpointKey, RoutePolicy, RouteReason},
     },
     proptest::prelude::*,
@@ -16,7 +16,7 @@
 #[test]
 fn holder_preferred() {
     let mut fleet = fleet(5);
-    fleet.hold(3, &prompt());
+    fleet.cache(3, &prompt());
     let table = fleet.build();
     let choice = choose(&table, "org", "v1", &prompt(), &[], 1).expect("choice");
     assert_eq!(chosen(&table, &choice), "e3");
@@ -28,7 +28,7 @@
 #[test]
 fn busy_holder_passed_over() {
     let mut fleet = fleet(3);
-    fleet.hold(1, &prompt());
+    fleet.cache(1, &prompt());
     let key = fleet.keys[1];
     fleet.loads[key].report.pending_tokens = 1_000_000;
     let table = fleet.build();
@@ -39,7 +39,7 @@
 #[test]
 fn own_sends_counted_once() {
     let mut fleet = fleet(2);
-    // The report holds 1,000 tokens, all of them this process's own, and all computed by now.
+    // The report contains 1,000 tokens, all sent by this process and computed since.
     let key = fleet.keys[0];
     fleet.loads[key].report.pending_tokens = 1_000;
     fleet.loads[key].own_tokens = 1_000;
@@ -191,12 +191,12 @@
 proptest! {
     #![proptest_config(ProptestConfig { rng_seed: proptest::test_runner::RngSeed::Fixed(9), ..ProptestConfig::default() })]
 
-    /// The same view, request and seed make the same decision, and the decision
-    /// is a usable, admitted endpoint of the right version.
+    /// The same table, request and seed yield the same decision, which is a usable,
+    /// admitted endpoint of the right version.
     #[test]
     fn same_input_same_choice(
         engines in 1usize..20,
-        dead in proptest::collection::vec(any::<bool>(), 20),
+        is_dead in proptest::collection::vec(any::<bool>(), 20),
         pending in proptest::collection::vec(0u64..50_000, 20),
         holders in proptest::collection::vec(0usize..20, 0..4),
         seed in any::<u64>(),
@@ -206,12 +206,12 @@
             fleet.rule("site", 0, "organisation=org", "site=a", RuleEffect::Allow);
             for number in 0..engines {
                 let key = fleet.keys[number];
-                fleet.loads[key].alive = !dead[number];
+                fleet.loads[key].alive = !is_dead[number];
                 fleet.loads[key].report.pending_tokens = pending[number];
             }
             for holder in &holders {
                 if *holder < engines {
-                    fleet.hold(*holder, &prompt());
+                    fleet.cache(*holder, &prompt());
                 }
             }
             fleet.build()
@@ -222,12 +222,12 @@
         prop_assert_eq!(&one, &two);
         if let Ok(choice) = one {
             let number: usize = chosen(&table, &choice)[1..].parse().expect("number");
-            prop_assert!(!dead[number]);
+            prop_assert!(!is_dead[number]);
             prop_assert_eq!(number % 2, 0);
         }
     }
 
-    /// The directory agrees with a plain list of what was added and removed.
+    /// The directory behaves like a plain list of additions and removals.
     #[test]
     fn directory_like_list(steps in proptest::collection::vec((0u64..30, 0usize..4, any::<bool>()), 1..200)) {
         let fleet = fleet(4);
--- a/core/tests/route_fleet/mod.rs
+++ b/core/tests/route_fleet/mod.rs
@@ -1,4 +1,4 @@
-//! Engines, services and organisations to choose among, for tests.
+//! Test fixture: a fleet of engines with organisations, rules and cached pieces.
 
 use {
     pitchhitch_core::{
@@ -7,11 +7,11 @@
             VersionConf,
         },
         errors::ErrorKind,
-        kept::{prefix_chain, PieceHolder, PieceKey, StoreTier, StoredCopy},
-        labels::{LabelSet, WorkSelector},
+        kv_cache::{prefix_keys, PieceHolder, PieceKey, StoreTier, StoredCopy},
+        labels::{LabelSelector, LabelSet},
         route::{
-            EndpointArena, EndpointKey, EndpointKind, EndpointLoad, EndpointState, LoadReport,
-            PoolIndex, RouteChoice, RouteRequest, RouteTable, SentLoad, StoreState, WorkTarget,
+            EndpointArena, EndpointKey, EndpointKind, EndpointLoad, EndpointState, InFlightLoad,
+            LoadReport, PoolIndex, RouteChoice, RouteRequest, RouteTable, StoreState, WorkTarget,
         },
         time::Micros,
     },
@@ -111,14 +111,14 @@
     ) {
         let rule = PlacementRule {
             precedence,
-            work: WorkSelector::parse(work).expect("work"),
-            endpoints: WorkSelector::parse(endpoints).expect("endpoints"),
+            work: LabelSelector::parse(work).expect("work"),
+            endpoints: LabelSelector::parse(endpoints).expect("endpoints"),
             effect,
         };
         self.config.rules.insert(name.to_string(), rule);
     }
 
-    pub fn hold(
+    pub fn cache(
         &mut self,
         endpoint: usize,
         pieces: &[PieceKey],
@@ -164,7 +164,7 @@
 
 pub fn prompt() -> Vec<PieceKey> {
     let text: Vec<u8> = (0..TOKENS as usize * 4).map(|n| (n % 251) as u8).collect();
-    prefix_chain("org", "v1", &text)
+    prefix_keys("org", "v1", &text)
 }
 
 pub fn choose(
@@ -188,7 +188,7 @@
         now: Micros::ZERO,
         seed,
     };
-    table.choose(&request, |_| SentLoad::default())
+    table.choose(&request, |_| InFlightLoad::default())
 }
 
 pub fn chosen(
--- a/core/tests/settings_check.rs
+++ b/core/tests/settings_check.rs
@@ -1,4 +1,4 @@
-//! Checking of settings.
+//! Parsing of settings files.
 
 use pitchhitch_core::settings::SettingsReader;
 
@@ -47,13 +47,13 @@
     assert!(error.contains("wanted one JSON object"), "{error}");
 }
 
-/// A template fills a text, or nothing where it does not know: then the default holds.
+/// Templates write strings, and an empty one for a missing value: the default applies then.
 #[test]
 fn spelled_flags() {
     let read = |value: &str| {
         let text = format!("{{\"closed\": {value}}}");
         let mut reader = SettingsReader::parse("box.json", &text).expect("readable");
-        let flag = reader.spelled_flag("closed", true);
+        let flag = reader.flag_or_text("closed", true);
         reader.finish().map(|()| flag).map_err(|e| e.to_string())
     };
     for (value, wanted) in [
--- a/core/tests/silent_agents.rs
+++ b/core/tests/silent_agents.rs
@@ -9,7 +9,7 @@
     entry_fixture::{linked_core, pulse, run_ticks},
     pitchhitch_core::{
         role::{AgentPulse, EntryAction, EntryCore, EntryEvent, WorkTicket},
-        route::SentLoad,
+        route::InFlightLoad,
         time::Micros,
     },
 };
@@ -20,7 +20,7 @@
     let busy = EntryEvent::PulseReceived {
         endpoint_id: "e1".to_string(),
         pulse: pulse(2),
-        own: SentLoad::default(),
+        own: InFlightLoad::default(),
     };
     core.step(Micros(3), busy);
     let alive = |core: &EntryCore| {
@@ -72,7 +72,7 @@
             taken_up,
             ..pulse(0)
         },
-        own: SentLoad::default(),
+        own: InFlightLoad::default(),
     }
 }
 
--- a/entry/src/filter/route.rs
+++ b/entry/src/filter/route.rs
@@ -6,8 +6,8 @@
     },
     pitchhitch_core::{
         errors::ErrorKind,
-        kept::{prefix_chain, PieceKey, PIECE_TOKENS},
-        place::ReturnLabel,
+        kv_cache::{prefix_keys, PieceKey, PIECE_TOKENS},
+        place::ReuseLabel,
         route::{EndpointKey, RouteChoice, RouteRequest},
     },
     pitchhitch_wire::messages::{ImportPlan, PinnedPiece},
@@ -56,7 +56,7 @@
     earlier: EarlierTries<'_>,
 ) -> Result<RoutedTry, Refusal> {
     let best = best_version(app, view, work, earlier)?;
-    let label = ReturnLabel {
+    let label = ReuseLabel {
         organisation: work.organisation.clone(),
         label: work.request.marks.label.clone(),
     };
@@ -95,7 +95,7 @@
         if pinned_elsewhere {
             continue;
         }
-        let pieces = prefix_chain(&work.organisation, &pool.version, &work.prompt);
+        let pieces = prefix_keys(&work.organisation, &pool.version, &work.prompt);
         match choose(app, view, work, earlier, &pool.version, &pieces) {
             Ok(choice) => {
                 let cheaper = best
@@ -200,7 +200,7 @@
         attempt,
         chosen: name(choice.endpoint),
         runner_up: choice.runner_up.map(|r| name(r.endpoint)),
-        reason: choice.reason.word().to_string(),
+        reason: choice.reason.as_str().to_string(),
         candidates: choice.candidates,
         input_tokens: work.input_tokens,
         reused_tokens: estimate.reused_pieces * PIECE_TOKENS,
--- a/entry/src/traffic/traffic_view.rs
+++ b/entry/src/traffic/traffic_view.rs
@@ -1,8 +1,8 @@
 use {
     super::{EndpointLink, KeyIndex},
     pitchhitch_core::{
-        place::ReturnModel,
-        route::{EndpointKey, RouteTable, SentLoad},
+        place::ReuseModel,
+        route::{EndpointKey, InFlightLoad, RouteTable},
     },
     slotmap::SecondaryMap,
     std::sync::Arc,
@@ -14,7 +14,7 @@
     /// For routing.
     pub table: Arc<RouteTable>,
     /// What is known of returns.
-    pub returns: Arc<ReturnModel>,
+    pub returns: Arc<ReuseModel>,
     /// Links by endpoint.
     pub links: Arc<SecondaryMap<EndpointKey, Arc<EndpointLink>>>,
     /// Keys of organisations.
@@ -30,10 +30,10 @@
     pub fn sent(
         &self,
         endpoint: EndpointKey,
-    ) -> SentLoad {
+    ) -> InFlightLoad {
         self.links
             .get(endpoint)
-            .map_or(SentLoad::default(), |l| l.sent())
+            .map_or(InFlightLoad::default(), |l| l.sent())
     }
 
     /// This process's part of limits that hold for the whole deployment.
--- a/testbed/examples/slopes/message_slopes.rs
+++ b/testbed/examples/slopes/message_slopes.rs
@@ -7,9 +7,9 @@
         small_world::{address, agent_beacon, config, core_with, pulse, ENDPOINTS},
     },
     pitchhitch_core::{
-        member::{Beacon, EntryBeacon},
+        membership::{Beacon, EntryBeacon},
         role::EntryEvent,
-        route::SentLoad,
+        route::InFlightLoad,
         time::Micros,
     },
     pitchhitch_wire::beacon::{BeaconKey, NumberedBeacon},
@@ -95,7 +95,7 @@
                     EntryEvent::PulseReceived {
                         endpoint_id: format!("engine-{number:05}"),
                         pulse: pulse(pending),
-                        own: SentLoad::default(),
+                        own: InFlightLoad::default(),
                     },
                 );
             }
@@ -110,7 +110,7 @@
                 EntryEvent::PulseReceived {
                     endpoint_id: "engine-00001".to_string(),
                     pulse: pulse(now),
-                    own: SentLoad::default(),
+                    own: InFlightLoad::default(),
                 },
             );
             black_box(core.step(Micros(now), EntryEvent::Tick));
--- a/testbed/examples/slopes/piece_slopes.rs
+++ b/testbed/examples/slopes/piece_slopes.rs
@@ -6,12 +6,12 @@
         small_world::{address, core_with, pulse},
     },
     pitchhitch_core::{
-        kept::{PieceKey, StoreTier},
+        kv_cache::{PieceKey, StoreTier},
         role::{
             BoxRole, EndpointEvent, EntryCore, EntryEvent, EventBatch, ListedBox, PromptUse,
             StoredNotice,
         },
-        route::SentLoad,
+        route::InFlightLoad,
         time::Micros,
     },
     pitchhitch_process::ProcessUsage,
@@ -40,7 +40,7 @@
             events,
             pulse: pulse(1),
         },
-        own: SentLoad::default(),
+        own: InFlightLoad::default(),
     }
 }
 
--- a/testbed/examples/slopes/request_slopes.rs
+++ b/testbed/examples/slopes/request_slopes.rs
@@ -7,9 +7,9 @@
     },
     pitchhitch_core::{
         conf::{CostWeights, OrganisationLimits},
-        kept::prefix_chain,
+        kv_cache::prefix_keys,
         limit::LimitTable,
-        route::{RouteRequest, SentLoad, WorkTarget},
+        route::{InFlightLoad, RouteRequest, WorkTarget},
         time::Micros,
     },
     std::hint::black_box,
@@ -41,7 +41,7 @@
                 now: Micros(40),
                 seed,
             };
-            black_box(table.choose(&request, |_| SentLoad::default())).ok();
+            black_box(table.choose(&request, |_| InFlightLoad::default())).ok();
         });
         decide.push(Point {
             size: count as f64,
@@ -53,7 +53,7 @@
     for pieces in [4usize, 16, 64, 256] {
         let text = vec![7u8; pieces * 2_048];
         let value = median_micros(101, || {
-            black_box(prefix_chain("org", "v1", &text));
+            black_box(prefix_keys("org", "v1", &text));
         });
         hash.push(Point {
             size: pieces as f64,
--- a/testbed/src/deploy/fake_agents.rs
+++ b/testbed/src/deploy/fake_agents.rs
@@ -1,9 +1,9 @@
 use {
     async_global_executor::Task,
     pitchhitch_core::{
-        kept::PieceKey,
+        kv_cache::PieceKey,
         labels::LabelSet,
-        member::{AgentBeacon, Beacon},
+        membership::{AgentBeacon, Beacon},
         role::{AgentPulse, EndpointEvent, EventBatch, PromptUse},
         route::{EndpointKind, LoadReport},
     },
