--- a/agent/src/beside/beside_context.rs
+++ b/agent/src/beside/beside_context.rs
@@ -2,8 +2,8 @@
     super::{BesideMetrics, BesideSettings, FrontContacts, SentDigests, StateKeeper, StoreReads},
     pitchhitch_core::{
         serving::{
-            EndpointNotice, EngineLoad, LifeOrder, LifeWatch, ListedLife, PartId, ProofBook,
-            ProvenTable, SuspectBook, WallTag,
+            EndpointNotice, EngineLoad, IncarnationOrder, IncarnationTracker, ListedIncarnation,
+            NamespaceTag, PartId, ProofBook, ProvenTable, SuspectTracker,
         },
         time::Micros,
     },
@@ -55,13 +55,13 @@
     /// Id of the engine, as fronts tell it.
     pub engine_id: Option<String>,
     /// The life that they mean by it.
-    pub id_life: ListedLife,
+    pub id_life: ListedIncarnation,
     /// Engine that leaves, and what is meant by its id as above.
-    pub left: Option<(String, ListedLife)>,
+    pub left: Option<(String, ListedIncarnation)>,
     /// Start of the engine's life, as it tells it itself.
     pub born: Option<u64>,
     /// What it tells of lives that were born earlier.
-    pub watch: LifeWatch,
+    pub watch: IncarnationTracker,
     /// Times that the engine was found to have forgotten what it kept.
     pub forgotten: u64,
     /// When digests were sent.
@@ -75,7 +75,7 @@
     /// Whether the engine has forgotten what it kept before those.
     pub forgets: bool,
     /// Requests under which endpoints ended: a copy that outlives the fronts.
-    pub suspects: SuspectBook,
+    pub suspects: SuspectTracker,
     /// Counters.
     pub metrics: BesideMetrics,
     /// Fronts that want to be told of all suspects.
@@ -94,7 +94,7 @@
     pub stores: StoreReads,
     announced_at: Option<Micros>,
     silent_fronts: usize,
-    kept: HashMap<(WallTag, PartId), u32>,
+    kept: HashMap<(NamespaceTag, PartId), u32>,
 }
 
 impl BesideState {
@@ -157,11 +157,11 @@
         now: Micros,
     ) -> bool {
         let order = self.watch.order(self.born, born, now);
-        if order == LifeOrder::Earlier {
+        if order == IncarnationOrder::Earlier {
             return false;
         }
         self.born = born.or(self.born);
-        if order == LifeOrder::Later {
+        if order == IncarnationOrder::Later {
             log::info!(event = "engine-reborn", born = born.unwrap_or(0); "");
             // The next report tells these of the life that has begun.
             self.load = EngineLoad::default();
@@ -178,7 +178,7 @@
     pub fn note_id(
         &mut self,
         id: &str,
-        life: ListedLife,
+        life: ListedIncarnation,
     ) -> bool {
         let is_news = self.engine_id.as_deref() != Some(id);
         let is_later = life.is_later_than(&self.id_life);
@@ -199,7 +199,7 @@
     pub fn note_end(
         &mut self,
         id: &str,
-        life: ListedLife,
+        life: ListedIncarnation,
         is_leaving: bool,
     ) {
         let is_known = self.left.as_ref().is_some_and(|(left, _)| left == id);
--- a/agent/src/beside/digest_sender.rs
+++ b/agent/src/beside/digest_sender.rs
@@ -1,7 +1,7 @@
 use {
     super::{BesideContext, BesideState, QUIET_LIMIT},
     pitchhitch_core::{
-        serving::{digest_pause, EngineLoad, ListedLife, StoreProof, ToldSuspect},
+        serving::{digest_interval, EngineLoad, ListedIncarnation, StoreProof, SuspectReport},
         time::Micros,
     },
     pitchhitch_process::to_duration,
@@ -55,7 +55,7 @@
                     state.newcomers.insert(from);
                 }
                 take_hello(&mut state, hello, age, now);
-                if state.suspects.has_news() {
+                if state.suspects.has_updates() {
                     beside.digest_due.wake();
                 }
                 if state.wants_order() {
@@ -97,10 +97,10 @@
     now: Micros,
 ) {
     for told in &hello.suspects {
-        state.suspects.tell_on(told, now);
+        state.suspects.merge_and_forward(told, now);
     }
     let id = hello.engine_id.as_deref();
-    let life = ListedLife {
+    let life = ListedIncarnation {
         born: hello.engine_born,
         row: hello.engine_row,
     };
@@ -151,13 +151,13 @@
         beside.digest_due.wait(to_duration(pause)).await;
         let now = beside.now();
         let fronts = beside.state().fronts.listening(now);
-        beside.state().digest_pause = digest_pause(fronts.len());
+        beside.state().digest_pause = digest_interval(fronts.len());
         tell_suspects(&beside, &mut count, fronts.len() as u32).await;
         tell_newcomers(&beside, &mut count, fronts.len() as u32).await;
         announce(&beside, &mut count, fronts.len() as u32).await;
         let load = beside.state().told_load();
         let has_changes = beside.state().has_changes();
-        let is_news = load != told || has_changes || beside.state().suspects.has_news();
+        let is_news = load != told || has_changes || beside.state().suspects.has_updates();
         if fronts.is_empty() || (!is_news && now.since(told_at) < QUIET_LIMIT) {
             continue;
         }
@@ -168,7 +168,7 @@
         let parts = take_pending(&beside);
         let mut digest = make_digest(&beside, load, count, fronts.len() as u32, parts);
         digest.is_change = has_changes;
-        digest.suspects = beside.state().suspects.take_news(SUSPECTS_LIMIT, now);
+        digest.suspects = beside.state().suspects.take_updates(SUSPECTS_LIMIT, now);
         digest.forgets = std::mem::take(&mut beside.state().forgets);
         let has_proofs = std::mem::take(&mut beside.state().has_fresh_proofs);
         if has_proofs || now.since(relayed_at) >= relay_pause(pause) {
@@ -238,10 +238,10 @@
     let told = {
         let mut state = beside.state();
         state.suspects.prune(now);
-        state.suspects.told(now)
+        state.suspects.reports(now)
     };
     let load = beside.state().told_load();
-    let mut pieces: Vec<&[ToldSuspect]> = told.chunks(SUSPECTS_LIMIT).collect();
+    let mut pieces: Vec<&[SuspectReport]> = told.chunks(SUSPECTS_LIMIT).collect();
     if pieces.is_empty() {
         pieces.push(&[]);
     }
--- a/agent/src/beside/kept_watch.rs
+++ b/agent/src/beside/kept_watch.rs
@@ -1,6 +1,6 @@
 use {
     super::BesideContext,
-    pitchhitch_core::serving::WallTag,
+    pitchhitch_core::serving::NamespaceTag,
     pitchhitch_platform::{KeptChanges, KeptClient},
     pitchhitch_process::to_duration,
     pitchhitch_wire::beside::DigestPart,
@@ -64,7 +64,7 @@
     }
     for change in &changes.changes {
         state.push_change(DigestPart {
-            wall: WallTag::of(&change.salt),
+            wall: NamespaceTag::of(&change.salt),
             id: change.id,
             tokens: change.tokens,
         });
--- a/agent/src/beside/store_reader.rs
+++ b/agent/src/beside/store_reader.rs
@@ -1,6 +1,6 @@
 use {
     super::BesideContext,
-    pitchhitch_core::{serving::WallTag, time::Micros},
+    pitchhitch_core::{serving::NamespaceTag, time::Micros},
     pitchhitch_platform::{KeptChanges, KeptClient, KeptFailure},
     pitchhitch_process::to_duration,
     pitchhitch_wire::beside::{StoreNews, StorePart},
@@ -152,7 +152,7 @@
         let parts: Vec<StorePart> = fresh
             .map(|change| StorePart {
                 number: change.number,
-                wall: WallTag::of(&change.salt),
+                wall: NamespaceTag::of(&change.salt),
                 id: change.id,
                 tokens: change.tokens,
             })
--- a/core/src/serving/admission_rule.rs
+++ b/core/src/serving/admission_rule.rs
@@ -189,7 +189,7 @@
     ) -> bool {
         let kept = match self.left_out.has(ServingMechanism::KeptMemory) {
             true => 0.0,
-            false => f64::from(choice.plan.kept_tokens) * KEPT_PART,
+            false => f64::from(choice.plan.cached_tokens) * KEPT_PART,
         };
         let wanted = (self.tokens(ask) - kept).max(0.0) + self.kept_back(ask, choice);
         self.free_tokens(choice)
--- a/core/src/serving/endpoint_book.rs
+++ b/core/src/serving/endpoint_book.rs
@@ -1,7 +1,7 @@
 use {
     super::{
-        EndpointEntry, EndpointLife, EndpointNotice, EndpointReturn, EndpointSlowStart,
-        EndpointStanding, PartMemory, StorePosition, SwapPlanner, SwapStage, UnreadWork,
+        EndpointEntry, EndpointIncarnation, EndpointNotice, EndpointRejoin, EndpointSlowStart,
+        EndpointStatus, PartIndex, PendingPrefill, StorePosition, SwapPlanner, SwapStage,
         WeightBelief,
     },
     crate::{retry::OutlierGuard, time::Micros},
@@ -16,7 +16,7 @@
 
 /// What a reading of the list changed.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum BookChange {
+pub enum EndpointChange {
     /// An endpoint may get requests from now on.
     Serves(String),
     /// An endpoint gets nothing new from now on.
@@ -32,16 +32,16 @@
 
 /// Time for which an endpoint that left is remembered, so that a write of an
 /// earlier time does not bring it back: writes may come some seconds late.
-const REMEMBER_LEFT: Micros = Micros::from_secs(30);
+const LEFT_RETENTION: Micros = Micros::from_secs(30);
 
 /// Every endpoint that is known, by id: an address may be used again.
 #[derive(Debug, Clone, Default)]
-pub struct EndpointBook {
+pub struct EndpointRegistry {
     pub(super) entries: SlotMap<EndpointKey, EndpointEntry>,
     ids: BTreeMap<String, EndpointKey>,
 }
 
-impl EndpointBook {
+impl EndpointRegistry {
     /// Key of an endpoint by id.
     pub fn key(
         &self,
@@ -92,10 +92,10 @@
             address: Some(entry.address),
             domain: entry.domain.clone(),
             slots: entry.slots,
-            is_leaving: !entry.may_be_there(),
-            is_away: !entry.is_listed() && entry.may_be_there(),
+            is_leaving: !entry.may_be_present(),
+            is_away: !entry.is_listed() && entry.may_be_present(),
             weights: Vec::new(),
-            born: entry.life.listed,
+            born: entry.incarnation.listed_born,
             slow_ms: None,
             // It rises with each heartbeat, and a copy counts as news by its content.
             row: StorePosition::default(),
@@ -104,23 +104,23 @@
     }
 
     /// Takes what the list says of an endpoint.
-    pub fn take(
+    pub fn apply(
         &mut self,
         notice: &EndpointNotice,
-    ) -> Option<BookChange> {
+    ) -> Option<EndpointChange> {
         let wanted = match notice.is_leaving || notice.is_away {
-            true => EndpointStanding::Leaving,
-            false => EndpointStanding::Serving,
+            true => EndpointStatus::Leaving,
+            false => EndpointStatus::Serving,
         };
         let address = notice.address?;
         if let Some(key) = self.key(&notice.id) {
             let entry = &mut self.entries[key];
             if notice.is_away {
                 // This box has heard of it by itself.
-                let is_news = entry.take_away_word(notice);
-                return is_news.then(|| BookChange::Away(entry.id.clone()));
+                let is_new = entry.apply_unlisted(notice);
+                return is_new.then(|| EndpointChange::Away(entry.id.clone()));
             }
-            return entry.take_notice(notice, wanted);
+            return entry.apply_listed(notice, wanted);
         }
         let mut weights = WeightBelief::default();
         for (model, version) in &notice.weights {
@@ -132,86 +132,87 @@
             address,
             domain: notice.domain.clone(),
             slots: notice.slots,
-            standing: wanted,
-            is_overtaken: false,
+            status: wanted,
+            is_superseded: false,
             // One that is away is asked when its entry is back: counted as leaving for
             // good, it got nothing until it was forgotten.
-            comeback: match notice.is_away {
-                true => EndpointReturn::Away,
-                false => EndpointReturn::of(wanted),
+            rejoin: match notice.is_away {
+                true => EndpointRejoin::Away,
+                false => EndpointRejoin::of(wanted),
             },
-            set_back: None,
+            rollback_notice: None,
             left_at: None,
-            life: EndpointLife {
+            incarnation: EndpointIncarnation {
                 born: notice.born,
-                listed: notice.born,
+                listed_born: notice.born,
                 row: notice.row,
-                ..EndpointLife::default()
+                ..EndpointIncarnation::default()
             },
             weights,
             load: None,
-            parts: PartMemory::default(),
+            parts: PartIndex::default(),
             is_mirrored: false,
             slow_start: EndpointSlowStart::default(),
             guard: OutlierGuard::default(),
             answered_at: None,
             stage: SwapStage::Idle,
             running: 0,
-            unread: Vec::new(),
+            pending_prefills: Vec::new(),
         });
         self.ids.insert(notice.id.clone(), key);
         let id = notice.id.clone();
         match notice.is_away {
-            true => Some(BookChange::Away(id)),
-            false => Some(change(wanted, id)),
+            true => Some(EndpointChange::Away(id)),
+            false => Some(status_change(wanted, id)),
         }
     }
 
     /// Takes that an endpoint is on the list no more; `is_steady` says whether
     /// the list can be trusted.
-    pub fn gone(
+    pub fn mark_unlisted(
         &mut self,
         id: &str,
         is_steady: bool,
-    ) -> Option<BookChange> {
+    ) -> Option<EndpointChange> {
         let key = self.key(id)?;
         let entry = &mut self.entries[key];
-        let before = entry.standing;
-        if !is_steady && before == EndpointStanding::Serving {
-            entry.standing = EndpointStanding::Lapsed;
-            return Some(BookChange::Lapses(id.to_string()));
+        let before = entry.status;
+        if !is_steady && before == EndpointStatus::Serving {
+            entry.status = EndpointStatus::Lapsed;
+            return Some(EndpointChange::Lapses(id.to_string()));
         }
-        if entry.comeback != EndpointReturn::Never {
-            entry.comeback = EndpointReturn::Away;
+        if entry.rejoin != EndpointRejoin::Never {
+            entry.rejoin = EndpointRejoin::Away;
         }
         if !is_steady {
             return None;
         }
-        entry.standing = EndpointStanding::Leaving;
-        (before != EndpointStanding::Leaving).then(|| BookChange::Leaves(id.to_string()))
+        entry.status = EndpointStatus::Leaving;
+        (before != EndpointStatus::Leaving).then(|| EndpointChange::Leaves(id.to_string()))
     }
 
     /// Takes a whole list: what is not on it is gone.
-    pub fn take_all(
+    pub fn apply_all(
         &mut self,
         notices: &[EndpointNotice],
         is_steady: bool,
-    ) -> Vec<BookChange> {
-        let mut changes: Vec<BookChange> = notices.iter().filter_map(|n| self.take(n)).collect();
+    ) -> Vec<EndpointChange> {
+        let mut changes: Vec<EndpointChange> =
+            notices.iter().filter_map(|n| self.apply(n)).collect();
         let listed: HashSet<&str> = notices.iter().map(|n| n.id.as_str()).collect();
         let known: Vec<String> = self.ids.keys().cloned().collect();
         let missing = known.iter().filter(|id| !listed.contains(id.as_str()));
-        changes.extend(missing.filter_map(|id| self.gone(id, is_steady)));
+        changes.extend(missing.filter_map(|id| self.mark_unlisted(id, is_steady)));
         changes
     }
 
     /// The list can be trusted again: who lapsed and did not come back is gone.
-    pub fn settle(&mut self) -> Vec<BookChange> {
-        let lapsed = |entry: &&mut EndpointEntry| entry.standing == EndpointStanding::Lapsed;
+    pub fn expire_lapsed(&mut self) -> Vec<EndpointChange> {
+        let lapsed = |entry: &&mut EndpointEntry| entry.status == EndpointStatus::Lapsed;
         let mut changes = Vec::new();
         for entry in self.entries.values_mut().filter(lapsed) {
-            entry.standing = EndpointStanding::Leaving;
-            changes.push(BookChange::Leaves(entry.id.clone()));
+            entry.status = EndpointStatus::Leaving;
+            changes.push(EndpointChange::Leaves(entry.id.clone()));
         }
         changes
     }
@@ -225,25 +226,25 @@
         let entries = &mut self.entries;
         self.ids.retain(|_, key| {
             let entry = &mut entries[*key];
-            if entry.standing != EndpointStanding::Leaving {
+            if entry.status != EndpointStatus::Leaving {
                 return true;
             }
-            if entry.may_be_there() && entry.fresh_load(now).is_some() {
+            if entry.may_be_present() && entry.fresh_load(now).is_some() {
                 entry.left_at = Some(now);
             }
             let left_at = *entry.left_at.get_or_insert(now);
-            entry.parts = PartMemory::default();
+            entry.parts = PartIndex::default();
             entry.is_mirrored = false;
-            let is_over = entry.running == 0 && now.since(left_at) > REMEMBER_LEFT;
-            if is_over {
+            let is_expired = entry.running == 0 && now.since(left_at) > LEFT_RETENTION;
+            if is_expired {
                 entries.remove(*key);
             }
-            !is_over
+            !is_expired
         });
     }
 
     /// Marks which endpoints are about to load new weights.
-    pub fn mark_swaps(
+    pub fn update_stages(
         &mut self,
         planner: &SwapPlanner,
     ) {
@@ -253,20 +254,20 @@
     }
 
     /// Notes that a request was handed to an endpoint.
-    pub fn sent(
+    pub fn record_sent(
         &mut self,
         key: EndpointKey,
-        work: UnreadWork,
+        prefill: PendingPrefill,
     ) {
         if let Some(entry) = self.entries.get_mut(key) {
             entry.running += 1;
-            entry.slow_start.note_sent(work.ticket, work.sent_at);
-            entry.unread.push(work);
+            entry.slow_start.note_sent(prefill.ticket, prefill.sent_at);
+            entry.pending_prefills.push(prefill);
         }
     }
 
     /// Notes that a request is written to an endpoint now, some time after it was counted there.
-    pub fn written(
+    pub fn record_written(
         &mut self,
         key: EndpointKey,
         ticket: u64,
@@ -278,7 +279,7 @@
     }
 
     /// Notes that a request was not sent to an endpoint at which it was counted.
-    pub fn unsent(
+    pub fn record_unsent(
         &mut self,
         key: EndpointKey,
         ticket: u64,
@@ -289,30 +290,32 @@
     }
 
     /// Notes that an endpoint has begun to answer a request.
-    pub fn begun(
+    pub fn record_started(
         &mut self,
         key: EndpointKey,
         ticket: u64,
     ) {
         if let Some(entry) = self.entries.get_mut(key) {
-            entry.unread.retain(|work| work.ticket != ticket);
+            entry
+                .pending_prefills
+                .retain(|prefill| prefill.ticket != ticket);
         }
     }
 
     /// Notes that an endpoint is done with a request.
-    pub fn ended(
+    pub fn record_ended(
         &mut self,
         key: EndpointKey,
         ticket: u64,
     ) {
-        self.begun(key, ticket);
+        self.record_started(key, ticket);
         if let Some(entry) = self.entries.get_mut(key) {
             entry.running = entry.running.saturating_sub(1);
         }
     }
 
     /// Notes how a request went at an endpoint; true when that takes it out.
-    pub fn judged(
+    pub fn record_outcome(
         &mut self,
         key: EndpointKey,
         is_sound: bool,
@@ -330,13 +333,13 @@
     }
 }
 
-pub(super) fn change(
-    standing: EndpointStanding,
+pub(super) fn status_change(
+    status: EndpointStatus,
     id: String,
-) -> BookChange {
-    match standing {
-        EndpointStanding::Serving => BookChange::Serves(id),
-        EndpointStanding::Lapsed => BookChange::Lapses(id),
-        EndpointStanding::Leaving => BookChange::Leaves(id),
+) -> EndpointChange {
+    match status {
+        EndpointStatus::Serving => EndpointChange::Serves(id),
+        EndpointStatus::Lapsed => EndpointChange::Lapses(id),
+        EndpointStatus::Leaving => EndpointChange::Leaves(id),
     }
 }
--- a/core/src/serving/endpoint_entry.rs
+++ b/core/src/serving/endpoint_entry.rs
@@ -1,7 +1,7 @@
 use {
     super::{
-        EndpointLife, EndpointReturn, EndpointSlowStart, EnginePace, PartMemory, StorePosition,
-        SwapStage, WeightBelief,
+        EndpointIncarnation, EndpointRejoin, EndpointSlowStart, EnginePace, PartIndex,
+        StorePosition, SwapStage, WeightBelief,
     },
     crate::{retry::OutlierGuard, time::Micros},
     serde::{Deserialize, Serialize},
@@ -65,14 +65,14 @@
 
 impl EngineLoad {
     /// Time after which more than one report is missing.
-    fn missed(&self) -> Micros {
+    fn report_timeout(&self) -> Micros {
         Micros(self.again_within.0 * 5 / 2)
     }
 }
 
 /// Whether an endpoint may get requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum EndpointStanding {
+pub enum EndpointStatus {
     /// It serves.
     Serving,
     /// Its entry went while the store was in trouble: it may still serve.
@@ -83,15 +83,15 @@
 
 /// A request of ours that an endpoint has and has not begun to answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct UnreadWork {
+pub struct PendingPrefill {
     /// Ticket of the request.
     pub ticket: u64,
     /// Tokens that the endpoint must read for it.
     pub tokens: u32,
     /// Memory that it takes at the endpoint, in tokens; what is kept or fetched counts too.
     pub memory_tokens: u32,
-    /// Its rank; engines read the more urgent first.
-    pub rank: u8,
+    /// Its priority; engines read the more urgent first.
+    pub priority: u8,
     /// When it was sent.
     pub sent_at: Micros,
 }
@@ -110,25 +110,25 @@
     /// Requests that it runs at once; 0 where that is not told.
     pub slots: u32,
     /// Whether it may get requests.
-    pub standing: EndpointStanding,
+    pub status: EndpointStatus,
     /// Whether another endpoint of its service was listed later at its address: nobody answers
     /// there for it, as far as is known.
-    pub is_overtaken: bool,
+    pub is_superseded: bool,
     /// Whether it may come back, once it is leaving.
-    pub comeback: EndpointReturn,
+    pub rejoin: EndpointRejoin,
     /// What the list says of it since it left, of a life that was born earlier: a late write,
     /// or the word of one whose clock was set back. It is asked which.
-    pub set_back: Option<EndpointNotice>,
+    pub rollback_notice: Option<EndpointNotice>,
     /// Since when it is known to be leaving.
     pub left_at: Option<Micros>,
     /// Which of its lives is known.
-    pub life: EndpointLife,
+    pub incarnation: EndpointIncarnation,
     /// Versions of its weights.
     pub weights: WeightBelief,
     /// Last report from beside it.
     pub load: Option<EngineLoad>,
     /// Parts that it is believed to keep.
-    pub parts: PartMemory,
+    pub parts: PartIndex,
     /// Whether all that it keeps has been told since it is known.
     pub is_mirrored: bool,
     /// How it stands with the load that it bears after its start.
@@ -142,22 +142,22 @@
     /// Requests of ours that it has.
     pub running: u32,
     /// Those of them that it has not begun to answer.
-    pub unread: Vec<UnreadWork>,
+    pub pending_prefills: Vec<PendingPrefill>,
 }
 
 /// Age at which a report says nothing of the engine's queue any more.
-const REPORT_LIFE: Micros = Micros::from_millis(1_500);
+const REPORT_MAX_AGE: Micros = Micros::from_millis(1_500);
 /// Time that a request takes to show up in a report.
 const REPORT_LAG: Micros = Micros::from_millis(40);
 
 /// Part of a prompt that is being read which has been read already, on average.
-const READ_PART: f64 = 0.5;
+const PREFILL_PROGRESS: f64 = 0.5;
 
 /// Part of an engine's memory that prompts may fill, in hundredths. Answers grow
 /// in the rest; where it is used up, an engine puts a prompt back and reads it anew.
 /// Filled to the last, 182 prompts of six replayed days were put back, to nine tenths
 /// 16; 80 to 94 in 100 are not told apart.
-const FILLED_PART: u64 = 90;
+const PROMPT_MEMORY_PERCENT: u64 = 90;
 
 /// Age from which a missing report makes an endpoint suspect.
 const SUSPECT_AFTER: Micros = Micros::from_millis(700);
@@ -178,7 +178,7 @@
         let answered = self
             .answered_at
             .is_some_and(|at| now.since(at) < SUSPECT_AFTER);
-        age > SUSPECT_AFTER.max(load.missed()) && age < UNREPORTED_AFTER && !answered
+        age > SUSPECT_AFTER.max(load.report_timeout()) && age < UNREPORTED_AFTER && !answered
     }
 
     /// Report that is fresh enough to go by.
@@ -188,19 +188,19 @@
     ) -> Option<&EngineLoad> {
         self.load
             .as_ref()
-            .filter(|load| now.since(load.at) < REPORT_LIFE.max(load.missed()))
+            .filter(|load| now.since(load.at) < REPORT_MAX_AGE.max(load.report_timeout()))
     }
 
     /// Requests of others that the endpoint has not begun to answer.
-    pub fn unread_of_others(
+    pub fn other_pending_prefills(
         &self,
         now: Micros,
     ) -> u32 {
         let Some(load) = self.fresh_load(now) else {
             return 0;
         };
-        let seen = |work: &&UnreadWork| work.sent_at + REPORT_LAG < load.at;
-        let own = self.unread.iter().filter(seen).count() as u32;
+        let is_reported = |prefill: &&PendingPrefill| prefill.sent_at + REPORT_LAG < load.at;
+        let own = self.pending_prefills.iter().filter(is_reported).count() as u32;
         load.unread.saturating_sub(own)
     }
 
@@ -208,7 +208,7 @@
     /// that waits, and half of one for each that is being read. A report that was taken some
     /// time ago says less and less of them, and the mean of all more: of a hundred boxes each
     /// sent its prompts to the engine that had been idle half a second before.
-    pub fn tokens_of_others(
+    pub fn other_prefill_tokens(
         &self,
         now: Micros,
         pace: &EnginePace,
@@ -217,35 +217,39 @@
             return 0.0;
         };
         let reading = f64::from(load.reading) / f64::from(load.unread.max(1));
-        let others = f64::from(self.unread_of_others(now));
-        let told = others * (1.0 - reading * READ_PART) * pace.unread_tokens();
-        let usual = pace.queued_tokens();
+        let others = f64::from(self.other_pending_prefills(now));
+        let reported = others * (1.0 - reading * PREFILL_PROGRESS) * pace.unread_tokens();
+        let average = pace.queued_tokens();
         // What did not change since is not told again.
         let age = now.since(load.at).min(load.changes_within);
-        usual + (told - usual) * pace.still_holds(age)
+        average + (reported - average) * pace.still_holds(age)
     }
 
     /// Tokens that our requests still have to be read for, of those that go
-    /// before a request of this rank.
-    pub fn unread_tokens(
+    /// before a request of this priority.
+    pub fn pending_tokens(
         &self,
-        rank: u8,
+        priority: u8,
     ) -> u64 {
-        let before = self.unread.iter().filter(|work| work.rank <= rank);
-        before.map(|work| u64::from(work.tokens)).sum()
+        let before = self
+            .pending_prefills
+            .iter()
+            .filter(|prefill| prefill.priority <= priority);
+        before.map(|prefill| u64::from(prefill.tokens)).sum()
     }
 
     /// Memory for prompts that the last report does not count yet, in tokens: ours
     /// that were sent since, and those that wait. What is being read has its memory.
-    pub fn coming_tokens(
+    pub fn unreported_tokens(
         &self,
         now: Micros,
         pace: &EnginePace,
     ) -> u64 {
         let load = self.fresh_load(now);
-        let is_new = |work: &&UnreadWork| load.is_none_or(|l| work.sent_at + REPORT_LAG >= l.at);
-        let ours = self.unread.iter().filter(is_new);
-        let ours: u64 = ours.map(|work| u64::from(work.memory_tokens)).sum();
+        let is_new =
+            |prefill: &&PendingPrefill| load.is_none_or(|l| prefill.sent_at + REPORT_LAG >= l.at);
+        let ours = self.pending_prefills.iter().filter(is_new);
+        let ours: u64 = ours.map(|prefill| u64::from(prefill.memory_tokens)).sum();
         let waiting = load.map_or(0.0, |load| f64::from(load.waiting));
         ours + (waiting * pace.prompt_tokens()) as u64
     }
@@ -259,9 +263,9 @@
         pace: &EnginePace,
     ) -> Option<u64> {
         let load = self.fresh_load(now)?;
-        let room = load.total_tokens * FILLED_PART / 100;
-        let taken = load.used_tokens + self.coming_tokens(now, pace);
-        (taken > 0).then(|| room.saturating_sub(taken))
+        let usable = load.total_tokens * PROMPT_MEMORY_PERCENT / 100;
+        let used = load.used_tokens + self.unreported_tokens(now, pace);
+        (used > 0).then(|| usable.saturating_sub(used))
     }
 
     /// Requests that it runs or holds, as far as is known.
--- a/core/src/serving/endpoint_life.rs
+++ b/core/src/serving/endpoint_life.rs
@@ -1,8 +1,8 @@
 use {
     super::{
-        change, BookChange, EndpointBook, EndpointEntry, EndpointKey, EndpointNotice,
-        EndpointReturn, EndpointStanding, LifeWatch, ListedLife, PartMemory, StorePosition,
-        SwapStage, WeightBelief,
+        status_change, EndpointChange, EndpointEntry, EndpointKey, EndpointNotice,
+        EndpointRegistry, EndpointRejoin, EndpointStatus, IncarnationTracker, ListedIncarnation,
+        PartIndex, StorePosition, SwapStage, WeightBelief,
     },
     crate::{retry::OutlierGuard, time::Micros},
     std::{collections::BTreeMap, net::SocketAddr},
@@ -10,12 +10,12 @@
 
 /// Time for which a digest of an earlier life of its sender counts as late; after that
 /// the sender's clock has been set back.
-const LATE_SENDER: Micros = Micros::from_millis(1_500);
+const LATE_DIGEST_WINDOW: Micros = Micros::from_millis(1_500);
 
 /// How the life that somebody tells of stands to the one that is known.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum LifeOrder {
-    /// It is over: what is told of it says nothing.
+pub enum IncarnationOrder {
+    /// It is superseded: what is reported of it says nothing.
     Earlier,
     /// It is the same, as far as is known.
     Same,
@@ -23,25 +23,25 @@
     Later,
 }
 
-impl LifeOrder {
-    /// Compares the starts of two lives; where one is not told they count as one.
+impl IncarnationOrder {
+    /// Compares the starts of two lives; where one is not reported they count as one.
     pub fn of(
         known: Option<u64>,
-        told: Option<u64>,
+        reported: Option<u64>,
     ) -> Self {
-        match (known, told) {
-            (Some(known), Some(told)) if told < known => LifeOrder::Earlier,
-            (Some(known), Some(told)) if told > known => LifeOrder::Later,
-            _ => LifeOrder::Same,
+        match (known, reported) {
+            (Some(known), Some(reported)) if reported < known => IncarnationOrder::Earlier,
+            (Some(known), Some(reported)) if reported > known => IncarnationOrder::Later,
+            _ => IncarnationOrder::Same,
         }
     }
 }
 
 /// Place of a digest among those of its sender.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct DigestMark {
+pub struct DigestPosition {
     /// Life of the sender.
-    pub life: u64,
+    pub incarnation: u64,
     /// Number of the digest in that life.
     pub number: u64,
     /// Digests with changes of parts so far, this one included.
@@ -53,7 +53,7 @@
 /// What a digest is worth by its place.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum DigestOrder {
-    /// It is the next one, or only load was told in those that are missing.
+    /// It is the next one, or only load was reported in those that are missing.
     Next,
     /// Changes of parts are missing before it.
     Gap,
@@ -61,51 +61,53 @@
     Overtaken,
 }
 
-/// Which life of an endpoint is known, and who told of it.
+/// Which life of an endpoint is known, and who reported of it.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct EndpointLife {
-    /// Start of the latest life that anybody told of, in milliseconds since 1970.
+pub struct EndpointIncarnation {
+    /// Start of the latest life that anybody reported of, in milliseconds since 1970.
     pub born: Option<u64>,
     /// Start of the life that the list tells of.
-    pub listed: Option<u64>,
+    pub listed_born: Option<u64>,
     /// Position of its last row in the list.
     pub row: StorePosition,
     /// Lives that have ended since it is known; what a request learned in one of
     /// them says nothing of this one.
     pub ended: u32,
     /// The latest digest.
-    pub digest: Option<DigestMark>,
+    pub digest: Option<DigestPosition>,
     /// What digests tell of lives that were born earlier.
-    pub watch: LifeWatch,
+    pub tracker: IncarnationTracker,
 }
 
-impl EndpointLife {
+impl EndpointIncarnation {
     /// Which life the list means.
-    pub fn told(&self) -> ListedLife {
-        ListedLife {
-            born: self.listed,
+    pub fn listed(&self) -> ListedIncarnation {
+        ListedIncarnation {
+            born: self.listed_born,
             row: self.row,
         }
     }
 
     /// Takes the place of a digest that tells of this life; `is_change` says whether
     /// it has changes of parts.
-    pub fn note_digest(
+    pub fn record_digest(
         &mut self,
-        told: DigestMark,
+        reported: DigestPosition,
         is_change: bool,
     ) -> DigestOrder {
         let Some(known) = self.digest else {
-            self.digest = Some(told);
+            self.digest = Some(reported);
             return DigestOrder::Next;
         };
-        let is_late = told.life < known.life && told.at.since(known.at) < LATE_SENDER;
-        if is_late || (told.life == known.life && told.number <= known.number) {
+        let is_late = reported.incarnation < known.incarnation
+            && reported.at.since(known.at) < LATE_DIGEST_WINDOW;
+        if is_late || (reported.incarnation == known.incarnation && reported.number <= known.number)
+        {
             return DigestOrder::Overtaken;
         }
-        self.digest = Some(told);
+        self.digest = Some(reported);
         let expected = known.changes + u64::from(is_change);
-        match told.life == known.life && told.changes == expected {
+        match reported.incarnation == known.incarnation && reported.changes == expected {
             true => DigestOrder::Next,
             false => DigestOrder::Gap,
         }
@@ -114,29 +116,30 @@
 
 impl EndpointEntry {
     /// Takes what the list says of an endpoint that is known.
-    pub(super) fn take_notice(
+    pub(super) fn apply_listed(
         &mut self,
         notice: &EndpointNotice,
-        wanted: EndpointStanding,
-    ) -> Option<BookChange> {
-        let order = LifeOrder::of(self.life.born, notice.born);
+        wanted: EndpointStatus,
+    ) -> Option<EndpointChange> {
+        let order = IncarnationOrder::of(self.incarnation.born, notice.born);
         // A write of the earlier life may be carried out seconds late.
-        if order == LifeOrder::Earlier {
-            if wanted == EndpointStanding::Serving {
-                self.doubt_end(notice);
+        if order == IncarnationOrder::Earlier {
+            if wanted == EndpointStatus::Serving {
+                self.record_rollback(notice);
             }
             return None;
         }
-        self.set_back = None;
-        let is_later = order == LifeOrder::Later;
+        self.rollback_notice = None;
+        let is_later = order == IncarnationOrder::Later;
         if is_later {
-            self.begin_life(notice.born);
+            self.begin_incarnation(notice.born);
         }
-        let is_first_word = LifeOrder::of(self.life.listed, notice.born) == LifeOrder::Later;
-        self.life.born = notice.born.or(self.life.born);
-        self.life.listed = notice.born.or(self.life.listed);
-        if notice.row.is_told_after(self.life.row) {
-            self.life.row = notice.row;
+        let is_first_listing = IncarnationOrder::of(self.incarnation.listed_born, notice.born)
+            == IncarnationOrder::Later;
+        self.incarnation.born = notice.born.or(self.incarnation.born);
+        self.incarnation.listed_born = notice.born.or(self.incarnation.listed_born);
+        if notice.row.is_told_after(self.incarnation.row) {
+            self.incarnation.row = notice.row;
         }
         for (model, version) in &notice.weights {
             // The list lags behind answers and reports, so it never sets back.
@@ -148,145 +151,156 @@
                 self.weights.learn(model, *version);
             }
         }
-        if is_first_word {
-            return self.stand_anew(notice, wanted, is_later);
+        if is_first_listing {
+            return self.begin_listing(notice, wanted, is_later);
         }
-        self.restand(wanted)
-            .then(|| change(wanted, self.id.clone()))
+        self.update_status(wanted)
+            .then(|| status_change(wanted, self.id.clone()))
     }
 
     /// Takes that it is there without being on a list; true where that is news: it was
     /// known to have left, in an earlier life.
-    pub(super) fn take_away_word(
+    pub(super) fn apply_unlisted(
         &mut self,
         notice: &EndpointNotice,
     ) -> bool {
-        let is_later = LifeOrder::of(self.life.born, notice.born) == LifeOrder::Later;
-        if self.may_be_there() || !is_later {
+        let is_later =
+            IncarnationOrder::of(self.incarnation.born, notice.born) == IncarnationOrder::Later;
+        if self.may_be_present() || !is_later {
             return false;
         }
-        self.begin_life(notice.born);
-        self.comeback = EndpointReturn::Away;
+        self.begin_incarnation(notice.born);
+        self.rejoin = EndpointRejoin::Away;
         self.left_at = None;
         true
     }
 
     /// Takes the first word of the list on a later life: what the earlier one said of
     /// its end is over.
-    pub(super) fn stand_anew(
+    pub(super) fn begin_listing(
         &mut self,
         notice: &EndpointNotice,
-        wanted: EndpointStanding,
+        wanted: EndpointStatus,
         is_later: bool,
-    ) -> Option<BookChange> {
-        let before = self.standing;
+    ) -> Option<EndpointChange> {
+        let before = self.status;
         self.service.clone_from(&notice.service);
         self.domain.clone_from(&notice.domain);
         self.address = notice.address.unwrap_or(self.address);
         self.slots = notice.slots;
-        self.standing = wanted;
-        self.comeback = EndpointReturn::of(wanted);
+        self.status = wanted;
+        self.rejoin = EndpointRejoin::of(wanted);
         self.left_at = None;
         let id = self.id.clone();
         match (wanted, before) {
-            (EndpointStanding::Serving, _) if is_later => Some(BookChange::Restarts(id)),
-            _ if before != wanted => Some(change(wanted, id)),
+            (EndpointStatus::Serving, _) if is_later => Some(EndpointChange::Restarts(id)),
+            _ if before != wanted => Some(status_change(wanted, id)),
             _ => None,
         }
     }
 
     /// Begins a later life: the endpoint holds and knows nothing of before. Requests
     /// of ours count until they end.
-    pub(super) fn begin_life(
+    pub(super) fn begin_incarnation(
         &mut self,
         born: Option<u64>,
     ) {
         self.weights = WeightBelief::default();
         self.load = None;
-        self.parts = PartMemory::default();
+        self.parts = PartIndex::default();
         self.is_mirrored = false;
         self.guard = OutlierGuard::default();
         self.answered_at = None;
         self.stage = SwapStage::Idle;
-        self.life.born = born;
-        self.life.ended += 1;
+        self.incarnation.born = born;
+        self.incarnation.ended += 1;
     }
 }
 
-impl EndpointBook {
+impl EndpointRegistry {
     /// Takes of which life of an endpoint a digest tells. Where that is a later one,
     /// the endpoint stands as before until the list tells of it too.
-    pub fn hear_life(
+    pub fn observe_incarnation(
         &mut self,
         key: EndpointKey,
         born: Option<u64>,
         now: Micros,
-    ) -> LifeOrder {
+    ) -> IncarnationOrder {
         let Some(entry) = self.entries.get_mut(key) else {
-            return LifeOrder::Earlier;
+            return IncarnationOrder::Earlier;
         };
-        let order = entry.life.watch.order(entry.life.born, born, now);
+        let order = entry
+            .incarnation
+            .tracker
+            .order(entry.incarnation.born, born, now);
         match order {
-            LifeOrder::Earlier => {}
-            LifeOrder::Same => entry.life.born = born.or(entry.life.born),
-            LifeOrder::Later => entry.begin_life(born),
+            IncarnationOrder::Earlier => {}
+            IncarnationOrder::Same => entry.incarnation.born = born.or(entry.incarnation.born),
+            IncarnationOrder::Later => entry.begin_incarnation(born),
         }
         order
     }
 
     /// Ends endpoints at whose address the list tells of one of the same service that
     /// was born later: nothing of them is there any more, whatever their entries say.
-    pub fn end_overtaken(&mut self) -> Vec<BookChange> {
+    pub fn retire_superseded(&mut self) -> Vec<EndpointChange> {
         let mut latest: BTreeMap<(SocketAddr, &str), u64> = BTreeMap::new();
         for entry in self.entries.values() {
-            if let (EndpointStanding::Serving, Some(born)) = (entry.standing, entry.life.listed) {
-                let known = latest.entry(place(entry)).or_insert(born);
+            if let (EndpointStatus::Serving, Some(born)) =
+                (entry.status, entry.incarnation.listed_born)
+            {
+                let known = latest.entry(service_address(entry)).or_insert(born);
                 *known = born.max(*known);
             }
         }
-        let is_over = |(_, entry): &(EndpointKey, &EndpointEntry)| {
-            let newest = latest.get(&place(entry)).copied();
-            LifeOrder::of(newest, entry.life.listed) == LifeOrder::Earlier
+        let is_superseded = |(_, entry): &(EndpointKey, &EndpointEntry)| {
+            let newest = latest.get(&service_address(entry)).copied();
+            IncarnationOrder::of(newest, entry.incarnation.listed_born) == IncarnationOrder::Earlier
         };
-        let over: Vec<EndpointKey> = self.iter().filter(is_over).map(|(key, _)| key).collect();
+        let superseded: Vec<EndpointKey> = self
+            .iter()
+            .filter(is_superseded)
+            .map(|(key, _)| key)
+            .collect();
         let mut changes = Vec::new();
-        for key in over {
+        for key in superseded {
             let entry = &mut self.entries[key];
-            entry.comeback = EndpointReturn::Never;
-            if entry.standing != EndpointStanding::Leaving {
-                entry.standing = EndpointStanding::Leaving;
-                changes.push(BookChange::Leaves(entry.id.clone()));
+            entry.rejoin = EndpointRejoin::Never;
+            if entry.status != EndpointStatus::Leaving {
+                entry.status = EndpointStatus::Leaving;
+                changes.push(EndpointChange::Leaves(entry.id.clone()));
             }
         }
-        self.mark_overtaken();
+        self.mark_superseded();
         changes
     }
 
     /// Marks endpoints at whose address the list shows another one of their service later: after a
     /// crash an endpoint is listed under its old and its new id for some seconds, and requests to
     /// the old one are refused.
-    pub fn mark_overtaken(&mut self) {
-        let mut latest: BTreeMap<(SocketAddr, &str), (EndpointKey, ListedLife)> = BTreeMap::new();
+    pub fn mark_superseded(&mut self) {
+        let mut latest: BTreeMap<(SocketAddr, &str), (EndpointKey, ListedIncarnation)> =
+            BTreeMap::new();
         let mut overtaken: Vec<EndpointKey> = Vec::new();
         for (key, entry) in self.iter().filter(|(_, entry)| entry.is_listed()) {
-            let told = entry.life.told();
-            match latest.get(&place(entry)) {
-                Some((_, known)) if !told.is_later_than(known) => overtaken.push(key),
+            let listed = entry.incarnation.listed();
+            match latest.get(&service_address(entry)) {
+                Some((_, known)) if !listed.is_later_than(known) => overtaken.push(key),
                 known => {
                     overtaken.extend(known.map(|(earlier, _)| *earlier));
-                    latest.insert(place(entry), (key, told));
+                    latest.insert(service_address(entry), (key, listed));
                 }
             }
         }
         for entry in self.entries.values_mut() {
-            entry.is_overtaken = false;
+            entry.is_superseded = false;
         }
         for key in overtaken {
-            self.entries[key].is_overtaken = true;
+            self.entries[key].is_superseded = true;
         }
     }
 
-    /// Key of the endpoint that is at an address now, of those that `may_be` admits.
+    /// Key of the endpoint that is at an address now, of those that `is_eligible` admits.
     ///
     /// The entry of one that crashed may still be there beside that of its successor:
     /// the one born later is present, or the one that was listed last. One whose entry
@@ -294,32 +308,32 @@
     pub fn present_at(
         &self,
         address: SocketAddr,
-        may_be: impl Fn(&EndpointEntry) -> bool,
+        is_eligible: impl Fn(&EndpointEntry) -> bool,
     ) -> Option<EndpointKey> {
-        let is_there = |entry: &EndpointEntry| {
-            entry.address == address && entry.may_be_there() && may_be(entry)
+        let is_candidate = |entry: &EndpointEntry| {
+            entry.address == address && entry.may_be_present() && is_eligible(entry)
         };
         let mut present: Option<(EndpointKey, &EndpointEntry)> = None;
-        for (key, entry) in self.iter().filter(|(_, entry)| is_there(entry)) {
-            if present.is_none_or(|(_, known)| !goes_before(known, entry)) {
+        for (key, entry) in self.iter().filter(|(_, entry)| is_candidate(entry)) {
+            if present.is_none_or(|(_, known)| !takes_precedence(known, entry)) {
                 present = Some((key, entry));
             }
         }
         present.map(|(key, _)| key)
     }
 
-    /// Keys of the endpoints that are at their addresses now, of those that `may_be` admits;
-    /// see [`EndpointBook::present_at`]. One pass for all, as greetings go out several times
+    /// Keys of the endpoints that are at their addresses now, of those that `is_eligible` admits;
+    /// see [`EndpointRegistry::present_at`]. One pass for all, as greetings go out several times
     /// a second.
     pub fn present(
         &self,
-        may_be: impl Fn(&EndpointEntry) -> bool,
+        is_eligible: impl Fn(&EndpointEntry) -> bool,
     ) -> BTreeMap<SocketAddr, EndpointKey> {
-        let is_there = |entry: &EndpointEntry| entry.may_be_there() && may_be(entry);
+        let is_candidate = |entry: &EndpointEntry| entry.may_be_present() && is_eligible(entry);
         let mut present: BTreeMap<SocketAddr, EndpointKey> = BTreeMap::new();
-        for (key, entry) in self.iter().filter(|(_, entry)| is_there(entry)) {
+        for (key, entry) in self.iter().filter(|(_, entry)| is_candidate(entry)) {
             let known = present.get(&entry.address).and_then(|key| self.get(*key));
-            if known.is_none_or(|known| !goes_before(known, entry)) {
+            if known.is_none_or(|known| !takes_precedence(known, entry)) {
                 present.insert(entry.address, key);
             }
         }
@@ -328,16 +342,19 @@
 }
 
 /// Whether the one of two endpoints at an address is present rather than the other.
-fn goes_before(
+fn takes_precedence(
     one: &EndpointEntry,
     other: &EndpointEntry,
 ) -> bool {
     match one.is_listed() == other.is_listed() {
-        true => one.life.told().is_later_than(&other.life.told()),
+        true => one
+            .incarnation
+            .listed()
+            .is_later_than(&other.incarnation.listed()),
         false => one.is_listed(),
     }
 }
 
-fn place(entry: &EndpointEntry) -> (SocketAddr, &str) {
+fn service_address(entry: &EndpointEntry) -> (SocketAddr, &str) {
     (entry.address, entry.service.as_str())
 }
--- a/core/src/serving/endpoint_pick.rs
+++ b/core/src/serving/endpoint_pick.rs
@@ -1,8 +1,8 @@
 use {
     super::{
-        plan_prompt, EndpointBook, EndpointEntry, EndpointKey, EndpointStanding, EnginePace,
-        MechanismSet, PartOutlook, PromptAsk, PromptPlan, ServingMechanism, SwapStage, WallTag,
-        WeightBounds,
+        plan_prompt, EndpointEntry, EndpointKey, EndpointRegistry, EndpointStatus, EnginePace,
+        MechanismSet, NamespaceTag, PartAvailability, PromptAsk, PromptPlan, ServingMechanism,
+        SwapStage, WeightBounds,
     },
     crate::{retry::OutlierGuard, time::Micros},
 };
@@ -138,15 +138,15 @@
     /// Version.
     pub version: u64,
     /// Tag of the salt that goes with it.
-    pub wall: WallTag,
+    pub wall: NamespaceTag,
     /// Shared parts and where they can be fetched.
-    pub parts: Vec<PartOutlook>,
+    pub parts: Vec<PartAvailability>,
 }
 
 /// Chooses an endpoint; `outlooks` has one entry for each version of the
 /// weights that some engine has.
 pub fn pick_endpoint(
-    book: &EndpointBook,
+    book: &EndpointRegistry,
     ask: &PickAsk<'_>,
     outlooks: &[VersionOutlook],
 ) -> Option<EndpointChoice> {
@@ -188,7 +188,7 @@
 }
 
 fn best_of(
-    book: &EndpointBook,
+    book: &EndpointRegistry,
     ask: &PickAsk<'_>,
     outlooks: &[VersionOutlook],
     admits: &dyn Fn(&EndpointEntry) -> bool,
@@ -200,8 +200,8 @@
     let mut weighed = Vec::new();
     for (key, entry) in book.iter() {
         let serves = entry.service == ask.service
-            && entry.standing != EndpointStanding::Leaving
-            && !entry.is_overtaken;
+            && entry.status != EndpointStatus::Leaving
+            && !entry.is_superseded;
         let version = ask.prompt.and_then(|p| entry.weights.version(&p.model));
         let is_out = !ask.weights.allows(version) || ask.tried.contains(&key);
         if !serves || is_out || !(ask.may_take)(entry) || !admits(entry) {
@@ -247,7 +247,7 @@
 
 /// Where a suspect runs.
 fn trial_home(
-    book: &EndpointBook,
+    book: &EndpointRegistry,
     trial: &TrialAsk<'_>,
     mut choices: Vec<EndpointChoice>,
 ) -> Option<EndpointChoice> {
@@ -300,7 +300,7 @@
     if let Some(outlook) = known {
         choice.plan = plan_prompt(choice.key, entry, outlook.wall, &outlook.parts);
     }
-    let at_hand = choice.plan.kept_tokens + choice.plan.fetched_tokens;
+    let at_hand = choice.plan.cached_tokens + choice.plan.fetched_tokens;
     choice.unread_tokens = prompt.tokens_in.saturating_sub(at_hand);
     let shared = match ask.left_out.has(ServingMechanism::Home) {
         true => 0,
@@ -311,8 +311,8 @@
     let now = ask.now;
     let pace = ask.pace;
     let token_ms = pace.token_ms();
-    let others = entry.tokens_of_others(now, pace);
-    choice.ahead_tokens = entry.unread_tokens(ask.rank) as f64 + others * others_before(ask.rank);
+    let others = entry.other_prefill_tokens(now, pace);
+    choice.ahead_tokens = entry.pending_tokens(ask.rank) as f64 + others * others_before(ask.rank);
     choice.ahead_ms = choice.ahead_tokens * token_ms;
     choice.wait_ms = choice.ahead_ms + f64::from(choice.unread_tokens) * token_ms;
     choice.wait_ms += choice.plan.fetch_ms;
@@ -330,7 +330,7 @@
         choice.used_tokens = load.used_tokens;
         choice.total_tokens = load.total_tokens;
         let wanted =
-            load.used_tokens + entry.coming_tokens(now, pace) + u64::from(prompt.tokens_in);
+            load.used_tokens + entry.unreported_tokens(now, pace) + u64::from(prompt.tokens_in);
         let short = wanted.saturating_sub(load.total_tokens);
         choice.wait_ms += short as f64 * token_ms * SHORT_MEMORY;
     }
--- a/core/src/serving/endpoint_return.rs
+++ b/core/src/serving/endpoint_return.rs
@@ -1,6 +1,7 @@
 use {
     super::{
-        BookChange, EndpointBook, EndpointEntry, EndpointKey, EndpointNotice, EndpointStanding,
+        EndpointChange, EndpointEntry, EndpointKey, EndpointNotice, EndpointRegistry,
+        EndpointStatus,
     },
     crate::time::Micros,
     std::net::SocketAddr,
@@ -8,44 +9,44 @@
 
 /// Pause before an endpoint that did not say that it serves is asked again; it
 /// doubles so many times. A question costs as a look at its health.
-const FIRST_ASK_PAUSE: Micros = Micros::from_millis(500);
-const ASK_DOUBLINGS: u32 = 4;
+const FIRST_PROBE_DELAY: Micros = Micros::from_millis(500);
+const MAX_PROBE_DOUBLINGS: u32 = 4;
 
 /// What is known of an endpoint whose entry went without a word of its own, as
 /// also happens to those whose heartbeats got lost.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum EndpointReturn {
+pub enum EndpointRejoin {
     /// Its entry has not come back.
     Away,
     /// Its entry is back, as a late write of an earlier time could do too.
     Listed {
         /// Times that it was asked and did not say that it serves.
-        denials: u32,
+        failed_probes: u32,
         /// When it is asked again.
-        ask_at: Micros,
+        probe_at: Micros,
     },
     /// The endpoint itself is being asked.
-    Asked {
+    Probing {
         /// Times that it was asked before.
-        denials: u32,
+        failed_probes: u32,
     },
     /// It has said that it leaves, or another one stands at its address.
     Never,
 }
 
-impl EndpointReturn {
-    /// What goes with the first standing that is seen.
-    pub(super) fn of(standing: EndpointStanding) -> Self {
-        match standing {
-            EndpointStanding::Leaving => EndpointReturn::Never,
-            EndpointStanding::Serving | EndpointStanding::Lapsed => EndpointReturn::Away,
+impl EndpointRejoin {
+    /// What goes with the first status that is seen.
+    pub(super) fn of(status: EndpointStatus) -> Self {
+        match status {
+            EndpointStatus::Leaving => EndpointRejoin::Never,
+            EndpointStatus::Serving | EndpointStatus::Lapsed => EndpointRejoin::Away,
         }
     }
 }
 
 /// An endpoint that is to be asked whether it still serves.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct ReturnQuestion {
+pub struct RejoinProbe {
     /// Its key.
     pub key: EndpointKey,
     /// Its id; another one at the address must not answer for it.
@@ -59,40 +60,43 @@
 impl EndpointEntry {
     /// Whether it is on the list, as far as that can be trusted.
     pub fn is_listed(&self) -> bool {
-        self.standing != EndpointStanding::Leaving
+        self.status != EndpointStatus::Leaving
     }
 
     /// Whether it may be there: it is on the list, or its entry went without a word
     /// of its own.
-    pub fn may_be_there(&self) -> bool {
-        self.is_listed() || self.comeback != EndpointReturn::Never
+    pub fn may_be_present(&self) -> bool {
+        self.is_listed() || self.rejoin != EndpointRejoin::Never
     }
 
-    fn asked_address(&self) -> SocketAddr {
-        let told = self.set_back.as_ref().and_then(|notice| notice.address);
-        told.unwrap_or(self.address)
+    fn probe_address(&self) -> SocketAddr {
+        let listed = self
+            .rollback_notice
+            .as_ref()
+            .and_then(|notice| notice.address);
+        listed.unwrap_or(self.address)
     }
 
-    /// Takes the standing that the list shows; true where that changes its own.
-    pub(super) fn restand(
+    /// Takes the status that the list shows; true where that changes its own.
+    pub(super) fn update_status(
         &mut self,
-        wanted: EndpointStanding,
+        wanted: EndpointStatus,
     ) -> bool {
-        if wanted == EndpointStanding::Leaving {
-            self.comeback = EndpointReturn::Never;
+        if wanted == EndpointStatus::Leaving {
+            self.rejoin = EndpointRejoin::Never;
         }
-        let before = self.standing;
-        if before == EndpointStanding::Leaving {
+        let before = self.status;
+        if before == EndpointStatus::Leaving {
             // Whose entry only went may be there all the same: it is asked.
-            if wanted == EndpointStanding::Serving && self.comeback == EndpointReturn::Away {
-                self.comeback = EndpointReturn::Listed {
-                    denials: 0,
-                    ask_at: Micros::ZERO,
+            if wanted == EndpointStatus::Serving && self.rejoin == EndpointRejoin::Away {
+                self.rejoin = EndpointRejoin::Listed {
+                    failed_probes: 0,
+                    probe_at: Micros::ZERO,
                 };
             }
             return false;
         }
-        self.standing = wanted;
+        self.status = wanted;
         before != wanted
     }
 }
@@ -101,82 +105,85 @@
     /// Takes that the list shows it as serving by a life that was born before the one that
     /// left. Taken for a late write alone, one that started again after its clock was set
     /// back got no requests until it was forgotten, 30 s later.
-    pub(super) fn doubt_end(
+    pub(super) fn record_rollback(
         &mut self,
         notice: &EndpointNotice,
     ) {
         let is_asked = matches!(
-            self.comeback,
-            EndpointReturn::Listed { .. } | EndpointReturn::Asked { .. }
+            self.rejoin,
+            EndpointRejoin::Listed { .. } | EndpointRejoin::Probing { .. }
         );
-        if self.standing != EndpointStanding::Leaving || is_asked {
+        if self.status != EndpointStatus::Leaving || is_asked {
             return;
         }
-        self.set_back = Some(notice.clone());
-        self.comeback = EndpointReturn::Listed {
-            denials: 0,
-            ask_at: Micros::ZERO,
+        self.rollback_notice = Some(notice.clone());
+        self.rejoin = EndpointRejoin::Listed {
+            failed_probes: 0,
+            probe_at: Micros::ZERO,
         };
     }
 }
 
-impl EndpointBook {
+impl EndpointRegistry {
     /// Endpoints whose entries went and came back, to be asked now.
-    pub fn ask_returned(
+    pub fn due_probes(
         &mut self,
         now: Micros,
-    ) -> Vec<ReturnQuestion> {
-        let mut questions = Vec::new();
+    ) -> Vec<RejoinProbe> {
+        let mut probes = Vec::new();
         for (key, entry) in &mut self.entries {
-            match entry.comeback {
-                EndpointReturn::Listed { denials, ask_at } if now >= ask_at => {
-                    entry.comeback = EndpointReturn::Asked { denials };
+            match entry.rejoin {
+                EndpointRejoin::Listed {
+                    failed_probes,
+                    probe_at,
+                } if now >= probe_at => {
+                    entry.rejoin = EndpointRejoin::Probing { failed_probes };
                 }
                 _ => continue,
             }
-            questions.push(ReturnQuestion {
+            probes.push(RejoinProbe {
                 key,
                 id: entry.id.clone(),
                 service: entry.service.clone(),
-                address: entry.asked_address(),
+                address: entry.probe_address(),
             });
         }
-        questions
+        probes
     }
 
     /// Takes what an endpoint answered; it is asked anew where it is not sure.
-    pub fn answered_return(
+    pub fn record_probe(
         &mut self,
         key: EndpointKey,
         serves: bool,
         now: Micros,
-    ) -> Option<BookChange> {
+    ) -> Option<EndpointChange> {
         let entry = self.entries.get_mut(key)?;
-        let EndpointReturn::Asked { denials } = entry.comeback else {
+        let EndpointRejoin::Probing { failed_probes } = entry.rejoin else {
             return None;
         };
-        if !serves && entry.set_back.take().is_some() {
+        if !serves && entry.rollback_notice.take().is_some() {
             // It was a late write: one whose clock was set back goes on writing.
-            entry.comeback = EndpointReturn::Never;
+            entry.rejoin = EndpointRejoin::Never;
             return None;
         }
         if !serves {
-            let pause = Micros(FIRST_ASK_PAUSE.0 << denials.min(ASK_DOUBLINGS));
-            entry.comeback = EndpointReturn::Listed {
-                denials: denials + 1,
-                ask_at: now + pause,
+            let delay = Micros(FIRST_PROBE_DELAY.0 << failed_probes.min(MAX_PROBE_DOUBLINGS));
+            entry.rejoin = EndpointRejoin::Listed {
+                failed_probes: failed_probes + 1,
+                probe_at: now + delay,
             };
             return None;
         }
-        if let Some(notice) = entry.set_back.take() {
-            entry.begin_life(notice.born);
-            entry.life.listed = notice.born;
-            entry.life.row = notice.row;
-            return entry.stand_anew(&notice, EndpointStanding::Serving, true);
+        if let Some(notice) = entry.rollback_notice.take() {
+            entry.begin_incarnation(notice.born);
+            entry.incarnation.listed_born = notice.born;
+            entry.incarnation.row = notice.row;
+            return entry.begin_listing(&notice, EndpointStatus::Serving, true);
         }
-        entry.comeback = EndpointReturn::Away;
-        entry.standing = EndpointStanding::Serving;
+        entry.rejoin = EndpointRejoin::Away;
+        entry.status = EndpointStatus::Serving;
         entry.left_at = None;
-        Some(BookChange::Serves(entry.id.clone()))
+        Some(EndpointChange::Serves(entry.id.clone()))
     }
 }
--- a/core/src/serving/even_draw.rs
+++ b/core/src/serving/even_draw.rs
@@ -1,6 +1,6 @@
 /// A number that is drawn from a text, the same everywhere; those of texts that differ in one
 /// letter are spread as evenly as any.
-pub fn even_number(text: impl AsRef<[u8]>) -> u64 {
+pub fn stable_hash(text: impl AsRef<[u8]>) -> u64 {
     let hash = blake3::hash(text.as_ref());
     let mut first = [0; 8];
     first.copy_from_slice(&hash.as_bytes()[..8]);
@@ -8,25 +8,25 @@
 }
 
 /// The same as a part of 1.
-pub fn even_draw(text: &str) -> f64 {
-    even_part(even_number(text))
+pub fn stable_fraction(text: &str) -> f64 {
+    unit_fraction(stable_hash(text))
 }
 
 /// An evenly spread number as a part of 1.
-pub fn even_part(number: u64) -> f64 {
+pub fn unit_fraction(number: u64) -> f64 {
     (number >> 11) as f64 / (1u64 << 53) as f64
 }
 
 /// A number that is drawn from two such ones, for ranks of many pairs.
-pub fn even_mix(
+pub fn mix_hashes(
     one: u64,
     other: u64,
 ) -> u64 {
-    spread_bits(one ^ other.rotate_left(32))
+    mix_bits(one ^ other.rotate_left(32))
 }
 
 /// A number whose bits each depend on all of those given.
-pub fn spread_bits(number: u64) -> u64 {
+pub fn mix_bits(number: u64) -> u64 {
     let mut mixed = number;
     mixed = (mixed ^ (mixed >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     mixed = (mixed ^ (mixed >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
--- a/core/src/serving/life_watch.rs
+++ b/core/src/serving/life_watch.rs
@@ -1,9 +1,9 @@
-use {super::LifeOrder, crate::time::Micros};
+use {super::IncarnationOrder, crate::time::Micros};
 
 /// Time for which words of an earlier life count as late. What a process tells itself is on its
 /// way for milliseconds; one that stood still tells what it knew before once or twice when it
 /// wakes. By judgement: some times that.
-const LATE_WORD: Micros = Micros::from_millis(1_500);
+const LATE_REPORT_WINDOW: Micros = Micros::from_millis(1_500);
 
 /// Tells lives of a process apart by the times of their starts, which clocks tell that can be
 /// set back.
@@ -13,31 +13,31 @@
 /// orders with the numbers of its earlier life only (all refused) and no requests that need its
 /// weights, until its clock had caught up: an hour for a wrong time zone.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct LifeWatch {
-    /// The earlier life that is told of, and since when without a word of the known one.
-    doubted: Option<(u64, Micros)>,
+pub struct IncarnationTracker {
+    /// The earlier life that is reported of, and since when without a word of the known one.
+    earlier: Option<(u64, Micros)>,
 }
 
-impl LifeWatch {
+impl IncarnationTracker {
     /// How the life that the process itself tells of stands to the known one. One that was
     /// born earlier is the later one if it alone goes on talking.
     pub fn order(
         &mut self,
         known: Option<u64>,
-        told: Option<u64>,
+        reported: Option<u64>,
         now: Micros,
-    ) -> LifeOrder {
-        let order = LifeOrder::of(known, told);
-        let Some(told) = told.filter(|_| order == LifeOrder::Earlier) else {
-            self.doubted = None;
+    ) -> IncarnationOrder {
+        let order = IncarnationOrder::of(known, reported);
+        let Some(reported) = reported.filter(|_| order == IncarnationOrder::Earlier) else {
+            self.earlier = None;
             return order;
         };
-        let same = self.doubted.filter(|(born, _)| *born == told);
-        let (_, since) = *self.doubted.insert(same.unwrap_or((told, now)));
-        if now.since(since) < LATE_WORD {
-            return LifeOrder::Earlier;
+        let same = self.earlier.filter(|(born, _)| *born == reported);
+        let (_, since) = *self.earlier.insert(same.unwrap_or((reported, now)));
+        if now.since(since) < LATE_REPORT_WINDOW {
+            return IncarnationOrder::Earlier;
         }
-        self.doubted = None;
-        LifeOrder::Later
+        self.earlier = None;
+        IncarnationOrder::Later
     }
 }
--- a/core/src/serving/memory_map.rs
+++ b/core/src/serving/memory_map.rs
@@ -1,8 +1,8 @@
 use {
     super::{
-        even_part, move_ms, spread_bits, EndpointBook, EndpointEntry, EndpointKey,
-        EndpointStanding, EngineGroup, KvStore, MechanismSet, PromptPart, ServingMechanism,
-        StoreView, WallTag,
+        mix_bits, move_ms, unit_fraction, EndpointEntry, EndpointKey, EndpointRegistry,
+        EndpointStatus, EngineGroup, KvStore, MechanismSet, NamespaceTag, PromptPart,
+        ServingMechanism, StoreView,
     },
     crate::time::Micros,
     std::net::SocketAddr,
@@ -12,9 +12,9 @@
 const OTHER_DOMAIN_FACTOR: f64 = 2.0;
 /// Wait for a link up to which a fetch is asked for, in milliseconds; engines
 /// give up a move that would wait for two seconds.
-const FETCH_LIMIT_MS: f64 = 700.0;
+const MAX_FETCH_MS: f64 = 700.0;
 /// Time until a move from an engine begins, in milliseconds.
-const ENGINE_FIRST_MS: f64 = 1.7;
+const ENGINE_LATENCY_MS: f64 = 1.7;
 /// Cost of a token that is fetched from an engine, beyond its time, in
 /// milliseconds: engines let parts go at any moment, and a part that is not
 /// there any more has to be read. Stores keep theirs, but their links are slower
@@ -24,18 +24,18 @@
 
 /// Where a part can be fetched.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum PartPlace {
-    /// A store, by its place in the map.
+pub enum PartLocation {
+    /// A store, by its index in the map.
     Store(usize),
     /// An engine.
     Engine(EndpointKey),
 }
 
-/// One place where a part is kept, and what fetching it takes.
+/// One index where a part is kept, and what fetching it takes.
 #[derive(Debug, Clone, PartialEq)]
 pub struct PartSource {
     /// Place.
-    pub place: PartPlace,
+    pub location: PartLocation,
     /// Where engines reach it.
     pub address: SocketAddr,
     /// Failure domain.
@@ -47,13 +47,13 @@
 impl PartSource {
     /// Whether it is an engine, which may let the part go at any moment.
     pub fn is_engine(&self) -> bool {
-        matches!(self.place, PartPlace::Engine(_))
+        matches!(self.location, PartLocation::Engine(_))
     }
 }
 
 /// A part of a prompt and the places that keep it.
 #[derive(Debug, Clone, PartialEq)]
-pub struct PartOutlook {
+pub struct PartAvailability {
     /// Part.
     pub part: PromptPart,
     /// Places.
@@ -62,12 +62,12 @@
 
 /// What one engine does about one part.
 #[derive(Debug, Clone, PartialEq)]
-pub struct PartFetch {
+pub struct PartPlan {
     /// Part.
     pub part: PromptPart,
     /// Whether the engine is believed to keep it; then it is only fetched where
     /// the engine has let it go meanwhile.
-    pub is_kept: bool,
+    pub is_cached: bool,
     /// Source and time of a fetch; always there for a part that is not kept.
     pub source: Option<(PartSource, f64)>,
 }
@@ -76,28 +76,28 @@
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct PromptPlan {
     /// Tokens that it keeps already.
-    pub kept_tokens: u32,
+    pub cached_tokens: u32,
     /// Tokens that it fetches.
     pub fetched_tokens: u32,
     /// Time of the fetches, in milliseconds.
     pub fetch_ms: f64,
     /// Shared parts in order, as far as they are kept or fetched.
-    pub parts: Vec<PartFetch>,
+    pub parts: Vec<PartPlan>,
 }
 
 /// All stores, and what is known of their content.
 #[derive(Debug, Clone, Default)]
-pub struct MemoryMap {
+pub struct StoreDirectory {
     views: Vec<StoreView>,
     left_out: MechanismSet,
 }
 
-impl MemoryMap {
+impl StoreDirectory {
     /// Nothing is known yet, and some mechanisms are done without.
     pub fn without(left_out: MechanismSet) -> Self {
-        MemoryMap {
+        StoreDirectory {
             left_out,
-            ..MemoryMap::default()
+            ..StoreDirectory::default()
         }
     }
 
@@ -132,12 +132,12 @@
             .find(|view| view.store.address == address)
     }
 
-    /// The view at a place.
+    /// The view at a index.
     pub fn view_at(
         &mut self,
-        place: usize,
+        index: usize,
     ) -> Option<&mut StoreView> {
-        self.views.get_mut(place)
+        self.views.get_mut(index)
     }
 
     /// All views.
@@ -155,27 +155,27 @@
 
     /// The shared parts of a prompt and where they can be fetched: the last
     /// part is the request's own and never comes back.
-    pub fn outlook(
+    pub fn locate_parts(
         &self,
-        book: &EndpointBook,
+        registry: &EndpointRegistry,
         group: &EngineGroup,
-        wall: WallTag,
+        namespace: NamespaceTag,
         parts: &[PromptPart],
         now: Micros,
-    ) -> Vec<PartOutlook> {
+    ) -> Vec<PartAvailability> {
         let shared = &parts[..parts.len().saturating_sub(1)];
-        let outlook = shared.iter().map(|part| PartOutlook {
+        let availability = shared.iter().map(|part| PartAvailability {
             part: *part,
-            sources: self.sources(book, group, wall, part, now),
+            sources: self.sources(registry, group, namespace, part, now),
         });
-        outlook.collect()
+        availability.collect()
     }
 
     fn sources(
         &self,
-        book: &EndpointBook,
+        registry: &EndpointRegistry,
         group: &EngineGroup,
-        wall: WallTag,
+        namespace: NamespaceTag,
         part: &PromptPart,
         now: Micros,
     ) -> Vec<PartSource> {
@@ -184,11 +184,11 @@
         if self.left_out.has(ServingMechanism::Fetches) {
             return sources;
         }
-        for (place, view) in self.views.iter().enumerate() {
-            let is_whole = view.parts.tokens_of(wall, part.id) >= part.tokens;
+        for (index, view) in self.views.iter().enumerate() {
+            let is_whole = view.parts.cached_tokens(namespace, part.id) >= part.tokens;
             if is_whole && view.fetch_until_ms(now).is_some() {
                 sources.push(PartSource {
-                    place: PartPlace::Store(place),
+                    location: PartLocation::Store(index),
                     address: view.store.address,
                     domain: view.store.domain.clone(),
                     fetch_ms: view.fetch_ms(bytes, now),
@@ -196,12 +196,12 @@
             }
         }
         let risk_ms = f64::from(part.tokens) * ENGINE_RISK_MS;
-        let engine_ms = ENGINE_FIRST_MS + move_ms(bytes, group.link_mbps) + risk_ms;
-        for (key, entry) in book.iter() {
-            let keeps = entry.parts.tokens_of(wall, part.id) >= part.tokens;
-            if keeps && is_source(entry, now) {
+        let engine_ms = ENGINE_LATENCY_MS + move_ms(bytes, group.link_mbps) + risk_ms;
+        for (key, entry) in registry.iter() {
+            let is_cached = entry.parts.cached_tokens(namespace, part.id) >= part.tokens;
+            if is_cached && is_source(entry, now) {
                 sources.push(PartSource {
-                    place: PartPlace::Engine(key),
+                    location: PartLocation::Engine(key),
                     address: entry.address,
                     domain: entry.domain.clone(),
                     fetch_ms: engine_ms,
@@ -212,17 +212,17 @@
     }
 
     /// Notes the fetches that we ask for.
-    pub fn fetching(
+    pub fn record_fetches(
         &mut self,
         plan: &PromptPlan,
         now: Micros,
     ) {
         for fetch in &plan.parts {
-            let Some((source, millis)) = fetch.source.as_ref().filter(|_| !fetch.is_kept) else {
+            let Some((source, millis)) = fetch.source.as_ref().filter(|_| !fetch.is_cached) else {
                 continue;
             };
-            if let PartPlace::Store(place) = source.place {
-                if let Some(view) = self.views.get_mut(place) {
+            if let PartLocation::Store(index) = source.location {
+                if let Some(view) = self.views.get_mut(index) {
                     let wait = view.fetch_ms(0, now) - view.store.first_ms;
                     view.occupy(millis - wait, now);
                 }
@@ -234,48 +234,48 @@
     /// where none has room.
     pub fn plan_saves(
         &mut self,
-        wall: WallTag,
+        namespace: NamespaceTag,
         parts: &[PromptPart],
-        may_keep: &dyn Fn(&KvStore) -> bool,
+        may_save: &dyn Fn(&KvStore) -> bool,
         now: Micros,
     ) -> Vec<Option<SocketAddr>> {
         let shared = &parts[..parts.len().saturating_sub(1)];
         let saves = shared
             .iter()
-            .map(|part| self.plan_save(wall, part, may_keep, now));
+            .map(|part| self.plan_save(namespace, part, may_save, now));
         saves.collect()
     }
 
     fn plan_save(
         &mut self,
-        wall: WallTag,
+        namespace: NamespaceTag,
         part: &PromptPart,
-        may_keep: &dyn Fn(&KvStore) -> bool,
+        may_save: &dyn Fn(&KvStore) -> bool,
         now: Micros,
     ) -> Option<SocketAddr> {
-        let has = |view: &StoreView| view.has_or_gets(wall, part.id, part.tokens);
+        let has = |view: &StoreView| view.has_or_gets(namespace, part.id, part.tokens);
         if self.left_out.has(ServingMechanism::Stores) || self.views.iter().any(has) {
             return None;
         }
         let mut best: Option<(f64, &mut StoreView)> = None;
         for view in &mut self.views {
-            if !may_keep(&view.store) || !view.takes(part.tokens, now) {
+            if !may_save(&view.store) || !view.takes(part.tokens, now) {
                 continue;
             }
             // Boxes that know nothing of each other choose the same home, in
             // proportion to the speed of the stores' links: large stores with slow
             // links would get nearly all fetches, and prompts wait for them. On a
-            // replayed day of high load 8 large prompts began late in place of 30 (9
+            // replayed day of high load 8 large prompts began late in index of 30 (9
             // engines), on another 2,290 thousand tokens of shared parts were read
-            // again in place of 2,913 thousand (52 engines).
-            let spread = home_spread(part.id.number(), view.store.address);
+            // again in index of 2,913 thousand (52 engines).
+            let spread = placement_fraction(part.id.number(), view.store.address);
             let rank = view.store.link_mbps / -spread.ln();
             if best.as_ref().is_none_or(|(most, _)| rank > *most) {
                 best = Some((rank, view));
             }
         }
         let (_, view) = best?;
-        view.saving(wall, part.id, part.tokens, now);
+        view.saving(namespace, part.id, part.tokens, now);
         Some(view.store.address)
     }
 }
@@ -286,31 +286,31 @@
 ) -> bool {
     let load = entry.fresh_load(now);
     let answers = load.is_some_and(|load| !load.is_silent && !load.is_swapping);
-    entry.standing != EndpointStanding::Leaving && answers && !entry.is_suspect(now)
+    entry.status != EndpointStatus::Leaving && answers && !entry.is_suspect(now)
 }
 
 /// What an engine does about a prompt: keeps, fetches, and reads the rest.
 pub fn plan_prompt(
     key: EndpointKey,
     entry: &EndpointEntry,
-    wall: WallTag,
-    outlook: &[PartOutlook],
+    namespace: NamespaceTag,
+    availability: &[PartAvailability],
 ) -> PromptPlan {
     let mut plan = PromptPlan::default();
-    for shared in outlook {
-        let is_kept = entry.parts.tokens_of(wall, shared.part.id) >= shared.part.tokens;
+    for shared in availability {
+        let is_cached = entry.parts.cached_tokens(namespace, shared.part.id) >= shared.part.tokens;
         let source = best_source(key, entry, &shared.sources);
         match &source {
-            _ if is_kept => plan.kept_tokens += shared.part.tokens,
+            _ if is_cached => plan.cached_tokens += shared.part.tokens,
             Some((_, millis)) => {
                 plan.fetched_tokens += shared.part.tokens;
                 plan.fetch_ms += millis;
             }
             None => break,
         }
-        plan.parts.push(PartFetch {
+        plan.parts.push(PartPlan {
             part: shared.part,
-            is_kept,
+            is_cached,
             source,
         });
     }
@@ -324,7 +324,7 @@
 ) -> Option<(PartSource, f64)> {
     let mut best: Option<(&PartSource, f64)> = None;
     for source in sources {
-        if source.place == PartPlace::Engine(key) {
+        if source.location == PartLocation::Engine(key) {
             continue;
         }
         let factor = match source.domain == entry.domain {
@@ -333,7 +333,7 @@
         };
         let millis = source.fetch_ms * factor;
         let is_better = best.is_none_or(|(_, least)| millis < least);
-        if millis < FETCH_LIMIT_MS && is_better {
+        if millis < MAX_FETCH_MS && is_better {
             best = Some((source, millis));
         }
     }
@@ -341,12 +341,12 @@
 }
 
 /// A number between 0 and 1 for a part at a store, evenly spread.
-fn home_spread(
+fn placement_fraction(
     number: u64,
     address: SocketAddr,
 ) -> f64 {
     let text = address.to_string();
     let mix = |hash: u64, byte: u8| (hash ^ u64::from(byte)).wrapping_mul(0x0000_0100_0000_01b3);
     let hash = text.bytes().fold(number ^ 0xcbf2_9ce4_8422_2325, mix);
-    even_part(spread_bits(hash)) + f64::MIN_POSITIVE
+    unit_fraction(mix_bits(hash)) + f64::MIN_POSITIVE
 }
--- a/core/src/serving/part_fate.rs
+++ b/core/src/serving/part_fate.rs
@@ -1,6 +1,6 @@
 /// What becomes of a part whose weights have been replaced.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum PartFate {
+pub enum ReclaimState {
     /// It may still be fetched.
     Fetched,
     /// Nobody is told to fetch it any more, but some engine may still do so.
--- a/core/src/serving/part_memory.rs
+++ b/core/src/serving/part_memory.rs
@@ -1,47 +1,50 @@
 use {
-    super::{even_number, PartId, PromptPart},
+    super::{stable_hash, PartId, PromptPart},
     serde::{Deserialize, Serialize},
     std::collections::HashMap,
 };
 
-/// Name of a wall inside which parts are shared: the salt, as one number.
+/// Name of a namespace inside which parts are shared: the salt, as one number.
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize,
 )]
-pub struct WallTag(pub u64);
+pub struct NamespaceTag(pub u64);
 
-impl WallTag {
+impl NamespaceTag {
     /// The tag of a salt.
     pub fn of(salt: &str) -> Self {
-        WallTag(even_number(salt))
+        NamespaceTag(stable_hash(salt))
     }
 }
 
 #[derive(Debug, Clone, Copy)]
-struct KeptPart {
+struct CachedPart {
     tokens: u32,
-    used: u64,
+    last_used: u64,
 }
 
-/// Which parts an engine or store is believed to keep; the least recently used
+/// Which parts an engine or store is believed to keep; the least recently last_used
 /// are forgotten where they cannot all have room.
 #[derive(Debug, Clone, Default)]
-pub struct PartMemory {
-    parts: HashMap<(WallTag, PartId), KeptPart>,
+pub struct PartIndex {
+    parts: HashMap<(NamespaceTag, PartId), CachedPart>,
     tokens: u64,
     tick: u64,
 }
 
-impl PartMemory {
+impl PartIndex {
     /// Tokens of a prompt that are kept, counted from its beginning.
-    pub fn reuse(
+    pub fn cached_prefix_tokens(
         &self,
-        wall: WallTag,
+        namespace: NamespaceTag,
         parts: &[PromptPart],
     ) -> u32 {
         let mut tokens = 0;
         for part in parts {
-            let kept = self.parts.get(&(wall, part.id)).map_or(0, |k| k.tokens);
+            let kept = self
+                .parts
+                .get(&(namespace, part.id))
+                .map_or(0, |k| k.tokens);
             tokens += kept.min(part.tokens);
             if kept < part.tokens {
                 break;
@@ -51,42 +54,42 @@
     }
 
     /// Tokens of one part that are kept.
-    pub fn tokens_of(
+    pub fn cached_tokens(
         &self,
-        wall: WallTag,
+        namespace: NamespaceTag,
         id: PartId,
     ) -> u32 {
-        self.parts.get(&(wall, id)).map_or(0, |k| k.tokens)
+        self.parts.get(&(namespace, id)).map_or(0, |k| k.tokens)
     }
 
-    /// Notes that these parts have been used and are kept from now on.
+    /// Notes that these parts have been last_used and are kept from now on.
     pub fn touch(
         &mut self,
-        wall: WallTag,
+        namespace: NamespaceTag,
         parts: &[PromptPart],
         capacity_tokens: u64,
     ) {
         for part in parts {
-            self.set(wall, part.id, part.tokens);
+            self.set(namespace, part.id, part.tokens);
         }
-        self.shrink(capacity_tokens);
+        self.evict(capacity_tokens);
     }
 
     /// Notes how many tokens of a part are kept now; 0 where it is gone.
     pub fn set(
         &mut self,
-        wall: WallTag,
+        namespace: NamespaceTag,
         id: PartId,
         tokens: u32,
     ) {
         self.tick += 1;
         let before = match tokens {
-            0 => self.parts.remove(&(wall, id)),
+            0 => self.parts.remove(&(namespace, id)),
             _ => self.parts.insert(
-                (wall, id),
-                KeptPart {
+                (namespace, id),
+                CachedPart {
                     tokens,
-                    used: self.tick,
+                    last_used: self.tick,
                 },
             ),
         };
@@ -94,15 +97,15 @@
         self.tokens -= u64::from(before.map_or(0, |k| k.tokens));
     }
 
-    /// All parts inside one wall.
-    pub fn inside(
+    /// All parts inside one namespace.
+    pub fn parts_in(
         &self,
-        wall: WallTag,
+        namespace: NamespaceTag,
     ) -> Vec<PartId> {
         let mut ids: Vec<PartId> = self
             .parts
             .keys()
-            .filter(|(at, _)| *at == wall)
+            .filter(|(at, _)| *at == namespace)
             .map(|(_, id)| *id)
             .collect();
         ids.sort_unstable();
@@ -120,26 +123,26 @@
         self.tokens
     }
 
-    fn shrink(
+    fn evict(
         &mut self,
         capacity_tokens: u64,
     ) {
         if self.tokens <= capacity_tokens {
             return;
         }
-        let mut by_age: Vec<(u64, (WallTag, PartId))> = self
+        let mut by_age: Vec<(u64, (NamespaceTag, PartId))> = self
             .parts
             .iter()
-            .map(|(key, kept)| (kept.used, *key))
+            .map(|(key, kept)| (kept.last_used, *key))
             .collect();
         by_age.sort_unstable();
         // A tenth more than needed goes, so that this is not done at each use.
-        let wanted = capacity_tokens - capacity_tokens / 10;
-        for (_, (wall, id)) in by_age {
-            if self.tokens <= wanted {
+        let target = capacity_tokens - capacity_tokens / 10;
+        for (_, (namespace, id)) in by_age {
+            if self.tokens <= target {
                 return;
             }
-            self.set(wall, id, 0);
+            self.set(namespace, id, 0);
         }
     }
 }
--- a/core/src/serving/reader_tier.rs
+++ b/core/src/serving/reader_tier.rs
@@ -1,4 +1,4 @@
-use super::{even_draw, ProvenTable};
+use super::{stable_fraction, ProvenTable};
 
 /// Fronts that read a table of the platform's store all the time, about: two must, and any may
 /// end.
@@ -50,5 +50,5 @@
     box_id: &str,
     table: ProvenTable,
 ) -> f64 {
-    even_draw(&format!("{table:?} {box_id}"))
+    stable_fraction(&format!("{table:?} {box_id}"))
 }
--- a/core/src/serving/request_fingerprint.rs
+++ b/core/src/serving/request_fingerprint.rs
@@ -17,7 +17,7 @@
 
 /// What a fingerprint is made of.
 #[derive(Debug, Clone, Copy)]
-pub struct FingerprintAsk<'a> {
+pub struct FingerprintInput<'a> {
     /// Method.
     pub method: &'a str,
     /// Host.
@@ -32,15 +32,15 @@
 
 impl RequestFingerprint {
     /// The fingerprint of a request.
-    pub fn of(ask: &FingerprintAsk<'_>) -> Self {
+    pub fn of(input: &FingerprintInput<'_>) -> Self {
         let mut hasher = blake3::Hasher::new_derive_key(DOMAIN);
-        let fields = [ask.method, ask.host, ask.target, ask.caller];
+        let fields = [input.method, input.host, input.target, input.caller];
         for field in fields {
             // With its length, so that what ends one field cannot begin the next.
             hasher.update(&(field.len() as u64).to_le_bytes());
             hasher.update(field.as_bytes());
         }
-        hasher.update(ask.body);
+        hasher.update(input.body);
         let mut first = [0; 16];
         first.copy_from_slice(&hasher.finalize().as_bytes()[..16]);
         RequestFingerprint(first)
--- a/core/src/serving/standstill_watch.rs
+++ b/core/src/serving/standstill_watch.rs
@@ -4,7 +4,7 @@
 pub const TICK: Micros = Micros::from_millis(100);
 /// Time without such a note that shows that the process stood still: several
 /// ticks, as a box that is only slow misses one or two.
-const STOOD_STILL: Micros = Micros::from_millis(700);
+const PAUSE_THRESHOLD: Micros = Micros::from_millis(700);
 /// Time after waking for which what is known counts as unsettled: two looks at a
 /// store that answers.
 const SETTLE_TIME: Micros = Micros::from_millis(250);
@@ -12,40 +12,40 @@
 /// Notices that the process itself stood still: what it knows is then older than
 /// it seems, and news waits on its connections.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct StandstillWatch {
-    ticked_at: Option<Micros>,
-    woke_at: Option<Micros>,
+pub struct PauseDetector {
+    last_tick: Option<Micros>,
+    resumed_at: Option<Micros>,
 }
 
-impl StandstillWatch {
+impl PauseDetector {
     /// Notes that the process runs; the length of a standstill that just ended.
     pub fn tick(
         &mut self,
         now: Micros,
     ) -> Option<Micros> {
         let gap = self.gap(now);
-        self.ticked_at = Some(now);
+        self.last_tick = Some(now);
         if gap.is_some() {
-            self.woke_at = Some(now);
+            self.resumed_at = Some(now);
         }
         gap
     }
 
     /// Whether the process has just come out of a standstill, also where that
     /// has not been noted yet.
-    pub fn has_just_woken(
+    pub fn has_just_resumed(
         &self,
         now: Micros,
     ) -> bool {
         let is_recent = |at: Micros| now.since(at) < SETTLE_TIME;
-        self.gap(now).is_some() || self.woke_at.is_some_and(is_recent)
+        self.gap(now).is_some() || self.resumed_at.is_some_and(is_recent)
     }
 
     fn gap(
         &self,
         now: Micros,
     ) -> Option<Micros> {
-        let gap = now.since(self.ticked_at?);
-        (gap > STOOD_STILL).then_some(gap)
+        let gap = now.since(self.last_tick?);
+        (gap > PAUSE_THRESHOLD).then_some(gap)
     }
 }
--- a/core/src/serving/store_view.rs
+++ b/core/src/serving/store_view.rs
@@ -1,5 +1,5 @@
 use {
-    super::{KvStore, PartId, PartMemory, ToldLife, WallTag},
+    super::{KvStore, NamespaceTag, PartId, PartIndex, StoreUptime},
     crate::time::Micros,
     std::collections::HashMap,
 };
@@ -22,7 +22,7 @@
     /// The store.
     pub store: KvStore,
     /// Parts that are whole.
-    pub parts: PartMemory,
+    pub parts: PartIndex,
     /// Number of the change up to which they are known; nothing where all is to be read anew.
     pub next: Option<u64>,
     /// When another process last told what it had read there.
@@ -30,11 +30,11 @@
     epoch: Option<u64>,
     epoch_seen_at: Micros,
     /// What another box told of a life, and when that had come here.
-    told: Option<(ToldLife, Micros)>,
+    told: Option<(StoreUptime, Micros)>,
     proven_at: Option<Micros>,
     clock: Option<(u64, Micros)>,
     latest_clock: Option<(u64, Micros)>,
-    pending: HashMap<(WallTag, PartId), (u32, Micros)>,
+    pending: HashMap<(NamespaceTag, PartId), (u32, Micros)>,
     pending_tokens: u64,
     busy_until: Micros,
 }
@@ -44,7 +44,7 @@
     pub fn new(store: KvStore) -> Self {
         StoreView {
             store,
-            parts: PartMemory::default(),
+            parts: PartIndex::default(),
             next: None,
             told_at: None,
             epoch: None,
@@ -69,12 +69,12 @@
     pub fn life(
         &self,
         now: Micros,
-    ) -> Option<ToldLife> {
+    ) -> Option<StoreUptime> {
         let epoch = self.epoch?;
         let seen_for = now.since(self.epoch_seen_at);
         let told = self.told.filter(|(told, _)| told.epoch == epoch);
         let told_for = told.map(|(told, at)| told.lasted + now.since(at));
-        Some(ToldLife {
+        Some(StoreUptime {
             address: self.store.address,
             epoch,
             lasted: told_for.map_or(seen_for, |told| told.max(seen_for)),
@@ -90,7 +90,7 @@
     /// the other box stood still before it answered.
     pub fn tell_life(
         &mut self,
-        told: &ToldLife,
+        told: &StoreUptime,
         at: Micros,
     ) {
         let is_better = match self.told {
@@ -157,7 +157,7 @@
     /// Takes that a part is whole now, or gone.
     pub fn set(
         &mut self,
-        wall: WallTag,
+        wall: NamespaceTag,
         id: PartId,
         tokens: u32,
     ) {
@@ -242,17 +242,17 @@
     /// Whether a part is kept here, or on its way.
     pub fn has_or_gets(
         &self,
-        wall: WallTag,
+        wall: NamespaceTag,
         id: PartId,
         tokens: u32,
     ) -> bool {
-        self.parts.tokens_of(wall, id) >= tokens || self.pending.contains_key(&(wall, id))
+        self.parts.cached_tokens(wall, id) >= tokens || self.pending.contains_key(&(wall, id))
     }
 
     /// Notes that we ask for a save.
     pub fn saving(
         &mut self,
-        wall: WallTag,
+        wall: NamespaceTag,
         id: PartId,
         tokens: u32,
         now: Micros,
--- a/core/src/serving/suspect_book.rs
+++ b/core/src/serving/suspect_book.rs
@@ -1,5 +1,5 @@
 use {
-    super::{suspect_record::SuspectRecord, RequestFingerprint, SuspectCrash, ToldSuspect},
+    super::{suspect_record::SuspectRecord, RequestFingerprint, SuspectCrash, SuspectReport},
     crate::time::Micros,
     std::collections::{BTreeMap, BTreeSet},
 };
@@ -11,22 +11,22 @@
 /// Time after the second crash until it may be tried once more; endpoints are back by then.
 /// Fronts wait up to twice as long, each for a part of its own, so that the first one's try
 /// is known to the others.
-const REST: Micros = Micros::from_millis(1_000);
+const RETRY_DELAY: Micros = Micros::from_millis(1_000);
 /// Time for which a request is held back after its last crash, and for which crashes are
 /// remembered: callers that come again seldom would end an endpoint each time.
 const HELD_FOR: Micros = Micros::from_secs(600);
 /// Time for which a whole answer proves that a request ends nothing: crashes meanwhile
 /// have another cause.
-const PROVEN_FOR: Micros = Micros::from_secs(20);
+const CLEARED_FOR: Micros = Micros::from_secs(20);
 /// Requests that are remembered. Up to a hundred are at an endpoint that ends; those that
 /// are answered are dropped soon.
-const RECORDS_LIMIT: usize = 1_024;
+const MAX_RECORDS: usize = 1_024;
 /// Times that news is told, to others each time: datagrams may get lost.
-const TELL_ROUNDS: u8 = 2;
+const SEND_ROUNDS: u8 = 2;
 
 /// How a request stands with the crashes of endpoints.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum SuspectStanding {
+pub enum SuspectStatus {
     /// Nothing speaks against it.
     Clear,
     /// So many endpoints ended while they had it: it runs apart from others of its kind.
@@ -42,13 +42,13 @@
 /// Only who began to run at an endpoint that ended is in here, and leaves with a whole
 /// answer. What several fronts know adds up, in whatever order and how often it is told.
 #[derive(Debug, Clone, Default)]
-pub struct SuspectBook {
+pub struct SuspectTracker {
     records: BTreeMap<RequestFingerprint, SuspectRecord>,
     /// What is to be told, and how often still.
-    news: BTreeMap<RequestFingerprint, u8>,
+    updates: BTreeMap<RequestFingerprint, u8>,
 }
 
-impl SuspectBook {
+impl SuspectTracker {
     /// Whether no request has to be known again.
     pub fn is_empty(&self) -> bool {
         self.records.is_empty()
@@ -60,50 +60,50 @@
     }
 
     /// Takes that an endpoint ended under a request; true where that is news.
-    pub fn note_crash(
+    pub fn record_crash(
         &mut self,
         fingerprint: RequestFingerprint,
         crash: SuspectCrash,
     ) -> bool {
-        let is_news = self.take_crash(fingerprint, crash);
-        if is_news {
-            self.news.insert(fingerprint, TELL_ROUNDS);
+        let is_new = self.merge_crash(fingerprint, crash);
+        if is_new {
+            self.updates.insert(fingerprint, SEND_ROUNDS);
         }
-        is_news
+        is_new
     }
 
-    fn take_crash(
+    fn merge_crash(
         &mut self,
         fingerprint: RequestFingerprint,
         crash: SuspectCrash,
     ) -> bool {
-        let is_news = self
+        let is_new = self
             .records
             .entry(fingerprint)
             .or_default()
-            .take_crash(crash);
-        if self.records.len() > RECORDS_LIMIT {
-            self.drop_least(fingerprint);
+            .merge_crash(crash);
+        if self.records.len() > MAX_RECORDS {
+            self.evict_least(fingerprint);
         }
-        is_news
+        is_new
     }
 
     /// Drops the one that fewest endpoints ended under, of these the one that was heard of
     /// longest ago: whoever sends thousands of different ones pushes out its own.
-    fn drop_least(
+    fn evict_least(
         &mut self,
         newest: RequestFingerprint,
     ) {
         let others = self.records.iter().filter(|(known, _)| **known != newest);
-        let least = others.min_by_key(|(_, record)| (record.count, record.last_news()));
+        let least = others.min_by_key(|(_, record)| (record.count, record.last_update()));
         if let Some(least) = least.map(|(known, _)| *known) {
             self.records.remove(&least);
-            self.news.remove(&least);
+            self.updates.remove(&least);
         }
     }
 
     /// Takes that a request was answered whole; true where that clears it.
-    pub fn note_answer(
+    pub fn record_answer(
         &mut self,
         fingerprint: RequestFingerprint,
         now: Micros,
@@ -111,45 +111,47 @@
         let Some(record) = self.records.get_mut(&fingerprint) else {
             return false;
         };
-        let is_cleared = record.take_answer(now);
+        let is_cleared = record.merge_answer(now);
         if is_cleared {
-            self.news.insert(fingerprint, TELL_ROUNDS);
+            self.updates.insert(fingerprint, SEND_ROUNDS);
         }
         is_cleared
     }
 
-    /// How a request stands; `spread`, from 0 to 1, is the front's own part of the rest.
-    pub fn standing(
+    /// How a request stands; `jitter`, from 0 to 1, is the front's own part of the delay.
+    pub fn status(
         &self,
         fingerprint: RequestFingerprint,
-        spread: f64,
+        jitter: f64,
         now: Micros,
-    ) -> SuspectStanding {
+    ) -> SuspectStatus {
         let Some(record) = self.records.get(&fingerprint) else {
-            return SuspectStanding::Clear;
+            return SuspectStatus::Clear;
         };
-        let is_proven = record.answered.is_some_and(|at| now.since(at) < PROVEN_FOR);
+        let is_cleared = record
+            .answered
+            .is_some_and(|at| now.since(at) < CLEARED_FOR);
         let since = record.last_crash().map(|at| now.since(at));
-        let Some(since) = since.filter(|since| !is_proven && *since < HELD_FOR) else {
-            return SuspectStanding::Clear;
+        let Some(since) = since.filter(|since| !is_cleared && *since < HELD_FOR) else {
+            return SuspectStatus::Clear;
         };
-        let rest = REST + Micros((REST.0 as f64 * spread) as u64);
+        let delay = RETRY_DELAY + Micros((RETRY_DELAY.0 as f64 * jitter) as u64);
         match record.count {
-            0 => SuspectStanding::Clear,
-            count if count >= HELD_AFTER => SuspectStanding::Held(HELD_FOR.since(since)),
-            2 if since < rest => SuspectStanding::Resting(rest.since(since)),
-            count => SuspectStanding::Suspect(count),
+            0 => SuspectStatus::Clear,
+            count if count >= HELD_AFTER => SuspectStatus::Held(HELD_FOR.since(since)),
+            2 if since < delay => SuspectStatus::Resting(delay.since(since)),
+            count => SuspectStatus::Suspect(count),
         }
     }
 
     /// Takes what another process knows; true where that is news.
-    pub fn tell(
+    pub fn merge(
         &mut self,
-        told: &ToldSuspect,
+        report: &SuspectReport,
         now: Micros,
     ) -> bool {
-        let mut is_news = false;
-        for crash in &told.crashes {
+        let mut is_new = false;
+        for crash in &report.crashes {
             if crash.ended >= HELD_FOR {
                 continue;
             }
@@ -158,62 +160,62 @@
                 ended: now.since(crash.ended),
                 ..*crash
             };
-            is_news |= self.take_crash(told.fingerprint, crash);
+            is_new |= self.merge_crash(report.fingerprint, crash);
         }
-        let record = self.records.get_mut(&told.fingerprint);
-        let answered = told.answered.map(|age| now.since(age));
+        let record = self.records.get_mut(&report.fingerprint);
+        let answered = report.answered.map(|age| now.since(age));
         if let (Some(record), Some(answered)) = (record, answered) {
-            is_news |= record.take_answer(answered);
+            is_new |= record.merge_answer(answered);
         }
-        is_news
+        is_new
     }
 
     /// Takes what another process knows, to tell it on.
-    pub fn tell_on(
+    pub fn merge_and_forward(
         &mut self,
-        told: &ToldSuspect,
+        report: &SuspectReport,
         now: Micros,
     ) {
-        if self.tell(told, now) {
-            self.news.insert(told.fingerprint, 1);
+        if self.merge(report, now) {
+            self.updates.insert(report.fingerprint, 1);
         }
     }
 
     /// Whether there is something to tell.
-    pub fn has_news(&self) -> bool {
-        !self.news.is_empty()
+    pub fn has_updates(&self) -> bool {
+        !self.updates.is_empty()
     }
 
     /// What is to be told now, at most so many.
-    pub fn take_news(
+    pub fn take_updates(
         &mut self,
         limit: usize,
         now: Micros,
-    ) -> Vec<ToldSuspect> {
-        let due: Vec<RequestFingerprint> = self.news.keys().copied().take(limit).collect();
-        let mut told = Vec::new();
+    ) -> Vec<SuspectReport> {
+        let due: Vec<RequestFingerprint> = self.updates.keys().copied().take(limit).collect();
+        let mut reports = Vec::new();
         for fingerprint in due {
             if let Some(record) = self.records.get(&fingerprint) {
-                told.push(record.told(fingerprint, now));
+                reports.push(record.report(fingerprint, now));
             }
-            match self.news.get_mut(&fingerprint) {
+            match self.updates.get_mut(&fingerprint) {
                 Some(rounds) if *rounds > 1 => *rounds -= 1,
                 _ => {
-                    self.news.remove(&fingerprint);
+                    self.updates.remove(&fingerprint);
                 }
             }
         }
-        told
+        reports
     }
 
     /// All that is known.
-    pub fn told(
+    pub fn reports(
         &self,
         now: Micros,
-    ) -> Vec<ToldSuspect> {
+    ) -> Vec<SuspectReport> {
         let records = self.records.iter();
         records
-            .map(|(known, record)| record.told(*known, now))
+            .map(|(known, record)| record.report(*known, now))
             .collect()
     }
 
@@ -232,10 +234,7 @@
         fingerprint: RequestFingerprint,
         now: Micros,
     ) -> bool {
-        matches!(
-            self.standing(fingerprint, 0.0, now),
-            SuspectStanding::Held(_)
-        )
+        matches!(self.status(fingerprint, 0.0, now), SuspectStatus::Held(_))
     }
 
     /// Lets a request go, whatever is known of it; true where it was known.
@@ -244,7 +243,7 @@
         fingerprint: RequestFingerprint,
         now: Micros,
     ) -> bool {
-        self.note_answer(fingerprint, now)
+        self.record_answer(fingerprint, now)
     }
 
     /// Forgets what is too old, and who was cleared some time ago.
@@ -253,14 +252,14 @@
         now: Micros,
     ) {
         self.records.retain(|_, record| {
-            let age = now.since(record.last_news());
+            let age = now.since(record.last_update());
             let limit = match record.count {
-                0 => PROVEN_FOR,
+                0 => CLEARED_FOR,
                 _ => HELD_FOR,
             };
             age < limit
         });
         let records = &self.records;
-        self.news.retain(|known, _| records.contains_key(known));
+        self.updates.retain(|known, _| records.contains_key(known));
     }
 }
--- a/core/src/serving/swap_planner.rs
+++ b/core/src/serving/swap_planner.rs
@@ -1,5 +1,5 @@
 use {
-    super::{weight_namings::Naming, EndpointBook, EndpointEntry, EndpointKey},
+    super::{weight_namings::Naming, EndpointEntry, EndpointKey, EndpointRegistry},
     crate::time::Micros,
     std::collections::BTreeMap,
 };
@@ -89,7 +89,7 @@
     /// long requests begin on weights after newer ones are named.
     pub fn plan(
         &mut self,
-        book: &EndpointBook,
+        book: &EndpointRegistry,
         limit: Micros,
         now: Micros,
     ) -> Vec<(EndpointKey, SwapTurn)> {
@@ -109,7 +109,7 @@
     /// How many engines of its group may load together with one.
     fn loads_at_once(
         &self,
-        book: &EndpointBook,
+        book: &EndpointRegistry,
         entry: &EndpointEntry,
         model: &str,
         limit: Micros,
@@ -126,7 +126,7 @@
     /// Tells engines to load that are quiet, or have had time to become so.
     fn begin_loads(
         &mut self,
-        book: &EndpointBook,
+        book: &EndpointRegistry,
         limit: Micros,
         now: Micros,
         begun: &mut Vec<(EndpointKey, SwapTurn)>,
@@ -194,7 +194,7 @@
 
     fn end_turns(
         &mut self,
-        book: &EndpointBook,
+        book: &EndpointRegistry,
         now: Micros,
     ) {
         let missed = &mut self.missed;
@@ -219,14 +219,14 @@
     /// The next engine that gets a turn.
     fn next_turn(
         &self,
-        book: &EndpointBook,
+        book: &EndpointRegistry,
         limit: Micros,
         now: Micros,
     ) -> Option<(EndpointKey, SwapTurn)> {
         // One that is heard loads also where its entry only went: an engine whose box had
         // stood still kept replaced weights for as long as the list did not show it again.
         let waits = |(key, entry): &(EndpointKey, &EndpointEntry)| {
-            is_heard(entry, now) && entry.may_be_there() && !self.turns.contains_key(key)
+            is_heard(entry, now) && entry.may_be_present() && !self.turns.contains_key(key)
         };
         let mut next: Option<(TurnRank, EndpointKey, SwapTurn)> = None;
         for (key, entry) in book.iter().filter(waits) {
@@ -258,7 +258,7 @@
 }
 
 fn loads_at_once(
-    book: &EndpointBook,
+    book: &EndpointRegistry,
     service: &str,
     now: Micros,
 ) -> usize {
@@ -273,7 +273,7 @@
     entry: &EndpointEntry,
     now: Micros,
 ) -> bool {
-    entry.is_listed() || (entry.may_be_there() && is_heard(entry, now))
+    entry.is_listed() || (entry.may_be_present() && is_heard(entry, now))
 }
 
 fn is_heard(
--- a/core/src/serving/told_life.rs
+++ b/core/src/serving/told_life.rs
@@ -1,5 +1,5 @@
 use {
-    super::MemoryMap,
+    super::StoreDirectory,
     crate::time::Micros,
     serde::{Deserialize, Serialize},
     std::net::SocketAddr,
@@ -7,7 +7,7 @@
 
 /// A life of a store, as one box tells another.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ToldLife {
+pub struct StoreUptime {
     /// Where engines reach the store.
     pub address: SocketAddr,
     /// Which of its lives it is.
@@ -16,24 +16,24 @@
     pub lasted: Micros,
 }
 
-impl MemoryMap {
+impl StoreDirectory {
     /// Lives of all stores that have answered.
-    pub fn lives(
+    pub fn store_uptimes(
         &self,
         now: Micros,
-    ) -> Vec<ToldLife> {
-        let lives = self.views().iter().filter_map(|view| view.life(now));
-        lives.collect()
+    ) -> Vec<StoreUptime> {
+        let uptimes = self.views().iter().filter_map(|view| view.life(now));
+        uptimes.collect()
     }
 
     /// Takes what another box told of a store's life; it had come here at `at`.
-    pub fn tell_life(
+    pub fn record_uptime(
         &mut self,
-        told: &ToldLife,
+        uptime: &StoreUptime,
         at: Micros,
     ) {
-        if let Some(view) = self.view_mut(told.address) {
-            view.tell_life(told, at);
+        if let Some(view) = self.view_mut(uptime.address) {
+            view.tell_life(uptime, at);
         }
     }
 }
--- a/core/src/serving/trial_table.rs
+++ b/core/src/serving/trial_table.rs
@@ -5,9 +5,9 @@
 
 /// Suspects of one front that may be at an endpoint at once: of two that end it, which one
 /// did is told by the next crash.
-const TRIALS_LIMIT: usize = 2;
+const MAX_TRIALS: usize = 2;
 /// Time after its first event for which a run counts as one that may end its endpoint.
-const PROVES_SOUND: Micros = Micros::from_millis(300);
+const PROBATION: Micros = Micros::from_millis(300);
 
 /// A run of a suspect.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -16,8 +16,8 @@
     fingerprint: RequestFingerprint,
     endpoint: EndpointKey,
     /// Whether it may have no other suspect beside it.
-    is_alone: bool,
-    began_at: Option<Micros>,
+    is_exclusive: bool,
+    first_event_at: Option<Micros>,
 }
 
 /// Runs of suspects that may end their endpoints: they are kept apart, so that one that
@@ -29,37 +29,39 @@
 
 impl TrialTable {
     /// Whether a run of the same request has not proven itself yet.
-    pub fn has(
+    pub fn has_active(
         &self,
         fingerprint: RequestFingerprint,
         now: Micros,
     ) -> bool {
-        self.open(now).any(|run| run.fingerprint == fingerprint)
+        self.active(now).any(|run| run.fingerprint == fingerprint)
     }
 
     /// Endpoints that have no room for one more suspect.
-    pub fn barred(
+    pub fn full_endpoints(
         &self,
-        is_alone: bool,
+        is_exclusive: bool,
         now: Micros,
     ) -> Vec<EndpointKey> {
         let is_full = |run: &TrialRun| {
             let others = self
-                .open(now)
+                .active(now)
                 .filter(|other| other.endpoint == run.endpoint);
-            is_alone || run.is_alone || others.count() >= TRIALS_LIMIT
+            is_exclusive || run.is_exclusive || others.count() >= MAX_TRIALS
         };
-        let full = self.open(now).filter(|run| is_full(run));
+        let full = self.active(now).filter(|run| is_full(run));
         full.map(|run| run.endpoint).collect()
     }
 
-    fn open(
+    fn active(
         &self,
         now: Micros,
     ) -> impl Iterator<Item = &TrialRun> {
-        let is_open =
-            move |run: &&TrialRun| run.began_at.is_none_or(|at| now.since(at) < PROVES_SOUND);
-        self.runs.iter().filter(is_open)
+        let is_active = move |run: &&TrialRun| {
+            run.first_event_at
+                .is_none_or(|at| now.since(at) < PROBATION)
+        };
+        self.runs.iter().filter(is_active)
     }
 
     /// Notes a run of a suspect.
@@ -68,25 +70,25 @@
         ticket: u64,
         fingerprint: RequestFingerprint,
         endpoint: EndpointKey,
-        is_alone: bool,
+        is_exclusive: bool,
     ) {
         self.runs.push(TrialRun {
             ticket,
             fingerprint,
             endpoint,
-            is_alone,
-            began_at: None,
+            is_exclusive,
+            first_event_at: None,
         });
     }
 
     /// Notes that a run has made its first event.
-    pub fn begun(
+    pub fn record_first_event(
         &mut self,
         ticket: u64,
         now: Micros,
     ) {
         for run in self.runs.iter_mut().filter(|run| run.ticket == ticket) {
-            run.began_at = Some(now);
+            run.first_event_at = Some(now);
         }
     }
 
--- a/core/src/serving/wall_name.rs
+++ b/core/src/serving/wall_name.rs
@@ -1,4 +1,4 @@
-use super::WallTag;
+use super::NamespaceTag;
 
 /// The wall inside which parts of prompts are shared: weights of one version,
 /// and one organisation where that shares with nobody.
@@ -33,7 +33,7 @@
     }
 
     /// Tag of the salt.
-    pub fn tag(&self) -> WallTag {
-        WallTag::of(&self.salt())
+    pub fn tag(&self) -> NamespaceTag {
+        NamespaceTag::of(&self.salt())
     }
 }
--- a/core/src/serving/weight_namings.rs
+++ b/core/src/serving/weight_namings.rs
@@ -2,7 +2,7 @@
 
 use {
     super::{
-        told_age::ToldAge, PartFate, PartId, SwapPlanner, ToldNaming, AWAKE_GAP, HOLD_LIMIT,
+        told_age::ToldAge, PartId, ReclaimState, SwapPlanner, ToldNaming, AWAKE_GAP, HOLD_LIMIT,
         VIEW_LIFE,
     },
     crate::time::Micros,
@@ -246,13 +246,13 @@
         reads_over_ms: u64,
         clock_ms: Option<u64>,
         now: Micros,
-    ) -> PartFate {
+    ) -> ReclaimState {
         let Some(naming) = self.replaced_by(model, version) else {
-            return PartFate::Fetched;
+            return ReclaimState::Fetchable;
         };
         let over_at = naming.learned_at + fetch_life(part) + FREE_MARGIN;
         if now <= over_at {
-            return PartFate::Fetched;
+            return ReclaimState::Fetchable;
         }
         let past = now.since(over_at);
         // A box that knows nothing of the time before does not know who was told.
@@ -260,8 +260,8 @@
         let over_ms = clock_ms.map(|clock| clock.saturating_sub(past.as_millis()));
         let is_proven = over_ms.is_some_and(|over| reads_over_ms > over);
         match past > HOLD_LIMIT || (knows_told && is_proven) {
-            true => PartFate::Over,
-            false => PartFate::Held,
+            true => ReclaimState::Reclaimable,
+            false => ReclaimState::Draining,
         }
     }
 
--- a/core/tests/away_endpoints.rs
+++ b/core/tests/away_endpoints.rs
@@ -3,7 +3,7 @@
 
 use pitchhitch_core::{
     serving::{
-        BookChange, EndpointBook, EndpointKey, EndpointNotice, EndpointStanding, EngineLoad,
+        EndpointChange, EndpointKey, EndpointNotice, EndpointRegistry, EndpointStatus, EngineLoad,
         SwapPlanner, SwapStage,
     },
     time::Micros,
@@ -27,13 +27,13 @@
 }
 
 fn hear(
-    book: &mut EndpointBook,
+    registry: &mut EndpointRegistry,
     place: usize,
     running: u32,
     now: Micros,
 ) {
-    let key = book.key(&format!("e{place}")).expect("known");
-    book.get_mut(key).expect("entry").load = Some(EngineLoad {
+    let key = registry.key(&format!("e{place}")).expect("known");
+    registry.get_mut(key).expect("entry").load = Some(EngineLoad {
         at: now,
         running,
         ..EngineLoad::default()
@@ -41,16 +41,16 @@
 }
 
 /// Engines that are listed and heard.
-fn book(
+fn registry(
     count: usize,
     running: u32,
-) -> EndpointBook {
-    let mut book = EndpointBook::default();
+) -> EndpointRegistry {
+    let mut registry = EndpointRegistry::default();
     for place in 0..count {
-        book.take(&notice(place));
-        hear(&mut book, place, running, at(0));
+        registry.apply(&notice(place));
+        hear(&mut registry, place, running, at(0));
     }
-    book
+    registry
 }
 
 fn planner() -> SwapPlanner {
@@ -60,10 +60,10 @@
 }
 
 fn loading(
-    book: &EndpointBook,
+    registry: &EndpointRegistry,
     planner: &SwapPlanner,
 ) -> Vec<EndpointKey> {
-    let keys = book.iter().map(|(key, _)| key);
+    let keys = registry.iter().map(|(key, _)| key);
     keys.filter(|key| planner.stage(*key) == SwapStage::Loading)
         .collect()
 }
@@ -73,34 +73,34 @@
 /// seven seconds were over.
 #[test]
 fn gone_turn_passes() {
-    let mut book = book(4, 0);
+    let mut registry = registry(4, 0);
     let mut planner = planner();
-    planner.plan(&book, LIMIT, at(0));
-    let keys = |ids: [&str; 2]| ids.map(|id| book.key(id).expect("known"));
+    planner.plan(&registry, LIMIT, at(0));
+    let keys = |ids: [&str; 2]| ids.map(|id| registry.key(id).expect("known"));
     let (ended, others) = (keys(["e0", "e1"]), keys(["e2", "e3"]));
-    assert_eq!(loading(&book, &planner), ended);
+    assert_eq!(loading(&registry, &planner), ended);
     for place in [0, 1] {
-        book.gone(&format!("e{place}"), true);
+        registry.mark_unlisted(&format!("e{place}"), true);
     }
     for place in [2, 3] {
-        hear(&mut book, place, 0, at(2_000));
+        hear(&mut registry, place, 0, at(2_000));
     }
-    planner.plan(&book, LIMIT, at(2_000));
-    assert_eq!(loading(&book, &planner), others);
+    planner.plan(&registry, LIMIT, at(2_000));
+    assert_eq!(loading(&registry, &planner), others);
 }
 
 /// A turn of an engine that is heard lasts while its long runs end, also where its entry
 /// went meanwhile.
 #[test]
 fn away_turn_lasts() {
-    let mut book = book(1, 20);
+    let mut registry = registry(1, 20);
     let mut planner = planner();
-    planner.plan(&book, LIMIT, at(0));
-    book.gone("e0", true);
-    hear(&mut book, 0, 20, at(1_000));
-    planner.plan(&book, LIMIT, at(1_000));
-    hear(&mut book, 0, 20, at(1_700));
-    assert_eq!(planner.plan(&book, LIMIT, at(1_700)).len(), 1);
+    planner.plan(&registry, LIMIT, at(0));
+    registry.mark_unlisted("e0", true);
+    hear(&mut registry, 0, 20, at(1_000));
+    planner.plan(&registry, LIMIT, at(1_000));
+    hear(&mut registry, 0, 20, at(1_700));
+    assert_eq!(planner.plan(&registry, LIMIT, at(1_700)).len(), 1);
 }
 
 /// As many load at once as the group's size allows; those whose entries went are of the
@@ -108,33 +108,33 @@
 #[test]
 fn away_group_size() {
     for (heard, at_once) in [(15, 3), (10, 2)] {
-        let mut book = book(15, 0);
+        let mut registry = registry(15, 0);
         for place in 0..15 {
-            book.gone(&format!("e{place}"), true);
+            registry.mark_unlisted(&format!("e{place}"), true);
         }
         for place in heard..15 {
-            let key = book.key(&format!("e{place}")).expect("known");
-            book.get_mut(key).expect("entry").load = None;
+            let key = registry.key(&format!("e{place}")).expect("known");
+            registry.get_mut(key).expect("entry").load = None;
         }
         let mut planner = planner();
-        planner.plan(&book, LIMIT, at(0));
-        assert_eq!(loading(&book, &planner).len(), at_once, "{heard} heard");
+        planner.plan(&registry, LIMIT, at(0));
+        assert_eq!(loading(&registry, &planner).len(), at_once, "{heard} heard");
     }
 }
 
 /// Another box tells of an endpoint as one that is away; this one has it on the list.
 #[test]
 fn away_word_is_nothing() {
-    let mut book = book(1, 0);
+    let mut registry = registry(1, 0);
     let told = EndpointNotice {
         is_away: true,
         ..notice(0)
     };
-    assert_eq!(book.take(&told), None);
-    let entry = book.key("e0").and_then(|key| book.get(key));
+    assert_eq!(registry.apply(&told), None);
+    let entry = registry.key("e0").and_then(|key| registry.get(key));
     let entry = entry.expect("known");
-    assert_eq!(entry.standing, EndpointStanding::Serving);
-    assert!(entry.may_be_there());
+    assert_eq!(entry.status, EndpointStatus::Serving);
+    assert!(entry.may_be_present());
 }
 
 /// Of two places to load in, both went to engines that get no requests, whose entries had
@@ -142,27 +142,27 @@
 /// was over.
 #[test]
 fn listed_go_first() {
-    let mut book = book(4, 0);
+    let mut registry = registry(4, 0);
     for place in [0, 1] {
-        book.gone(&format!("e{place}"), true);
+        registry.mark_unlisted(&format!("e{place}"), true);
     }
     let mut planner = planner();
-    planner.plan(&book, LIMIT, at(0));
-    let listed = ["e2", "e3"].map(|id| book.key(id).expect("known"));
-    assert_eq!(loading(&book, &planner), listed);
+    planner.plan(&registry, LIMIT, at(0));
+    let listed = ["e2", "e3"].map(|id| registry.key(id).expect("known"));
+    assert_eq!(loading(&registry, &planner), listed);
 }
 
 /// An engine that had left is told of in a later life, before the list shows that: it is there.
 /// What is told of the life that ended says nothing.
 #[test]
 fn later_life_told() {
-    let mut book = EndpointBook::default();
+    let mut registry = EndpointRegistry::default();
     let life = |born: u64| EndpointNotice {
         born: Some(born),
         ..notice(0)
     };
-    book.take(&life(100));
-    book.take(&EndpointNotice {
+    registry.apply(&life(100));
+    registry.apply(&EndpointNotice {
         is_leaving: true,
         ..life(100)
     });
@@ -170,24 +170,27 @@
         is_away: true,
         ..life(born)
     };
-    assert_eq!(book.take(&away(100)), None);
-    let news = book.take(&away(200));
-    assert_eq!(news, Some(BookChange::Away("e0".to_string())));
-    let entry = book.key("e0").and_then(|key| book.get(key)).expect("known");
-    assert!(entry.may_be_there() && !entry.is_listed());
+    assert_eq!(registry.apply(&away(100)), None);
+    let news = registry.apply(&away(200));
+    assert_eq!(news, Some(EndpointChange::Away("e0".to_string())));
+    let entry = registry
+        .key("e0")
+        .and_then(|key| registry.get(key))
+        .expect("known");
+    assert!(entry.may_be_present() && !entry.is_listed());
 }
 
 /// One whose entry went is forgotten after a while, but not while it is heard.
 #[test]
 fn heard_not_forgotten() {
-    let mut book = book(2, 0);
+    let mut registry = registry(2, 0);
     for place in [0, 1] {
-        book.gone(&format!("e{place}"), true);
+        registry.mark_unlisted(&format!("e{place}"), true);
     }
     for second in 0..60 {
-        hear(&mut book, 0, 0, Micros::from_secs(second));
-        book.prune(Micros::from_secs(second));
+        hear(&mut registry, 0, 0, Micros::from_secs(second));
+        registry.prune(Micros::from_secs(second));
     }
-    assert!(book.key("e0").is_some());
-    assert!(book.key("e1").is_none());
+    assert!(registry.key("e0").is_some());
+    assert!(registry.key("e1").is_none());
 }
--- a/core/tests/early_saves.rs
+++ b/core/tests/early_saves.rs
@@ -5,7 +5,7 @@
 
 use {
     pitchhitch_core::{
-        serving::{MemoryMap, StoreView, ToldLife, SAVE_AFTER, VIEW_LIFE},
+        serving::{StoreDirectory, StoreUptime, StoreView, SAVE_AFTER, VIEW_LIFE},
         time::Micros,
     },
     proptest::prelude::*,
@@ -75,18 +75,18 @@
     Told {
         to: usize,
         life: u64,
-        told: Vec<ToldLife>,
+        told: Vec<StoreUptime>,
     },
 }
 
 struct SmallFront {
-    map: MemoryMap,
+    map: StoreDirectory,
     life: u64,
 }
 
 impl SmallFront {
     fn start(life: u64) -> Self {
-        let mut map = MemoryMap::default();
+        let mut map = StoreDirectory::default();
         map.set_stores(&[store()]);
         SmallFront { map, life }
     }
@@ -197,14 +197,15 @@
                 life,
                 way,
             } => {
-                let told = self.fronts[peer].map.lives(now);
+                let told = self.fronts[peer].map.store_uptimes(now);
                 let letter = Letter::Told { to, life, told };
                 self.letters.push((step + way, letter));
             }
             Letter::Told { to, life, told } => {
                 let front = &mut self.fronts[to];
                 if front.life == life {
-                    told.iter().for_each(|told| front.map.tell_life(told, now));
+                    told.iter()
+                        .for_each(|told| front.map.record_uptime(told, now));
                 }
             }
         }
--- a/core/tests/endpoint_book.rs
+++ b/core/tests/endpoint_book.rs
@@ -2,7 +2,7 @@
 
 use pitchhitch_core::{
     serving::{
-        BookChange, EndpointBook, EndpointNotice, EndpointStanding, StoreEra, StorePosition,
+        EndpointChange, EndpointNotice, EndpointRegistry, EndpointStatus, StoreEra, StorePosition,
     },
     time::Micros,
 };
@@ -24,102 +24,111 @@
     }
 }
 
-fn standing(
-    book: &EndpointBook,
+fn status(
+    registry: &EndpointRegistry,
     id: &str,
-) -> Option<EndpointStanding> {
-    Some(book.get(book.key(id)?)?.standing)
+) -> Option<EndpointStatus> {
+    Some(registry.get(registry.key(id)?)?.status)
 }
 
 #[test]
 fn leaving_stays() {
-    let mut book = EndpointBook::default();
-    book.take(&notice("e", 1, false));
+    let mut registry = EndpointRegistry::default();
+    registry.apply(&notice("e", 1, false));
     assert_eq!(
-        book.take(&notice("e", 1, true)),
-        Some(BookChange::Leaves("e".to_string()))
+        registry.apply(&notice("e", 1, true)),
+        Some(EndpointChange::Leaves("e".to_string()))
     );
     // A late reading that still shows it serving changes nothing.
-    assert_eq!(book.take(&notice("e", 1, false)), None);
-    assert_eq!(standing(&book, "e"), Some(EndpointStanding::Leaving));
+    assert_eq!(registry.apply(&notice("e", 1, false)), None);
+    assert_eq!(status(&registry, "e"), Some(EndpointStatus::Leaving));
 }
 
 /// Heartbeats that got lost look like an endpoint that left: it is asked once its
 /// entry is back, and serves when it says so.
 #[test]
 fn returned_is_asked() {
-    let mut book = EndpointBook::default();
-    book.take(&notice("e", 1, false));
-    let key = book.key("e").expect("known");
-    book.gone("e", true);
-    assert!(book.ask_returned(Micros::ZERO).is_empty());
-    assert_eq!(book.take(&notice("e", 1, false)), None);
-    assert_eq!(standing(&book, "e"), Some(EndpointStanding::Leaving));
-    let questions = book.ask_returned(Micros::ZERO);
-    assert_eq!(questions.iter().map(|q| q.key).collect::<Vec<_>>(), [key]);
-    assert!(book.ask_returned(Micros::ZERO).is_empty(), "asked already");
-    assert_eq!(book.answered_return(key, false, Micros::ZERO), None);
-    assert!(book.ask_returned(Micros::ZERO).is_empty(), "a pause first");
-    assert_eq!(book.ask_returned(Micros::from_secs(1)).len(), 1);
+    let mut registry = EndpointRegistry::default();
+    registry.apply(&notice("e", 1, false));
+    let key = registry.key("e").expect("known");
+    registry.mark_unlisted("e", true);
+    assert!(registry.due_probes(Micros::ZERO).is_empty());
+    assert_eq!(registry.apply(&notice("e", 1, false)), None);
+    assert_eq!(status(&registry, "e"), Some(EndpointStatus::Leaving));
+    let probes = registry.due_probes(Micros::ZERO);
+    assert_eq!(probes.iter().map(|q| q.key).collect::<Vec<_>>(), [key]);
+    assert!(
+        registry.due_probes(Micros::ZERO).is_empty(),
+        "asked already"
+    );
+    assert_eq!(registry.record_probe(key, false, Micros::ZERO), None);
+    assert!(
+        registry.due_probes(Micros::ZERO).is_empty(),
+        "a pause first"
+    );
+    assert_eq!(registry.due_probes(Micros::from_secs(1)).len(), 1);
     assert_eq!(
-        book.answered_return(key, true, Micros::from_secs(1)),
-        Some(BookChange::Serves("e".to_string()))
+        registry.record_probe(key, true, Micros::from_secs(1)),
+        Some(EndpointChange::Serves("e".to_string()))
     );
-    assert_eq!(standing(&book, "e"), Some(EndpointStanding::Serving));
+    assert_eq!(status(&registry, "e"), Some(EndpointStatus::Serving));
 }
 
 /// An answer that comes after the entry has gone once more proves nothing.
 #[test]
 fn gone_while_asked() {
-    let mut book = EndpointBook::default();
-    book.take(&notice("e", 1, false));
-    let key = book.key("e").expect("known");
-    book.gone("e", true);
-    book.take(&notice("e", 1, false));
-    book.ask_returned(Micros::ZERO);
-    book.gone("e", true);
-    assert_eq!(book.answered_return(key, true, Micros::ZERO), None);
-    assert_eq!(standing(&book, "e"), Some(EndpointStanding::Leaving));
+    let mut registry = EndpointRegistry::default();
+    registry.apply(&notice("e", 1, false));
+    let key = registry.key("e").expect("known");
+    registry.mark_unlisted("e", true);
+    registry.apply(&notice("e", 1, false));
+    registry.due_probes(Micros::ZERO);
+    registry.mark_unlisted("e", true);
+    assert_eq!(registry.record_probe(key, true, Micros::ZERO), None);
+    assert_eq!(status(&registry, "e"), Some(EndpointStatus::Leaving));
 }
 
 /// Who said that it leaves is not asked; a late write does not bring it back,
 /// also where nothing of ours runs there any more.
 #[test]
 fn late_beat_no_return() {
-    let mut book = EndpointBook::default();
-    book.take(&notice("e", 1, false));
-    book.take(&notice("e", 1, true));
-    book.gone("e", true);
-    book.prune(Micros::ZERO);
-    book.prune(Micros::from_secs(6));
-    assert_eq!(book.take(&notice("e", 1, false)), None);
-    assert!(book.ask_returned(Micros::from_secs(6)).is_empty());
-    assert_eq!(standing(&book, "e"), Some(EndpointStanding::Leaving));
+    let mut registry = EndpointRegistry::default();
+    registry.apply(&notice("e", 1, false));
+    registry.apply(&notice("e", 1, true));
+    registry.mark_unlisted("e", true);
+    registry.prune(Micros::ZERO);
+    registry.prune(Micros::from_secs(6));
+    assert_eq!(registry.apply(&notice("e", 1, false)), None);
+    assert!(registry.due_probes(Micros::from_secs(6)).is_empty());
+    assert_eq!(status(&registry, "e"), Some(EndpointStatus::Leaving));
 }
 
 #[test]
 fn lapse_forgiven() {
-    let mut book = EndpointBook::default();
-    book.take(&notice("back", 1, false));
-    book.take(&notice("lost", 2, false));
+    let mut registry = EndpointRegistry::default();
+    registry.apply(&notice("back", 1, false));
+    registry.apply(&notice("lost", 2, false));
     assert_eq!(
-        book.gone("back", false),
-        Some(BookChange::Lapses("back".to_string()))
+        registry.mark_unlisted("back", false),
+        Some(EndpointChange::Lapses("back".to_string()))
     );
-    book.gone("lost", false);
-    book.take(&notice("back", 1, false));
-    assert_eq!(book.settle(), vec![BookChange::Leaves("lost".to_string())]);
-    assert_eq!(standing(&book, "back"), Some(EndpointStanding::Serving));
-    assert_eq!(standing(&book, "lost"), Some(EndpointStanding::Leaving));
+    registry.mark_unlisted("lost", false);
+    registry.apply(&notice("back", 1, false));
+    assert_eq!(
+        registry.expire_lapsed(),
+        vec![EndpointChange::Leaves("lost".to_string())]
+    );
+    assert_eq!(status(&registry, "back"), Some(EndpointStatus::Serving));
+    assert_eq!(status(&registry, "lost"), Some(EndpointStatus::Leaving));
 }
 
 #[test]
 fn seen_leaving_binds() {
-    let mut book = EndpointBook::default();
-    book.take(&notice("e", 1, true));
+    let mut registry = EndpointRegistry::default();
+    registry.apply(&notice("e", 1, true));
     // Gone while the list cannot be trusted: it had said that it leaves.
-    assert_eq!(book.gone("e", false), None);
-    assert_eq!(standing(&book, "e"), Some(EndpointStanding::Leaving));
+    assert_eq!(registry.mark_unlisted("e", false), None);
+    assert_eq!(status(&registry, "e"), Some(EndpointStatus::Leaving));
 }
 
 /// A front that starts while the store is away takes what a peer knows. One whose entry
@@ -127,87 +136,90 @@
 /// new front sent it nothing for 30 seconds, while all others did after one question.
 #[test]
 fn away_handed_on() {
-    let mut peer = EndpointBook::default();
-    peer.take(&notice("away", 1, false));
-    peer.gone("away", true);
-    peer.take(&notice("left", 2, false));
-    peer.take(&notice("left", 2, true));
-    let mut book = EndpointBook::default();
+    let mut peer = EndpointRegistry::default();
+    peer.apply(&notice("away", 1, false));
+    peer.mark_unlisted("away", true);
+    peer.apply(&notice("left", 2, false));
+    peer.apply(&notice("left", 2, true));
+    let mut registry = EndpointRegistry::default();
     for told in peer.notices() {
-        book.take(&told);
+        registry.apply(&told);
     }
     for id in ["away", "left"] {
-        assert_eq!(standing(&book, id), Some(EndpointStanding::Leaving));
-        assert_eq!(book.take(&notice(id, 1, false)), None);
+        assert_eq!(status(&registry, id), Some(EndpointStatus::Leaving));
+        assert_eq!(registry.apply(&notice(id, 1, false)), None);
     }
-    let questions = book.ask_returned(Micros::ZERO);
-    let asked: Vec<&str> = questions.iter().map(|q| q.id.as_str()).collect();
+    let probes = registry.due_probes(Micros::ZERO);
+    let asked: Vec<&str> = probes.iter().map(|q| q.id.as_str()).collect();
     assert_eq!(asked, ["away"]);
 }
 
 #[test]
 fn whole_list_compared() {
-    let mut book = EndpointBook::default();
-    book.take(&notice("old", 1, false));
-    let changes = book.take_all(&[notice("new", 2, false)], true);
-    assert!(changes.contains(&BookChange::Serves("new".to_string())));
-    assert!(changes.contains(&BookChange::Leaves("old".to_string())));
+    let mut registry = EndpointRegistry::default();
+    registry.apply(&notice("old", 1, false));
+    let changes = registry.apply_all(&[notice("new", 2, false)], true);
+    assert!(changes.contains(&EndpointChange::Serves("new".to_string())));
+    assert!(changes.contains(&EndpointChange::Leaves("old".to_string())));
 }
 
 #[test]
 fn address_reused() {
-    let mut book = EndpointBook::default();
-    book.take(&EndpointNotice {
+    let mut registry = EndpointRegistry::default();
+    registry.apply(&EndpointNotice {
         row: StorePosition {
             era: StoreEra(1),
             version: 9,
         },
         ..notice("old", 1, false)
     });
-    book.gone("old", true);
+    registry.mark_unlisted("old", true);
     let address = ([10, 0, 0, 1], 1).into();
-    assert_eq!(book.present_at(address, |_| true), book.key("old"));
+    assert_eq!(registry.present_at(address, |_| true), registry.key("old"));
     // What is on the list goes before what only may be there, whenever it was listed.
-    book.take(&notice("new", 1, false));
-    assert_eq!(book.present_at(address, |_| true), book.key("new"));
-    book.prune(Micros::ZERO);
-    book.prune(Micros::from_secs(31));
-    assert_eq!(book.key("old"), None);
+    registry.apply(&notice("new", 1, false));
+    assert_eq!(registry.present_at(address, |_| true), registry.key("new"));
+    registry.prune(Micros::ZERO);
+    registry.prune(Micros::from_secs(31));
+    assert_eq!(registry.key("old"), None);
 }
 
 #[test]
 fn busy_kept() {
-    let mut book = EndpointBook::default();
-    book.take(&notice("e", 1, false));
-    let key = book.key("e").expect("known");
-    let work = pitchhitch_core::serving::UnreadWork {
+    let mut registry = EndpointRegistry::default();
+    registry.apply(&notice("e", 1, false));
+    let key = registry.key("e").expect("known");
+    let prefill = pitchhitch_core::serving::PendingPrefill {
         ticket: 7,
         tokens: 100,
         memory_tokens: 120,
-        rank: 2,
+        priority: 2,
         sent_at: Micros::ZERO,
     };
-    book.sent(key, work);
-    book.gone("e", true);
-    book.prune(Micros::ZERO);
-    book.prune(Micros::from_secs(31));
+    registry.record_sent(key, prefill);
+    registry.mark_unlisted("e", true);
+    registry.prune(Micros::ZERO);
+    registry.prune(Micros::from_secs(31));
     assert!(
-        book.get(key).is_some(),
+        registry.get(key).is_some(),
         "a request of ours still runs there"
     );
-    book.begun(key, 7);
-    assert_eq!(book.get(key).map(|e| e.unread_tokens(9)), Some(0));
-    book.ended(key, 7);
-    book.prune(Micros::from_secs(31));
-    assert!(book.get(key).is_none());
+    registry.record_started(key, 7);
+    assert_eq!(registry.get(key).map(|e| e.pending_tokens(9)), Some(0));
+    registry.record_ended(key, 7);
+    registry.prune(Micros::from_secs(31));
+    assert!(registry.get(key).is_none());
 }
 
 #[test]
 fn versions_never_back() {
-    let mut book = EndpointBook::default();
-    book.take(&notice("e", 1, false));
-    let key = book.key("e").expect("known");
-    book.get_mut(key).expect("entry").weights.learn("m", 3);
-    book.take(&notice("e", 1, false));
-    assert_eq!(book.get(key).and_then(|e| e.weights.version("m")), Some(3));
+    let mut registry = EndpointRegistry::default();
+    registry.apply(&notice("e", 1, false));
+    let key = registry.key("e").expect("known");
+    registry.get_mut(key).expect("entry").weights.learn("m", 3);
+    registry.apply(&notice("e", 1, false));
+    assert_eq!(
+        registry.get(key).and_then(|e| e.weights.version("m")),
+        Some(3)
+    );
 }
--- a/core/tests/endpoint_lives.rs
+++ b/core/tests/endpoint_lives.rs
@@ -3,9 +3,9 @@
 use {
     pitchhitch_core::{
         serving::{
-            BookChange, DigestMark, DigestOrder, EndpointBook, EndpointEntry, EndpointKey,
-            EndpointLife, EndpointNotice, EndpointStanding, EngineLoad, LifeOrder, PartId,
-            StoreEra, StorePosition, UnreadWork, WallTag,
+            DigestOrder, DigestPosition, EndpointChange, EndpointEntry, EndpointIncarnation,
+            EndpointKey, EndpointNotice, EndpointRegistry, EndpointStatus, EngineLoad,
+            IncarnationOrder, NamespaceTag, PartId, PendingPrefill, StoreEra, StorePosition,
         },
         time::Micros,
     },
@@ -13,7 +13,7 @@
     std::net::SocketAddr,
 };
 
-const WALL: WallTag = WallTag(1);
+const WALL: NamespaceTag = NamespaceTag(1);
 
 fn notice(
     id: &str,
@@ -41,32 +41,32 @@
     PartId::parse("aa").expect("hex")
 }
 
-fn restarts(id: &str) -> Option<BookChange> {
-    Some(BookChange::Restarts(id.to_string()))
+fn restarts(id: &str) -> Option<EndpointChange> {
+    Some(EndpointChange::Restarts(id.to_string()))
 }
 
-/// A book with one endpoint of which much is known.
-fn known(born: Option<u64>) -> (EndpointBook, EndpointKey) {
-    let mut book = EndpointBook::default();
-    book.take(&notice("e", born, false));
-    let key = book.key("e").expect("known");
-    let entry = book.get_mut(key).expect("entry");
+/// A registry with one endpoint of which much is known.
+fn known(born: Option<u64>) -> (EndpointRegistry, EndpointKey) {
+    let mut registry = EndpointRegistry::default();
+    registry.apply(&notice("e", born, false));
+    let key = registry.key("e").expect("known");
+    let entry = registry.get_mut(key).expect("entry");
     entry.weights.learn("m", 4);
     entry.parts.set(WALL, part(), 10);
     entry.is_mirrored = true;
     entry.load = Some(EngineLoad::default());
     for _ in 0..3 {
-        book.judged(key, false, Micros::ZERO);
+        registry.record_outcome(key, false, Micros::ZERO);
     }
-    let work = UnreadWork {
+    let prefill = PendingPrefill {
         ticket: 7,
         tokens: 100,
         memory_tokens: 120,
-        rank: 2,
+        priority: 2,
         sent_at: Micros::ZERO,
     };
-    book.sent(key, work);
-    (book, key)
+    registry.record_sent(key, prefill);
+    (registry, key)
 }
 
 fn forgot(entry: &EndpointEntry) -> bool {
@@ -77,15 +77,25 @@
 
 #[test]
 fn later_life_forgets() {
-    let (mut book, key) = known(Some(5));
-    assert_eq!(book.take(&notice("e", Some(6), false)), restarts("e"));
-    let entry = book.get(key).expect("entry");
+    let (mut registry, key) = known(Some(5));
+    assert_eq!(registry.apply(&notice("e", Some(6), false)), restarts("e"));
+    let entry = registry.get(key).expect("entry");
     assert!(forgot(entry));
     assert_eq!(entry.weights.version("m"), Some(1), "as the list says");
-    assert_eq!((entry.running, entry.unread.len()), (1, 1), "ours run on");
-    assert_eq!((entry.life.born, entry.life.ended), (Some(6), 1));
-    assert_eq!(book.take(&notice("e", Some(6), false)), None);
-    assert_eq!(book.get(key).map(|entry| entry.life.ended), Some(1));
+    assert_eq!(
+        (entry.running, entry.pending_prefills.len()),
+        (1, 1),
+        "ours run on"
+    );
+    assert_eq!(
+        (entry.incarnation.born, entry.incarnation.ended),
+        (Some(6), 1)
+    );
+    assert_eq!(registry.apply(&notice("e", Some(6), false)), None);
+    assert_eq!(
+        registry.get(key).map(|entry| entry.incarnation.ended),
+        Some(1)
+    );
 }
 
 #[test]
@@ -96,160 +106,180 @@
         (None, Some(5)),
         (None, None),
     ] {
-        let (mut book, key) = known(known_born);
-        assert_eq!(book.take(&notice("e", told, false)), None);
-        let entry = book.get(key).expect("entry");
+        let (mut registry, key) = known(known_born);
+        assert_eq!(registry.apply(&notice("e", told, false)), None);
+        let entry = registry.get(key).expect("entry");
         assert!(!forgot(entry));
         assert_eq!(entry.weights.version("m"), Some(4));
-        assert_eq!(entry.life.born, known_born.or(told));
+        assert_eq!(entry.incarnation.born, known_born.or(told));
     }
 }
 
 /// A late write of the earlier life changes nothing, whatever it says.
 #[test]
 fn earlier_life_ignored() {
-    let (mut book, key) = known(Some(5));
+    let (mut registry, key) = known(Some(5));
     for is_leaving in [false, true] {
         let mut late = notice("e", Some(4), is_leaving);
         late.weights = vec![("m".to_string(), 9)];
         late.row = row_at(1, 99);
-        assert_eq!(book.take(&late), None);
+        assert_eq!(registry.apply(&late), None);
     }
-    assert_eq!(book.take_all(&[notice("e", Some(4), true)], true), []);
-    let entry = book.get(key).expect("entry");
+    assert_eq!(registry.apply_all(&[notice("e", Some(4), true)], true), []);
+    let entry = registry.get(key).expect("entry");
     assert_eq!(entry.weights.version("m"), Some(4));
     assert_eq!(
-        (entry.standing, entry.life.row),
-        (EndpointStanding::Serving, StorePosition::default())
+        (entry.status, entry.incarnation.row),
+        (EndpointStatus::Serving, StorePosition::default())
     );
 }
 
 /// What the earlier life said of its end is over.
 #[test]
 fn leaver_serves_again() {
-    let (mut book, key) = known(Some(5));
-    book.take(&notice("e", Some(5), true));
-    book.prune(Micros::ZERO);
-    assert_eq!(book.take(&notice("e", Some(5), false)), None);
-    assert_eq!(book.take(&notice("e", Some(6), false)), restarts("e"));
-    let entry = book.get(key).expect("entry");
+    let (mut registry, key) = known(Some(5));
+    registry.apply(&notice("e", Some(5), true));
+    registry.prune(Micros::ZERO);
+    assert_eq!(registry.apply(&notice("e", Some(5), false)), None);
+    assert_eq!(registry.apply(&notice("e", Some(6), false)), restarts("e"));
+    let entry = registry.get(key).expect("entry");
     assert_eq!(
-        (entry.standing, entry.left_at),
-        (EndpointStanding::Serving, None)
+        (entry.status, entry.left_at),
+        (EndpointStatus::Serving, None)
     );
-    assert!(book.ask_returned(Micros::ZERO).is_empty());
+    assert!(registry.due_probes(Micros::ZERO).is_empty());
     // Nor does it come back by itself where the later life leaves too.
-    book.take(&notice("e", Some(7), true));
-    assert_eq!(book.take(&notice("e", Some(7), false)), None);
-    assert!(book.ask_returned(Micros::ZERO).is_empty());
+    registry.apply(&notice("e", Some(7), true));
+    assert_eq!(registry.apply(&notice("e", Some(7), false)), None);
+    assert!(registry.due_probes(Micros::ZERO).is_empty());
 }
 
 #[test]
 fn gone_serves_again() {
-    let (mut book, _) = known(Some(5));
-    book.gone("e", true);
-    assert_eq!(book.take(&notice("e", Some(6), false)), restarts("e"));
+    let (mut registry, _) = known(Some(5));
+    registry.mark_unlisted("e", true);
+    assert_eq!(registry.apply(&notice("e", Some(6), false)), restarts("e"));
 }
 
 /// A digest may tell of the later life before the list does.
 #[test]
 fn digest_first() {
-    let (mut book, key) = known(Some(5));
+    let (mut registry, key) = known(Some(5));
+    assert_eq!(
+        registry.observe_incarnation(key, Some(4), Micros::ZERO),
+        IncarnationOrder::Earlier
+    );
     assert_eq!(
-        book.hear_life(key, Some(4), Micros::ZERO),
-        LifeOrder::Earlier
+        registry.observe_incarnation(key, Some(5), Micros::ZERO),
+        IncarnationOrder::Same
+    );
+    assert!(!registry.get(key).is_some_and(forgot));
+    assert_eq!(
+        registry.observe_incarnation(key, Some(6), Micros::ZERO),
+        IncarnationOrder::Later
+    );
+    assert!(registry.get(key).is_some_and(forgot));
+    assert_eq!(
+        registry.observe_incarnation(key, None, Micros::ZERO),
+        IncarnationOrder::Same
     );
-    assert_eq!(book.hear_life(key, Some(5), Micros::ZERO), LifeOrder::Same);
-    assert!(!book.get(key).is_some_and(forgot));
-    assert_eq!(book.hear_life(key, Some(6), Micros::ZERO), LifeOrder::Later);
-    assert!(book.get(key).is_some_and(forgot));
-    assert_eq!(book.hear_life(key, None, Micros::ZERO), LifeOrder::Same);
     // The list still tells of the life that is over, and may tell of its end.
-    assert_eq!(book.take(&notice("e", Some(5), true)), None);
-    assert_eq!(book.take(&notice("e", Some(6), false)), None);
-    let entry = book.get(key).expect("entry");
+    assert_eq!(registry.apply(&notice("e", Some(5), true)), None);
+    assert_eq!(registry.apply(&notice("e", Some(6), false)), None);
+    let entry = registry.get(key).expect("entry");
     assert_eq!(
-        (entry.life.ended, entry.standing),
-        (1, EndpointStanding::Serving)
+        (entry.incarnation.ended, entry.status),
+        (1, EndpointStatus::Serving)
     );
 }
 
 /// The list had told that the earlier life leaves; then a digest came, then its word.
 #[test]
 fn word_behind_digest() {
-    let (mut book, key) = known(Some(5));
-    book.take(&notice("e", Some(5), true));
-    book.hear_life(key, Some(6), Micros::ZERO);
+    let (mut registry, key) = known(Some(5));
+    registry.apply(&notice("e", Some(5), true));
+    registry.observe_incarnation(key, Some(6), Micros::ZERO);
     assert_eq!(
-        book.get(key).map(|e| e.standing),
-        Some(EndpointStanding::Leaving)
+        registry.get(key).map(|e| e.status),
+        Some(EndpointStatus::Leaving)
     );
-    let serves = Some(BookChange::Serves("e".to_string()));
-    assert_eq!(book.take(&notice("e", Some(6), false)), serves);
+    let serves = Some(EndpointChange::Serves("e".to_string()));
+    assert_eq!(registry.apply(&notice("e", Some(6), false)), serves);
 }
 
 #[test]
 fn overtaken_by_birth() {
-    let mut book = EndpointBook::default();
-    book.take(&notice("b-old", Some(5), false));
-    assert_eq!(book.end_overtaken(), []);
-    book.take(&notice("a-new", Some(6), true));
-    assert_eq!(book.end_overtaken(), [], "only one that serves ends others");
-    book.take(&notice("c-new", Some(7), false));
-    let left = BookChange::Leaves("b-old".to_string());
-    assert_eq!(book.end_overtaken(), [left]);
-    assert_eq!(book.take(&notice("b-old", Some(5), false)), None);
-    assert!(book.ask_returned(Micros::ZERO).is_empty());
-    assert_eq!(book.end_overtaken(), []);
+    let mut registry = EndpointRegistry::default();
+    registry.apply(&notice("b-old", Some(5), false));
+    assert_eq!(registry.retire_superseded(), []);
+    registry.apply(&notice("a-new", Some(6), true));
+    assert_eq!(
+        registry.retire_superseded(),
+        [],
+        "only one that serves ends others"
+    );
+    registry.apply(&notice("c-new", Some(7), false));
+    let left = EndpointChange::Leaves("b-old".to_string());
+    assert_eq!(registry.retire_superseded(), [left]);
+    assert_eq!(registry.apply(&notice("b-old", Some(5), false)), None);
+    assert!(registry.due_probes(Micros::ZERO).is_empty());
+    assert_eq!(registry.retire_superseded(), []);
     // It may have the address again in a life of its own.
     assert_eq!(
-        book.take(&notice("b-old", Some(8), false)),
+        registry.apply(&notice("b-old", Some(8), false)),
         restarts("b-old")
     );
 }
 
 #[test]
 fn others_not_overtaken() {
-    let mut book = EndpointBook::default();
-    book.take(&notice("unborn", None, false));
+    let mut registry = EndpointRegistry::default();
+    registry.apply(&notice("unborn", None, false));
     let mut elsewhere = notice("elsewhere", Some(5), false);
     elsewhere.address = Some(([10, 0, 0, 1], 2).into());
-    book.take(&elsewhere);
+    registry.apply(&elsewhere);
     let mut other = notice("other", Some(5), false);
     other.service = "plain".to_string();
-    book.take(&other);
-    book.take(&notice("new", Some(6), false));
-    assert_eq!(book.end_overtaken(), []);
+    registry.apply(&other);
+    registry.apply(&notice("new", Some(6), false));
+    assert_eq!(registry.retire_superseded(), []);
 }
 
 #[test]
 fn present_one() {
-    let mut book = EndpointBook::default();
+    let mut registry = EndpointRegistry::default();
     let row = |id: &str, born: Option<u64>, version: u64| EndpointNotice {
         row: row_at(1, version),
         ..notice(id, born, false)
     };
-    let present = |book: &EndpointBook| {
-        let key = book.present_at(address(), |_| true);
-        key.and_then(|key| Some(book.get(key)?.id.clone()))
+    let present = |registry: &EndpointRegistry| {
+        let key = registry.present_at(address(), |_| true);
+        key.and_then(|key| Some(registry.get(key)?.id.clone()))
     };
-    book.take(&row("b", None, 3));
-    book.take(&row("a", None, 2));
-    assert_eq!(present(&book).as_deref(), Some("b"));
-    book.take(&row("a", None, 4));
-    assert_eq!(present(&book).as_deref(), Some("a"), "listed last");
+    registry.apply(&row("b", None, 3));
+    registry.apply(&row("a", None, 2));
+    assert_eq!(present(&registry).as_deref(), Some("b"));
+    registry.apply(&row("a", None, 4));
+    assert_eq!(present(&registry).as_deref(), Some("a"), "listed last");
     // A store that came back from a copy gives its versions out again.
     let again = EndpointNotice {
         row: row_at(2, 3),
         ..row("b", None, 0)
     };
-    book.take(&again);
-    assert_eq!(present(&book).as_deref(), Some("b"), "listed last");
-    book.take(&row("c", Some(5), 1));
-    assert_eq!(present(&book).as_deref(), Some("c"), "its birth is known");
-    book.take(&row("d", Some(6), 0));
-    assert_eq!(present(&book).as_deref(), Some("d"));
-    assert_eq!(book.present_at(address(), |entry| entry.id == "x"), None);
+    registry.apply(&again);
+    assert_eq!(present(&registry).as_deref(), Some("b"), "listed last");
+    registry.apply(&row("c", Some(5), 1));
+    assert_eq!(
+        present(&registry).as_deref(),
+        Some("c"),
+        "its birth is known"
+    );
+    registry.apply(&row("d", Some(6), 0));
+    assert_eq!(present(&registry).as_deref(), Some("d"));
+    assert_eq!(
+        registry.present_at(address(), |entry| entry.id == "x"),
+        None
+    );
 }
 
 fn row_at(
@@ -262,13 +292,13 @@
     }
 }
 
-fn mark(
-    life: u64,
+fn position(
+    incarnation: u64,
     number: u64,
     changes: u64,
-) -> DigestMark {
-    DigestMark {
-        life,
+) -> DigestPosition {
+    DigestPosition {
+        incarnation,
         number,
         changes,
         at: Micros::ZERO,
@@ -277,38 +307,59 @@
 
 #[test]
 fn digests_in_order() {
-    let mut life = EndpointLife::default();
-    assert_eq!(life.note_digest(mark(1, 5, 2), false), DigestOrder::Next);
+    let mut incarnation = EndpointIncarnation::default();
+    assert_eq!(
+        incarnation.record_digest(position(1, 5, 2), false),
+        DigestOrder::Next
+    );
     assert_eq!(
-        life.note_digest(mark(1, 5, 2), false),
+        incarnation.record_digest(position(1, 5, 2), false),
         DigestOrder::Overtaken
     );
-    assert_eq!(life.note_digest(mark(1, 6, 3), true), DigestOrder::Next);
+    assert_eq!(
+        incarnation.record_digest(position(1, 6, 3), true),
+        DigestOrder::Next
+    );
     // Only load was in the two that are missing.
-    assert_eq!(life.note_digest(mark(1, 9, 3), false), DigestOrder::Next);
     assert_eq!(
-        life.note_digest(mark(1, 8, 3), false),
+        incarnation.record_digest(position(1, 9, 3), false),
+        DigestOrder::Next
+    );
+    assert_eq!(
+        incarnation.record_digest(position(1, 8, 3), false),
         DigestOrder::Overtaken
     );
-    assert_eq!(life.note_digest(mark(1, 11, 5), true), DigestOrder::Gap);
     assert_eq!(
-        life.note_digest(mark(1, 10, 4), true),
+        incarnation.record_digest(position(1, 11, 5), true),
+        DigestOrder::Gap
+    );
+    assert_eq!(
+        incarnation.record_digest(position(1, 10, 4), true),
         DigestOrder::Overtaken
     );
-    assert_eq!(life.note_digest(mark(1, 12, 6), false), DigestOrder::Gap);
+    assert_eq!(
+        incarnation.record_digest(position(1, 12, 6), false),
+        DigestOrder::Gap
+    );
     // The sender has started again; one of its earlier life comes late.
-    assert_eq!(life.note_digest(mark(2, 1, 0), false), DigestOrder::Gap);
     assert_eq!(
-        life.note_digest(mark(1, 13, 6), false),
+        incarnation.record_digest(position(2, 1, 0), false),
+        DigestOrder::Gap
+    );
+    assert_eq!(
+        incarnation.record_digest(position(1, 13, 6), false),
         DigestOrder::Overtaken
     );
-    assert_eq!(life.note_digest(mark(2, 2, 0), false), DigestOrder::Next);
+    assert_eq!(
+        incarnation.record_digest(position(2, 2, 0), false),
+        DigestOrder::Next
+    );
     // Its clock was set back: it is not shut out for good.
-    let back = DigestMark {
+    let back = DigestPosition {
         at: Micros::from_secs(2),
-        ..mark(1, 1, 0)
+        ..position(1, 1, 0)
     };
-    assert_eq!(life.note_digest(back, false), DigestOrder::Gap);
+    assert_eq!(incarnation.record_digest(back, false), DigestOrder::Gap);
 }
 
 proptest! {
@@ -327,16 +378,16 @@
             }
         }
         digests.sort_by_key(|(place, ..)| *place);
-        let mut life = EndpointLife::default();
-        life.note_digest(mark(1, 0, 0), false);
+        let mut incarnation = EndpointIncarnation::default();
+        incarnation.record_digest(position(1, 0, 0), false);
         let (mut seen, mut is_whole) = (0, true);
         for (_, number, changes, is_change) in digests {
-            match life.note_digest(mark(1, number, changes), is_change) {
+            match incarnation.record_digest(position(1, number, changes), is_change) {
                 DigestOrder::Next => seen += u64::from(is_change),
                 DigestOrder::Gap => is_whole = false,
                 DigestOrder::Overtaken => {}
             }
-            let told = life.digest.map_or(0, |digest| digest.changes);
+            let told = incarnation.digest.map_or(0, |digest| digest.changes);
             prop_assert!(!is_whole || seen == told);
         }
     }
@@ -346,20 +397,20 @@
 /// later, and to the other one where that turns out not to be there.
 #[test]
 fn later_listed_present() {
-    let mut book = EndpointBook::default();
+    let mut registry = EndpointRegistry::default();
     let row = |id: &str, version: u64| EndpointNotice {
         row: row_at(1, version),
         ..notice(id, None, false)
     };
-    book.take_all(&[row("i-1", 5), row("i-2", 9)], true);
-    book.end_overtaken();
-    let overtaken = |book: &EndpointBook, id: &str| {
-        let key = book.key(id).expect("known");
-        book.get(key).expect("entry").is_overtaken
+    registry.apply_all(&[row("i-1", 5), row("i-2", 9)], true);
+    registry.retire_superseded();
+    let overtaken = |registry: &EndpointRegistry, id: &str| {
+        let key = registry.key(id).expect("known");
+        registry.get(key).expect("entry").is_superseded
     };
-    assert!(overtaken(&book, "i-1") && !overtaken(&book, "i-2"));
-    let later = book.key("i-2").expect("known");
-    book.get_mut(later).expect("entry").standing = EndpointStanding::Leaving;
-    book.mark_overtaken();
-    assert!(!overtaken(&book, "i-1"));
+    assert!(overtaken(&registry, "i-1") && !overtaken(&registry, "i-2"));
+    let later = registry.key("i-2").expect("known");
+    registry.get_mut(later).expect("entry").status = EndpointStatus::Leaving;
+    registry.mark_superseded();
+    assert!(!overtaken(&registry, "i-1"));
 }
--- a/core/tests/endpoint_pick.rs
+++ b/core/tests/endpoint_pick.rs
@@ -6,8 +6,8 @@
     pick_fleet::{part, prompt, Fleet, NOW},
     pitchhitch_core::{
         serving::{
-            EndpointKey, EnginePace, MemoryMap, PartPlace, PromptAsk, SwapStage, UnreadWork,
-            WeightBounds,
+            EndpointKey, EnginePace, PartLocation, PendingPrefill, PromptAsk, StoreDirectory,
+            SwapStage, WeightBounds,
         },
         time::Micros,
     },
@@ -20,7 +20,7 @@
         fleet.keep(id);
         let choice = fleet.pick(&prompt(), &[]).expect("somebody");
         assert_eq!(choice.key, fleet.key(id));
-        assert_eq!(choice.plan.kept_tokens, 9_100);
+        assert_eq!(choice.plan.cached_tokens, 9_100);
         assert_eq!(choice.unread_tokens, 2_900);
     }
 }
@@ -33,13 +33,13 @@
     let choice = fleet.pick(&prompt(), &[]).expect("somebody");
     assert_ne!(choice.key, fleet.key("e1"));
     // The other one fetches from the busy one instead of reading.
-    let holder = PartPlace::Engine(fleet.key("e1"));
+    let holder = PartLocation::Engine(fleet.key("e1"));
     let sources = choice
         .plan
         .parts
         .iter()
         .filter_map(|part| part.source.as_ref());
-    assert!(sources.clone().count() == 2 && sources.clone().all(|(s, _)| s.place == holder));
+    assert!(sources.clone().count() == 2 && sources.clone().all(|(s, _)| s.location == holder));
 }
 
 #[test]
@@ -157,7 +157,7 @@
     let choice = fleet.pick(&prompt(), &[keeper]).expect("somebody");
     let fetch = choice.plan.parts.iter().find(|f| f.part.tokens == 8_600);
     let (source, _) = fetch.and_then(|f| f.source.as_ref()).expect("a fetch");
-    assert_eq!(source.place, PartPlace::Engine(keeper));
+    assert_eq!(source.location, PartLocation::Engine(keeper));
 }
 
 /// What an engine is believed to keep may have given way: a place that has it is
@@ -169,17 +169,17 @@
     fleet.keep("e1");
     let choice = fleet.pick(&prompt(), &[]).expect("somebody");
     assert_eq!(choice.key, fleet.key("e1"));
-    assert_eq!(choice.plan.kept_tokens, 9_100);
+    assert_eq!(choice.plan.cached_tokens, 9_100);
     assert_eq!((choice.plan.fetched_tokens, choice.plan.fetch_ms), (0, 0.0));
     for fetch in &choice.plan.parts {
-        assert!(fetch.is_kept);
-        let place = fetch.source.as_ref().map(|(source, _)| source.place);
-        assert_eq!(place, Some(PartPlace::Store(0)));
+        assert!(fetch.is_cached);
+        let place = fetch.source.as_ref().map(|(source, _)| source.location);
+        assert_eq!(place, Some(PartLocation::Store(0)));
     }
     // Nothing is queued at the store for what is not expected to be fetched.
-    let wait = |memory: &MemoryMap| memory.views()[0].fetch_ms(0, NOW);
+    let wait = |memory: &StoreDirectory| memory.views()[0].fetch_ms(0, NOW);
     let before = wait(&fleet.memory);
-    fleet.memory.fetching(&choice.plan, NOW);
+    fleet.memory.record_fetches(&choice.plan, NOW);
     assert_eq!(wait(&fleet.memory), before);
 }
 
@@ -200,16 +200,16 @@
             .and_then(|e| e.free_tokens(NOW, &EnginePace::default()))
     };
     assert_eq!(free(&fleet), Some(30_000), "a tenth is left for answers");
-    let work = UnreadWork {
+    let work = PendingPrefill {
         ticket: 1,
         tokens: 2_900,
         memory_tokens: 12_000,
-        rank: 2,
+        priority: 2,
         sent_at: NOW,
     };
-    fleet.book.sent(key, work);
+    fleet.book.record_sent(key, work);
     assert_eq!(free(&fleet), Some(18_000));
-    fleet.book.begun(key, 1);
+    fleet.book.record_started(key, 1);
     fleet.load("e1", |load| load.used_tokens = 0);
     assert_eq!(free(&fleet), None, "an idle engine takes any prompt");
 }
--- a/core/tests/left_out.rs
+++ b/core/tests/left_out.rs
@@ -4,9 +4,10 @@
 use {
     pitchhitch_core::{
         serving::{
-            pick_endpoint, EndpointBook, EndpointChoice, EndpointKey, EndpointNotice, EngineGroup,
-            EngineLoad, EnginePace, KvStore, MechanismSet, MemoryMap, PartId, PickAsk, PromptAsk,
-            PromptPart, ServingMechanism, VersionOutlook, WallTag, WeightBounds, SAVE_AFTER,
+            pick_endpoint, EndpointChoice, EndpointKey, EndpointNotice, EndpointRegistry,
+            EngineGroup, EngineLoad, EnginePace, KvStore, MechanismSet, NamespaceTag, PartId,
+            PickAsk, PromptAsk, PromptPart, ServingMechanism, StoreDirectory, VersionOutlook,
+            WeightBounds, SAVE_AFTER,
         },
         time::Micros,
     },
@@ -14,7 +15,7 @@
 };
 
 const NOW: Micros = Micros::from_secs(100);
-const WALL: WallTag = WallTag(1);
+const WALL: NamespaceTag = NamespaceTag(1);
 const IDS: [&str; 3] = ["e1", "e2", "e3"];
 const MEMORY: u64 = 179_000;
 
@@ -41,14 +42,14 @@
 }
 
 struct Fleet {
-    book: EndpointBook,
+    book: EndpointRegistry,
 }
 
 impl Fleet {
     fn new() -> Self {
-        let mut book = EndpointBook::default();
+        let mut book = EndpointRegistry::default();
         for (place, id) in IDS.iter().enumerate() {
-            book.take(&EndpointNotice {
+            book.apply(&EndpointNotice {
                 id: id.to_string(),
                 service: "llm".to_string(),
                 address: Some(([10, 0, 0, place as u8 + 1], 80).into()),
@@ -73,7 +74,7 @@
         tried: &[EndpointKey],
         left_out: MechanismSet,
     ) -> EndpointChoice {
-        let memory = MemoryMap::without(left_out);
+        let memory = StoreDirectory::without(left_out);
         let group = EngineGroup {
             slots: 128,
             capacity_tokens: MEMORY,
@@ -84,7 +85,7 @@
         let outlooks = [VersionOutlook {
             version: 1,
             wall: WALL,
-            parts: memory.outlook(&self.book, &group, WALL, &prompt.parts, NOW),
+            parts: memory.locate_parts(&self.book, &group, WALL, &prompt.parts, NOW),
         }];
         let ask = PickAsk {
             trial: None,
@@ -178,7 +179,7 @@
         held_calls: 12,
     };
     let saved = |left_out| {
-        let mut memory = MemoryMap::without(left_out);
+        let mut memory = StoreDirectory::without(left_out);
         memory.set_stores(std::slice::from_ref(&store));
         let later = NOW + SAVE_AFTER + Micros(1);
         let view = memory.view_mut(store.address).expect("view");
@@ -196,7 +197,7 @@
     let mut fleet = Fleet::new();
     let first = fleet.all_on(3);
     for _ in 0..3 {
-        fleet.book.judged(first, false, NOW);
+        fleet.book.record_outcome(first, false, NOW);
     }
     assert_ne!(fleet.all_on(3), first);
     assert_eq!(fleet.lacking(3, ServingMechanism::OutlierGuard), first);
--- a/core/tests/left_out_admission.rs
+++ b/core/tests/left_out_admission.rs
@@ -106,7 +106,7 @@
         free_tokens: Some(8_000),
         ..idle()
     };
-    keeper.plan.kept_tokens = 9_000;
+    keeper.plan.cached_tokens = 9_000;
     let found = deciding(&ask("large", 2), &keeper);
     assert_eq!(found, [ServingMechanism::KeptMemory]);
 }
--- a/core/tests/life_watch.rs
+++ b/core/tests/life_watch.rs
@@ -2,7 +2,7 @@
 
 use {
     pitchhitch_core::{
-        serving::{LifeOrder, LifeWatch},
+        serving::{IncarnationOrder, IncarnationTracker},
         time::Micros,
     },
     proptest::prelude::*,
@@ -15,39 +15,60 @@
 /// One that alone goes on talking is the later one, however early it was born.
 #[test]
 fn set_back_believed() {
-    let mut watch = LifeWatch::default();
+    let mut watch = IncarnationTracker::default();
     let (ahead, right) = (Some(3_600_200), Some(300));
-    assert_eq!(watch.order(ahead, right, at(0)), LifeOrder::Earlier);
-    assert_eq!(watch.order(ahead, right, at(700)), LifeOrder::Earlier);
-    assert_eq!(watch.order(ahead, right, at(1_500)), LifeOrder::Later);
-    assert_eq!(watch.order(right, right, at(1_600)), LifeOrder::Same);
+    assert_eq!(watch.order(ahead, right, at(0)), IncarnationOrder::Earlier);
+    assert_eq!(
+        watch.order(ahead, right, at(700)),
+        IncarnationOrder::Earlier
+    );
+    assert_eq!(
+        watch.order(ahead, right, at(1_500)),
+        IncarnationOrder::Later
+    );
+    assert_eq!(watch.order(right, right, at(1_600)), IncarnationOrder::Same);
 }
 
 /// A word of the known life in between shows that the other was late.
 #[test]
 fn late_words_ignored() {
-    let mut watch = LifeWatch::default();
+    let mut watch = IncarnationTracker::default();
     let (known, late) = (Some(200), Some(100));
     for second in 0..10 {
         let from = second * 1_000;
-        assert_eq!(watch.order(known, late, at(from)), LifeOrder::Earlier);
-        assert_eq!(watch.order(known, late, at(from + 400)), LifeOrder::Earlier);
-        assert_eq!(watch.order(known, known, at(from + 500)), LifeOrder::Same);
+        assert_eq!(
+            watch.order(known, late, at(from)),
+            IncarnationOrder::Earlier
+        );
+        assert_eq!(
+            watch.order(known, late, at(from + 400)),
+            IncarnationOrder::Earlier
+        );
+        assert_eq!(
+            watch.order(known, known, at(from + 500)),
+            IncarnationOrder::Same
+        );
     }
 }
 
 /// Two late words of two lives do not make one that goes on.
 #[test]
 fn each_for_itself() {
-    let mut watch = LifeWatch::default();
-    assert_eq!(watch.order(Some(200), Some(100), at(0)), LifeOrder::Earlier);
+    let mut watch = IncarnationTracker::default();
+    assert_eq!(
+        watch.order(Some(200), Some(100), at(0)),
+        IncarnationOrder::Earlier
+    );
     let other = watch.order(Some(200), Some(150), at(2_000));
-    assert_eq!(other, LifeOrder::Earlier);
+    assert_eq!(other, IncarnationOrder::Earlier);
     assert_eq!(
         watch.order(Some(200), Some(300), at(2_100)),
-        LifeOrder::Later
+        IncarnationOrder::Later
+    );
+    assert_eq!(
+        watch.order(Some(300), None, at(2_200)),
+        IncarnationOrder::Same
     );
-    assert_eq!(watch.order(Some(300), None, at(2_200)), LifeOrder::Same);
 }
 
 proptest! {
@@ -58,7 +79,7 @@
         borns in proptest::collection::vec(0..5_u64, 1..12),
         late_ms in 0..1_000_u64,
     ) {
-        let mut watch = LifeWatch::default();
+        let mut watch = IncarnationTracker::default();
         let mut known = None;
         let mut before = None;
         for (place, born) in borns.iter().enumerate() {
@@ -67,7 +88,7 @@
                 let now = starts + step * 100;
                 let is_late_word = step % 3 == 1 && step * 100 < late_ms;
                 let told = if is_late_word { before } else { Some(*born) };
-                if watch.order(known, told, at(now)) == LifeOrder::Later || known.is_none() {
+                if watch.order(known, told, at(now)) == IncarnationOrder::Later || known.is_none() {
                     known = told;
                 }
                 prop_assert!(step * 100 < late_ms + 2_000 || known == Some(*born));
--- a/core/tests/pick_fleet/mod.rs
+++ b/core/tests/pick_fleet/mod.rs
@@ -3,9 +3,9 @@
 use {
     pitchhitch_core::{
         serving::{
-            pick_endpoint, EndpointBook, EndpointChoice, EndpointKey, EndpointNotice, EngineGroup,
-            EngineLoad, EnginePace, KvStore, MechanismSet, MemoryMap, PartId, PickAsk, PromptAsk,
-            PromptPart, VersionOutlook, WallTag, WeightBounds,
+            pick_endpoint, EndpointChoice, EndpointKey, EndpointNotice, EndpointRegistry,
+            EngineGroup, EngineLoad, EnginePace, KvStore, MechanismSet, NamespaceTag, PartId,
+            PickAsk, PromptAsk, PromptPart, StoreDirectory, VersionOutlook, WeightBounds,
         },
         time::Micros,
     },
@@ -13,11 +13,11 @@
 };
 
 pub const NOW: Micros = Micros::from_secs(100);
-const WALL: WallTag = WallTag(1);
+const WALL: NamespaceTag = NamespaceTag(1);
 
 pub struct Fleet {
-    pub book: EndpointBook,
-    pub memory: MemoryMap,
+    pub book: EndpointRegistry,
+    pub memory: StoreDirectory,
     pub bounds: WeightBounds,
     /// Engines to which a connection is open.
     pub linked: Option<BTreeSet<EndpointKey>>,
@@ -53,13 +53,13 @@
 impl Fleet {
     pub fn new() -> Self {
         let mut fleet = Fleet {
-            book: EndpointBook::default(),
-            memory: MemoryMap::default(),
+            book: EndpointRegistry::default(),
+            memory: StoreDirectory::default(),
             bounds: WeightBounds::default(),
             linked: None,
         };
         for (place, id) in ["e1", "e2", "e3"].iter().enumerate() {
-            fleet.book.take(&EndpointNotice {
+            fleet.book.apply(&EndpointNotice {
                 id: id.to_string(),
                 service: "llm".to_string(),
                 address: Some(([10, 0, 0, place as u8 + 1], 80).into()),
@@ -136,7 +136,7 @@
             wall: WALL,
             parts: self
                 .memory
-                .outlook(&self.book, &group(), WALL, &prompt.parts, NOW),
+                .locate_parts(&self.book, &group(), WALL, &prompt.parts, NOW),
         }];
         let ask = PickAsk {
             trial: None,
--- a/core/tests/read_proofs.rs
+++ b/core/tests/read_proofs.rs
@@ -2,7 +2,9 @@
 
 use {
     pitchhitch_core::{
-        serving::{PartFate, PartId, ReadProofs, SwapPlanner, WeightBelief, AWAKE_GAP, HOLD_LIMIT},
+        serving::{
+            PartId, ReadProofs, ReclaimState, SwapPlanner, WeightBelief, AWAKE_GAP, HOLD_LIMIT,
+        },
         time::Micros,
     },
     std::net::SocketAddr,
@@ -141,12 +143,12 @@
         planner.fate("m", 1, part, over_ms, Some(now), at(now))
     };
     let seen = Some(at(900));
-    assert_eq!(fate(seen, u64::MAX, 9_000), PartFate::Fetched);
-    assert_eq!(fate(seen, u64::MAX, 20_000), PartFate::Over);
-    assert_eq!(fate(seen, 9_000, 20_000), PartFate::Held);
-    assert_eq!(fate(None, u64::MAX, 20_000), PartFate::Held);
+    assert_eq!(fate(seen, u64::MAX, 9_000), ReclaimState::Fetchable);
+    assert_eq!(fate(seen, u64::MAX, 20_000), ReclaimState::Reclaimable);
+    assert_eq!(fate(seen, 9_000, 20_000), ReclaimState::Draining);
+    assert_eq!(fate(None, u64::MAX, 20_000), ReclaimState::Draining);
     for not_yet in [seen, None] {
-        assert_eq!(fate(not_yet, 0, 60_000), PartFate::Held);
-        assert_eq!(fate(not_yet, 0, 80_000), PartFate::Over);
+        assert_eq!(fate(not_yet, 0, 60_000), ReclaimState::Draining);
+        assert_eq!(fate(not_yet, 0, 80_000), ReclaimState::Reclaimable);
     }
 }
--- a/core/tests/serving_limits.rs
+++ b/core/tests/serving_limits.rs
@@ -3,7 +3,8 @@
 use pitchhitch_core::{
     serving::{
         AdmissionAsk, AdmissionRule, AdmissionVerdict, EndpointChoice, EnginePace, KeyPolicy,
-        KeyTrust, PartId, PartMemory, PromptPart, RefusalKind, RepeatBound, RepeatMeter, WallTag,
+        KeyTrust, NamespaceTag, PartId, PartIndex, PromptPart, RefusalKind, RepeatBound,
+        RepeatMeter,
     },
     time::Micros,
 };
@@ -224,20 +225,30 @@
 
 #[test]
 fn parts_forgotten_in_order() {
-    let wall = WallTag(1);
+    let wall = NamespaceTag(1);
     let part = |id: &str, tokens| PromptPart {
         id: PartId::parse(id).expect("hex"),
         tokens,
     };
-    let mut memory = PartMemory::default();
+    let mut memory = PartIndex::default();
     memory.touch(wall, &[part("a", 400), part("b", 400)], 1_000);
     memory.touch(wall, &[part("a", 400), part("c", 400)], 1_000);
-    assert_eq!(memory.reuse(wall, &[part("a", 400), part("c", 400)]), 800);
-    assert_eq!(memory.tokens_of(wall, part("b", 1).id), 0);
+    assert_eq!(
+        memory.cached_prefix_tokens(wall, &[part("a", 400), part("c", 400)]),
+        800
+    );
+    assert_eq!(memory.cached_tokens(wall, part("b", 1).id), 0);
     assert!(memory.tokens() <= 1_000);
-    assert_eq!(memory.reuse(WallTag(2), &[part("a", 400)]), 0, "walls hold");
+    assert_eq!(
+        memory.cached_prefix_tokens(NamespaceTag(2), &[part("a", 400)]),
+        0,
+        "walls hold"
+    );
     memory.set(wall, part("a", 1).id, 100);
-    assert_eq!(memory.reuse(wall, &[part("a", 400), part("c", 400)]), 100);
+    assert_eq!(
+        memory.cached_prefix_tokens(wall, &[part("a", 400), part("c", 400)]),
+        100
+    );
 }
 
 #[test]
--- a/core/tests/small_world/mod.rs
+++ b/core/tests/small_world/mod.rs
@@ -2,7 +2,9 @@
 
 use {
     pitchhitch_core::{
-        serving::{KvStore, PartFate, PartId, ReadProofs, StoreView, SwapPlanner, WeightBelief},
+        serving::{
+            KvStore, PartId, ReadProofs, ReclaimState, StoreView, SwapPlanner, WeightBelief,
+        },
         time::Micros,
     },
     std::net::SocketAddr,
@@ -316,7 +318,7 @@
             let id = PartId::parse(part).expect("hex");
             let planner = &front.planner;
             let fate = planner.fate("m", version, id, over_ms, clock_ms, at(now));
-            if fate == PartFate::Over {
+            if fate == ReclaimState::Reclaimable {
                 freed.push((version, place));
             }
         }
--- a/core/tests/standstill_watch.rs
+++ b/core/tests/standstill_watch.rs
@@ -1,26 +1,26 @@
 //! A process that stood still notices it before it goes by what it knows.
 
-use pitchhitch_core::{serving::StandstillWatch, time::Micros};
+use pitchhitch_core::{serving::PauseDetector, time::Micros};
 
 #[test]
 fn gap_noticed() {
-    let mut watch = StandstillWatch::default();
+    let mut watch = PauseDetector::default();
     for tick in 0..10 {
         assert_eq!(watch.tick(Micros::from_millis(tick * 110)), None);
     }
     let woken = Micros::from_millis(4_000);
     // Whoever looks first after the standstill sees it, noted or not.
-    assert!(watch.has_just_woken(woken));
+    assert!(watch.has_just_resumed(woken));
     assert_eq!(watch.tick(woken), Some(Micros::from_millis(3_010)));
-    assert!(watch.has_just_woken(woken + Micros::from_millis(100)));
+    assert!(watch.has_just_resumed(woken + Micros::from_millis(100)));
     assert_eq!(watch.tick(woken + Micros::from_millis(100)), None);
-    assert!(!watch.has_just_woken(woken + Micros::from_millis(300)));
+    assert!(!watch.has_just_resumed(woken + Micros::from_millis(300)));
 }
 
 #[test]
 fn slow_is_no_standstill() {
-    let mut watch = StandstillWatch::default();
+    let mut watch = PauseDetector::default();
     watch.tick(Micros::ZERO);
-    assert!(!watch.has_just_woken(Micros::from_millis(550)));
+    assert!(!watch.has_just_resumed(Micros::from_millis(550)));
     assert_eq!(watch.tick(Micros::from_millis(550)), None);
 }
--- a/core/tests/store_proofs.rs
+++ b/core/tests/store_proofs.rs
@@ -3,9 +3,9 @@
 use {
     pitchhitch_core::{
         serving::{
-            digest_pause, even_mix, even_number, greeting_pause, EraNews, EraWatch, KeyPolicy,
-            KeyTrust, ProofBook, ProvenTable, ReaderTier, StoreEra, StorePosition, StoreProof,
-            TableMark, WRITE_AGAIN,
+            digest_interval, greeting_interval, mix_hashes, stable_hash, EraNews, EraWatch,
+            KeyPolicy, KeyTrust, ProofBook, ProvenTable, ReaderTier, StoreEra, StorePosition,
+            StoreProof, TableMark, WRITE_AGAIN,
         },
         time::Micros,
     },
@@ -117,16 +117,16 @@
 /// What one process pays a second stays bounded, up to where reports would be too old.
 #[test]
 fn telling_paced() {
-    assert_eq!(digest_pause(3), at(45));
-    assert!(digest_pause(29) < at(100));
+    assert_eq!(digest_interval(3), at(45));
+    assert!(digest_interval(29) < at(100));
     for fronts in [30, 60, 103, 180] {
-        let a_second = fronts as f64 / digest_pause(fronts).as_secs_f64();
+        let a_second = fronts as f64 / digest_interval(fronts).as_secs_f64();
         assert!(a_second < 310.0, "{a_second} for {fronts}");
     }
-    assert_eq!(digest_pause(2_100), at(600));
-    assert_eq!(greeting_pause(9), at(400));
+    assert_eq!(digest_interval(2_100), at(600));
+    assert_eq!(greeting_interval(9), at(400));
     for engines in [50, 100, 180] {
-        let a_second = engines as f64 / greeting_pause(engines).as_secs_f64();
+        let a_second = engines as f64 / greeting_interval(engines).as_secs_f64();
         assert!(a_second <= 125.0, "{a_second} for {engines}");
     }
 }
@@ -215,12 +215,12 @@
 /// no more than a few times its share.
 #[test]
 fn pairs_spread() {
-    let number = |kind: &str, place: u32| even_number(format!("10.{place}.0.1:{kind}"));
+    let number = |kind: &str, place: u32| stable_hash(format!("10.{place}.0.1:{kind}"));
     let engines: Vec<u64> = (0..180).map(|place| number("80", place)).collect();
     let mut chosen = vec![0; engines.len()];
     for store in (0..900).map(|place| number("90", place)) {
         let mut ranked: Vec<usize> = (0..engines.len()).collect();
-        ranked.sort_by_key(|place| even_mix(store, engines[*place]));
+        ranked.sort_by_key(|place| mix_hashes(store, engines[*place]));
         for place in &ranked[engines.len() - 2..] {
             chosen[*place] += 1;
         }
--- a/core/tests/store_view.rs
+++ b/core/tests/store_view.rs
@@ -2,13 +2,13 @@
 
 use pitchhitch_core::{
     serving::{
-        move_ms, KvStore, MemoryMap, PartId, PromptPart, StoreView, WallName, WallTag, SAVE_AFTER,
-        VIEW_LIFE,
+        move_ms, KvStore, NamespaceTag, PartId, PromptPart, StoreDirectory, StoreView, WallName,
+        SAVE_AFTER, VIEW_LIFE,
     },
     time::Micros,
 };
 
-const WALL: WallTag = WallTag(1);
+const WALL: NamespaceTag = NamespaceTag(1);
 const START: Micros = Micros::from_secs(10);
 
 fn store(
@@ -74,9 +74,9 @@
     let id = part("aa", 100).id;
     view.set(WALL, id, 100);
     assert!(!view.answered(1, Some(2), START, START));
-    assert_eq!(view.parts.tokens_of(WALL, id), 100);
+    assert_eq!(view.parts.cached_tokens(WALL, id), 100);
     assert!(view.answered(2, Some(3), START, START));
-    assert_eq!(view.parts.tokens_of(WALL, id), 0);
+    assert_eq!(view.parts.cached_tokens(WALL, id), 0);
 }
 
 /// Between a restart and the end of every older view nothing is saved: a part
@@ -110,7 +110,7 @@
 
 #[test]
 fn saved_once() {
-    let mut map = MemoryMap::default();
+    let mut map = StoreDirectory::default();
     map.set_stores(&[store(1, 100_000), store(2, 100_000)]);
     for address in [store(1, 0).address, store(2, 0).address] {
         map.view_mut(address)
@@ -144,7 +144,7 @@
         link_mbps: 28_000.0,
         ..store(2, 7_000_000)
     };
-    let mut map = MemoryMap::default();
+    let mut map = StoreDirectory::default();
     map.set_stores(&[quick.clone(), slow.clone()]);
     let later = START + SAVE_AFTER + Micros(1);
     for at in [START, later] {
@@ -169,7 +169,7 @@
 
 #[test]
 fn known_content_kept() {
-    let mut map = MemoryMap::default();
+    let mut map = StoreDirectory::default();
     map.set_stores(&[store(1, 1_000)]);
     let id = part("aa", 1).id;
     map.view_mut(store(1, 0).address)
@@ -177,7 +177,7 @@
         .set(WALL, id, 9);
     map.set_stores(&[store(2, 1_000), store(1, 2_000)]);
     let view = map.view_mut(store(1, 0).address).expect("view");
-    assert_eq!(view.parts.tokens_of(WALL, id), 9);
+    assert_eq!(view.parts.cached_tokens(WALL, id), 9);
     assert_eq!(view.store.capacity_tokens, 2_000);
 }
 
--- a/core/tests/suspect_book.rs
+++ b/core/tests/suspect_book.rs
@@ -3,8 +3,8 @@
 use {
     pitchhitch_core::{
         serving::{
-            CrashMark, FingerprintAsk, RequestFingerprint, SuspectBook, SuspectCrash,
-            SuspectStanding, ToldSuspect,
+            CrashId, FingerprintInput, RequestFingerprint, SuspectCrash, SuspectReport,
+            SuspectStatus, SuspectTracker,
         },
         time::Micros,
     },
@@ -14,7 +14,7 @@
 const NOW: Micros = Micros::from_secs(100);
 
 fn named(body: &str) -> RequestFingerprint {
-    RequestFingerprint::of(&FingerprintAsk {
+    RequestFingerprint::of(&FingerprintInput {
         method: "POST",
         host: "h.example",
         target: "/a/x",
@@ -30,7 +30,7 @@
     ended_ms: u64,
 ) -> SuspectCrash {
     SuspectCrash {
-        mark: CrashMark::of("i", Some(endpoint)),
+        mark: CrashId::of("i", Some(endpoint)),
         sent: Micros::from_millis(sent_ms),
         ended: Micros::from_millis(ended_ms),
         known: u32::MAX,
@@ -50,19 +50,19 @@
     }
 }
 
-fn standing_at(
-    book: &SuspectBook,
+fn status_at(
+    tracker: &SuspectTracker,
     now: Micros,
-) -> SuspectStanding {
-    book.standing(named("a"), 0.0, now)
+) -> SuspectStatus {
+    tracker.status(named("a"), 0.0, now)
 }
 
-fn crashed(crashes: &[SuspectCrash]) -> SuspectBook {
-    let mut book = SuspectBook::default();
+fn crashed(crashes: &[SuspectCrash]) -> SuspectTracker {
+    let mut tracker = SuspectTracker::default();
     for crash in crashes {
-        book.note_crash(named("a"), *crash);
+        tracker.record_crash(named("a"), *crash);
     }
-    book
+    tracker
 }
 
 #[test]
@@ -72,33 +72,33 @@
     let three = crash(3, 1_400, 1_500);
     let at = Micros::from_millis;
     let first = crashed(&[one]);
-    assert_eq!(standing_at(&first, at(200)), SuspectStanding::Suspect(1));
+    assert_eq!(status_at(&first, at(200)), SuspectStatus::Suspect(1));
     let second = crashed(&[one, two]);
     assert_eq!(
-        standing_at(&second, at(300)),
-        SuspectStanding::Resting(at(1_000))
+        status_at(&second, at(300)),
+        SuspectStatus::Resting(at(1_000))
     );
-    assert_eq!(standing_at(&second, at(1_300)), SuspectStanding::Suspect(2));
+    assert_eq!(status_at(&second, at(1_300)), SuspectStatus::Suspect(2));
     let third = crashed(&[one, two, three]);
     assert_eq!(
-        standing_at(&third, at(1_500)),
-        SuspectStanding::Held(at(600_000))
+        status_at(&third, at(1_500)),
+        SuspectStatus::Held(at(600_000))
     );
-    assert_eq!(standing_at(&third, at(601_500)), SuspectStanding::Clear);
+    assert_eq!(status_at(&third, at(601_500)), SuspectStatus::Clear);
     assert_eq!(
-        third.standing(named("b"), 0.0, at(1_500)),
-        SuspectStanding::Clear
+        third.status(named("b"), 0.0, at(1_500)),
+        SuspectStatus::Clear
     );
 }
 
 /// Fronts rest for times of their own, so that one tries while the others wait.
 #[test]
 fn rests_differ() {
-    let book = crashed(&[crash(1, 100, 200), crash(2, 200, 300)]);
+    let tracker = crashed(&[crash(1, 100, 200), crash(2, 200, 300)]);
     let at = Micros::from_millis(300);
     assert_eq!(
-        book.standing(named("a"), 0.5, at),
-        SuspectStanding::Resting(Micros::from_millis(1_500))
+        tracker.status(named("a"), 0.5, at),
+        SuspectStatus::Resting(Micros::from_millis(1_500))
     );
 }
 
@@ -106,10 +106,10 @@
 #[test]
 fn together_counts_once() {
     let together: Vec<SuspectCrash> = (0..40).map(|n| crash(n, 100 + n, 300 + n)).collect();
-    let book = crashed(&together);
+    let tracker = crashed(&together);
     assert_eq!(
-        standing_at(&book, Micros::from_millis(400)),
-        SuspectStanding::Suspect(1)
+        status_at(&tracker, Micros::from_millis(400)),
+        SuspectStatus::Suspect(1)
     );
 }
 
@@ -124,16 +124,16 @@
         crash_knowing(0, 2, 25, 60),
         crash_knowing(1, 3, 70, 100),
     ];
-    let book = crashed(&unknowing[..2]);
-    assert_eq!(standing_at(&book, at(60)), SuspectStanding::Suspect(1));
+    let tracker = crashed(&unknowing[..2]);
+    assert_eq!(status_at(&tracker, at(60)), SuspectStatus::Suspect(1));
     // The last one was sent apart from all but one other suspect, and proves no more.
-    let book = crashed(&unknowing);
-    assert_eq!(standing_at(&book, at(1_200)), SuspectStanding::Suspect(2));
+    let tracker = crashed(&unknowing);
+    assert_eq!(status_at(&tracker, at(1_200)), SuspectStatus::Suspect(2));
     // Where nobody hears of others, each front finds out by itself.
     let mut knowing = unknowing.to_vec();
     knowing.push(crash_knowing(2, 4, 1_300, 1_400));
-    let standing = standing_at(&crashed(&knowing), at(1_500));
-    assert!(matches!(standing, SuspectStanding::Held(_)), "{standing:?}");
+    let status = status_at(&crashed(&knowing), at(1_500));
+    assert!(matches!(status, SuspectStatus::Held(_)), "{status:?}");
 }
 
 /// However many end together, those that count are kept.
@@ -142,9 +142,9 @@
     let mut crashes = vec![crash(1, 0, 100), crash(2, 200, 300)];
     crashes.extend((10..30).map(|n| crash(n, 250, 400 + n)));
     crashes.push(crash(50, 2_000, 2_100));
-    let book = crashed(&crashes);
-    let standing = standing_at(&book, Micros::from_millis(2_200));
-    assert!(matches!(standing, SuspectStanding::Held(_)), "{standing:?}");
+    let tracker = crashed(&crashes);
+    let status = status_at(&tracker, Micros::from_millis(2_200));
+    assert!(matches!(status, SuspectStatus::Held(_)), "{status:?}");
 }
 
 #[test]
@@ -154,47 +154,47 @@
         crash(2, 200, 300),
         crash(3, 2_000, 2_100),
     ];
-    let mut book = crashed(&crashes);
+    let mut tracker = crashed(&crashes);
     let answered = Micros::from_millis(2_500);
-    assert!(book.note_answer(named("a"), answered));
-    assert_eq!(standing_at(&book, answered), SuspectStanding::Clear);
+    assert!(tracker.record_answer(named("a"), answered));
+    assert_eq!(status_at(&tracker, answered), SuspectStatus::Clear);
     // For a while ends of engines have another cause.
-    book.note_crash(named("a"), crash(4, 3_000, 3_100));
+    tracker.record_crash(named("a"), crash(4, 3_000, 3_100));
     assert_eq!(
-        standing_at(&book, Micros::from_millis(3_200)),
-        SuspectStanding::Clear
+        status_at(&tracker, Micros::from_millis(3_200)),
+        SuspectStatus::Clear
     );
     let later = Micros::from_millis(23_000);
-    assert_eq!(standing_at(&book, later), SuspectStanding::Suspect(1));
+    assert_eq!(status_at(&tracker, later), SuspectStatus::Suspect(1));
 }
 
 #[test]
 fn cleared_is_forgotten() {
-    let mut book = crashed(&[crash(1, 100, 200)]);
-    book.note_answer(named("a"), Micros::from_millis(300));
-    book.prune(Micros::from_secs(10));
-    assert_eq!(book.len(), 1);
-    book.prune(Micros::from_secs(21));
-    assert!(book.is_empty() && !book.has_news());
+    let mut tracker = crashed(&[crash(1, 100, 200)]);
+    tracker.record_answer(named("a"), Micros::from_millis(300));
+    tracker.prune(Micros::from_secs(10));
+    assert_eq!(tracker.len(), 1);
+    tracker.prune(Micros::from_secs(21));
+    assert!(tracker.is_empty() && !tracker.has_updates());
 }
 
 /// Ten thousand different ones push out each other, not the one that is held back.
 #[test]
 fn bounded() {
-    let mut book = crashed(&[crash(1, 100, 200), crash(2, 200, 300), crash(3, 400, 500)]);
+    let mut tracker = crashed(&[crash(1, 100, 200), crash(2, 200, 300), crash(3, 400, 500)]);
     for number in 0..10_000 {
         let other = named(&number.to_string());
-        book.note_crash(other, crash(10 + number, 600 + number, 700 + number));
+        tracker.record_crash(other, crash(10 + number, 600 + number, 700 + number));
     }
-    assert_eq!(book.len(), 1_024);
-    let standing = standing_at(&book, Micros::from_secs(11));
-    assert!(matches!(standing, SuspectStanding::Held(_)), "{standing:?}");
+    assert_eq!(tracker.len(), 1_024);
+    let status = status_at(&tracker, Micros::from_secs(11));
+    assert!(matches!(status, SuspectStatus::Held(_)), "{status:?}");
 }
 
 /// Callers, paths and bodies are told apart, and no field runs into the next.
 #[test]
 fn fields_apart() {
-    let ask = FingerprintAsk {
+    let ask = FingerprintInput {
         method: "POST",
         host: "h",
         target: "/a",
@@ -202,22 +202,22 @@
         body: b"c",
     };
     let others = [
-        FingerprintAsk {
+        FingerprintInput {
             method: "PUT",
             ..ask
         },
-        FingerprintAsk { host: "h2", ..ask },
-        FingerprintAsk {
+        FingerprintInput { host: "h2", ..ask },
+        FingerprintInput {
             target: "/",
             caller: "ab",
             ..ask
         },
-        FingerprintAsk {
+        FingerprintInput {
             caller: "",
             body: b"bc",
             ..ask
         },
-        FingerprintAsk { body: b"", ..ask },
+        FingerprintInput { body: b"", ..ask },
     ];
     let known = RequestFingerprint::of(&ask);
     assert!(others
@@ -243,7 +243,7 @@
         seen in crashes(),
         order in proptest::collection::vec(0usize..8, 0..30),
     ) {
-        let told = |crash: &SuspectCrash| ToldSuspect {
+        let told = |crash: &SuspectCrash| SuspectReport {
             fingerprint: named("a"),
             crashes: vec![SuspectCrash {
                 sent: NOW.since(crash.sent),
@@ -253,21 +253,21 @@
             answered: None,
         };
         let whole = crashed(&seen);
-        let mut book = SuspectBook::default();
+        let mut tracker = SuspectTracker::default();
         for place in order {
             if let Some(crash) = seen.get(place) {
-                book.tell(&told(crash), NOW);
+                tracker.merge(&told(crash), NOW);
             }
         }
         for crash in seen.iter().rev() {
-            book.tell(&told(crash), NOW);
+            tracker.merge(&told(crash), NOW);
         }
-        let is_held = |book: &SuspectBook| {
-            matches!(standing_at(book, NOW), SuspectStanding::Held(_))
+        let is_held = |tracker: &SuspectTracker| {
+            matches!(status_at(tracker, NOW), SuspectStatus::Held(_))
         };
-        prop_assert_eq!(is_held(&book), is_held(&whole));
+        prop_assert_eq!(is_held(&tracker), is_held(&whole));
         // Telling all of it again is no news, so it goes round no more.
-        let again = whole.told(NOW);
-        prop_assert!(again.iter().all(|told| !book.tell(told, NOW)));
+        let again = whole.reports(NOW);
+        prop_assert!(again.iter().all(|told| !tracker.merge(told, NOW)));
     }
 }
--- a/core/tests/swap_planner.rs
+++ b/core/tests/swap_planner.rs
@@ -3,8 +3,8 @@
 use {
     pitchhitch_core::{
         serving::{
-            EndpointBook, EndpointKey, EndpointNotice, EngineLoad, PartFate, PartId, SwapPlanner,
-            SwapStage, VIEW_LIFE,
+            EndpointKey, EndpointNotice, EndpointRegistry, EngineLoad, PartId, ReclaimState,
+            SwapPlanner, SwapStage, VIEW_LIFE,
         },
         time::Micros,
     },
@@ -22,11 +22,11 @@
     count: usize,
     running: u32,
     now: Micros,
-) -> EndpointBook {
-    let mut book = EndpointBook::default();
+) -> EndpointRegistry {
+    let mut book = EndpointRegistry::default();
     for place in 0..count {
         let id = format!("e{place}");
-        book.take(&EndpointNotice {
+        book.apply(&EndpointNotice {
             id: id.clone(),
             service: "llm".to_string(),
             address: Some(([10, 0, 0, 1], place as u16 + 1).into()),
@@ -47,7 +47,7 @@
 }
 
 fn hear(
-    book: &mut EndpointBook,
+    book: &mut EndpointRegistry,
     now: Micros,
 ) {
     let keys: Vec<EndpointKey> = book.iter().map(|(key, _)| key).collect();
@@ -59,7 +59,7 @@
 }
 
 fn loading(
-    book: &EndpointBook,
+    book: &EndpointRegistry,
     planner: &SwapPlanner,
 ) -> Vec<EndpointKey> {
     let keys = book.iter().map(|(key, _)| key);
@@ -68,7 +68,7 @@
 }
 
 fn load(
-    book: &mut EndpointBook,
+    book: &mut EndpointRegistry,
     key: EndpointKey,
     version: u64,
 ) {
@@ -84,10 +84,10 @@
 fn away_engines_load() {
     let mut book = book(4, 0, at(0));
     for id in ["e0", "e1", "e2"] {
-        book.gone(id, true);
+        book.mark_unlisted(id, true);
     }
     let listed = book.notices().into_iter().find(|told| told.id == "e3");
-    book.take(&EndpointNotice {
+    book.apply(&EndpointNotice {
         is_leaving: true,
         ..listed.expect("told")
     });
@@ -256,7 +256,7 @@
     planner: &SwapPlanner,
     part: PartId,
     time: u64,
-) -> PartFate {
+) -> ReclaimState {
     planner.fate("m", 1, part, u64::MAX, Some(time), at(time))
 }
 
@@ -270,7 +270,7 @@
     let ids: Vec<PartId> = ids.map(|id| id.expect("hex")).collect();
     let count = |may: &dyn Fn(PartId) -> bool| ids.iter().filter(|id| may(**id)).count();
     let fetched = |time: u64| count(&|id| planner.may_fetch("m", 1, id, None, at(time)));
-    let freed = |time: u64| count(&|id| fate(&planner, id, time) == PartFate::Over);
+    let freed = |time: u64| count(&|id| fate(&planner, id, time) == ReclaimState::Reclaimable);
     assert_eq!((fetched(5_900), freed(8_900)), (300, 0));
     assert!((120..=180).contains(&fetched(11_000)));
     assert!((120..=180).contains(&freed(14_000)));
@@ -336,7 +336,7 @@
         let fetch_ends = at(fetch_at) + VIEW_LIFE;
         if fetcher.may_fetch("m", 1, part, proven, at(fetch_at)) {
             let fate = freer.fate("m", 1, part, u64::MAX, Some(1), fetch_ends);
-            prop_assert_eq!(fate, PartFate::Fetched);
+            prop_assert_eq!(fate, ReclaimState::Fetchable);
         }
     }
 }
--- a/core/tests/told_lives.rs
+++ b/core/tests/told_lives.rs
@@ -4,7 +4,7 @@
 
 use {
     pitchhitch_core::{
-        serving::{MemoryMap, StoreView, ToldLife, SAVE_AFTER},
+        serving::{StoreDirectory, StoreUptime, StoreView, SAVE_AFTER},
         time::Micros,
     },
     told_store::{address, at, store, PORT, START},
@@ -13,8 +13,8 @@
 fn life(
     epoch: u64,
     lasted: Micros,
-) -> ToldLife {
-    ToldLife {
+) -> StoreUptime {
+    StoreUptime {
         address: address(),
         epoch,
         lasted,
@@ -75,17 +75,24 @@
 
 #[test]
 fn lives_by_address() {
-    let mut map = MemoryMap::default();
+    let mut map = StoreDirectory::default();
     map.set_stores(&[store()]);
     let hours = Micros::from_secs(7_200);
-    map.tell_life(&life(1, hours), START);
-    assert_eq!(map.lives(START), Vec::new(), "it has not answered here");
-    let other = ToldLife {
+    map.record_uptime(&life(1, hours), START);
+    assert_eq!(
+        map.store_uptimes(START),
+        Vec::new(),
+        "it has not answered here"
+    );
+    let other = StoreUptime {
         address: ([10, 9, 0, 2], PORT).into(),
         ..life(2, hours)
     };
-    map.tell_life(&other, START);
+    map.record_uptime(&other, START);
     let view = map.view_mut(address()).expect("view");
     view.answered(1, Some(1), START, START);
-    assert_eq!(map.lives(START + at(5)), vec![life(1, hours + at(5))]);
+    assert_eq!(
+        map.store_uptimes(START + at(5)),
+        vec![life(1, hours + at(5))]
+    );
 }
--- a/core/tests/trial_table.rs
+++ b/core/tests/trial_table.rs
@@ -2,7 +2,7 @@
 
 use {
     pitchhitch_core::{
-        serving::{EndpointKey, FingerprintAsk, RequestFingerprint, TrialTable},
+        serving::{EndpointKey, FingerprintInput, RequestFingerprint, TrialTable},
         time::Micros,
     },
     slotmap::SlotMap,
@@ -11,7 +11,7 @@
 const NOW: Micros = Micros::from_secs(10);
 
 fn named(body: &[u8]) -> RequestFingerprint {
-    RequestFingerprint::of(&FingerprintAsk {
+    RequestFingerprint::of(&FingerprintInput {
         method: "POST",
         host: "h",
         target: "/a",
@@ -30,11 +30,11 @@
     let [first, _] = endpoints();
     let mut table = TrialTable::default();
     table.begin(1, named(b"a"), first, false);
-    assert!(table.barred(false, NOW).is_empty());
+    assert!(table.full_endpoints(false, NOW).is_empty());
     table.begin(2, named(b"b"), first, false);
-    assert!(table.barred(false, NOW).contains(&first));
+    assert!(table.full_endpoints(false, NOW).contains(&first));
     table.end(1);
-    assert!(table.barred(false, NOW).is_empty());
+    assert!(table.full_endpoints(false, NOW).is_empty());
 }
 
 /// One under which two have ended has no other suspect beside it, whoever came first.
@@ -44,8 +44,8 @@
     let mut table = TrialTable::default();
     table.begin(1, named(b"a"), first, false);
     table.begin(2, named(b"b"), second, true);
-    assert_eq!(table.barred(true, NOW), [first, second]);
-    assert_eq!(table.barred(false, NOW), [second]);
+    assert_eq!(table.full_endpoints(true, NOW), [first, second]);
+    assert_eq!(table.full_endpoints(false, NOW), [second]);
 }
 
 /// A run proves itself a moment after its first event, or ends.
@@ -54,9 +54,9 @@
     let [first, _] = endpoints();
     let mut table = TrialTable::default();
     table.begin(1, named(b"a"), first, true);
-    table.begun(1, NOW);
-    assert!(table.has(named(b"a"), NOW + Micros::from_millis(200)));
-    assert!(!table.has(named(b"b"), NOW));
+    table.record_first_event(1, NOW);
+    assert!(table.has_active(named(b"a"), NOW + Micros::from_millis(200)));
+    assert!(!table.has_active(named(b"b"), NOW));
     let later = NOW + Micros::from_millis(400);
-    assert!(!table.has(named(b"a"), later) && table.barred(false, later).is_empty());
+    assert!(!table.has_active(named(b"a"), later) && table.full_endpoints(false, later).is_empty());
 }
--- a/core/tests/worst_load.rs
+++ b/core/tests/worst_load.rs
@@ -158,7 +158,7 @@
             ..Engine::new(48.0).choice(&pace)
         };
         let is_kept = number % 2 == 0;
-        choice.plan.kept_tokens = if is_kept { 9_000 } else { 0 };
+        choice.plan.cached_tokens = if is_kept { 9_000 } else { 0 };
         let is_in = rule.judge(&ask(), &pace, &choice) == AdmissionVerdict::Admitted;
         match is_kept {
             true => returning += u32::from(is_in),
--- a/entry/src/front/beside_link.rs
+++ b/entry/src/front/beside_link.rs
@@ -1,7 +1,7 @@
 use {
     super::{reader_number, state_mark, FrontContext, FrontState, StoreWatchers, FEW_FRONTS},
     pitchhitch_core::{
-        serving::{greeting_pause, EndpointEntry, EndpointKey, ServingConfig},
+        serving::{greeting_interval, EndpointEntry, EndpointKey, ServingConfig},
         time::Micros,
     },
     pitchhitch_process::to_duration,
@@ -79,7 +79,7 @@
     let begun = state
         .planner
         .plan(&state.book, front.settings.weights_limit, now);
-    state.book.mark_swaps(&state.planner);
+    state.book.update_stages(&state.planner);
     for (key, turn) in &begun {
         log::info!(
             event = "swap-turn",
@@ -107,7 +107,7 @@
         return Vec::new();
     }
     let round = state.greetings.begin_round(now);
-    let news = state.suspects.take_news(SUSPECTS_LIMIT, now);
+    let news = state.suspects.take_updates(SUSPECTS_LIMIT, now);
     let asks = state.wants_suspects;
     let own = reader_number(front);
     let proofs = state.readers.own_proofs(own, PROOF_LIFE, now);
@@ -132,7 +132,7 @@
         };
         let mut hello = make_hello(front, state, *key, entry, facts.handed);
         hello.number = round;
-        hello.again_within = greeting_pause(count);
+        hello.again_within = greeting_interval(count);
         hello.proofs.clone_from(&proofs);
         hello.watches = facts.watchers.of(*address);
         if is_told {
@@ -208,7 +208,7 @@
     handed: Option<(u64, Micros)>,
 ) -> FrontHello {
     let turn = state.planner.turn(key);
-    let is_leaving = !entry.may_be_there();
+    let is_leaving = !entry.may_be_present();
     let wanted = state
         .planner
         .all_named()
@@ -225,11 +225,11 @@
         domain: front.settings.failure_domain.clone(),
         engine_id: Some(entry.id.clone()),
         // What a digest tells may be of another id at the address.
-        engine_born: entry.life.listed,
-        engine_row: entry.life.row,
+        engine_born: entry.incarnation.listed_born,
+        engine_row: entry.incarnation.row,
         state: handed,
-        echo: entry.life.digest.map(|digest| DigestEcho {
-            life: digest.life,
+        echo: entry.incarnation.digest.map(|digest| DigestEcho {
+            life: digest.incarnation,
             number: digest.number,
         }),
         is_leaving,
