--- a/entry/src/front/digest_watch.rs
+++ b/entry/src/front/digest_watch.rs
@@ -5,8 +5,8 @@
     },
     pitchhitch_core::{
         serving::{
-            hearing_pause, BookChange, DigestMark, DigestOrder, EndpointEntry, EndpointKey,
-            EndpointNotice, LifeOrder, ProvenTable,
+            digest_read_interval, DigestOrder, DigestPosition, EndpointChange, EndpointEntry,
+            EndpointKey, EndpointNotice, IncarnationOrder, ProvenTable,
         },
         time::Micros,
     },
@@ -60,7 +60,7 @@
     room: &mut Vec<u8>,
 ) -> io::Result<(ToldDigest, SocketAddr)> {
     loop {
-        let pause = hearing_pause(front.state().book.len());
+        let pause = digest_read_interval(front.state().book.len());
         if pause == Micros::ZERO {
             return socket.receive_into(room).await;
         }
@@ -160,7 +160,7 @@
     front: &FrontContext,
     digest: &EngineDigest,
     from: SocketAddr,
-) -> Option<BookChange> {
+) -> Option<EndpointChange> {
     let told = digest.endpoint.as_ref()?;
     let mut guard = front.state();
     let state = &mut *guard;
@@ -175,7 +175,7 @@
         return None;
     }
     front.metrics.count("announcements", "taken");
-    state.book.take(&EndpointNotice {
+    state.book.apply(&EndpointNotice {
         is_away: true,
         weights: digest.weights.clone(),
         ..told.clone()
@@ -188,7 +188,7 @@
     front: &FrontContext,
     digest: EngineDigest,
     granted: Option<GreetingEcho>,
-) -> Option<BookChange> {
+) -> Option<EndpointChange> {
     let now = front.now();
     let mut guard = front.state();
     let state = &mut *guard;
@@ -202,8 +202,8 @@
     if let (Some(key), Some(echo)) = (key, granted) {
         take_grant(state, key, echo);
     }
-    let order = key.map(|key| state.book.hear_life(key, digest.born, now));
-    if order == Some(LifeOrder::Earlier) {
+    let order = key.map(|key| state.book.observe_incarnation(key, digest.born, now));
+    if order == Some(IncarnationOrder::Earlier) {
         front.metrics.count("digests", "earlier-life");
         return None;
     }
@@ -211,7 +211,8 @@
     let key = key?;
     take_suspects(front, state, &digest, now);
     let entry = state.book.get_mut(key)?;
-    let change = (order == Some(LifeOrder::Later)).then(|| BookChange::Restarts(entry.id.clone()));
+    let change = (order == Some(IncarnationOrder::Later))
+        .then(|| EndpointChange::Restarts(entry.id.clone()));
     match note_place(entry, &digest, now) {
         DigestOrder::Overtaken => {
             front.metrics.count("digests", "overtaken");
@@ -241,7 +242,7 @@
 ) {
     for told in &digest.suspects {
         let was_held = state.suspects.is_held(told.fingerprint, now);
-        if !state.suspects.tell(told, now) {
+        if !state.suspects.merge(told, now) {
             continue;
         }
         front.metrics.count("suspects", "told");
@@ -276,13 +277,13 @@
     digest: &EngineDigest,
     now: Micros,
 ) -> DigestOrder {
-    let mark = DigestMark {
-        life: digest.life,
+    let mark = DigestPosition {
+        incarnation: digest.life,
         number: digest.number,
         changes: digest.changes,
         at: now,
     };
-    entry.life.note_digest(mark, digest.is_change)
+    entry.incarnation.record_digest(mark, digest.is_change)
 }
 
 fn take_load(
--- a/entry/src/front/end_probe.rs
+++ b/entry/src/front/end_probe.rs
@@ -59,7 +59,7 @@
         let entry = state.book.get(key);
         let probe = state.ends.get(&key);
         (
-            entry.is_some_and(|entry| entry.life.ended != life),
+            entry.is_some_and(|entry| entry.incarnation.ended != life),
             probe.is_some_and(|probe| probe.answers(life, now)),
         )
     };
--- a/entry/src/front/front_state.rs
+++ b/entry/src/front/front_state.rs
@@ -2,10 +2,10 @@
     super::{is_engine, EndProbe, FrontSettings, GreetingPlan, LinkPool, StoreReaders},
     pitchhitch_core::{
         serving::{
-            AdmissionRule, EndpointBook, EndpointEntry, EndpointKey, EnginePace, EraWatch,
-            EvacuationBook, KeyTrust, MemoryMap, ProvenTable, ReadProofs, RepeatMeter,
-            ServingConfig, StandstillWatch, StoreEra, SuspectBook, SwapPlanner, TrialTable,
-            WallName, WallTag, WRITE_AGAIN,
+            AdmissionRule, EndpointEntry, EndpointKey, EndpointRegistry, EnginePace, EraWatch,
+            EvacuationBook, KeyTrust, NamespaceTag, PauseDetector, ProvenTable, ReadProofs,
+            RepeatMeter, ServingConfig, StoreDirectory, StoreEra, SuspectTracker, SwapPlanner,
+            TrialTable, WallName, WRITE_AGAIN,
         },
         time::Micros,
     },
@@ -34,7 +34,7 @@
     /// Processes beside engines that were heard: they may hand state on.
     pub besides: BTreeSet<SocketAddr>,
     /// Endpoints.
-    pub book: EndpointBook,
+    pub book: EndpointRegistry,
     /// Whether the list of endpoints has been read in this life.
     pub has_list: bool,
     /// Age of the configuration.
@@ -56,7 +56,7 @@
     /// What is learned of how engines take prompts.
     pub pace: EnginePace,
     /// Stores and what is known of their content.
-    pub memory: MemoryMap,
+    pub memory: StoreDirectory,
     /// Until when engines' fetches are proven to be over.
     pub reads: ReadProofs,
     /// Named weights and whose turn it is to load them.
@@ -66,7 +66,7 @@
     /// Whether endpoints that broke connections off have ended.
     pub ends: HashMap<EndpointKey, EndProbe>,
     /// Requests under which endpoints ended.
-    pub suspects: SuspectBook,
+    pub suspects: SuspectTracker,
     /// Runs of such requests.
     pub trials: TrialTable,
     /// Whether somebody has told of all such requests in this life.
@@ -78,7 +78,7 @@
     /// Whether the store has lost the rows that tell which are held back.
     pub writes_held_again: bool,
     /// Whether the process itself stood still.
-    pub standstill: StandstillWatch,
+    pub standstill: PauseDetector,
     /// Since when the process has been asked to stop.
     pub stops_since: Option<Micros>,
     /// Whether connections that rest are closed.
@@ -90,7 +90,7 @@
     /// Fronts that live, as far as is known.
     pub fronts: u32,
     meters: HashMap<String, RepeatMeter>,
-    walls: HashMap<String, WallTag>,
+    walls: HashMap<String, NamespaceTag>,
     next_ticket: u64,
 }
 
@@ -101,7 +101,7 @@
             config: None,
             config_text: Vec::new(),
             besides: BTreeSet::new(),
-            book: EndpointBook::default(),
+            book: EndpointRegistry::default(),
             has_list: false,
             trust: KeyTrust::new(settings.key_limit, settings.key_policy),
             eras: EraWatch::default(),
@@ -112,18 +112,18 @@
             evacuations: EvacuationBook::default(),
             admission: AdmissionRule::without(settings.left_out),
             pace: EnginePace::without(settings.left_out),
-            memory: MemoryMap::without(settings.left_out),
+            memory: StoreDirectory::without(settings.left_out),
             reads: ReadProofs::default(),
             planner: SwapPlanner::default(),
             pool: LinkPool::default(),
             ends: HashMap::new(),
-            suspects: SuspectBook::default(),
+            suspects: SuspectTracker::default(),
             trials: TrialTable::default(),
             knows_suspects: false,
             wants_suspects: true,
             has_held_rows: false,
             writes_held_again: false,
-            standstill: StandstillWatch::default(),
+            standstill: PauseDetector::default(),
             stops_since: None,
             closes_idle: false,
             body_bytes: 0,
@@ -193,7 +193,7 @@
         &self,
         now: Micros,
     ) -> bool {
-        self.standstill.has_just_woken(now) && self.memory.is_stale(now)
+        self.standstill.has_just_resumed(now) && self.memory.is_stale(now)
     }
 
     /// Whether the process has just started and is about to be told under which requests
@@ -246,20 +246,20 @@
     pub fn wall(
         &mut self,
         salt: &str,
-    ) -> WallTag {
+    ) -> NamespaceTag {
         if let Some(tag) = self.walls.get(salt) {
             return *tag;
         }
         if self.walls.len() >= WALL_LIMIT {
             self.walls.clear();
         }
-        let tag = WallTag::of(salt);
+        let tag = NamespaceTag::of(salt);
         self.walls.insert(salt.to_string(), tag);
         tag
     }
 
     /// All salts of ours that have been seen, with their tags.
-    pub fn walls(&self) -> Vec<(WallName, WallTag)> {
+    pub fn walls(&self) -> Vec<(WallName, NamespaceTag)> {
         let walls = self.walls.iter();
         walls
             .filter_map(|(salt, tag)| Some((WallName::parse(salt)?, *tag)))
--- a/entry/src/front/greeting_plan.rs
+++ b/entry/src/front/greeting_plan.rs
@@ -1,6 +1,6 @@
 use {
     pitchhitch_core::{
-        serving::{greeting_pause, urgent_greeting_pause},
+        serving::{greeting_interval, urgent_greeting_interval},
         time::Micros,
     },
     std::{
@@ -62,8 +62,8 @@
         now: Micros,
     ) -> bool {
         let pause = match is_urgent {
-            true => urgent_greeting_pause(),
-            false => greeting_pause(engines),
+            true => urgent_greeting_interval(),
+            false => greeting_interval(engines),
         };
         let greeted_at = self.greeted.get(&to);
         greeted_at.is_none_or(|at| now.since(*at) >= pause)
--- a/entry/src/front/held_rows.rs
+++ b/entry/src/front/held_rows.rs
@@ -1,6 +1,6 @@
 use {
     super::{note_contact, note_position, CallLimit, FrontContext},
-    pitchhitch_core::{serving::ToldSuspect, time::Micros},
+    pitchhitch_core::{serving::SuspectReport, time::Micros},
     pitchhitch_platform::{RowPage, RowTable, RowValue, StoreClient, StoreError},
     pitchhitch_process::{to_duration, wall_seconds},
     pitchhitch_wire::codec::{decode_body, encode_body},
@@ -24,7 +24,7 @@
     /// When it was written, in seconds since 1970.
     wall_secs: u64,
     /// Requests, with ages as of then.
-    suspects: Vec<ToldSuspect>,
+    suspects: Vec<SuspectReport>,
 }
 
 /// Reads which requests are held back, then writes each change of those that this front
@@ -87,7 +87,7 @@
         };
         let age = Micros::from_secs(wall_seconds().saturating_sub(held.wall_secs));
         for told in &held.suspects {
-            state.suspects.tell(&older(told, age), now);
+            state.suspects.merge(&older(told, age), now);
         }
     }
     let held = state.suspects.held(now).len();
@@ -106,9 +106,9 @@
 
 /// What was told so long ago.
 fn older(
-    told: &ToldSuspect,
+    told: &SuspectReport,
     age: Micros,
-) -> ToldSuspect {
+) -> SuspectReport {
     let mut told = told.clone();
     for crash in &mut told.crashes {
         crash.sent = crash.sent + age;
@@ -126,7 +126,7 @@
     let now = front.now();
     let suspects = {
         let state = front.state();
-        let mut held = state.suspects.told(now);
+        let mut held = state.suspects.reports(now);
         held.retain(|told| state.suspects.is_held(told.fingerprint, now));
         held.truncate(ROW_LIMIT);
         held
--- a/entry/src/front/list_watch.rs
+++ b/entry/src/front/list_watch.rs
@@ -4,7 +4,9 @@
         FrontContext, ReadWait,
     },
     pitchhitch_core::{
-        serving::{BookChange, EndpointNotice, ProvenTable, StorePosition, TableMark, WRITE_AGAIN},
+        serving::{
+            EndpointChange, EndpointNotice, ProvenTable, StorePosition, TableMark, WRITE_AGAIN,
+        },
         time::Micros,
     },
     pitchhitch_platform::{decode_row, RowNews, RowPage, RowTable, StoreClient},
@@ -86,7 +88,7 @@
         match outcome {
             Ok(()) if is_steady && trouble_at.is_some() => {
                 trouble_at = None;
-                let changes = front.state().book.settle();
+                let changes = front.state().book.expire_lapsed();
                 log_changes(&front, &changes);
             }
             Ok(()) => {}
@@ -150,7 +152,7 @@
             Err(fault) => {
                 foreign.note(front, &key, &fault);
                 // It is there and names nobody: that is no lapse of the store's.
-                changes.extend(front.state().book.gone(&key, true));
+                changes.extend(front.state().book.mark_unlisted(&key, true));
                 continue;
             }
         };
@@ -158,16 +160,16 @@
         match news {
             RowNews::Endpoint(notice) if is_whole => listed.push(notice),
             RowNews::Endpoint(notice) => {
-                let change = front.state().book.take(&notice);
+                let change = front.state().book.apply(&notice);
                 let is_new = matches!(
                     change,
-                    Some(BookChange::Serves(_) | BookChange::Restarts(_))
+                    Some(EndpointChange::Serves(_) | EndpointChange::Restarts(_))
                 );
                 note_slow_start(front, &notice, is_new);
                 changes.extend(change);
             }
             RowNews::EndpointGone(id) => {
-                changes.extend(front.state().book.gone(&id, is_steady));
+                changes.extend(front.state().book.mark_unlisted(&id, is_steady));
             }
             _ => {}
         }
@@ -186,7 +188,7 @@
             .filter(|notice| front.state().book.key(&notice.id).is_some())
             .map(|notice| notice.id.clone())
             .collect();
-        changes.extend(front.state().book.take_all(&listed, is_steady));
+        changes.extend(front.state().book.apply_all(&listed, is_steady));
         for notice in &listed {
             note_slow_start(front, notice, had_list && !known.contains(&notice.id));
         }
@@ -197,7 +199,7 @@
             front.greeting_due.wake();
         }
     }
-    changes.extend(front.state().book.end_overtaken());
+    changes.extend(front.state().book.retire_superseded());
     log_changes(front, &changes);
 }
 
@@ -224,20 +226,20 @@
 
 pub(super) fn log_changes(
     front: &FrontContext,
-    changes: &[BookChange],
+    changes: &[EndpointChange],
 ) {
     for change in changes {
         let (what, id) = match change {
-            BookChange::Serves(id) => ("serves", id),
-            BookChange::Leaves(id) => ("leaves", id),
-            BookChange::Lapses(id) => ("lapses", id),
-            BookChange::Away(id) => ("away", id),
-            BookChange::Restarts(id) => ("restarted", id),
+            EndpointChange::Serves(id) => ("serves", id),
+            EndpointChange::Leaves(id) => ("leaves", id),
+            EndpointChange::Lapses(id) => ("lapses", id),
+            EndpointChange::Away(id) => ("away", id),
+            EndpointChange::Restarts(id) => ("restarted", id),
         };
         let mut state = front.state();
         let key = state.book.key(id);
         let entry = key.and_then(|key| state.book.get(key));
-        let born = entry.and_then(|entry| entry.life.born).unwrap_or(0);
+        let born = entry.and_then(|entry| entry.incarnation.born).unwrap_or(0);
         let address = entry.map(|entry| entry.address);
         log::info!(event = "endpoint", endpoint = id.as_str(), standing = what, born = born; "");
         front.metrics.count("endpoint_changes", what);
--- a/entry/src/front/order_substitute.rs
+++ b/entry/src/front/order_substitute.rs
@@ -183,7 +183,7 @@
     entry: &EndpointEntry,
     now: Micros,
 ) -> bool {
-    let digest = entry.life.digest.as_ref();
+    let digest = entry.incarnation.digest.as_ref();
     let load = entry.load.as_ref();
     let again_within = load.map_or(Micros::ZERO, |load| load.again_within);
     let limit = Micros(again_within.0 * 3).max(Micros::from_millis(1_500));
--- a/entry/src/front/part_freeing.rs
+++ b/entry/src/front/part_freeing.rs
@@ -1,7 +1,7 @@
 use {
     super::{has_view, FrontContext, CALL_LIMIT},
     pitchhitch_core::{
-        serving::{EndpointStanding, PartFate, PartId, WallName},
+        serving::{EndpointStatus, PartId, ReclaimState, WallName},
         time::Micros,
     },
     pitchhitch_platform::KeptClient,
@@ -95,7 +95,7 @@
         };
         if group.engine.is_some() {
             engines.push((entry.address, &entry.weights));
-        } else if entry.standing != EndpointStanding::Leaving {
+        } else if entry.status != EndpointStatus::Leaving {
             others.insert(entry.address);
         }
     }
@@ -170,11 +170,11 @@
         }
         let salt = wall.salt();
         let over_ms = reads.over_until_ms(&wall.model, wall.version);
-        for id in view.parts.inside(tag) {
+        for id in view.parts.parts_in(tag) {
             match planner.fate(&wall.model, wall.version, id, over_ms, clock_ms, now) {
-                PartFate::Fetched => {}
-                PartFate::Held => held = Some(wall.clone()),
-                PartFate::Over => parts.push((salt.clone(), id)),
+                ReclaimState::Fetchable => {}
+                ReclaimState::Draining => held = Some(wall.clone()),
+                ReclaimState::Reclaimable => parts.push((salt.clone(), id)),
             }
         }
     }
--- a/entry/src/front/peer_state.rs
+++ b/entry/src/front/peer_state.rs
@@ -4,7 +4,7 @@
         TableProofs,
     },
     pitchhitch_core::{
-        serving::{even_draw, EndpointEntry, EndpointKey, ProvenTable, TELL_LIMIT},
+        serving::{stable_fraction, EndpointEntry, EndpointKey, ProvenTable, TELL_LIMIT},
         time::Micros,
     },
     pitchhitch_platform::decode_config,
@@ -58,7 +58,7 @@
         weights: state.planner.told_namings(now),
         endpoints: state.book.notices(),
         evacuated: state.evacuations.domains().map(str::to_string).collect(),
-        lives: state.memory.lives(now),
+        lives: state.memory.store_uptimes(now),
     })
 }
 
@@ -94,7 +94,7 @@
 /// Asks peers for what they know, until the store or one of them has told it.
 pub(super) async fn ask_peers(front: Rc<FrontContext>) {
     // Fronts that start together do not all ask the same one first.
-    let mut turn = 2 * (even_draw(&front.settings.box_id) * 1e6) as usize;
+    let mut turn = 2 * (stable_fraction(&front.settings.box_id) * 1e6) as usize;
     loop {
         let peer = next_peer(&front, turn);
         let now = front.now();
@@ -124,7 +124,7 @@
 /// Asks peers for their state while others can read the platform's store and this front cannot:
 /// callers with keys are served on although the configuration has changed meanwhile.
 pub(super) async fn stay_told(front: Rc<FrontContext>) {
-    let mut turn = 2 * (even_draw(&front.settings.box_id) * 1e6) as usize;
+    let mut turn = 2 * (stable_fraction(&front.settings.box_id) * 1e6) as usize;
     loop {
         front.rest(REFRESH_PAUSE).await;
         if !is_left_behind(&front) {
@@ -289,7 +289,7 @@
     }
     // With the namings that the peer knows, as parts of replaced weights are not saved.
     for life in &handed.lives {
-        state.memory.tell_life(life, now);
+        state.memory.record_uptime(life, now);
     }
     let handed_at = asked_at.since(handed.age);
     if state.trust.proven_at().is_none_or(|at| at < handed_at) {
@@ -307,9 +307,9 @@
     }
     let notices = handed.endpoints.iter();
     let mut changes: Vec<_> = notices
-        .filter_map(|notice| state.book.take(notice))
+        .filter_map(|notice| state.book.apply(notice))
         .collect();
-    changes.extend(state.book.end_overtaken());
+    changes.extend(state.book.retire_superseded());
     let keys: Vec<EndpointKey> = state.book.iter().map(|(key, _)| key).collect();
     for key in keys {
         // A copy does not tell which of them have just started.
--- a/entry/src/front/request_answer.rs
+++ b/entry/src/front/request_answer.rs
@@ -81,8 +81,8 @@
                 let now = front.now();
                 began = Some(now);
                 let mut state = front.state();
-                state.book.begun(choice.key, ticket);
-                state.trials.begun(ticket, now);
+                state.book.record_started(choice.key, ticket);
+                state.trials.record_first_event(ticket, now);
                 if is_first {
                     let took = now.since(sent_at).as_millis() as f64;
                     state.pace.note_begun(to_read, took - choice.plan.fetch_ms);
--- a/entry/src/front/request_choice.rs
+++ b/entry/src/front/request_choice.rs
@@ -2,9 +2,9 @@
     super::{FrontState, RequestRun, USUAL_PATIENCE},
     pitchhitch_core::{
         serving::{
-            even_part, pick_endpoint, AdmissionAsk, AdmissionVerdict, EndpointChoice,
-            EndpointEntry, EndpointStanding, EngineGroup, HomeRegions, PartOutlook, PartPlace,
-            PickAsk, TrialAsk, VersionOutlook, WallName, WeightBounds,
+            pick_endpoint, unit_fraction, AdmissionAsk, AdmissionVerdict, EndpointChoice,
+            EndpointEntry, EndpointStatus, EngineGroup, HomeRegions, PartAvailability,
+            PartLocation, PickAsk, TrialAsk, VersionOutlook, WallName, WeightBounds,
         },
         time::Micros,
     },
@@ -71,7 +71,7 @@
         choice: &EndpointChoice,
     ) -> Micros {
         let state = self.front.state();
-        let spread = even_part(self.spread);
+        let spread = unit_fraction(self.spread);
         state
             .admission
             .come_back(&self.admission_ask(), &state.pace, choice, spread)
@@ -99,7 +99,7 @@
         let outlooks = self.outlooks(state, now);
         let starts_slowly = self.starts_slowly();
         let is_alone = self.trial.is_some_and(|crashes| crashes > 1);
-        let barred = state.trials.barred(is_alone, now);
+        let barred = state.trials.full_endpoints(is_alone, now);
         let trial = self.trial.and(self.known_as).map(|fingerprint| TrialAsk {
             number: fingerprint.number(),
             is_alone,
@@ -155,7 +155,7 @@
         let state = front.state();
         let is_waited_for = |entry: &&EndpointEntry| {
             entry.service == self.service
-                && entry.standing != EndpointStanding::Leaving
+                && entry.status != EndpointStatus::Leaving
                 && self.may_lie_in(&entry.domain)
                 && state.is_open(entry, false, now)
                 && !state.is_open(entry, true, now)
@@ -165,7 +165,7 @@
             .filter(is_waited_for)
             .map(|entry| entry.slow_start.open_after(now))
             .collect();
-        let spread = (even_part(self.spread) * SLOW_START_SPREAD.0 as f64) as u64;
+        let spread = (unit_fraction(self.spread) * SLOW_START_SPREAD.0 as f64) as u64;
         let back = *waits.iter().min()? + SLOW_START_BACK + Micros(spread);
         log::info!(
             event = "slow-start",
@@ -212,7 +212,7 @@
             let wall = state.wall(&self.wall(version).salt());
             let parts = state
                 .memory
-                .outlook(&state.book, group, wall, &prompt.parts, now);
+                .locate_parts(&state.book, group, wall, &prompt.parts, now);
             outlooks.push(VersionOutlook {
                 version,
                 wall,
@@ -227,9 +227,9 @@
         &self,
         state: &FrontState,
         version: u64,
-        mut parts: Vec<PartOutlook>,
+        mut parts: Vec<PartAvailability>,
         now: Micros,
-    ) -> Vec<PartOutlook> {
+    ) -> Vec<PartAvailability> {
         let model = self
             .ask
             .prompt
@@ -241,7 +241,7 @@
             if !state.planner.may_fetch(model, version, id, proven_at, now) {
                 outlook
                     .sources
-                    .retain(|source| !matches!(source.place, PartPlace::Store(_)));
+                    .retain(|source| !matches!(source.location, PartLocation::Store(_)));
             }
         }
         parts
--- a/entry/src/front/request_lessons.rs
+++ b/entry/src/front/request_lessons.rs
@@ -1,7 +1,7 @@
 use {
     super::{learn_weights, FrontState, OfferAnswer, RequestRun},
     pitchhitch_core::{
-        serving::{EndpointChoice, EndpointReturn, EndpointStanding},
+        serving::{EndpointChoice, EndpointRejoin, EndpointStatus},
         time::Micros,
     },
 };
@@ -15,7 +15,7 @@
         choice: &EndpointChoice,
     ) -> bool {
         let entry = state.book.get(choice.key);
-        entry.is_some_and(|entry| entry.life.ended == self.run.life)
+        entry.is_some_and(|entry| entry.incarnation.ended == self.run.life)
     }
 
     pub(super) fn judge(
@@ -28,7 +28,7 @@
         if !self.is_of_life(&state, choice) {
             return;
         }
-        if state.book.judged(choice.key, is_sound, front.now()) {
+        if state.book.record_outcome(choice.key, is_sound, front.now()) {
             let id = state
                 .book
                 .get(choice.key)
@@ -47,7 +47,7 @@
         sent_at: Micros,
     ) {
         let mut state = self.front.state();
-        state.book.ended(choice.key, ticket);
+        state.book.record_ended(choice.key, ticket);
         state.trials.end(ticket);
         let (Some(prompt), Some(_)) = (&self.ask.prompt, self.began_at) else {
             return;
@@ -92,11 +92,11 @@
                 by = other.as_str();
                 ""
             );
-            entry.standing = EndpointStanding::Leaving;
-            entry.comeback = EndpointReturn::Never;
+            entry.status = EndpointStatus::Leaving;
+            entry.rejoin = EndpointRejoin::Never;
             state.pool.close_all(choice.key);
             // Who was listed before it may be there after all.
-            state.book.mark_overtaken();
+            state.book.mark_superseded();
         }
     }
 }
--- a/entry/src/front/request_log.rs
+++ b/entry/src/front/request_log.rs
@@ -19,7 +19,7 @@
         for (place, part) in parts[..parts.len().saturating_sub(1)].iter().enumerate() {
             let sign = match choice.plan.parts.get(place) {
                 None => 'r',
-                Some(fetch) if fetch.is_kept => 'k',
+                Some(fetch) if fetch.is_cached => 'k',
                 Some(fetch) => match &fetch.source {
                     Some((source, _)) if source.is_engine() => 'e',
                     _ => 'f',
@@ -69,7 +69,7 @@
             used = load.map_or(0, |load| load.used_tokens),
             unread = choice.unread_tokens,
             shared_unread = choice.shared_unread,
-            kept = choice.plan.kept_tokens,
+            kept = choice.plan.cached_tokens,
             fetched = choice.plan.fetched_tokens,
             fetch_ms = choice.plan.fetch_ms as u64,
             parts = self.told_parts(choice).as_str(),
--- a/entry/src/front/request_moves.rs
+++ b/entry/src/front/request_moves.rs
@@ -1,7 +1,7 @@
 use {
     super::{FrontState, RequestRun},
     pitchhitch_core::{
-        serving::{EndpointChoice, KvStore, PartPlace, PromptAsk},
+        serving::{EndpointChoice, KvStore, PartLocation, PromptAsk},
         time::Micros,
     },
     pitchhitch_platform::{encode_request, PartAddress, SendOrder},
@@ -88,9 +88,9 @@
                 moves.fetch.push(None);
                 continue;
             };
-            let is_store = matches!(source.place, PartPlace::Store(_));
+            let is_store = matches!(source.location, PartLocation::Store(_));
             let mut until = None;
-            if let PartPlace::Store(place) = source.place {
+            if let PartLocation::Store(place) = source.location {
                 let view = state.memory.view_at(place);
                 until = view.and_then(|view| view.fetch_until_ms(now));
                 if until.is_none() {
@@ -109,7 +109,7 @@
             };
         }
         moves.fetch.resize(prompt.parts.len(), None);
-        state.memory.fetching(&choice.plan, now);
+        state.memory.record_fetches(&choice.plan, now);
         let is_newest = state
             .planner
             .named(&prompt.model)
--- a/entry/src/front/request_trial.rs
+++ b/entry/src/front/request_trial.rs
@@ -1,7 +1,7 @@
 use {
     super::{spread_number, RequestRun},
     pitchhitch_core::{
-        serving::{even_part, RefusalKind, SuspectStanding},
+        serving::{unit_fraction, RefusalKind, SuspectStatus},
         time::Micros,
     },
     pitchhitch_process::to_duration,
@@ -30,15 +30,15 @@
 impl RequestRun<'_> {
     /// How the request stands with the crashes of endpoints. It is hashed only while some
     /// request has to be known again.
-    fn standing(&mut self) -> SuspectStanding {
+    fn standing(&mut self) -> SuspectStatus {
         let front = self.front;
         if front.state().suspects.is_empty() {
-            return SuspectStanding::Clear;
+            return SuspectStatus::Clear;
         }
         let fingerprint = self.fingerprint();
-        let spread = even_part(spread_number(&front.settings.box_id));
+        let spread = unit_fraction(spread_number(&front.settings.box_id));
         let state = front.state();
-        state.suspects.standing(fingerprint, spread, front.now())
+        state.suspects.status(fingerprint, spread, front.now())
     }
 
     /// Waits until the request may be sent: at once, but for one under which endpoints have
@@ -49,20 +49,20 @@
         loop {
             let standing = self.standing();
             self.trial = match standing {
-                SuspectStanding::Clear => return self.free_turn(),
-                SuspectStanding::Suspect(crashes) => Some(crashes),
-                SuspectStanding::Resting(left) => {
+                SuspectStatus::Clear => return self.free_turn(),
+                SuspectStatus::Suspect(crashes) => Some(crashes),
+                SuspectStatus::Resting(left) => {
                     self.log_standing("resting", left);
                     return TrialTurn::Refused(RefusalKind::Suspected, left);
                 }
-                SuspectStanding::Held(left) => {
+                SuspectStatus::Held(left) => {
                     self.log_standing("held", left);
                     return TrialTurn::Refused(RefusalKind::HeldBack, left);
                 }
             };
             let now = front.now();
             let fingerprint = self.fingerprint();
-            let runs_already = front.state().trials.has(fingerprint, now);
+            let runs_already = front.state().trials.has_active(fingerprint, now);
             if !runs_already && self.pick().is_some() {
                 return TrialTurn::Free;
             }
@@ -107,7 +107,10 @@
             return;
         }
         let fingerprint = self.fingerprint();
-        let is_cleared = front.state().suspects.note_answer(fingerprint, front.now());
+        let is_cleared = front
+            .state()
+            .suspects
+            .record_answer(fingerprint, front.now());
         if is_cleared {
             front.metrics.count("suspects", "cleared");
         }
--- a/entry/src/front/request_try.rs
+++ b/entry/src/front/request_try.rs
@@ -1,7 +1,7 @@
 use {
     super::{send_offer, LatestRun, OfferFailure, OpenOffer, PartMoves, RequestRun, WholeAnswer},
     pitchhitch_core::{
-        serving::{EndpointChoice, EndpointStanding, UnreadWork},
+        serving::{EndpointChoice, EndpointStatus, PendingPrefill},
         time::Micros,
     },
     pitchhitch_http1::ByteLink,
@@ -58,7 +58,7 @@
         };
         let state = front.state();
         let entry = state.book.get(choice.key)?;
-        (entry.standing != EndpointStanding::Leaving).then(|| OpenOffer::new(link))
+        (entry.status != EndpointStatus::Leaving).then(|| OpenOffer::new(link))
     }
 
     /// Counts the request at the endpoint before a connection is there: requests that
@@ -73,8 +73,8 @@
         let mut state = front.state();
         let entry = state.book.get(choice.key);
         self.run = LatestRun {
-            life: entry.map_or(0, |entry| entry.life.ended),
-            born: entry.and_then(|entry| entry.life.born),
+            life: entry.map_or(0, |entry| entry.incarnation.ended),
+            born: entry.and_then(|entry| entry.incarnation.born),
             known_crashes: self.trial.unwrap_or(0),
             ..LatestRun::default()
         };
@@ -85,14 +85,14 @@
                 .trials
                 .begin(ticket, fingerprint, choice.key, is_alone);
         }
-        let work = UnreadWork {
+        let work = PendingPrefill {
             ticket,
             tokens: choice.unread_tokens,
             memory_tokens: self.ask.prompt.as_ref().map_or(0, |p| p.tokens_in),
-            rank: self.rank(),
+            priority: self.rank(),
             sent_at: front.now(),
         };
-        state.book.sent(choice.key, work);
+        state.book.record_sent(choice.key, work);
         ReservedPlace { ticket, moves }
     }
 
@@ -105,15 +105,15 @@
     ) {
         let mut guard = self.front.state();
         let state = &mut *guard;
-        state.book.ended(choice.key, place.ticket);
-        state.book.unsent(choice.key, place.ticket);
+        state.book.record_ended(choice.key, place.ticket);
+        state.book.record_unsent(choice.key, place.ticket);
         state.trials.end(place.ticket);
         let (Some(prompt), Some(version)) = (&self.ask.prompt, choice.version) else {
             return;
         };
         let wall = state.wall(&self.wall(version).salt());
         let planned = &choice.plan.parts;
-        let is_kept = |at: usize| planned.get(at).is_some_and(|fetch| fetch.is_kept);
+        let is_kept = |at: usize| planned.get(at).is_some_and(|fetch| fetch.is_cached);
         if let Some(entry) = state.book.get_mut(choice.key) {
             for (at, part) in prompt.parts.iter().enumerate() {
                 if !is_kept(at) {
@@ -134,7 +134,10 @@
         let bytes = self.encode(choice, &place.moves);
         let sent_at = front.now();
         self.run.sent_at = sent_at;
-        front.state().book.written(choice.key, ticket, sent_at);
+        front
+            .state()
+            .book
+            .record_written(choice.key, ticket, sent_at);
         if let Some(prompt) = &self.ask.prompt {
             let unread = choice.unread_tokens;
             let mut state = front.state();
--- a/entry/src/front/return_check.rs
+++ b/entry/src/front/return_check.rs
@@ -1,6 +1,6 @@
 use {
     super::{log_changes, FrontContext},
-    pitchhitch_core::serving::ReturnQuestion,
+    pitchhitch_core::serving::RejoinProbe,
     pitchhitch_http1::{HttpCall, HttpClient},
     pitchhitch_platform::instance_field,
     std::{rc::Rc, time::Duration},
@@ -14,7 +14,7 @@
 /// out late looks like one that came back.
 pub(super) fn ask_returned(front: &Rc<FrontContext>) {
     let now = front.now();
-    let questions = front.state().book.ask_returned(now);
+    let questions = front.state().book.due_probes(now);
     for question in questions {
         front.spawn(ask(front.clone(), question));
     }
@@ -22,7 +22,7 @@
 
 async fn ask(
     front: Rc<FrontContext>,
-    question: ReturnQuestion,
+    question: RejoinProbe,
 ) {
     let path = health_path(&front, &question.service);
     let status = match &path {
@@ -40,7 +40,7 @@
     front.metrics.count("links", "health");
     let now = front.now();
     let mut state = front.state();
-    let change = state.book.answered_return(question.key, serves, now);
+    let change = state.book.record_probe(question.key, serves, now);
     drop(state);
     let changes: Vec<_> = change.into_iter().collect();
     log_changes(&front, &changes);
@@ -56,7 +56,7 @@
 
 /// Status of its answer; an endpoint of another id at the address says no.
 async fn health_status(
-    question: &ReturnQuestion,
+    question: &RejoinProbe,
     path: &str,
 ) -> Option<u16> {
     let mut client = HttpClient::new(question.address, CALL_LIMIT);
--- a/entry/src/front/run_lost.rs
+++ b/entry/src/front/run_lost.rs
@@ -2,7 +2,7 @@
     super::{has_ended, RequestRun},
     pitchhitch_core::{
         serving::{
-            CrashMark, EndpointChoice, EndpointStanding, FingerprintAsk, RequestFingerprint,
+            CrashId, EndpointChoice, EndpointStatus, FingerprintInput, RequestFingerprint,
             SuspectCrash,
         },
         time::Micros,
@@ -37,7 +37,7 @@
             return known;
         }
         let organisation = self.organisation();
-        let fingerprint = RequestFingerprint::of(&FingerprintAsk {
+        let fingerprint = RequestFingerprint::of(&FingerprintInput {
             method: &self.request.head.method,
             host: &self.ask.host,
             target: &self.request.head.target,
@@ -60,7 +60,7 @@
         let is_leaving = {
             let state = front.state();
             let entry = state.book.get(choice.key);
-            entry.is_none_or(|entry| entry.standing == EndpointStanding::Leaving)
+            entry.is_none_or(|entry| entry.status == EndpointStatus::Leaving)
         };
         let word = match (has_ended, is_leaving) {
             (false, _) => "broken",
@@ -116,13 +116,13 @@
             return;
         };
         let crash = SuspectCrash {
-            mark: CrashMark::of(&entry.id, self.run.born),
+            mark: CrashId::of(&entry.id, self.run.born),
             sent: self.run.sent_at,
             ended: lost_at,
             known: self.run.known_crashes,
         };
-        let had_news = state.suspects.has_news();
-        if !state.suspects.note_crash(fingerprint, crash) {
+        let had_news = state.suspects.has_updates();
+        if !state.suspects.record_crash(fingerprint, crash) {
             return;
         }
         if !had_news {
--- a/entry/src/front/store_contact.rs
+++ b/entry/src/front/store_contact.rs
@@ -1,7 +1,7 @@
 use {
     super::FrontContext,
     pitchhitch_core::{
-        serving::{even_draw, EraNews, StorePosition},
+        serving::{stable_fraction, EraNews, StorePosition},
         time::Micros,
     },
     pitchhitch_platform::StoreError,
@@ -79,7 +79,7 @@
 async fn write_again(front: Rc<FrontContext>) {
     let fronts = u64::from(front.state().fronts);
     let span = WRITE_SPAN.max(Micros(WRITE_SPAN_A_FRONT.0 * fronts));
-    let part = even_draw(&front.settings.box_id);
+    let part = stable_fraction(&front.settings.box_id);
     Timer::after(to_duration(Micros((span.0 as f64 * part) as u64))).await;
     front.state().writes_held_again = true;
     front.held_due.wake();
--- a/entry/src/front/store_readers.rs
+++ b/entry/src/front/store_readers.rs
@@ -1,7 +1,7 @@
 use {
     super::{spread_number, FrontContext, FrontState},
     pitchhitch_core::{
-        serving::{even_draw, reader_draw, ProofBook, ProvenTable, ReaderTier, StoreProof},
+        serving::{reader_draw, stable_fraction, ProofBook, ProvenTable, ReaderTier, StoreProof},
         time::Micros,
     },
     pitchhitch_process::to_duration,
@@ -223,7 +223,7 @@
         log_tier(front, self.table);
         while !self.is_due(front, front.now()) {
             if self.is_behind(front) {
-                let spread = NEWS_SPREAD.0 as f64 * even_draw(&front.settings.box_id);
+                let spread = NEWS_SPREAD.0 as f64 * stable_fraction(&front.settings.box_id);
                 Timer::after(to_duration(Micros(spread as u64))).await;
                 return;
             }
--- a/entry/src/front/store_watchers.rs
+++ b/entry/src/front/store_watchers.rs
@@ -1,6 +1,6 @@
 use {
     super::{is_engine, FrontContext},
-    pitchhitch_core::serving::{even_mix, even_number},
+    pitchhitch_core::serving::{mix_hashes, stable_hash},
     std::{collections::BTreeMap, net::SocketAddr},
 };
 
@@ -51,7 +51,7 @@
 
 impl RankedEngine {
     fn new(address: SocketAddr) -> Self {
-        let number = even_number(address.to_string());
+        let number = stable_hash(address.to_string());
         RankedEngine { address, number }
     }
 }
@@ -62,8 +62,8 @@
     store: SocketAddr,
     engines: &[RankedEngine],
 ) -> Vec<SocketAddr> {
-    let store = even_number(store.to_string());
-    let rank = |engine: &RankedEngine| even_mix(store, engine.number);
+    let store = stable_hash(store.to_string());
+    let rank = |engine: &RankedEngine| mix_hashes(store, engine.number);
     let mut ranked: Vec<(u64, SocketAddr)> = engines.iter().map(|e| (rank(e), e.address)).collect();
     ranked.sort_unstable();
     let highest = ranked.into_iter().rev().take(WATCHERS);
--- a/entry/src/front/suspect_desk.rs
+++ b/entry/src/front/suspect_desk.rs
@@ -1,6 +1,6 @@
 use {
     super::{hand_state_on, FrontContext},
-    pitchhitch_core::serving::{RequestFingerprint, SuspectStanding},
+    pitchhitch_core::serving::{RequestFingerprint, SuspectStatus},
     pitchhitch_wire::{beacon::BeaconKey, beside::STATE_PATH},
     serde::{Deserialize, Serialize},
 };
@@ -56,13 +56,13 @@
 fn tell_suspects(front: &FrontContext) -> (u16, Vec<u8>) {
     let now = front.now();
     let state = front.state();
-    let suspects = state.suspects.told(now).into_iter().map(|told| {
-        let standing = state.suspects.standing(told.fingerprint, 0.0, now);
+    let suspects = state.suspects.reports(now).into_iter().map(|told| {
+        let standing = state.suspects.status(told.fingerprint, 0.0, now);
         let (word, left) = match standing {
-            SuspectStanding::Clear => ("clear", None),
-            SuspectStanding::Suspect(_) => ("suspect", None),
-            SuspectStanding::Resting(left) => ("resting", Some(left)),
-            SuspectStanding::Held(left) => ("held", Some(left)),
+            SuspectStatus::Clear => ("clear", None),
+            SuspectStatus::Suspect(_) => ("suspect", None),
+            SuspectStatus::Resting(left) => ("resting", Some(left)),
+            SuspectStatus::Held(left) => ("held", Some(left)),
         };
         let last = told.crashes.iter().map(|crash| crash.ended).min();
         SuspectRow {
--- a/testbed/src/load_model/model_front.rs
+++ b/testbed/src/load_model/model_front.rs
@@ -2,9 +2,10 @@
     super::{EngineSpec, FrontAsk, FrontSend, FrontVerdict, ModelStore},
     pitchhitch_core::{
         serving::{
-            pick_endpoint, AdmissionAsk, AdmissionRule, AdmissionVerdict, EndpointBook,
-            EndpointChoice, EndpointKey, EndpointNotice, EngineGroup, EnginePace, MechanismSet,
-            MemoryMap, PickAsk, PromptAsk, UnreadWork, VersionOutlook, WallTag, WeightBounds,
+            pick_endpoint, AdmissionAsk, AdmissionRule, AdmissionVerdict, EndpointChoice,
+            EndpointKey, EndpointNotice, EndpointRegistry, EngineGroup, EnginePace, MechanismSet,
+            NamespaceTag, PendingPrefill, PickAsk, PromptAsk, StoreDirectory, VersionOutlook,
+            WeightBounds,
         },
         time::Micros,
     },
@@ -15,7 +16,7 @@
 pub(super) const MODEL: &str = "m";
 const VERSION: u64 = 1;
 /// The one wall inside which parts are shared.
-pub const WALL: WallTag = WallTag(1);
+pub const WALL: NamespaceTag = NamespaceTag(1);
 const SERVICE: &str = "engines";
 
 /// One front: the deciding code of the product, with its state.
@@ -24,9 +25,9 @@
     /// Failure domain, by number.
     pub domain: usize,
     /// Engines, as this front knows them.
-    pub book: EndpointBook,
+    pub book: EndpointRegistry,
     /// Stores, as this front knows them.
-    pub memory: MemoryMap,
+    pub memory: StoreDirectory,
     /// What it has learned of engines.
     pub pace: EnginePace,
     admission: AdmissionRule,
@@ -45,14 +46,14 @@
         stores: &[ModelStore],
         left_out: MechanismSet,
     ) -> Self {
-        let mut book = EndpointBook::default();
+        let mut book = EndpointRegistry::default();
         let mut keys = Vec::new();
         for engine in 0..spec.count {
             let notice = engine_notice(engine, domains, spec);
-            book.take(&notice);
+            book.apply(&notice);
             keys.extend(book.key(&notice.id));
         }
-        let mut memory = MemoryMap::without(left_out);
+        let mut memory = StoreDirectory::without(left_out);
         let notices: Vec<_> = stores.iter().map(ModelStore::notice).collect();
         memory.set_stores(&notices);
         ModelFront {
@@ -139,7 +140,9 @@
         now: Micros,
     ) -> Vec<VersionOutlook> {
         let (book, group) = (&self.book, &self.group);
-        let parts = self.memory.outlook(book, group, WALL, &prompt.parts, now);
+        let parts = self
+            .memory
+            .locate_parts(book, group, WALL, &prompt.parts, now);
         vec![VersionOutlook {
             version: VERSION,
             wall: WALL,
@@ -177,15 +180,15 @@
     ) -> FrontSend {
         let prompt = ask.prompt;
         self.tickets += 1;
-        let work = UnreadWork {
+        let work = PendingPrefill {
             ticket: self.tickets,
             tokens: choice.unread_tokens,
             memory_tokens: prompt.tokens_in,
-            rank: ask.kind.rank,
+            priority: ask.kind.rank,
             sent_at: now,
         };
-        self.book.sent(choice.key, work);
-        self.memory.fetching(&choice.plan, now);
+        self.book.record_sent(choice.key, work);
+        self.memory.record_fetches(&choice.plan, now);
         let saves = self.memory.plan_saves(WALL, &prompt.parts, &|_| true, now);
         if let Some(entry) = self.book.get_mut(choice.key) {
             let capacity = self.group.capacity_tokens;
@@ -209,7 +212,7 @@
         took: Micros,
         is_first: bool,
     ) {
-        self.book.begun(send.choice.key, send.ticket);
+        self.book.record_started(send.choice.key, send.ticket);
         if is_first {
             let tokens = send.choice.ahead_tokens + f64::from(send.choice.unread_tokens);
             let millis = took.as_millis() as f64 - send.choice.plan.fetch_ms;
@@ -225,7 +228,7 @@
         tokens_in: u32,
         held: Option<Micros>,
     ) {
-        self.book.ended(send.choice.key, send.ticket);
+        self.book.record_ended(send.choice.key, send.ticket);
         if let Some(held) = held {
             self.pace.note_ended(tokens_in, held.as_millis() as f64);
         }
--- a/testbed/src/load_model/world_calls.rs
+++ b/testbed/src/load_model/world_calls.rs
@@ -114,7 +114,7 @@
         let state = &self.states[key.0];
         if let Some(sent) = sent {
             let book = &mut self.fronts[state.front].book;
-            book.judged(sent.choice.key, true, self.now);
+            book.record_outcome(sent.choice.key, true, self.now);
         }
         let call = &self.calls[key.0];
         let kind = &self.load.kinds[call.kind];
@@ -148,7 +148,7 @@
         let kind = &self.load.kinds[self.calls[key.0].kind];
         let state = &mut self.states[key.0];
         let book = &mut self.fronts[state.front].book;
-        book.judged(sent.choice.key, false, self.now);
+        book.record_outcome(sent.choice.key, false, self.now);
         state.tried.push(sent.engine);
         if state.began_at.is_none() && state.tried.len() < kind.sends as usize {
             self.asks(key);
--- a/testbed/src/load_model/world_moves.rs
+++ b/testbed/src/load_model/world_moves.rs
@@ -4,7 +4,7 @@
         LoadWorld, ModelEvent, SendKey, WALL,
     },
     pitchhitch_core::{
-        serving::{move_ms, PartPlace, PromptPart},
+        serving::{move_ms, PartLocation, PromptPart},
         time::Micros,
     },
 };
@@ -33,7 +33,7 @@
                 continue;
             }
             let coming = self.coming[engine].get(&part.id).copied();
-            let source = fetch.source.map(|(source, _)| source.place);
+            let source = fetch.source.map(|(source, _)| source.location);
             let moved = coming.or_else(|| self.start_move(send, source?, engine, part));
             let Some(moved_at) = moved else {
                 break;
@@ -48,7 +48,7 @@
     fn start_move(
         &mut self,
         send: SendKey,
-        source: PartPlace,
+        source: PartLocation,
         engine: usize,
         part: PromptPart,
     ) -> Option<Micros> {
@@ -56,12 +56,12 @@
         let bytes = u64::from(part.tokens) * spec.token_bytes;
         let own_until = self.engines[engine].link_until;
         let (domain, first_ms, link_mbps, link_until) = match source {
-            PartPlace::Store(place) => {
+            PartLocation::Store(place) => {
                 let store = self.stores.get_mut(place).filter(|s| s.keeps(part.id))?;
                 let (spec, link_until) = (&store.spec, &mut store.link_until);
                 (spec.domain, spec.first_ms, spec.link_mbps, link_until)
             }
-            PartPlace::Engine(key) => {
+            PartLocation::Engine(key) => {
                 let front = self.states[send.call.0].front;
                 let from = self.fronts[front].engine(key)?;
                 let source = &mut self.engines[from];
--- a/wire/src/beside/engine_digest.rs
+++ b/wire/src/beside/engine_digest.rs
@@ -1,7 +1,7 @@
 use {
     super::{grouped_parts, StoreNews},
     pitchhitch_core::serving::{
-        EndpointNotice, EngineLoad, PartId, StoreProof, ToldSuspect, WallTag,
+        EndpointNotice, EngineLoad, NamespaceTag, PartId, StoreProof, SuspectReport,
     },
     serde::{Deserialize, Serialize},
     std::net::SocketAddr,
@@ -11,7 +11,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DigestPart {
     /// Wall inside which it is shared.
-    pub wall: WallTag,
+    pub wall: NamespaceTag,
     /// Part.
     pub id: PartId,
     /// Tokens that are kept now.
@@ -49,7 +49,7 @@
     #[serde(with = "grouped_parts")]
     pub parts: Vec<DigestPart>,
     /// Requests under which endpoints ended, as fronts told.
-    pub suspects: Vec<ToldSuspect>,
+    pub suspects: Vec<SuspectReport>,
     /// Whether this ends the telling of all such requests that are known.
     pub has_all_suspects: bool,
     /// What fronts knew of the engine; told only to those that greet no more, as they
--- a/wire/src/beside/front_hello.rs
+++ b/wire/src/beside/front_hello.rs
@@ -1,6 +1,6 @@
 use {
     pitchhitch_core::{
-        serving::{StorePosition, StoreProof, ToldSuspect},
+        serving::{StorePosition, StoreProof, SuspectReport},
         time::Micros,
     },
     serde::{Deserialize, Serialize},
@@ -54,7 +54,7 @@
     /// Last digest that the front has heard of this engine.
     pub echo: Option<DigestEcho>,
     /// Requests under which endpoints ended, to be told to all fronts.
-    pub suspects: Vec<ToldSuspect>,
+    pub suspects: Vec<SuspectReport>,
     /// Whether the front wants to be told of all such requests.
     pub wants_suspects: bool,
     /// Whether the front wants to be told all that the engine keeps.
--- a/wire/src/beside/grouped_parts.rs
+++ b/wire/src/beside/grouped_parts.rs
@@ -3,7 +3,7 @@
 
 use {
     super::DigestPart,
-    pitchhitch_core::serving::{PartId, WallTag},
+    pitchhitch_core::serving::{NamespaceTag, PartId},
     serde::{Deserialize, Deserializer, Serialize, Serializer},
 };
 
@@ -12,7 +12,7 @@
     parts: &[DigestPart],
     serializer: S,
 ) -> Result<S::Ok, S::Error> {
-    let mut walls: Vec<(WallTag, Vec<(PartId, u32)>)> = Vec::new();
+    let mut walls: Vec<(NamespaceTag, Vec<(PartId, u32)>)> = Vec::new();
     for part in parts {
         let known = walls.iter_mut().find(|(wall, _)| *wall == part.wall);
         match known {
@@ -27,7 +27,7 @@
 pub(super) fn deserialize<'de, D: Deserializer<'de>>(
     deserializer: D
 ) -> Result<Vec<DigestPart>, D::Error> {
-    let walls: Vec<(WallTag, Vec<(PartId, u32)>)> = Vec::deserialize(deserializer)?;
+    let walls: Vec<(NamespaceTag, Vec<(PartId, u32)>)> = Vec::deserialize(deserializer)?;
     let parts = walls.into_iter().flat_map(|(wall, parts)| {
         let part = move |(id, tokens)| DigestPart { wall, id, tokens };
         parts.into_iter().map(part)
--- a/wire/src/beside/handed_state.rs
+++ b/wire/src/beside/handed_state.rs
@@ -4,7 +4,7 @@
         codec::{decode_body, encode_body},
     },
     pitchhitch_core::{
-        serving::{even_number, EndpointNotice, StoreEra, ToldLife, ToldNaming},
+        serving::{stable_hash, EndpointNotice, StoreEra, StoreUptime, ToldNaming},
         time::Micros,
     },
     serde::{Deserialize, Serialize},
@@ -38,7 +38,7 @@
     /// Failure domains that get nothing new.
     pub evacuated: Vec<String>,
     /// Lives of the stores of kept parts.
-    pub lives: Vec<ToldLife>,
+    pub lives: Vec<StoreUptime>,
 }
 
 /// Why bytes are no state of one of ours.
@@ -105,7 +105,7 @@
         let Ok(bytes) = encode_body(&ageless) else {
             return 0;
         };
-        even_number(bytes)
+        stable_hash(bytes)
     }
 
     /// The state as bytes, with a keyed hash where a key is set.
--- a/wire/src/beside/store_news.rs
+++ b/wire/src/beside/store_news.rs
@@ -1,6 +1,6 @@
 use {
     pitchhitch_core::{
-        serving::{PartId, WallTag},
+        serving::{NamespaceTag, PartId},
         time::Micros,
     },
     serde::{Deserialize, Serialize},
@@ -13,7 +13,7 @@
     /// Number of the change at the store.
     pub number: u64,
     /// Wall inside which it is shared.
-    pub wall: WallTag,
+    pub wall: NamespaceTag,
     /// Part.
     pub id: PartId,
     /// Tokens that are kept now.
--- a/wire/tests/beside_socket.rs
+++ b/wire/tests/beside_socket.rs
@@ -2,7 +2,7 @@
 
 use {
     pitchhitch_core::{
-        serving::{EngineLoad, PartId, SendGrant, WallTag},
+        serving::{EngineLoad, NamespaceTag, PartId, SendGrant},
         time::Micros,
     },
     pitchhitch_wire::{
@@ -107,7 +107,7 @@
 #[test]
 fn digest_written_once() {
     let part = |wall, id: &str, tokens| DigestPart {
-        wall: WallTag(wall),
+        wall: NamespaceTag(wall),
         id: PartId::parse(id).expect("hex"),
         tokens,
     };
--- a/wire/tests/handed_state.rs
+++ b/wire/tests/handed_state.rs
@@ -2,7 +2,7 @@
 
 use {
     pitchhitch_core::{
-        serving::{ToldLife, ToldNaming},
+        serving::{StoreUptime, ToldNaming},
         time::Micros,
     },
     pitchhitch_wire::beside::HandedState,
@@ -70,7 +70,7 @@
 /// all else older, and not them. No copy is pulled anew for them.
 #[test]
 fn lives_last_on() {
-    let life = |lasted_ms| ToldLife {
+    let life = |lasted_ms| StoreUptime {
         address: ([10, 9, 0, 1], 1).into(),
         epoch: 7,
         lasted: Micros::from_millis(lasted_ms),
