--- a/core/src/serving/mod.rs
+++ b/core/src/serving/mod.rs
@@ -7,10 +7,10 @@
 mod admission_verdict;
 mod begin_limits;
 mod caller_limits;
-mod endpoint_book;
 mod endpoint_entry;
 mod endpoint_life;
 mod endpoint_pick;
+mod endpoint_registry;
 mod endpoint_return;
 mod engine_pace;
 mod era_watch;
@@ -62,8 +62,8 @@
 mod weight_namings;
 
 pub use {
-    admission_ask::*, admission_rule::*, admission_verdict::*, caller_limits::*, endpoint_book::*,
-    endpoint_entry::*, endpoint_life::*, endpoint_pick::*, endpoint_return::*, engine_pace::*,
+    admission_ask::*, admission_rule::*, admission_verdict::*, caller_limits::*, endpoint_entry::*,
+    endpoint_life::*, endpoint_pick::*, endpoint_registry::*, endpoint_return::*, engine_pace::*,
     era_watch::*, evacuation_book::*, even_draw::*, grant_book::*, home_regions::*, key_policy::*,
     key_trust::*, kv_store::*, life_watch::*, listed_life::*, mechanism_set::*, memory_map::*,
     order_right::*, part_fate::*, part_memory::*, path_index::*, prompt_ask::*, prompt_part::*,
