--- a/core/src/serving/mod.rs
+++ b/core/src/serving/mod.rs
@@ -11,7 +11,7 @@
 mod endpoint_incarnation;
 mod endpoint_pick;
 mod endpoint_registry;
-mod endpoint_return;
+mod endpoint_rejoin;
 mod engine_pace;
 mod era_watch;
 mod evacuation_book;
@@ -63,7 +63,7 @@
 
 pub use {
     admission_ask::*, admission_rule::*, admission_verdict::*, caller_limits::*, endpoint_entry::*,
-    endpoint_incarnation::*, endpoint_pick::*, endpoint_registry::*, endpoint_return::*,
+    endpoint_incarnation::*, endpoint_pick::*, endpoint_registry::*, endpoint_rejoin::*,
     engine_pace::*, era_watch::*, evacuation_book::*, even_draw::*, grant_book::*, home_regions::*,
     key_policy::*, key_trust::*, kv_store::*, life_watch::*, listed_life::*, mechanism_set::*,
     memory_map::*, order_right::*, part_fate::*, part_memory::*, path_index::*, prompt_ask::*,
