--- a/core/src/serving/mod.rs
+++ b/core/src/serving/mod.rs
@@ -15,7 +15,6 @@
 mod engine_pace;
 mod era_watch;
 mod evacuation_book;
-mod even_draw;
 mod grant_book;
 mod home_regions;
 mod key_policy;
@@ -42,6 +41,7 @@
 mod serving_config;
 mod serving_mechanism;
 mod slow_start;
+mod stable_hash;
 mod standstill_watch;
 mod store_clock;
 mod store_position;
@@ -64,13 +64,13 @@
 pub use {
     admission_ask::*, admission_rule::*, admission_verdict::*, caller_limits::*, endpoint_entry::*,
     endpoint_incarnation::*, endpoint_pick::*, endpoint_registry::*, endpoint_rejoin::*,
-    engine_pace::*, era_watch::*, evacuation_book::*, even_draw::*, grant_book::*, home_regions::*,
+    engine_pace::*, era_watch::*, evacuation_book::*, grant_book::*, home_regions::*,
     key_policy::*, key_trust::*, kv_store::*, life_watch::*, listed_life::*, mechanism_set::*,
     memory_map::*, order_right::*, part_fate::*, part_memory::*, path_index::*, prompt_ask::*,
     prompt_part::*, rank_shares::*, read_proofs::*, reader_tier::*, refusal_kind::*,
     repeat_meter::*, request_fingerprint::*, route_habits::*, served_route::*, serving_config::*,
-    serving_mechanism::*, slow_start::*, standstill_watch::*, store_clock::*, store_position::*,
-    store_proof::*, store_view::*, suspect_book::*, suspect_record::*, swap_planner::*,
-    table_mark::*, telling_pace::*, told_life::*, told_naming::*, trial_table::*, wall_name::*,
-    weight_belief::*, weight_bounds::*, weight_namings::*,
+    serving_mechanism::*, slow_start::*, stable_hash::*, standstill_watch::*, store_clock::*,
+    store_position::*, store_proof::*, store_view::*, suspect_book::*, suspect_record::*,
+    swap_planner::*, table_mark::*, telling_pace::*, told_life::*, told_naming::*, trial_table::*,
+    wall_name::*, weight_belief::*, weight_bounds::*, weight_namings::*,
 };
