--- a/core/src/serving/mod.rs
+++ b/core/src/serving/mod.rs
@@ -17,10 +17,10 @@
 mod evacuation_book;
 mod grant_book;
 mod home_regions;
+mod incarnation_tracker;
 mod key_policy;
 mod key_trust;
 mod kv_store;
-mod life_watch;
 mod listed_life;
 mod mechanism_set;
 mod memory_map;
@@ -65,9 +65,9 @@
     admission_ask::*, admission_rule::*, admission_verdict::*, caller_limits::*, endpoint_entry::*,
     endpoint_incarnation::*, endpoint_pick::*, endpoint_registry::*, endpoint_rejoin::*,
     engine_pace::*, era_watch::*, evacuation_book::*, grant_book::*, home_regions::*,
-    key_policy::*, key_trust::*, kv_store::*, life_watch::*, listed_life::*, mechanism_set::*,
-    memory_map::*, order_right::*, part_fate::*, part_memory::*, path_index::*, prompt_ask::*,
-    prompt_part::*, rank_shares::*, read_proofs::*, reader_tier::*, refusal_kind::*,
+    incarnation_tracker::*, key_policy::*, key_trust::*, kv_store::*, listed_life::*,
+    mechanism_set::*, memory_map::*, order_right::*, part_fate::*, part_memory::*, path_index::*,
+    prompt_ask::*, prompt_part::*, rank_shares::*, read_proofs::*, reader_tier::*, refusal_kind::*,
     repeat_meter::*, request_fingerprint::*, route_habits::*, served_route::*, serving_config::*,
     serving_mechanism::*, slow_start::*, stable_hash::*, standstill_watch::*, store_clock::*,
     store_position::*, store_proof::*, store_view::*, suspect_book::*, suspect_record::*,
