--- a/core/src/serving/mod.rs
+++ b/core/src/serving/mod.rs
@@ -21,7 +21,7 @@
 mod key_policy;
 mod key_trust;
 mod kv_store;
-mod listed_life;
+mod listed_incarnation;
 mod mechanism_set;
 mod memory_map;
 mod order_right;
@@ -65,7 +65,7 @@
     admission_ask::*, admission_rule::*, admission_verdict::*, caller_limits::*, endpoint_entry::*,
     endpoint_incarnation::*, endpoint_pick::*, endpoint_registry::*, endpoint_rejoin::*,
     engine_pace::*, era_watch::*, evacuation_book::*, grant_book::*, home_regions::*,
-    incarnation_tracker::*, key_policy::*, key_trust::*, kv_store::*, listed_life::*,
+    incarnation_tracker::*, key_policy::*, key_trust::*, kv_store::*, listed_incarnation::*,
     mechanism_set::*, memory_map::*, order_right::*, part_fate::*, part_memory::*, path_index::*,
     prompt_ask::*, prompt_part::*, rank_shares::*, read_proofs::*, reader_tier::*, refusal_kind::*,
     repeat_meter::*, request_fingerprint::*, route_habits::*, served_route::*, serving_config::*,
