--- a/core/src/serving/mod.rs
+++ b/core/src/serving/mod.rs
@@ -23,7 +23,6 @@
 mod kv_store;
 mod listed_incarnation;
 mod mechanism_set;
-mod memory_map;
 mod order_right;
 mod part_fate;
 mod part_memory;
@@ -44,6 +43,7 @@
 mod stable_hash;
 mod standstill_watch;
 mod store_clock;
+mod store_directory;
 mod store_position;
 mod store_proof;
 mod store_view;
@@ -66,11 +66,12 @@
     endpoint_incarnation::*, endpoint_pick::*, endpoint_registry::*, endpoint_rejoin::*,
     engine_pace::*, era_watch::*, evacuation_book::*, grant_book::*, home_regions::*,
     incarnation_tracker::*, key_policy::*, key_trust::*, kv_store::*, listed_incarnation::*,
-    mechanism_set::*, memory_map::*, order_right::*, part_fate::*, part_memory::*, path_index::*,
-    prompt_ask::*, prompt_part::*, rank_shares::*, read_proofs::*, reader_tier::*, refusal_kind::*,
+    mechanism_set::*, order_right::*, part_fate::*, part_memory::*, path_index::*, prompt_ask::*,
+    prompt_part::*, rank_shares::*, read_proofs::*, reader_tier::*, refusal_kind::*,
     repeat_meter::*, request_fingerprint::*, route_habits::*, served_route::*, serving_config::*,
     serving_mechanism::*, slow_start::*, stable_hash::*, standstill_watch::*, store_clock::*,
-    store_position::*, store_proof::*, store_view::*, suspect_book::*, suspect_record::*,
-    swap_planner::*, table_mark::*, telling_pace::*, told_life::*, told_naming::*, trial_table::*,
-    wall_name::*, weight_belief::*, weight_bounds::*, weight_namings::*,
+    store_directory::*, store_position::*, store_proof::*, store_view::*, suspect_book::*,
+    suspect_record::*, swap_planner::*, table_mark::*, telling_pace::*, told_life::*,
+    told_naming::*, trial_table::*, wall_name::*, weight_belief::*, weight_bounds::*,
+    weight_namings::*,
 };
