--- a/core/src/serving/mod.rs
+++ b/core/src/serving/mod.rs
@@ -24,7 +24,6 @@
 mod listed_incarnation;
 mod mechanism_set;
 mod order_right;
-mod part_fate;
 mod part_memory;
 mod path_index;
 mod prompt_ask;
@@ -32,6 +31,7 @@
 mod rank_shares;
 mod read_proofs;
 mod reader_tier;
+mod reclaim_state;
 mod refusal_kind;
 mod repeat_meter;
 mod request_fingerprint;
@@ -66,8 +66,8 @@
     endpoint_incarnation::*, endpoint_pick::*, endpoint_registry::*, endpoint_rejoin::*,
     engine_pace::*, era_watch::*, evacuation_book::*, grant_book::*, home_regions::*,
     incarnation_tracker::*, key_policy::*, key_trust::*, kv_store::*, listed_incarnation::*,
-    mechanism_set::*, order_right::*, part_fate::*, part_memory::*, path_index::*, prompt_ask::*,
-    prompt_part::*, rank_shares::*, read_proofs::*, reader_tier::*, refusal_kind::*,
+    mechanism_set::*, order_right::*, part_memory::*, path_index::*, prompt_ask::*, prompt_part::*,
+    rank_shares::*, read_proofs::*, reader_tier::*, reclaim_state::*, refusal_kind::*,
     repeat_meter::*, request_fingerprint::*, route_habits::*, served_route::*, serving_config::*,
     serving_mechanism::*, slow_start::*, stable_hash::*, standstill_watch::*, store_clock::*,
     store_directory::*, store_position::*, store_proof::*, store_view::*, suspect_book::*,
