--- a/core/src/serving/mod.rs
+++ b/core/src/serving/mod.rs
@@ -24,7 +24,7 @@
 mod listed_incarnation;
 mod mechanism_set;
 mod order_right;
-mod part_memory;
+mod part_index;
 mod path_index;
 mod prompt_ask;
 mod prompt_part;
@@ -66,7 +66,7 @@
     endpoint_incarnation::*, endpoint_pick::*, endpoint_registry::*, endpoint_rejoin::*,
     engine_pace::*, era_watch::*, evacuation_book::*, grant_book::*, home_regions::*,
     incarnation_tracker::*, key_policy::*, key_trust::*, kv_store::*, listed_incarnation::*,
-    mechanism_set::*, order_right::*, part_memory::*, path_index::*, prompt_ask::*, prompt_part::*,
+    mechanism_set::*, order_right::*, part_index::*, path_index::*, prompt_ask::*, prompt_part::*,
     rank_shares::*, read_proofs::*, reader_tier::*, reclaim_state::*, refusal_kind::*,
     repeat_meter::*, request_fingerprint::*, route_habits::*, served_route::*, serving_config::*,
     serving_mechanism::*, slow_start::*, stable_hash::*, standstill_watch::*, store_clock::*,
