--- a/core/src/serving/mod.rs
+++ b/core/src/serving/mod.rs
@@ -26,6 +26,7 @@
 mod order_right;
 mod part_index;
 mod path_index;
+mod pause_detector;
 mod prompt_ask;
 mod prompt_part;
 mod rank_shares;
@@ -41,7 +42,6 @@
 mod serving_mechanism;
 mod slow_start;
 mod stable_hash;
-mod standstill_watch;
 mod store_clock;
 mod store_directory;
 mod store_position;
@@ -66,12 +66,12 @@
     endpoint_incarnation::*, endpoint_pick::*, endpoint_registry::*, endpoint_rejoin::*,
     engine_pace::*, era_watch::*, evacuation_book::*, grant_book::*, home_regions::*,
     incarnation_tracker::*, key_policy::*, key_trust::*, kv_store::*, listed_incarnation::*,
-    mechanism_set::*, order_right::*, part_index::*, path_index::*, prompt_ask::*, prompt_part::*,
-    rank_shares::*, read_proofs::*, reader_tier::*, reclaim_state::*, refusal_kind::*,
-    repeat_meter::*, request_fingerprint::*, route_habits::*, served_route::*, serving_config::*,
-    serving_mechanism::*, slow_start::*, stable_hash::*, standstill_watch::*, store_clock::*,
-    store_directory::*, store_position::*, store_proof::*, store_view::*, suspect_book::*,
-    suspect_record::*, swap_planner::*, table_mark::*, telling_pace::*, told_life::*,
-    told_naming::*, trial_table::*, wall_name::*, weight_belief::*, weight_bounds::*,
+    mechanism_set::*, order_right::*, part_index::*, path_index::*, pause_detector::*,
+    prompt_ask::*, prompt_part::*, rank_shares::*, read_proofs::*, reader_tier::*,
+    reclaim_state::*, refusal_kind::*, repeat_meter::*, request_fingerprint::*, route_habits::*,
+    served_route::*, serving_config::*, serving_mechanism::*, slow_start::*, stable_hash::*,
+    store_clock::*, store_directory::*, store_position::*, store_proof::*, store_view::*,
+    suspect_book::*, suspect_record::*, swap_planner::*, table_mark::*, telling_pace::*,
+    told_life::*, told_naming::*, trial_table::*, wall_name::*, weight_belief::*, weight_bounds::*,
     weight_namings::*,
 };
