--- a/core/src/serving/mod.rs
+++ b/core/src/serving/mod.rs
@@ -47,8 +47,8 @@
 mod store_position;
 mod store_proof;
 mod store_view;
-mod suspect_book;
 mod suspect_record;
+mod suspect_tracker;
 mod swap_planner;
 mod table_mark;
 mod telling_pace;
@@ -71,7 +71,7 @@
     reclaim_state::*, refusal_kind::*, repeat_meter::*, request_fingerprint::*, route_habits::*,
     served_route::*, serving_config::*, serving_mechanism::*, slow_start::*, stable_hash::*,
     store_clock::*, store_directory::*, store_position::*, store_proof::*, store_view::*,
-    suspect_book::*, suspect_record::*, swap_planner::*, table_mark::*, telling_pace::*,
+    suspect_record::*, suspect_tracker::*, swap_planner::*, table_mark::*, telling_pace::*,
     told_life::*, told_naming::*, trial_table::*, wall_name::*, weight_belief::*, weight_bounds::*,
     weight_namings::*,
 };
