--- a/core/src/serving/mod.rs
+++ b/core/src/serving/mod.rs
@@ -23,6 +23,7 @@
 mod kv_store;
 mod listed_incarnation;
 mod mechanism_set;
+mod message_intervals;
 mod order_right;
 mod part_index;
 mod path_index;
@@ -51,7 +52,6 @@
 mod suspect_tracker;
 mod swap_planner;
 mod table_mark;
-mod telling_pace;
 mod told_age;
 mod told_life;
 mod told_naming;
@@ -66,12 +66,12 @@
     endpoint_incarnation::*, endpoint_pick::*, endpoint_registry::*, endpoint_rejoin::*,
     engine_pace::*, era_watch::*, evacuation_book::*, grant_book::*, home_regions::*,
     incarnation_tracker::*, key_policy::*, key_trust::*, kv_store::*, listed_incarnation::*,
-    mechanism_set::*, order_right::*, part_index::*, path_index::*, pause_detector::*,
-    prompt_ask::*, prompt_part::*, rank_shares::*, read_proofs::*, reader_tier::*,
-    reclaim_state::*, refusal_kind::*, repeat_meter::*, request_fingerprint::*, route_habits::*,
-    served_route::*, serving_config::*, serving_mechanism::*, slow_start::*, stable_hash::*,
-    store_clock::*, store_directory::*, store_position::*, store_proof::*, store_view::*,
-    suspect_record::*, suspect_tracker::*, swap_planner::*, table_mark::*, telling_pace::*,
+    mechanism_set::*, message_intervals::*, order_right::*, part_index::*, path_index::*,
+    pause_detector::*, prompt_ask::*, prompt_part::*, rank_shares::*, read_proofs::*,
+    reader_tier::*, reclaim_state::*, refusal_kind::*, repeat_meter::*, request_fingerprint::*,
+    route_habits::*, served_route::*, serving_config::*, serving_mechanism::*, slow_start::*,
+    stable_hash::*, store_clock::*, store_directory::*, store_position::*, store_proof::*,
+    store_view::*, suspect_record::*, suspect_tracker::*, swap_planner::*, table_mark::*,
     told_life::*, told_naming::*, trial_table::*, wall_name::*, weight_belief::*, weight_bounds::*,
     weight_namings::*,
 };
