--- a/core/src/serving/mod.rs
+++ b/core/src/serving/mod.rs
@@ -47,13 +47,13 @@
 mod store_directory;
 mod store_position;
 mod store_proof;
+mod store_uptime;
 mod store_view;
 mod suspect_record;
 mod suspect_tracker;
 mod swap_planner;
 mod table_mark;
 mod told_age;
-mod told_life;
 mod told_naming;
 mod trial_table;
 mod wall_name;
@@ -71,7 +71,7 @@
     reader_tier::*, reclaim_state::*, refusal_kind::*, repeat_meter::*, request_fingerprint::*,
     route_habits::*, served_route::*, serving_config::*, serving_mechanism::*, slow_start::*,
     stable_hash::*, store_clock::*, store_directory::*, store_position::*, store_proof::*,
-    store_view::*, suspect_record::*, suspect_tracker::*, swap_planner::*, table_mark::*,
-    told_life::*, told_naming::*, trial_table::*, wall_name::*, weight_belief::*, weight_bounds::*,
-    weight_namings::*,
+    store_uptime::*, store_view::*, suspect_record::*, suspect_tracker::*, swap_planner::*,
+    table_mark::*, told_naming::*, trial_table::*, wall_name::*, weight_belief::*,
+    weight_bounds::*, weight_namings::*,
 };
