--- a/core/src/serving/reclaim_state.rs
+++ b/core/src/serving/reclaim_state.rs
@@ -2,9 +2,9 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ReclaimState {
     /// It may still be fetched.
-    Fetched,
+    Fetchable,
     /// Nobody is told to fetch it any more, but some engine may still do so.
-    Held,
+    Draining,
     /// Nobody can read it: it may be freed.
-    Over,
+    Reclaimable,
 }
