--- a/core/src/serving/endpoint_entry.rs
+++ b/core/src/serving/endpoint_entry.rs
@@ -8,63 +8,64 @@
     std::net::SocketAddr,
 };
 
-/// What the platform's list says of one endpoint.
+/// What the platform's endpoint list says about one endpoint.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EndpointNotice {
-    /// Id; where starts are told, all lives of the endpoint have the same.
+    /// Id; where start times are reported, all incarnations of the endpoint share it.
     pub id: String,
-    /// Service that it belongs to.
+    /// Service of the endpoint.
     pub service: String,
-    /// Where it answers.
+    /// Address at which it accepts requests.
     pub address: Option<SocketAddr>,
     /// Failure domain.
     pub domain: String,
-    /// Requests that it runs at once; 0 where that is not told.
+    /// Maximum concurrent requests; 0 if unknown.
     pub slots: u32,
     /// Whether it is leaving.
     pub is_leaving: bool,
-    /// Whether it only is on the list no more, without having said that it leaves; told
-    /// only by what another box hands on.
+    /// Whether it disappeared from the list without announcing that it leaves; set only in notices
+    /// that another box forwards.
     pub is_away: bool,
-    /// Models and the versions of their weights.
+    /// Models and their weight versions.
     pub weights: Vec<(String, u64)>,
-    /// Start of this life of the endpoint, in milliseconds since 1970, where told.
+    /// Start of this incarnation, in milliseconds since 1970, if reported.
     pub born: Option<u64>,
-    /// For how long it is slow after its start as of then, in milliseconds, where that is told.
+    /// Time for which it still starts slowly, counted from the notice, in milliseconds, if
+    /// reported.
     pub slow_ms: Option<u64>,
-    /// Position of the row that says so; none is told where another box hands it on.
+    /// Store position of the row; unset if another box forwards the notice.
     pub row: StorePosition,
 }
 
-/// What the process beside an engine reports of it.
+/// Load report of an engine, sent by its agent.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EngineLoad {
-    /// When the report was taken, on our clock.
+    /// When the report was taken, on the local clock.
     pub at: Micros,
-    /// Time in which the next one comes, unless it gets lost.
+    /// Time within which the next report arrives unless it is lost.
     pub again_within: Micros,
-    /// Time in which it is told where it changes.
+    /// Time within which a change is reported.
     pub changes_within: Micros,
-    /// Requests that run.
+    /// Running requests.
     pub running: u32,
-    /// Requests that wait.
+    /// Waiting requests.
     pub waiting: u32,
-    /// Requests that have made nothing yet: waiting, or being read.
+    /// Requests without output so far: waiting or in prefill.
     pub unread: u32,
-    /// Those of them that are being read.
+    /// Requests in prefill; included in `unread`.
     pub reading: u32,
-    /// Memory in use that cannot give way, in tokens.
+    /// Memory in use that cannot be evicted, in tokens.
     pub used_tokens: u64,
-    /// All memory, in tokens.
+    /// Total memory, in tokens.
     pub total_tokens: u64,
-    /// Whether new weights are being loaded, or are about to be.
+    /// Whether new weights are being loaded or about to be loaded.
     pub is_swapping: bool,
-    /// Whether the engine fails to answer the process beside it.
+    /// Whether the engine does not answer its agent.
     pub is_silent: bool,
 }
 
 impl EngineLoad {
-    /// Time after which more than one report is missing.
+    /// Age of a report at which more than one later report is missing.
     fn report_timeout(&self) -> Micros {
         Micros(self.again_within.0 * 5 / 2)
     }
@@ -73,100 +74,100 @@
 /// Whether an endpoint may get requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum EndpointStatus {
-    /// It serves.
+    /// It accepts requests.
     Serving,
-    /// Its entry went while the store was in trouble: it may still serve.
+    /// Its entry disappeared while the store was failing: it may still serve.
     Lapsed,
-    /// It leaves, or is gone.
+    /// It is leaving or gone.
     Leaving,
 }
 
-/// A request of ours that an endpoint has and has not begun to answer.
+/// A request of this front that an endpoint has received and not begun to answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PendingPrefill {
     /// Ticket of the request.
     pub ticket: u64,
-    /// Tokens that the endpoint must read for it.
+    /// Tokens that the endpoint must prefill for it.
     pub tokens: u32,
-    /// Memory that it takes at the endpoint, in tokens; what is kept or fetched counts too.
+    /// Memory that it takes at the endpoint, in tokens, including cached and fetched parts.
     pub memory_tokens: u32,
-    /// Its priority; engines read the more urgent first.
+    /// Its priority; engines prefill the more urgent requests first.
     pub priority: u8,
     /// When it was sent.
     pub sent_at: Micros,
 }
 
-/// All that is known of one endpoint.
+/// State of one endpoint.
 #[derive(Debug, Clone)]
 pub struct EndpointEntry {
-    /// Id; where starts are told, all lives of the endpoint have the same.
+    /// Id; where start times are reported, all incarnations of the endpoint share it.
     pub id: String,
-    /// Service that it belongs to.
+    /// Service of the endpoint.
     pub service: String,
-    /// Where it answers.
+    /// Address at which it accepts requests.
     pub address: SocketAddr,
     /// Failure domain.
     pub domain: String,
-    /// Requests that it runs at once; 0 where that is not told.
+    /// Maximum concurrent requests; 0 if unknown.
     pub slots: u32,
     /// Whether it may get requests.
     pub status: EndpointStatus,
-    /// Whether another endpoint of its service was listed later at its address: nobody answers
-    /// there for it, as far as is known.
+    /// Whether another endpoint of its service was listed later at the same address, so that nobody
+    /// should answer there for this one.
     pub is_superseded: bool,
-    /// Whether it may come back, once it is leaving.
+    /// Whether it may rejoin after it was seen leaving.
     pub rejoin: EndpointRejoin,
-    /// What the list says of it since it left, of a life that was born earlier: a late write,
-    /// or the word of one whose clock was set back. It is asked which.
+    /// List notice of an earlier incarnation that arrived after the endpoint left: either a delayed
+    /// write, or the endpoint restarted after its clock was set back. A probe decides.
     pub rollback_notice: Option<EndpointNotice>,
-    /// Since when it is known to be leaving.
+    /// When it was first seen as leaving.
     pub left_at: Option<Micros>,
-    /// Which of its lives is known.
+    /// Its current incarnation.
     pub incarnation: EndpointIncarnation,
-    /// Versions of its weights.
+    /// Weight versions that it is believed to have.
     pub weights: WeightBelief,
-    /// Last report from beside it.
+    /// Latest load report.
     pub load: Option<EngineLoad>,
-    /// Parts that it is believed to keep.
+    /// Prompt parts that it is believed to cache.
     pub parts: PartIndex,
-    /// Whether all that it keeps has been told since it is known.
+    /// Whether its complete cache content has been reported since it became known.
     pub is_mirrored: bool,
-    /// How it stands with the load that it bears after its start.
+    /// Progress of its slow start.
     pub slow_start: EndpointSlowStart,
-    /// Its failures.
+    /// Ejects the endpoint after failures.
     pub guard: OutlierGuard,
-    /// When it last answered a request of ours.
+    /// When it last answered a request of this front.
     pub answered_at: Option<Micros>,
-    /// Where it stands with named weights.
+    /// Its stage in a weight swap.
     pub stage: SwapStage,
-    /// Requests of ours that it has.
+    /// Requests of this front that it has.
     pub running: u32,
-    /// Those of them that it has not begun to answer.
+    /// Requests of this front that it has not begun to answer; included in `running`.
     pub pending_prefills: Vec<PendingPrefill>,
 }
 
-/// Age at which a report says nothing of the engine's queue any more.
+/// Age from which a report says nothing about the engine's queue.
 const REPORT_MAX_AGE: Micros = Micros::from_millis(1_500);
-/// Time that a request takes to show up in a report.
+/// Time until a sent request shows up in a report.
 const REPORT_LAG: Micros = Micros::from_millis(40);
 
-/// Part of a prompt that is being read which has been read already, on average.
+/// Average share of a prompt that is done while it is in prefill.
 const PREFILL_PROGRESS: f64 = 0.5;
 
-/// Part of an engine's memory that prompts may fill, in hundredths. Answers grow
-/// in the rest; where it is used up, an engine puts a prompt back and reads it anew.
-/// Filled to the last, 182 prompts of six replayed days were put back, to nine tenths
-/// 16; 80 to 94 in 100 are not told apart.
+/// Percentage of an engine's memory that prompts may fill. Answers grow in the rest; when that runs
+/// out, the engine preempts a prompt and prefills it again. With no reserve, 182 prompts were
+/// preempted on six replayed days, with 90 percent 16; 80 to 94 percent showed no difference.
 const PROMPT_MEMORY_PERCENT: u64 = 90;
 
 /// Age from which a missing report makes an endpoint suspect.
 const SUSPECT_AFTER: Micros = Micros::from_millis(700);
-/// Age from which it shows only that nobody reports: requests tell then.
+/// Age from which missing reports only mean that the agent is gone: the outcome of requests decides
+/// then.
 const UNREPORTED_AFTER: Micros = Micros::from_secs(6);
 
 impl EndpointEntry {
-    /// Whether reports of this endpoint have just stopped and no answer of it
-    /// has come since: it may be dark.
+    /// Whether the endpoint's reports have stopped recently and it has not answered a request
+    /// since: it may be unreachable.
     pub fn is_suspect(
         &self,
         now: Micros,
@@ -181,7 +182,7 @@
         age > SUSPECT_AFTER.max(load.report_timeout()) && age < UNREPORTED_AFTER && !answered
     }
 
-    /// Report that is fresh enough to go by.
+    /// Latest load report, unless it is too old.
     pub fn fresh_load(
         &self,
         now: Micros,
@@ -191,7 +192,7 @@
             .filter(|load| now.since(load.at) < REPORT_MAX_AGE.max(load.report_timeout()))
     }
 
-    /// Requests of others that the endpoint has not begun to answer.
+    /// Requests of other fronts that the endpoint has not begun to answer.
     pub fn other_pending_prefills(
         &self,
         now: Micros,
@@ -204,10 +205,10 @@
         load.unread.saturating_sub(own)
     }
 
-    /// Tokens that the endpoint still has to read for others: a usual prompt for each
-    /// that waits, and half of one for each that is being read. A report that was taken some
-    /// time ago says less and less of them, and the mean of all more: of a hundred boxes each
-    /// sent its prompts to the engine that had been idle half a second before.
+    /// Tokens that the endpoint still has to prefill for other fronts: an average prompt for each
+    /// waiting request and half of one for each in prefill. The older the report, the more weight
+    /// the average over all engines gets: without this, each of a hundred boxes sent its prompts to
+    /// the engine that had been idle half a second before.
     pub fn other_prefill_tokens(
         &self,
         now: Micros,
@@ -220,13 +221,12 @@
         let others = f64::from(self.other_pending_prefills(now));
         let reported = others * (1.0 - reading * PREFILL_PROGRESS) * pace.unread_tokens();
         let average = pace.queued_tokens();
-        // What did not change since is not told again.
+        // Unchanged values are not reported again.
         let age = now.since(load.at).min(load.changes_within);
         average + (reported - average) * pace.still_holds(age)
     }
 
-    /// Tokens that our requests still have to be read for, of those that go
-    /// before a request of this priority.
+    /// Tokens to prefill for requests of this front that precede a request of this priority.
     pub fn pending_tokens(
         &self,
         priority: u8,
@@ -238,8 +238,8 @@
         before.map(|prefill| u64::from(prefill.tokens)).sum()
     }
 
-    /// Memory for prompts that the last report does not count yet, in tokens: ours
-    /// that were sent since, and those that wait. What is being read has its memory.
+    /// Memory for prompts that the latest report does not include, in tokens: requests of this
+    /// front sent since, and waiting requests. Prompts in prefill already hold their memory.
     pub fn unreported_tokens(
         &self,
         now: Micros,
@@ -254,9 +254,9 @@
         ours + (waiting * pace.prompt_tokens()) as u64
     }
 
-    /// Memory that stays for further prompts, in tokens, without the part that is
-    /// left for answers to grow; `None` where no fresh report tells, and where
-    /// nothing is taken: then even the largest prompt is in nobody's way.
+    /// Memory left for further prompts, in tokens, without the reserve for growing answers. `None`
+    /// without a fresh report, and if no memory is in use: then even the largest prompt delays
+    /// nobody.
     pub fn free_tokens(
         &self,
         now: Micros,
@@ -268,7 +268,7 @@
         (used > 0).then(|| usable.saturating_sub(used))
     }
 
-    /// Requests that it runs or holds, as far as is known.
+    /// Requests that it runs or queues, as far as is known.
     pub fn occupied(
         &self,
         now: Micros,
--- a/core/src/serving/endpoint_incarnation.rs
+++ b/core/src/serving/endpoint_incarnation.rs
@@ -8,23 +8,23 @@
     std::{collections::BTreeMap, net::SocketAddr},
 };
 
-/// Time for which a digest of an earlier life of its sender counts as late; after that
-/// the sender's clock has been set back.
+/// Time for which a digest of an earlier incarnation of its sender counts as late; after that, the
+/// sender's clock has been set back.
 const LATE_DIGEST_WINDOW: Micros = Micros::from_millis(1_500);
 
-/// How the life that somebody tells of stands to the one that is known.
+/// How a reported incarnation relates to the known one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum IncarnationOrder {
-    /// It is superseded: what is reported of it says nothing.
+    /// It has ended: reports about it are obsolete.
     Earlier,
     /// It is the same, as far as is known.
     Same,
-    /// Nothing that was known holds any more.
+    /// It replaces the known one, and all state of that is obsolete.
     Later,
 }
 
 impl IncarnationOrder {
-    /// Compares the starts of two lives; where one is not reported they count as one.
+    /// Compares the start times of two incarnations; they count as the same if one is missing.
     pub fn of(
         known: Option<u64>,
         reported: Option<u64>,
@@ -37,50 +37,51 @@
     }
 }
 
-/// Place of a digest among those of its sender.
+/// Position of a digest in the sequence of its sender.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct DigestPosition {
-    /// Life of the sender.
+    /// Incarnation of the sender.
     pub incarnation: u64,
-    /// Number of the digest in that life.
+    /// Number of the digest within that incarnation.
     pub number: u64,
-    /// Digests with changes of parts so far, this one included.
+    /// Digests with part changes so far, including this one.
     pub changes: u64,
-    /// When it came.
+    /// When it arrived.
     pub at: Micros,
 }
 
-/// What a digest is worth by its place.
+/// Whether a digest continues the sequence of its sender.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum DigestOrder {
-    /// It is the next one, or only load was reported in those that are missing.
+    /// No part change is missing before it: it is the next one, or those that are missing carried
+    /// only load.
     Next,
-    /// Changes of parts are missing before it.
+    /// Part changes before it are missing.
     Gap,
-    /// A later one has come before it.
+    /// A later digest has arrived before it.
     Overtaken,
 }
 
-/// Which life of an endpoint is known, and who reported of it.
+/// Known incarnation of an endpoint, and the sources that reported it.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct EndpointIncarnation {
-    /// Start of the latest life that anybody reported of, in milliseconds since 1970.
+    /// Start of the latest incarnation reported by any source, in milliseconds since 1970.
     pub born: Option<u64>,
-    /// Start of the life that the list tells of.
+    /// Start of the incarnation on the list.
     pub listed_born: Option<u64>,
-    /// Position of its last row in the list.
+    /// Position of its latest row in the list.
     pub row: StorePosition,
-    /// Lives that have ended since it is known; what a request learned in one of
-    /// them says nothing of this one.
+    /// Incarnations that ended since the endpoint became known; results of requests sent to one of
+    /// them do not apply to the current one.
     pub ended: u32,
     /// The latest digest.
     pub digest: Option<DigestPosition>,
-    /// What digests tell of lives that were born earlier.
+    /// Detects later incarnations with an earlier start time in digests.
     pub tracker: IncarnationTracker,
 }
 
 impl EndpointIncarnation {
-    /// Which life the list means.
+    /// The incarnation on the list.
     pub fn listed(&self) -> ListedIncarnation {
         ListedIncarnation {
             born: self.listed_born,
@@ -88,8 +89,8 @@
         }
     }
 
-    /// Takes the place of a digest that tells of this life; `is_change` says whether
-    /// it has changes of parts.
+    /// Records a digest of this incarnation and checks its position; `is_change` is whether it
+    /// contains part changes.
     pub fn record_digest(
         &mut self,
         reported: DigestPosition,
@@ -115,14 +116,14 @@
 }
 
 impl EndpointEntry {
-    /// Takes what the list says of an endpoint that is known.
+    /// Applies a list notice about a known endpoint.
     pub(super) fn apply_listed(
         &mut self,
         notice: &EndpointNotice,
         wanted: EndpointStatus,
     ) -> Option<EndpointChange> {
         let order = IncarnationOrder::of(self.incarnation.born, notice.born);
-        // A write of the earlier life may be carried out seconds late.
+        // A write of the earlier incarnation may be applied seconds late.
         if order == IncarnationOrder::Earlier {
             if wanted == EndpointStatus::Serving {
                 self.record_rollback(notice);
@@ -142,7 +143,7 @@
             self.incarnation.row = notice.row;
         }
         for (model, version) in &notice.weights {
-            // The list lags behind answers and reports, so it never sets back.
+            // The list lags behind answers and reports, so it never lowers a version.
             if self
                 .weights
                 .version(model)
@@ -158,8 +159,8 @@
             .then(|| status_change(wanted, self.id.clone()))
     }
 
-    /// Takes that it is there without being on a list; true where that is news: it was
-    /// known to have left, in an earlier life.
+    /// Records a report that the endpoint is alive but not on the list; true if it was known to
+    /// have left in an earlier incarnation.
     pub(super) fn apply_unlisted(
         &mut self,
         notice: &EndpointNotice,
@@ -175,8 +176,8 @@
         true
     }
 
-    /// Takes the first word of the list on a later life: what the earlier one said of
-    /// its end is over.
+    /// Applies the first list notice about a later incarnation, which voids the leave of the
+    /// earlier one.
     pub(super) fn begin_listing(
         &mut self,
         notice: &EndpointNotice,
@@ -199,8 +200,8 @@
         }
     }
 
-    /// Begins a later life: the endpoint holds and knows nothing of before. Requests
-    /// of ours count until they end.
+    /// Starts a later incarnation: cached parts, weights and load of the previous one are dropped.
+    /// Requests of this front are counted until they end.
     pub(super) fn begin_incarnation(
         &mut self,
         born: Option<u64>,
@@ -218,8 +219,8 @@
 }
 
 impl EndpointRegistry {
-    /// Takes of which life of an endpoint a digest tells. Where that is a later one,
-    /// the endpoint stands as before until the list tells of it too.
+    /// Records the incarnation that a digest reports. If it is a later one, the endpoint keeps its
+    /// status until the list reports that incarnation, too.
     pub fn observe_incarnation(
         &mut self,
         key: EndpointKey,
@@ -241,8 +242,8 @@
         order
     }
 
-    /// Ends endpoints at whose address the list tells of one of the same service that
-    /// was born later: nothing of them is there any more, whatever their entries say.
+    /// Marks endpoints as leaving for good if the list has a later-born endpoint of the same
+    /// service at their address: they no longer exist, whatever their entries say.
     pub fn retire_superseded(&mut self) -> Vec<EndpointChange> {
         let mut latest: BTreeMap<(SocketAddr, &str), u64> = BTreeMap::new();
         for entry in self.entries.values() {
@@ -275,9 +276,9 @@
         changes
     }
 
-    /// Marks endpoints at whose address the list shows another one of their service later: after a
-    /// crash an endpoint is listed under its old and its new id for some seconds, and requests to
-    /// the old one are refused.
+    /// Marks endpoints for which the list shows a later endpoint of the same service at the same
+    /// address. After a crash, an endpoint is listed under its old and its new id for some seconds,
+    /// and requests to the old one are refused.
     pub fn mark_superseded(&mut self) {
         let mut latest: BTreeMap<(SocketAddr, &str), (EndpointKey, ListedIncarnation)> =
             BTreeMap::new();
@@ -300,11 +301,11 @@
         }
     }
 
-    /// Key of the endpoint that is at an address now, of those that `is_eligible` admits.
+    /// Key of the endpoint that is present at an address, among those that `is_eligible` accepts.
     ///
-    /// The entry of one that crashed may still be there beside that of its successor:
-    /// the one born later is present, or the one that was listed last. One whose entry
-    /// only went is present where no other is.
+    /// The entry of a crashed endpoint may still exist beside that of its successor: the one born
+    /// later counts as present, or the one listed last. An endpoint whose entry disappeared counts
+    /// only if there is no other.
     pub fn present_at(
         &self,
         address: SocketAddr,
@@ -322,9 +323,9 @@
         present.map(|(key, _)| key)
     }
 
-    /// Keys of the endpoints that are at their addresses now, of those that `is_eligible` admits;
-    /// see [`EndpointRegistry::present_at`]. One pass for all, as greetings go out several times
-    /// a second.
+    /// Present endpoints by address, among those that `is_eligible` accepts; see
+    /// [`EndpointRegistry::present_at`]. One pass for all addresses, as greetings are sent several
+    /// times a second.
     pub fn present(
         &self,
         is_eligible: impl Fn(&EndpointEntry) -> bool,
@@ -341,7 +342,7 @@
     }
 }
 
-/// Whether the one of two endpoints at an address is present rather than the other.
+/// Whether `one` rather than `other` is present at their common address.
 fn takes_precedence(
     one: &EndpointEntry,
     other: &EndpointEntry,
--- a/core/src/serving/endpoint_registry.rs
+++ b/core/src/serving/endpoint_registry.rs
@@ -10,31 +10,30 @@
 };
 
 new_key_type! {
-    /// Key of an endpoint in the book.
+    /// Key of an endpoint in the registry.
     pub struct EndpointKey;
 }
 
-/// What a reading of the list changed.
+/// Change that an update of the endpoint list caused.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum EndpointChange {
-    /// An endpoint may get requests from now on.
+    /// The endpoint accepts requests from now on.
     Serves(String),
-    /// An endpoint gets nothing new from now on.
+    /// The endpoint gets no new requests from now on.
     Leaves(String),
-    /// An endpoint's entry went while the list cannot be trusted.
+    /// The endpoint's entry disappeared while the list is unreliable.
     Lapses(String),
-    /// An endpoint that is on no list is there: it gets no requests.
+    /// The endpoint is alive but not on the list: it gets no requests.
     Away(String),
-    /// An endpoint has started again and serves; its earlier life's connections are
-    /// of no use.
+    /// The endpoint has restarted and serves; connections to its previous incarnation are unusable.
     Restarts(String),
 }
 
-/// Time for which an endpoint that left is remembered, so that a write of an
-/// earlier time does not bring it back: writes may come some seconds late.
+/// Time for which an endpoint that left is remembered, so that a delayed write does not bring it
+/// back: writes can arrive some seconds late.
 const LEFT_RETENTION: Micros = Micros::from_secs(30);
 
-/// Every endpoint that is known, by id: an address may be used again.
+/// All known endpoints, indexed by id because an address can be reused.
 #[derive(Debug, Clone, Default)]
 pub struct EndpointRegistry {
     pub(super) entries: SlotMap<EndpointKey, EndpointEntry>,
@@ -42,7 +41,7 @@
 }
 
 impl EndpointRegistry {
-    /// Key of an endpoint by id.
+    /// Key of an endpoint by its id.
     pub fn key(
         &self,
         id: &str,
@@ -50,7 +49,7 @@
         self.ids.get(id).copied()
     }
 
-    /// An endpoint.
+    /// Entry of an endpoint.
     pub fn get(
         &self,
         key: EndpointKey,
@@ -58,7 +57,7 @@
         self.entries.get(key)
     }
 
-    /// An endpoint, to change it.
+    /// Mutable entry of an endpoint.
     pub fn get_mut(
         &mut self,
         key: EndpointKey,
@@ -66,25 +65,25 @@
         self.entries.get_mut(key)
     }
 
-    /// How many endpoints are known.
+    /// Number of known endpoints.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Whether none is known.
+    /// Whether no endpoint is known.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 
-    /// All endpoints in the order of their ids.
+    /// All endpoints, ordered by id.
     pub fn iter(&self) -> impl Iterator<Item = (EndpointKey, &EndpointEntry)> {
         self.ids
             .values()
             .filter_map(|key| Some((*key, self.entries.get(*key)?)))
     }
 
-    /// All endpoints as the list would tell them, for a box that cannot read it.
-    /// Those that left are among them, so that nobody takes them for serving.
+    /// All endpoints as list notices, for a box that cannot read the list itself. Endpoints that
+    /// left are included, so that the receiver does not treat them as serving.
     pub fn notices(&self) -> Vec<EndpointNotice> {
         let notice = |(_, entry): (EndpointKey, &EndpointEntry)| EndpointNotice {
             id: entry.id.clone(),
@@ -97,13 +96,14 @@
             weights: Vec::new(),
             born: entry.incarnation.listed_born,
             slow_ms: None,
-            // It rises with each heartbeat, and a copy counts as news by its content.
+            // The position changes with each heartbeat, and a copy counts as changed by its
+            // content.
             row: StorePosition::default(),
         };
         self.iter().map(notice).collect()
     }
 
-    /// Takes what the list says of an endpoint.
+    /// Applies a list notice about one endpoint.
     pub fn apply(
         &mut self,
         notice: &EndpointNotice,
@@ -116,7 +116,7 @@
         if let Some(key) = self.key(&notice.id) {
             let entry = &mut self.entries[key];
             if notice.is_away {
-                // This box has heard of it by itself.
+                // This box has received reports of the endpoint directly.
                 let is_new = entry.apply_unlisted(notice);
                 return is_new.then(|| EndpointChange::Away(entry.id.clone()));
             }
@@ -134,8 +134,8 @@
             slots: notice.slots,
             status: wanted,
             is_superseded: false,
-            // One that is away is asked when its entry is back: counted as leaving for
-            // good, it got nothing until it was forgotten.
+            // An endpoint that is away is probed once its entry is back. When it was treated as
+            // leaving for good, it got no requests until it was forgotten.
             rejoin: match notice.is_away {
                 true => EndpointRejoin::Away,
                 false => EndpointRejoin::of(wanted),
@@ -167,8 +167,8 @@
         }
     }
 
-    /// Takes that an endpoint is on the list no more; `is_steady` says whether
-    /// the list can be trusted.
+    /// Records that an endpoint is no longer on the list; `is_steady` is whether the list is
+    /// reliable.
     pub fn mark_unlisted(
         &mut self,
         id: &str,
@@ -191,7 +191,7 @@
         (before != EndpointStatus::Leaving).then(|| EndpointChange::Leaves(id.to_string()))
     }
 
-    /// Takes a whole list: what is not on it is gone.
+    /// Applies a complete list: endpoints that are missing from it are marked as unlisted.
     pub fn apply_all(
         &mut self,
         notices: &[EndpointNotice],
@@ -206,7 +206,7 @@
         changes
     }
 
-    /// The list can be trusted again: who lapsed and did not come back is gone.
+    /// The list is reliable again: lapsed endpoints that did not reappear count as leaving.
     pub fn expire_lapsed(&mut self) -> Vec<EndpointChange> {
         let lapsed = |entry: &&mut EndpointEntry| entry.status == EndpointStatus::Lapsed;
         let mut changes = Vec::new();
@@ -217,8 +217,8 @@
         changes
     }
 
-    /// Forgets endpoints that left some time ago and have none of our requests. One that is
-    /// heard is there.
+    /// Removes endpoints that left more than `LEFT_RETENTION` ago and run none of our requests. An
+    /// endpoint whose reports still arrive is kept.
     pub fn prune(
         &mut self,
         now: Micros,
@@ -243,7 +243,7 @@
         });
     }
 
-    /// Marks which endpoints are about to load new weights.
+    /// Updates which endpoints are about to load new weights.
     pub fn update_stages(
         &mut self,
         planner: &SwapPlanner,
@@ -253,7 +253,7 @@
         }
     }
 
-    /// Notes that a request was handed to an endpoint.
+    /// Records that a request was assigned to an endpoint.
     pub fn record_sent(
         &mut self,
         key: EndpointKey,
@@ -266,7 +266,7 @@
         }
     }
 
-    /// Notes that a request is written to an endpoint now, some time after it was counted there.
+    /// Records that a request is being written to an endpoint now, some time after it was assigned.
     pub fn record_written(
         &mut self,
         key: EndpointKey,
@@ -278,7 +278,7 @@
         }
     }
 
-    /// Notes that a request was not sent to an endpoint at which it was counted.
+    /// Records that a request assigned to an endpoint was not sent there.
     pub fn record_unsent(
         &mut self,
         key: EndpointKey,
@@ -289,7 +289,7 @@
         }
     }
 
-    /// Notes that an endpoint has begun to answer a request.
+    /// Records that an endpoint has begun to answer a request.
     pub fn record_started(
         &mut self,
         key: EndpointKey,
@@ -302,7 +302,7 @@
         }
     }
 
-    /// Notes that an endpoint is done with a request.
+    /// Records that a request has ended at an endpoint.
     pub fn record_ended(
         &mut self,
         key: EndpointKey,
@@ -314,7 +314,7 @@
         }
     }
 
-    /// Notes how a request went at an endpoint; true when that takes it out.
+    /// Records the outcome of a request at an endpoint; true if this ejects the endpoint.
     pub fn record_outcome(
         &mut self,
         key: EndpointKey,
--- a/core/src/serving/endpoint_rejoin.rs
+++ b/core/src/serving/endpoint_rejoin.rs
@@ -7,35 +7,35 @@
     std::net::SocketAddr,
 };
 
-/// Pause before an endpoint that did not say that it serves is asked again; it
-/// doubles so many times. A question costs as a look at its health.
+/// Delay before an endpoint that did not confirm that it serves is probed again. It doubles up to
+/// `MAX_PROBE_DOUBLINGS` times; a probe costs as much as a health check.
 const FIRST_PROBE_DELAY: Micros = Micros::from_millis(500);
 const MAX_PROBE_DOUBLINGS: u32 = 4;
 
-/// What is known of an endpoint whose entry went without a word of its own, as
-/// also happens to those whose heartbeats got lost.
+/// State of an endpoint whose entry disappeared without an announced leave, which also happens when
+/// heartbeats are lost.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum EndpointRejoin {
-    /// Its entry has not come back.
+    /// Its entry has not reappeared.
     Away,
-    /// Its entry is back, as a late write of an earlier time could do too.
+    /// Its entry has reappeared, which a delayed write can cause, too.
     Listed {
-        /// Times that it was asked and did not say that it serves.
+        /// Probes that did not confirm that it serves.
         failed_probes: u32,
-        /// When it is asked again.
+        /// When it is probed next.
         probe_at: Micros,
     },
-    /// The endpoint itself is being asked.
+    /// A probe of the endpoint is in progress.
     Probing {
-        /// Times that it was asked before.
+        /// Earlier probes that did not confirm that it serves.
         failed_probes: u32,
     },
-    /// It has said that it leaves, or another one stands at its address.
+    /// It announced that it leaves, or another endpoint is at its address.
     Never,
 }
 
 impl EndpointRejoin {
-    /// What goes with the first status that is seen.
+    /// Initial state for the first status that is seen.
     pub(super) fn of(status: EndpointStatus) -> Self {
         match status {
             EndpointStatus::Leaving => EndpointRejoin::Never,
@@ -44,27 +44,27 @@
     }
 }
 
-/// An endpoint that is to be asked whether it still serves.
+/// An endpoint to ask whether it still serves.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RejoinProbe {
     /// Its key.
     pub key: EndpointKey,
-    /// Its id; another one at the address must not answer for it.
+    /// Its id; another endpoint at the address must not answer for it.
     pub id: String,
-    /// Service that it belongs to.
+    /// Service of the endpoint.
     pub service: String,
-    /// Where it answers.
+    /// Address at which it is probed.
     pub address: SocketAddr,
 }
 
 impl EndpointEntry {
-    /// Whether it is on the list, as far as that can be trusted.
+    /// Whether it is on the list, as far as the list is reliable.
     pub fn is_listed(&self) -> bool {
         self.status != EndpointStatus::Leaving
     }
 
-    /// Whether it may be there: it is on the list, or its entry went without a word
-    /// of its own.
+    /// Whether it may be alive: it is on the list, or its entry disappeared without an announced
+    /// leave.
     pub fn may_be_present(&self) -> bool {
         self.is_listed() || self.rejoin != EndpointRejoin::Never
     }
@@ -77,7 +77,7 @@
         listed.unwrap_or(self.address)
     }
 
-    /// Takes the status that the list shows; true where that changes its own.
+    /// Applies the status on the list; true if this changes the status of the entry.
     pub(super) fn update_status(
         &mut self,
         wanted: EndpointStatus,
@@ -87,7 +87,7 @@
         }
         let before = self.status;
         if before == EndpointStatus::Leaving {
-            // Whose entry only went may be there all the same: it is asked.
+            // An endpoint whose entry had only disappeared may be alive: it is probed.
             if wanted == EndpointStatus::Serving && self.rejoin == EndpointRejoin::Away {
                 self.rejoin = EndpointRejoin::Listed {
                     failed_probes: 0,
@@ -102,9 +102,9 @@
 }
 
 impl EndpointEntry {
-    /// Takes that the list shows it as serving by a life that was born before the one that
-    /// left. Taken for a late write alone, one that started again after its clock was set
-    /// back got no requests until it was forgotten, 30 s later.
+    /// Records a list notice that an incarnation born before the one that left is serving. When
+    /// such notices were always treated as delayed writes, an endpoint that restarted after its
+    /// clock was set back got no requests until it was forgotten 30 s later.
     pub(super) fn record_rollback(
         &mut self,
         notice: &EndpointNotice,
@@ -125,7 +125,7 @@
 }
 
 impl EndpointRegistry {
-    /// Endpoints whose entries went and came back, to be asked now.
+    /// Endpoints whose entries disappeared and reappeared and that are due for a probe.
     pub fn due_probes(
         &mut self,
         now: Micros,
@@ -151,7 +151,7 @@
         probes
     }
 
-    /// Takes what an endpoint answered; it is asked anew where it is not sure.
+    /// Records the result of a probe; an unclear one is repeated.
     pub fn record_probe(
         &mut self,
         key: EndpointKey,
@@ -163,7 +163,7 @@
             return None;
         };
         if !serves && entry.rollback_notice.take().is_some() {
-            // It was a late write: one whose clock was set back goes on writing.
+            // It was a delayed write: an endpoint whose clock was set back would write again.
             entry.rejoin = EndpointRejoin::Never;
             return None;
         }
--- a/core/src/serving/incarnation_tracker.rs
+++ b/core/src/serving/incarnation_tracker.rs
@@ -1,26 +1,27 @@
 use {super::IncarnationOrder, crate::time::Micros};
 
-/// Time for which words of an earlier life count as late. What a process tells itself is on its
-/// way for milliseconds; one that stood still tells what it knew before once or twice when it
-/// wakes. By judgement: some times that.
+/// Time for which reports of an earlier incarnation count as late. Reports of a process about
+/// itself arrive within milliseconds, and after a pause it may report its previous state once or
+/// twice.
 const LATE_REPORT_WINDOW: Micros = Micros::from_millis(1_500);
 
-/// Tells lives of a process apart by the times of their starts, which clocks tell that can be
-/// set back.
+/// Distinguishes incarnations of a process by their start times, although its clock can be set
+/// back.
 ///
-/// An engine that starts again after the clock of its box was set back says that it was born
-/// before the life that is known. Taken for a late word of an earlier life for good, it got
-/// orders with the numbers of its earlier life only (all refused) and no requests that need its
+/// An engine that restarts after its box's clock was set back reports an earlier start time than
+/// the known incarnation. When such reports were always treated as late, the engine got only orders
+/// with the numbers of its earlier incarnation, which it refused, and no requests that need its
 /// weights, until its clock had caught up: an hour for a wrong time zone.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct IncarnationTracker {
-    /// The earlier life that is reported of, and since when without a word of the known one.
+    /// Earlier start time that is being reported, and since when without a report of the known
+    /// incarnation.
     earlier: Option<(u64, Micros)>,
 }
 
 impl IncarnationTracker {
-    /// How the life that the process itself tells of stands to the known one. One that was
-    /// born earlier is the later one if it alone goes on talking.
+    /// How the incarnation that the process itself reports relates to the known one. One with an
+    /// earlier start time is the later one if it alone keeps reporting.
     pub fn order(
         &mut self,
         known: Option<u64>,
--- a/core/src/serving/listed_incarnation.rs
+++ b/core/src/serving/listed_incarnation.rs
@@ -1,16 +1,16 @@
 use super::StorePosition;
 
-/// Which life of an endpoint the list means.
+/// Incarnation of an endpoint on the list.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct ListedIncarnation {
-    /// Its start, in milliseconds since 1970, where told.
+    /// Its start, in milliseconds since 1970, if reported.
     pub born: Option<u64>,
-    /// Its last row.
+    /// Position of its latest row.
     pub row: StorePosition,
 }
 
 impl ListedIncarnation {
-    /// Whether it is the later one: the one that was born later, or listed last.
+    /// Whether it is the later one: it was born later or, with equal start times, listed last.
     pub fn is_later_than(
         &self,
         other: &ListedIncarnation,
--- a/core/src/serving/message_intervals.rs
+++ b/core/src/serving/message_intervals.rs
@@ -1,33 +1,31 @@
-//! How often fronts and the processes beside engines tell each other something. Each tells all
-//! of the others, so the pause grows with how many these are: what one process pays a second
-//! stays bounded, at the cost of the age of what is known.
+//! Intervals of messages between fronts and the agents of engines. Each sender reports to all
+//! receivers, so the interval grows with their number: the cost per second of a process stays
+//! bounded, at the expense of the age of the reported state.
 
 use crate::time::Micros;
 
-/// Shares of a second that one front takes of a process beside an engine: it sends some 300
-/// digests a second at max.
+/// Digest interval per receiving front: an agent sends about 300 digests a second at most.
 const DIGEST_INTERVAL_PER_FRONT: Micros = Micros(3_300);
-/// Pauses between two digests at min and at max: a report counts for 1.5 s, and one digest
-/// may get lost.
+/// Minimum and maximum digest interval: a report is valid for 1.5 s, and one digest may get lost.
 const DIGEST_INTERVAL_RANGE: (Micros, Micros) = (Micros::from_millis(45), Micros::from_millis(600));
-/// Shares of a second that one engine takes of a front.
+/// Greeting interval of a front per engine.
 const GREETING_INTERVAL_PER_ENGINE: Micros = Micros::from_millis(10);
-/// Pauses between two greetings at min and at max.
+/// Minimum and maximum greeting interval.
 const GREETING_INTERVAL_RANGE: (Micros, Micros) =
     (Micros::from_millis(400), Micros::from_millis(1_800));
 
-/// Time that a digest of one of many engines may wait.
+/// Time per engine that a received digest may wait.
 const READ_INTERVAL_PER_ENGINE: Micros = Micros(200);
-/// Shortest and longest wait of digests.
+/// Minimum and maximum time that received digests wait.
 const MIN_READ_INTERVAL: Micros = Micros::from_millis(6);
 const MAX_READ_INTERVAL: Micros = Micros::from_millis(40);
 
-/// Pause between two digests of a process that tells so many fronts.
+/// Interval between digests of an agent that reports to this many fronts.
 pub fn digest_interval(fronts: usize) -> Micros {
     scaled_interval(DIGEST_INTERVAL_PER_FRONT, fronts, DIGEST_INTERVAL_RANGE)
 }
 
-/// Pause between two greetings of a front that greets so many engines.
+/// Interval between greetings of a front to this many engines.
 pub fn greeting_interval(engines: usize) -> Micros {
     scaled_interval(
         GREETING_INTERVAL_PER_ENGINE,
@@ -36,8 +34,8 @@
     )
 }
 
-/// Pause between two looks of a front at what so many engines have told; few are heard at once.
-/// Each look costs about as much as a digest, and finds many.
+/// Interval at which a front reads the received digests of this many engines; with few engines it
+/// reads each at once. A read costs about as much as handling one digest, and returns many.
 pub fn digest_read_interval(engines: usize) -> Micros {
     let interval = Micros(READ_INTERVAL_PER_ENGINE.0 * engines as u64).min(MAX_READ_INTERVAL);
     match interval < MIN_READ_INTERVAL {
@@ -46,8 +44,8 @@
     }
 }
 
-/// Pause of a front that greets an engine which must hear of it soon: that it is to load, or
-/// that what it keeps is not known.
+/// Interval between greetings to an engine that must hear from the front soon: it is to load
+/// weights, or its cache content is unknown.
 pub fn urgent_greeting_interval() -> Micros {
     GREETING_INTERVAL_RANGE.0
 }
--- a/core/src/serving/mod.rs
+++ b/core/src/serving/mod.rs
@@ -1,6 +1,6 @@
-//! Decisions about requests that an outside platform describes: which route
-//! and organisation a request has, which endpoint takes it, what may be sent
-//! again, and how fresh the knowledge behind all that must be.
+//! Decisions about requests on a platform that is described from outside: the route and
+//! organisation of a request, the endpoint that gets it, what may be sent again, and how fresh
+//! the state behind these decisions must be.
 
 mod admission_ask;
 mod admission_rule;
--- a/core/src/serving/part_index.rs
+++ b/core/src/serving/part_index.rs
@@ -4,14 +4,14 @@
     std::collections::HashMap,
 };
 
-/// Name of a namespace inside which parts are shared: the salt, as one number.
+/// Tag of a cache namespace, within which prompt parts are shared: hash of the cache salt.
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize,
 )]
 pub struct NamespaceTag(pub u64);
 
 impl NamespaceTag {
-    /// The tag of a salt.
+    /// The tag of a cache salt.
     pub fn of(salt: &str) -> Self {
         NamespaceTag(stable_hash(salt))
     }
@@ -23,8 +23,8 @@
     last_used: u64,
 }
 
-/// Which parts an engine or store is believed to keep; the least recently last_used
-/// are forgotten where they cannot all have room.
+/// Prompt parts that an engine or store is believed to cache; the least recently used are dropped
+/// when the capacity is exceeded.
 #[derive(Debug, Clone, Default)]
 pub struct PartIndex {
     parts: HashMap<(NamespaceTag, PartId), CachedPart>,
@@ -33,7 +33,7 @@
 }
 
 impl PartIndex {
-    /// Tokens of a prompt that are kept, counted from its beginning.
+    /// Tokens of a prompt that are cached, counted from its beginning.
     pub fn cached_prefix_tokens(
         &self,
         namespace: NamespaceTag,
@@ -53,7 +53,7 @@
         tokens
     }
 
-    /// Tokens of one part that are kept.
+    /// Cached tokens of one part.
     pub fn cached_tokens(
         &self,
         namespace: NamespaceTag,
@@ -62,7 +62,7 @@
         self.parts.get(&(namespace, id)).map_or(0, |k| k.tokens)
     }
 
-    /// Notes that these parts have been last_used and are kept from now on.
+    /// Records that these parts have been used and are cached from now on.
     pub fn touch(
         &mut self,
         namespace: NamespaceTag,
@@ -75,7 +75,7 @@
         self.evict(capacity_tokens);
     }
 
-    /// Notes how many tokens of a part are kept now; 0 where it is gone.
+    /// Sets how many tokens of a part are cached; 0 removes it.
     pub fn set(
         &mut self,
         namespace: NamespaceTag,
@@ -97,7 +97,7 @@
         self.tokens -= u64::from(before.map_or(0, |k| k.tokens));
     }
 
-    /// All parts inside one namespace.
+    /// All parts in a namespace.
     pub fn parts_in(
         &self,
         namespace: NamespaceTag,
@@ -112,13 +112,13 @@
         ids
     }
 
-    /// Forgets everything.
+    /// Removes all parts.
     pub fn clear(&mut self) {
         self.parts.clear();
         self.tokens = 0;
     }
 
-    /// All tokens that are believed to be kept.
+    /// Total tokens that are believed to be cached.
     pub fn tokens(&self) -> u64 {
         self.tokens
     }
@@ -136,7 +136,7 @@
             .map(|(key, kept)| (kept.last_used, *key))
             .collect();
         by_age.sort_unstable();
-        // A tenth more than needed goes, so that this is not done at each use.
+        // Evicts a tenth more than needed, so that not every use triggers an eviction.
         let target = capacity_tokens - capacity_tokens / 10;
         for (_, (namespace, id)) in by_age {
             if self.tokens <= target {
--- a/core/src/serving/pause_detector.rs
+++ b/core/src/serving/pause_detector.rs
@@ -1,16 +1,15 @@
 use crate::time::Micros;
 
-/// How often a process notes that it runs.
+/// Interval at which a process records that it is running.
 pub const TICK: Micros = Micros::from_millis(100);
-/// Time without such a note that shows that the process stood still: several
-/// ticks, as a box that is only slow misses one or two.
+/// Gap between two ticks that counts as a pause of the process: several ticks, as a box that is
+/// only slow misses one or two.
 const PAUSE_THRESHOLD: Micros = Micros::from_millis(700);
-/// Time after waking for which what is known counts as unsettled: two looks at a
-/// store that answers.
+/// Time after a pause for which known state counts as outdated: two polls of a store that answers.
 const SETTLE_TIME: Micros = Micros::from_millis(250);
 
-/// Notices that the process itself stood still: what it knows is then older than
-/// it seems, and news waits on its connections.
+/// Detects pauses of the process itself: afterwards its state is older than it seems, and updates
+/// are still unread on its connections.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct PauseDetector {
     last_tick: Option<Micros>,
@@ -18,7 +17,7 @@
 }
 
 impl PauseDetector {
-    /// Notes that the process runs; the length of a standstill that just ended.
+    /// Records that the process is running; returns the length of a pause that just ended.
     pub fn tick(
         &mut self,
         now: Micros,
@@ -31,8 +30,7 @@
         gap
     }
 
-    /// Whether the process has just come out of a standstill, also where that
-    /// has not been noted yet.
+    /// Whether the process has just resumed from a pause, even if no tick has recorded it yet.
     pub fn has_just_resumed(
         &self,
         now: Micros,
--- a/core/src/serving/reclaim_state.rs
+++ b/core/src/serving/reclaim_state.rs
@@ -1,9 +1,9 @@
-/// What becomes of a part whose weights have been replaced.
+/// Whether a part whose weights have been replaced can be freed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ReclaimState {
     /// It may still be fetched.
     Fetchable,
-    /// Nobody is told to fetch it any more, but some engine may still do so.
+    /// No new fetches are requested, but an engine may still be fetching it.
     Draining,
     /// Nobody can read it: it may be freed.
     Reclaimable,
--- a/core/src/serving/request_fingerprint.rs
+++ b/core/src/serving/request_fingerprint.rs
@@ -3,19 +3,19 @@
     std::fmt,
 };
 
-/// Domain of the hash, so that it equals no other hash of the same bytes.
+/// Context of the hash, so that it differs from all other hashes of the same bytes.
 const DOMAIN: &str = "pitchhitch request fingerprint 1";
 
-/// What tells that two requests ask for the same work: method, host, target, caller and
-/// body, whatever their ids, deadlines and the boxes that took them.
+/// Identifies requests that ask for the same work by method, host, target, caller and body,
+/// independent of request id, deadline and receiving box.
 ///
-/// The caller is hashed with the rest, so a body that is made to collide hits its maker's
-/// own organisation only; to meet a given one of 128 bits is out of reach. There is no
-/// key, as all fronts must find the same.
+/// The caller is part of the hash, so a collision that is constructed on purpose affects only the
+/// organisation that made it; a second preimage of a given 128-bit hash is infeasible. The hash has
+/// no key, as all fronts must compute the same value.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct RequestFingerprint([u8; 16]);
 
-/// What a fingerprint is made of.
+/// Fields of a request that its fingerprint covers.
 #[derive(Debug, Clone, Copy)]
 pub struct FingerprintInput<'a> {
     /// Method.
@@ -24,7 +24,7 @@
     pub host: &'a str,
     /// Path and query.
     pub target: &'a str,
-    /// Organisation of the caller; empty where it has none.
+    /// Organisation of the caller; empty if it has none.
     pub caller: &'a str,
     /// Body.
     pub body: &'a [u8],
@@ -36,7 +36,7 @@
         let mut hasher = blake3::Hasher::new_derive_key(DOMAIN);
         let fields = [input.method, input.host, input.target, input.caller];
         for field in fields {
-            // With its length, so that what ends one field cannot begin the next.
+            // The length prefix keeps adjacent fields from being confused.
             hasher.update(&(field.len() as u64).to_le_bytes());
             hasher.update(field.as_bytes());
         }
@@ -46,14 +46,14 @@
         RequestFingerprint(first)
     }
 
-    /// Reads a fingerprint as [`fmt::Display`] writes it.
+    /// Parses the output of [`fmt::Display`].
     pub fn parse(text: &str) -> Option<Self> {
         let is_sound = text.len() == 32 && text.is_ascii();
         let number = is_sound.then(|| u128::from_str_radix(text, 16).ok())??;
         Some(RequestFingerprint(number.to_be_bytes()))
     }
 
-    /// A number to spread by.
+    /// The fingerprint as a number, to distribute by.
     pub fn number(self) -> u64 {
         u128::from_be_bytes(self.0) as u64
     }
--- a/core/src/serving/stable_hash.rs
+++ b/core/src/serving/stable_hash.rs
@@ -1,5 +1,5 @@
-/// A number that is drawn from a text, the same everywhere; those of texts that differ in one
-/// letter are spread as evenly as any.
+/// Hash of a text, the same on all boxes; texts that differ in one character are spread evenly,
+/// too.
 pub fn stable_hash(text: impl AsRef<[u8]>) -> u64 {
     let hash = blake3::hash(text.as_ref());
     let mut first = [0; 8];
@@ -7,17 +7,17 @@
     u64::from_le_bytes(first)
 }
 
-/// The same as a part of 1.
+/// Hash of a text as a fraction from 0 to below 1.
 pub fn stable_fraction(text: &str) -> f64 {
     unit_fraction(stable_hash(text))
 }
 
-/// An evenly spread number as a part of 1.
+/// Evenly distributed number as a fraction from 0 to below 1.
 pub fn unit_fraction(number: u64) -> f64 {
     (number >> 11) as f64 / (1u64 << 53) as f64
 }
 
-/// A number that is drawn from two such ones, for ranks of many pairs.
+/// Combines two hashes into one, to rank many pairs.
 pub fn mix_hashes(
     one: u64,
     other: u64,
@@ -25,7 +25,7 @@
     mix_bits(one ^ other.rotate_left(32))
 }
 
-/// A number whose bits each depend on all of those given.
+/// Mixes a number so that each bit of the result depends on all of its bits.
 pub fn mix_bits(number: u64) -> u64 {
     let mut mixed = number;
     mixed = (mixed ^ (mixed >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
--- a/core/src/serving/store_directory.rs
+++ b/core/src/serving/store_directory.rs
@@ -8,84 +8,83 @@
     std::net::SocketAddr,
 };
 
-/// Factor on a move between failure domains, as the platform states it.
+/// Factor for transfers between failure domains, as the platform specifies it.
 const OTHER_DOMAIN_FACTOR: f64 = 2.0;
-/// Wait for a link up to which a fetch is asked for, in milliseconds; engines
-/// give up a move that would wait for two seconds.
+/// Longest expected fetch that is requested, in milliseconds; engines abandon a transfer that would
+/// wait for two seconds.
 const MAX_FETCH_MS: f64 = 700.0;
-/// Time until a move from an engine begins, in milliseconds.
+/// Latency of a transfer from an engine, in milliseconds.
 const ENGINE_LATENCY_MS: f64 = 1.7;
-/// Cost of a token that is fetched from an engine, beyond its time, in
-/// milliseconds: engines let parts go at any moment, and a part that is not
-/// there any more has to be read. Stores keep theirs, but their links are slower
-/// and queue. By judgement; a seventh of what it costs to read the token on engines
-/// that read a hundred in a millisecond.
+/// Risk surcharge per token fetched from an engine, in milliseconds: engines can evict a part at
+/// any moment, and a part that is gone must be prefilled. Stores keep their parts, but their links
+/// are slower and have queues. It is a seventh of the prefill time of a token on engines that
+/// prefill a hundred tokens in a millisecond.
 const ENGINE_RISK_MS: f64 = 0.0015;
 
 /// Where a part can be fetched.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum PartLocation {
-    /// A store, by its index in the map.
+    /// A store, by its index in the directory.
     Store(usize),
     /// An engine.
     Engine(EndpointKey),
 }
 
-/// One index where a part is kept, and what fetching it takes.
+/// A place that has a part, and the cost of fetching it.
 #[derive(Debug, Clone, PartialEq)]
 pub struct PartSource {
-    /// Place.
+    /// Store or engine.
     pub location: PartLocation,
-    /// Where engines reach it.
+    /// Address from which engines fetch.
     pub address: SocketAddr,
     /// Failure domain.
     pub domain: String,
-    /// Time of a fetch from within that domain, in milliseconds.
+    /// Duration of a fetch within that failure domain, in milliseconds.
     pub fetch_ms: f64,
 }
 
 impl PartSource {
-    /// Whether it is an engine, which may let the part go at any moment.
+    /// Whether it is an engine, which can evict the part at any moment.
     pub fn is_engine(&self) -> bool {
         matches!(self.location, PartLocation::Engine(_))
     }
 }
 
-/// A part of a prompt and the places that keep it.
+/// A prompt part and the places that have it.
 #[derive(Debug, Clone, PartialEq)]
 pub struct PartAvailability {
     /// Part.
     pub part: PromptPart,
-    /// Places.
+    /// Places that have it.
     pub sources: Vec<PartSource>,
 }
 
-/// What one engine does about one part.
+/// How one engine obtains one part.
 #[derive(Debug, Clone, PartialEq)]
 pub struct PartPlan {
     /// Part.
     pub part: PromptPart,
-    /// Whether the engine is believed to keep it; then it is only fetched where
-    /// the engine has let it go meanwhile.
+    /// Whether the engine is believed to cache it; then it is only fetched if the engine has
+    /// evicted it meanwhile.
     pub is_cached: bool,
-    /// Source and time of a fetch; always there for a part that is not kept.
+    /// Source and duration of a fetch in milliseconds; always set for a part that is not cached.
     pub source: Option<(PartSource, f64)>,
 }
 
-/// What one engine does about a prompt.
+/// How one engine obtains the parts of a prompt.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct PromptPlan {
-    /// Tokens that it keeps already.
+    /// Tokens that it has cached.
     pub cached_tokens: u32,
     /// Tokens that it fetches.
     pub fetched_tokens: u32,
-    /// Time of the fetches, in milliseconds.
+    /// Duration of the fetches, in milliseconds.
     pub fetch_ms: f64,
-    /// Shared parts in order, as far as they are kept or fetched.
+    /// Leading shared parts that are cached or fetched, in order.
     pub parts: Vec<PartPlan>,
 }
 
-/// All stores, and what is known of their content.
+/// All stores and their known content.
 #[derive(Debug, Clone, Default)]
 pub struct StoreDirectory {
     views: Vec<StoreView>,
@@ -93,7 +92,7 @@
 }
 
 impl StoreDirectory {
-    /// Nothing is known yet, and some mechanisms are done without.
+    /// An empty directory with some mechanisms disabled.
     pub fn without(left_out: MechanismSet) -> Self {
         StoreDirectory {
             left_out,
@@ -101,7 +100,7 @@
         }
     }
 
-    /// Takes the stores of a configuration; what is known of those that stay is kept.
+    /// Applies the stores of a configuration; known content of unchanged stores is kept.
     pub fn set_stores(
         &mut self,
         stores: &[KvStore],
@@ -122,7 +121,7 @@
         }
     }
 
-    /// The view of a store, by its address.
+    /// View of a store, by its address.
     pub fn view_mut(
         &mut self,
         address: SocketAddr,
@@ -132,7 +131,7 @@
             .find(|view| view.store.address == address)
     }
 
-    /// The view at a index.
+    /// View of a store, by its index.
     pub fn view_at(
         &mut self,
         index: usize,
@@ -140,12 +139,12 @@
         self.views.get_mut(index)
     }
 
-    /// All views.
+    /// Views of all stores.
     pub fn views(&self) -> &[StoreView] {
         &self.views
     }
 
-    /// Whether some store answers, but what is known of it is too old.
+    /// Whether any store answers but its known content is too old.
     pub fn is_stale(
         &self,
         now: Micros,
@@ -153,8 +152,8 @@
         self.views.iter().any(|view| view.is_stale(now))
     }
 
-    /// The shared parts of a prompt and where they can be fetched: the last
-    /// part is the request's own and never comes back.
+    /// The shared parts of a prompt and where they can be fetched. The last part belongs to this
+    /// request alone and is never reused.
     pub fn locate_parts(
         &self,
         registry: &EndpointRegistry,
@@ -211,7 +210,7 @@
         sources
     }
 
-    /// Notes the fetches that we ask for.
+    /// Records the fetches of a plan on the links of the stores.
     pub fn record_fetches(
         &mut self,
         plan: &PromptPlan,
@@ -230,8 +229,8 @@
         }
     }
 
-    /// Where each shared part should be saved; nowhere where a store has it, or
-    /// where none has room.
+    /// Store in which each shared part should be saved; `None` if a store has it or no store has
+    /// room.
     pub fn plan_saves(
         &mut self,
         namespace: NamespaceTag,
@@ -262,12 +261,12 @@
             if !may_save(&view.store) || !view.takes(part.tokens, now) {
                 continue;
             }
-            // Boxes that know nothing of each other choose the same home, in
-            // proportion to the speed of the stores' links: large stores with slow
-            // links would get nearly all fetches, and prompts wait for them. On a
-            // replayed day of high load 8 large prompts began late in index of 30 (9
-            // engines), on another 2,290 thousand tokens of shared parts were read
-            // again in index of 2,913 thousand (52 engines).
+            // Boxes without knowledge of each other choose the same store by weighted rendezvous
+            // hashing, with the link speed as the weight: otherwise large stores with slow links
+            // would get nearly all fetches, and prompts would wait for them. On a replayed day of
+            // high load, 8 large prompts began late instead of 30 (9 engines); on another, 2,290
+            // thousand tokens of shared parts were prefilled again instead of 2,913 thousand (52
+            // engines).
             let spread = placement_fraction(part.id.number(), view.store.address);
             let rank = view.store.link_mbps / -spread.ln();
             if best.as_ref().is_none_or(|(most, _)| rank > *most) {
@@ -289,7 +288,7 @@
     entry.status != EndpointStatus::Leaving && answers && !entry.is_suspect(now)
 }
 
-/// What an engine does about a prompt: keeps, fetches, and reads the rest.
+/// Plans which parts of a prompt an engine has cached and which it fetches; it prefills the rest.
 pub fn plan_prompt(
     key: EndpointKey,
     entry: &EndpointEntry,
@@ -340,7 +339,7 @@
     best.map(|(source, millis)| (source.clone(), millis))
 }
 
-/// A number between 0 and 1 for a part at a store, evenly spread.
+/// An evenly distributed number between 0 and 1 for a part and a store.
 fn placement_fraction(
     number: u64,
     address: SocketAddr,
--- a/core/src/serving/store_uptime.rs
+++ b/core/src/serving/store_uptime.rs
@@ -5,19 +5,19 @@
     std::net::SocketAddr,
 };
 
-/// A life of a store, as one box tells another.
+/// Uptime of a store's current incarnation, as one box reports it to another.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StoreUptime {
-    /// Where engines reach the store.
+    /// Address from which engines fetch.
     pub address: SocketAddr,
-    /// Which of its lives it is.
+    /// Epoch, which identifies the store's incarnation.
     pub epoch: u64,
-    /// For how long at least it has lasted.
+    /// Minimum time for which it has been up.
     pub lasted: Micros,
 }
 
 impl StoreDirectory {
-    /// Lives of all stores that have answered.
+    /// Uptimes of all stores that have answered.
     pub fn store_uptimes(
         &self,
         now: Micros,
@@ -26,7 +26,7 @@
         uptimes.collect()
     }
 
-    /// Takes what another box told of a store's life; it had come here at `at`.
+    /// Records a store's uptime that another box reported; the report arrived at `at`.
     pub fn record_uptime(
         &mut self,
         uptime: &StoreUptime,
--- a/core/src/serving/suspect_record.rs
+++ b/core/src/serving/suspect_record.rs
@@ -4,18 +4,18 @@
     serde::{Deserialize, Serialize},
 };
 
-/// Crashes of one request that are kept: one more than hold it back, as two that are told
-/// by different fronts may count as one.
+/// Maximum number of crashes stored per request: one more than are needed to hold it back, as two
+/// that different fronts report may count as one.
 const MAX_CRASHES: usize = 4;
-/// Domain of the hash of a crash.
+/// Context of the hash of a crash.
 const DOMAIN: &str = "pitchhitch endpoint crash 1";
 
-/// The end of one life of an endpoint: the same number, whoever saw it.
+/// Identifies the crash of one incarnation of an endpoint: the same for all observers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct CrashId(u64);
 
 impl CrashId {
-    /// The end of the life of an endpoint that began then.
+    /// The crash of the incarnation of an endpoint that started at `born`.
     pub fn of(
         endpoint: &str,
         born: Option<u64>,
@@ -29,46 +29,46 @@
     }
 }
 
-/// An endpoint that ended while it had a request; times are on the clock of who knows it,
-/// or ages where it is told.
+/// A crash of an endpoint while it had a request. Times are on the clock of the process that stores
+/// it; in reports they are ages.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SuspectCrash {
-    /// Which life of which endpoint ended.
+    /// Which incarnation of which endpoint crashed.
     pub mark: CrashId,
-    /// When the request had been sent to it.
+    /// When the request was sent to it.
     pub sent: Micros,
-    /// When it ended.
+    /// When it crashed.
     pub ended: Micros,
-    /// Crashes that counted_crashes against the request, as far as its sender knew then.
+    /// Crashes already counted against the request, as far as the front that sent it knew.
     pub known: u32,
 }
 
-/// What one process tells another of a request; all times are ages.
+/// Report of one process to another about a request; all times are ages.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SuspectReport {
     /// Request.
     pub fingerprint: RequestFingerprint,
-    /// Endpoints that ended under it.
+    /// Crashes during it.
     pub crashes: Vec<SuspectCrash>,
-    /// Time since it was last answered whole.
+    /// Time since it was last answered completely.
     pub answered: Option<Micros>,
 }
 
-/// What is known of one request under which endpoints ended.
+/// Crashes and answers of one request.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub(super) struct SuspectRecord {
     crashes: Vec<SuspectCrash>,
     pub(super) answered: Option<Micros>,
-    /// Crashes that count: each of a run that was sent after the one before, by a front that
-    /// knew of all that count before it. Only such a run was kept apart from other suspects;
-    /// endpoints that end together or in quick succession say no more than one of them, as a
-    /// request that many ask is at all of them. So does what was sent before it was answered
-    /// whole.
+    /// Number of crashes that count against the request. A crash counts if the request was sent
+    /// after the previous counted one, by a front that knew of all counted ones: only then did it
+    /// run apart from other suspects. Endpoints that crash together or in quick succession count as
+    /// one crash, as a request that many callers send runs on all of them. Crashes up to the last
+    /// complete answer do not count.
     pub(super) count: u32,
 }
 
 impl SuspectRecord {
-    /// Takes a crash; true where that is news. The same one that is told twice counts once.
+    /// Merges a crash; true if it was unknown. A crash that is reported twice counts once.
     pub(super) fn merge_crash(
         &mut self,
         crash: SuspectCrash,
@@ -84,7 +84,7 @@
         self.crashes.sort_by_key(|crash| crash.ended);
         if self.crashes.len() > MAX_CRASHES {
             let counted_crashes = self.counted_crashes();
-            // What ended together with another goes first, then the oldest.
+            // Crashes that do not count are dropped first, then the oldest.
             let spare = self
                 .crashes
                 .iter()
@@ -95,7 +95,7 @@
         true
     }
 
-    /// Takes when it was answered whole; true where that clears it of a crash.
+    /// Merges the time of a complete answer; true if this clears at least one crash.
     pub(super) fn merge_answer(
         &mut self,
         answered: Micros,
@@ -120,18 +120,18 @@
         counted_crashes
     }
 
-    /// When an endpoint last ended under it.
+    /// When an endpoint last crashed during it.
     pub(super) fn last_crash(&self) -> Option<Micros> {
         self.crashes.last().map(|crash| crash.ended)
     }
 
-    /// When something was last heard of it.
+    /// When the last crash or answer was recorded.
     pub(super) fn last_update(&self) -> Micros {
         let crashed = self.last_crash();
         crashed.max(self.answered).unwrap_or_default()
     }
 
-    /// It as it is told, with ages.
+    /// The record as a report, with ages instead of times.
     pub(super) fn report(
         &self,
         fingerprint: RequestFingerprint,
--- a/core/src/serving/suspect_tracker.rs
+++ b/core/src/serving/suspect_tracker.rs
@@ -4,62 +4,62 @@
     std::collections::{BTreeMap, BTreeSet},
 };
 
-/// Crashes, one after the other, after which a request is held back: with the one in which
-/// it may be by chance, and two in which it ran apart from other suspects. Each takes the
-/// endpoint, and all that runs there, away for seconds.
+/// Successive crashes after which a request is held back: one that may be a coincidence, and two
+/// while the request ran apart from other suspects. Each crash takes down the endpoint and
+/// everything that runs there for seconds.
 const HELD_AFTER: u32 = 3;
-/// Time after the second crash until it may be tried once more; endpoints are back by then.
-/// Fronts wait up to twice as long, each for a part of its own, so that the first one's try
-/// is known to the others.
+/// Delay after the second crash before the request is tried again; endpoints are back by then. Each
+/// front waits for its own share of up to twice this delay, so that the others learn of the first
+/// front's attempt.
 const RETRY_DELAY: Micros = Micros::from_millis(1_000);
 /// Time for which a request is held back after its last crash, and for which crashes are
-/// remembered: callers that come again seldom would end an endpoint each time.
+/// remembered: otherwise a caller that retries rarely would crash an endpoint each time.
 const HELD_FOR: Micros = Micros::from_secs(600);
-/// Time for which a whole answer proves that a request ends nothing: crashes meanwhile
-/// have another cause.
+/// Time for which a complete answer proves that a request is harmless: crashes in that time have
+/// another cause.
 const CLEARED_FOR: Micros = Micros::from_secs(20);
-/// Requests that are remembered. Up to a hundred are at an endpoint that ends; those that
-/// are answered are dropped soon.
+/// Maximum number of tracked requests. Up to a hundred run on an endpoint when it crashes; those
+/// that are answered are removed soon.
 const MAX_RECORDS: usize = 1_024;
-/// Times that news is told, to others each time: datagrams may get lost.
+/// Times that an update is sent, to different receivers each time: datagrams may get lost.
 const SEND_ROUNDS: u8 = 2;
 
-/// How a request stands with the crashes of endpoints.
+/// Status of a request with regard to crashes of endpoints.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SuspectStatus {
-    /// Nothing speaks against it.
+    /// It is not suspected.
     Clear,
-    /// So many endpoints ended while they had it: it runs apart from others of its kind.
+    /// This many endpoints crashed while they had it: it runs apart from other suspects.
     Suspect(u32),
-    /// It is not tried for so long.
+    /// It is not tried again for this long.
     Resting(Micros),
-    /// It is held back for so long.
+    /// It is held back for this long.
     Held(Micros),
 }
 
-/// Requests under which endpoints ended.
+/// Requests during which endpoints crashed.
 ///
-/// Only who began to run at an endpoint that ended is in here, and leaves with a whole
-/// answer. What several fronts know adds up, in whatever order and how often it is told.
+/// Only requests that had begun to run on a crashed endpoint are tracked, until they are answered
+/// completely. Reports of several fronts can be merged in any order and any number of times.
 #[derive(Debug, Clone, Default)]
 pub struct SuspectTracker {
     records: BTreeMap<RequestFingerprint, SuspectRecord>,
-    /// What is to be told, and how often still.
+    /// Requests with an update to send, and the remaining number of sends.
     updates: BTreeMap<RequestFingerprint, u8>,
 }
 
 impl SuspectTracker {
-    /// Whether no request has to be known again.
+    /// Whether no request is tracked.
     pub fn is_empty(&self) -> bool {
         self.records.is_empty()
     }
 
-    /// How many requests are known.
+    /// Number of tracked requests.
     pub fn len(&self) -> usize {
         self.records.len()
     }
 
-    /// Takes that an endpoint ended under a request; true where that is news.
+    /// Records that an endpoint crashed during a request; true if this crash was unknown.
     pub fn record_crash(
         &mut self,
         fingerprint: RequestFingerprint,
@@ -88,8 +88,8 @@
         is_new
     }
 
-    /// Drops the one that fewest endpoints ended under, of these the one that was heard of
-    /// longest ago: whoever sends thousands of different ones pushes out its own.
+    /// Drops the request with the fewest crashes, among these the one with the oldest update: a
+    /// caller that sends thousands of different requests evicts its own.
     fn evict_least(
         &mut self,
         newest: RequestFingerprint,
@@ -102,7 +102,7 @@
         }
     }
 
-    /// Takes that a request was answered whole; true where that clears it.
+    /// Records that a request was answered completely; true if this clears it.
     pub fn record_answer(
         &mut self,
         fingerprint: RequestFingerprint,
@@ -118,7 +118,7 @@
         is_cleared
     }
 
-    /// How a request stands; `jitter`, from 0 to 1, is the front's own part of the delay.
+    /// Status of a request; `jitter`, from 0 to 1, is this front's own share of the retry delay.
     pub fn status(
         &self,
         fingerprint: RequestFingerprint,
@@ -144,7 +144,7 @@
         }
     }
 
-    /// Takes what another process knows; true where that is news.
+    /// Merges a report of another process; true if it contained anything unknown.
     pub fn merge(
         &mut self,
         report: &SuspectReport,
@@ -170,7 +170,7 @@
         is_new
     }
 
-    /// Takes what another process knows, to tell it on.
+    /// Merges a report of another process and forwards it once if it was unknown.
     pub fn merge_and_forward(
         &mut self,
         report: &SuspectReport,
@@ -181,12 +181,12 @@
         }
     }
 
-    /// Whether there is something to tell.
+    /// Whether there are updates to send.
     pub fn has_updates(&self) -> bool {
         !self.updates.is_empty()
     }
 
-    /// What is to be told now, at most so many.
+    /// Updates to send now, at most `limit`.
     pub fn take_updates(
         &mut self,
         limit: usize,
@@ -208,7 +208,7 @@
         reports
     }
 
-    /// All that is known.
+    /// Reports of all tracked requests.
     pub fn reports(
         &self,
         now: Micros,
@@ -237,7 +237,7 @@
         matches!(self.status(fingerprint, 0.0, now), SuspectStatus::Held(_))
     }
 
-    /// Lets a request go, whatever is known of it; true where it was known.
+    /// Clears a request, whatever is known about it; true if it was suspected.
     pub fn release(
         &mut self,
         fingerprint: RequestFingerprint,
@@ -246,7 +246,7 @@
         self.record_answer(fingerprint, now)
     }
 
-    /// Forgets what is too old, and who was cleared some time ago.
+    /// Removes expired records and requests that were cleared some time ago.
     pub fn prune(
         &mut self,
         now: Micros,
--- a/core/src/serving/trial_table.rs
+++ b/core/src/serving/trial_table.rs
@@ -3,10 +3,10 @@
     crate::time::Micros,
 };
 
-/// Suspects of one front that may be at an endpoint at once: of two that end it, which one
-/// did is told by the next crash.
+/// Maximum number of suspects of one front on an endpoint: if two crash it, the next crash shows
+/// which one did.
 const MAX_TRIALS: usize = 2;
-/// Time after its first event for which a run counts as one that may end its endpoint.
+/// Time after its first event for which a run may still crash its endpoint.
 const PROBATION: Micros = Micros::from_millis(300);
 
 /// A run of a suspect.
@@ -15,20 +15,20 @@
     ticket: u64,
     fingerprint: RequestFingerprint,
     endpoint: EndpointKey,
-    /// Whether it may have no other suspect beside it.
+    /// Whether no other suspect may run on the same endpoint.
     is_exclusive: bool,
     first_event_at: Option<Micros>,
 }
 
-/// Runs of suspects that may end their endpoints: they are kept apart, so that one that
-/// does takes no other suspect along.
+/// Runs of suspects that may crash their endpoints. They are kept apart, so that one that crashes
+/// its endpoint does not incriminate another.
 #[derive(Debug, Clone, Default)]
 pub struct TrialTable {
     runs: Vec<TrialRun>,
 }
 
 impl TrialTable {
-    /// Whether a run of the same request has not proven itself yet.
+    /// Whether a run of the same request may still crash its endpoint.
     pub fn has_active(
         &self,
         fingerprint: RequestFingerprint,
@@ -37,7 +37,7 @@
         self.active(now).any(|run| run.fingerprint == fingerprint)
     }
 
-    /// Endpoints that have no room for one more suspect.
+    /// Endpoints that cannot take one more suspect.
     pub fn full_endpoints(
         &self,
         is_exclusive: bool,
@@ -64,7 +64,7 @@
         self.runs.iter().filter(is_active)
     }
 
-    /// Notes a run of a suspect.
+    /// Records a run of a suspect.
     pub fn begin(
         &mut self,
         ticket: u64,
@@ -81,7 +81,7 @@
         });
     }
 
-    /// Notes that a run has made its first event.
+    /// Records the first event of a run.
     pub fn record_first_event(
         &mut self,
         ticket: u64,
@@ -92,7 +92,7 @@
         }
     }
 
-    /// Notes that a run is over.
+    /// Records that a run has ended.
     pub fn end(
         &mut self,
         ticket: u64,
--- a/core/tests/away_endpoints.rs
+++ b/core/tests/away_endpoints.rs
@@ -1,5 +1,5 @@
-//! Endpoints whose entries only went: they may be there, so they may load new weights,
-//! and get no requests.
+//! Endpoints whose entries disappeared without an announced leave: they may be alive, so they may
+//! load new weights, but get no requests.
 
 use pitchhitch_core::{
     serving::{
@@ -9,7 +9,7 @@
     time::Micros,
 };
 
-/// For how long requests begin on weights that are replaced.
+/// Time for which requests may begin on weights that have been replaced.
 const LIMIT: Micros = Micros::from_millis(9_500);
 
 fn at(millis: u64) -> Micros {
@@ -40,7 +40,7 @@
     });
 }
 
-/// Engines that are listed and heard.
+/// Engines that are listed and have reported.
 fn registry(
     count: usize,
     running: u32,
@@ -68,9 +68,9 @@
         .collect()
 }
 
-/// Some engines never say that they leave: their entries go while it is their turn, and they
-/// end. Nobody hears them any more, so their turns pass to others; nobody else loaded until
-/// seven seconds were over.
+/// Engines that never announce their leave: their entries disappear during their turn to load, and
+/// they exit. As their reports stop, the turn passes to others; without that, no other engine
+/// loaded for seven seconds.
 #[test]
 fn gone_turn_passes() {
     let mut registry = registry(4, 0);
@@ -89,8 +89,8 @@
     assert_eq!(loading(&registry, &planner), others);
 }
 
-/// A turn of an engine that is heard lasts while its long runs end, also where its entry
-/// went meanwhile.
+/// An engine that still reports keeps its turn until its long runs have ended, even if its entry
+/// disappears meanwhile.
 #[test]
 fn away_turn_lasts() {
     let mut registry = registry(1, 20);
@@ -103,8 +103,8 @@
     assert_eq!(planner.plan(&registry, LIMIT, at(1_700)).len(), 1);
 }
 
-/// As many load at once as the group's size allows; those whose entries went are of the
-/// group where they are heard.
+/// The size of a group limits how many engines load at once; engines whose entries disappeared
+/// belong to the group as long as they report.
 #[test]
 fn away_group_size() {
     for (heard, at_once) in [(15, 3), (10, 2)] {
@@ -122,7 +122,8 @@
     }
 }
 
-/// Another box tells of an endpoint as one that is away; this one has it on the list.
+/// A report from another box that an endpoint is away changes nothing if this box has it on the
+/// list.
 #[test]
 fn away_word_is_nothing() {
     let mut registry = registry(1, 0);
@@ -137,9 +138,9 @@
     assert!(entry.may_be_present());
 }
 
-/// Of two places to load in, both went to engines that get no requests, whose entries had
-/// gone because they leave; those that serve waited, and got no prompts once their weights' time
-/// was over.
+/// Both of two turns to load went to engines that get no requests, whose entries had disappeared
+/// because they were leaving; the serving ones waited, and got no prompts once their weights had
+/// expired.
 #[test]
 fn listed_go_first() {
     let mut registry = registry(4, 0);
@@ -152,8 +153,8 @@
     assert_eq!(loading(&registry, &planner), listed);
 }
 
-/// An engine that had left is told of in a later life, before the list shows that: it is there.
-/// What is told of the life that ended says nothing.
+/// A report of a later incarnation shows that an engine that had left is alive, before the list
+/// does. Reports of the incarnation that left change nothing.
 #[test]
 fn later_life_told() {
     let mut registry = EndpointRegistry::default();
@@ -180,7 +181,7 @@
     assert!(entry.may_be_present() && !entry.is_listed());
 }
 
-/// One whose entry went is forgotten after a while, but not while it is heard.
+/// An endpoint whose entry disappeared is forgotten after a while, but not while it reports.
 #[test]
 fn heard_not_forgotten() {
     let mut registry = registry(2, 0);
--- a/core/tests/endpoint_incarnations.rs
+++ b/core/tests/endpoint_incarnations.rs
@@ -1,4 +1,4 @@
-//! Endpoints that start again: under their id, or at an address where another one was.
+//! Endpoints that restart under their id, or at the address of another endpoint.
 
 use {
     pitchhitch_core::{
@@ -45,7 +45,7 @@
     Some(EndpointChange::Restarts(id.to_string()))
 }
 
-/// A registry with one endpoint of which much is known.
+/// A registry with one endpoint that has weights, parts, load, failures and a request.
 fn known(born: Option<u64>) -> (EndpointRegistry, EndpointKey) {
     let mut registry = EndpointRegistry::default();
     registry.apply(&notice("e", born, false));
@@ -115,7 +115,7 @@
     }
 }
 
-/// A late write of the earlier life changes nothing, whatever it says.
+/// A late write of the earlier incarnation changes nothing, whatever it says.
 #[test]
 fn earlier_life_ignored() {
     let (mut registry, key) = known(Some(5));
@@ -134,7 +134,7 @@
     );
 }
 
-/// What the earlier life said of its end is over.
+/// A later incarnation voids the leave of the earlier one.
 #[test]
 fn leaver_serves_again() {
     let (mut registry, key) = known(Some(5));
@@ -148,7 +148,7 @@
         (EndpointStatus::Serving, None)
     );
     assert!(registry.due_probes(Micros::ZERO).is_empty());
-    // Nor does it come back by itself where the later life leaves too.
+    // Nor does it return by itself after the later incarnation leaves, too.
     registry.apply(&notice("e", Some(7), true));
     assert_eq!(registry.apply(&notice("e", Some(7), false)), None);
     assert!(registry.due_probes(Micros::ZERO).is_empty());
@@ -161,7 +161,7 @@
     assert_eq!(registry.apply(&notice("e", Some(6), false)), restarts("e"));
 }
 
-/// A digest may tell of the later life before the list does.
+/// A digest may report the later incarnation before the list does.
 #[test]
 fn digest_first() {
     let (mut registry, key) = known(Some(5));
@@ -183,7 +183,7 @@
         registry.observe_incarnation(key, None, Micros::ZERO),
         IncarnationOrder::Same
     );
-    // The list still tells of the life that is over, and may tell of its end.
+    // The list still shows the ended incarnation, and may show that it leaves.
     assert_eq!(registry.apply(&notice("e", Some(5), true)), None);
     assert_eq!(registry.apply(&notice("e", Some(6), false)), None);
     let entry = registry.get(key).expect("entry");
@@ -193,7 +193,8 @@
     );
 }
 
-/// The list had told that the earlier life leaves; then a digest came, then its word.
+/// The list shows that the earlier incarnation leaves; then a digest of the later one arrives, then
+/// its list notice.
 #[test]
 fn word_behind_digest() {
     let (mut registry, key) = known(Some(5));
@@ -224,7 +225,7 @@
     assert_eq!(registry.apply(&notice("b-old", Some(5), false)), None);
     assert!(registry.due_probes(Micros::ZERO).is_empty());
     assert_eq!(registry.retire_superseded(), []);
-    // It may have the address again in a life of its own.
+    // It may take the address again in a later incarnation of its own.
     assert_eq!(
         registry.apply(&notice("b-old", Some(8), false)),
         restarts("b-old")
@@ -261,7 +262,7 @@
     assert_eq!(present(&registry).as_deref(), Some("b"));
     registry.apply(&row("a", None, 4));
     assert_eq!(present(&registry).as_deref(), Some("a"), "listed last");
-    // A store that came back from a copy gives its versions out again.
+    // A store that is restored from a snapshot assigns the same versions again.
     let again = EndpointNotice {
         row: row_at(2, 3),
         ..row("b", None, 0)
@@ -320,7 +321,7 @@
         incarnation.record_digest(position(1, 6, 3), true),
         DigestOrder::Next
     );
-    // Only load was in the two that are missing.
+    // The two missing digests carried only load.
     assert_eq!(
         incarnation.record_digest(position(1, 9, 3), false),
         DigestOrder::Next
@@ -341,7 +342,7 @@
         incarnation.record_digest(position(1, 12, 6), false),
         DigestOrder::Gap
     );
-    // The sender has started again; one of its earlier life comes late.
+    // The sender has restarted; a digest of its earlier incarnation arrives late.
     assert_eq!(
         incarnation.record_digest(position(2, 1, 0), false),
         DigestOrder::Gap
@@ -354,7 +355,7 @@
         incarnation.record_digest(position(2, 2, 0), false),
         DigestOrder::Next
     );
-    // Its clock was set back: it is not shut out for good.
+    // Its clock was set back: it is not ignored for good.
     let back = DigestPosition {
         at: Micros::from_secs(2),
         ..position(1, 1, 0)
@@ -363,8 +364,8 @@
 }
 
 proptest! {
-    /// Lost and reordered digests: whoever has not seen all changes knows it as soon as
-    /// a later digest comes.
+    /// With lost and reordered digests, a receiver that has missed changes knows so as soon as a
+    /// later digest arrives.
     #[test]
     fn no_silent_gap(
         sent in proptest::collection::vec((any::<bool>(), any::<bool>(), 0..3_usize), 1..40),
@@ -393,8 +394,8 @@
     }
 }
 
-/// Two endpoints of a service are listed at one address: requests go to the one that was listed
-/// later, and to the other one where that turns out not to be there.
+/// If two endpoints of a service are listed at one address, requests go to the one that was listed
+/// later, and to the other one if that turns out to be gone.
 #[test]
 fn later_listed_present() {
     let mut registry = EndpointRegistry::default();
--- a/core/tests/endpoint_registry.rs
+++ b/core/tests/endpoint_registry.rs
@@ -1,4 +1,4 @@
-//! Which endpoints may get requests, through lapses, returns and reused addresses.
+//! Which endpoints may get requests when entries lapse, return, or reuse an address.
 
 use pitchhitch_core::{
     serving::{
@@ -39,13 +39,13 @@
         registry.apply(&notice("e", 1, true)),
         Some(EndpointChange::Leaves("e".to_string()))
     );
-    // A late reading that still shows it serving changes nothing.
+    // A late read that still shows it serving changes nothing.
     assert_eq!(registry.apply(&notice("e", 1, false)), None);
     assert_eq!(status(&registry, "e"), Some(EndpointStatus::Leaving));
 }
 
-/// Heartbeats that got lost look like an endpoint that left: it is asked once its
-/// entry is back, and serves when it says so.
+/// Lost heartbeats look like an endpoint that left: it is probed once its entry is back, and serves
+/// when it confirms that.
 #[test]
 fn returned_is_asked() {
     let mut registry = EndpointRegistry::default();
@@ -74,7 +74,7 @@
     assert_eq!(status(&registry, "e"), Some(EndpointStatus::Serving));
 }
 
-/// An answer that comes after the entry has gone once more proves nothing.
+/// A probe result that arrives after the entry has disappeared again proves nothing.
 #[test]
 fn gone_while_asked() {
     let mut registry = EndpointRegistry::default();
@@ -88,8 +88,8 @@
     assert_eq!(status(&registry, "e"), Some(EndpointStatus::Leaving));
 }
 
-/// Who said that it leaves is not asked; a late write does not bring it back,
-/// also where nothing of ours runs there any more.
+/// An endpoint that announced its leave is not probed; a late write does not bring it back, even if
+/// none of our requests run there any more.
 #[test]
 fn late_beat_no_return() {
     let mut registry = EndpointRegistry::default();
@@ -126,14 +126,14 @@
 fn seen_leaving_binds() {
     let mut registry = EndpointRegistry::default();
     registry.apply(&notice("e", 1, true));
-    // Gone while the list cannot be trusted: it had said that it leaves.
+    // Its entry disappears while the list is unreliable, after it announced its leave.
     assert_eq!(registry.mark_unlisted("e", false), None);
     assert_eq!(status(&registry, "e"), Some(EndpointStatus::Leaving));
 }
 
-/// A front that starts while the store is away takes what a peer knows. One whose entry
-/// had only gone was handed on as one that leaves for good, so when its entry came back the
-/// new front sent it nothing for 30 seconds, while all others did after one question.
+/// A front that starts while the store is down takes the endpoints of a peer. An endpoint whose
+/// entry had only disappeared was forwarded as leaving for good, so the new front sent it nothing
+/// for 30 seconds after its entry returned, while all others did so after one probe.
 #[test]
 fn away_handed_on() {
     let mut peer = EndpointRegistry::default();
@@ -176,7 +176,7 @@
     registry.mark_unlisted("old", true);
     let address = ([10, 0, 0, 1], 1).into();
     assert_eq!(registry.present_at(address, |_| true), registry.key("old"));
-    // What is on the list goes before what only may be there, whenever it was listed.
+    // A listed endpoint takes precedence over one that may be alive, whenever that was listed.
     registry.apply(&notice("new", 1, false));
     assert_eq!(registry.present_at(address, |_| true), registry.key("new"));
     registry.prune(Micros::ZERO);
--- a/core/tests/freed_parts.rs
+++ b/core/tests/freed_parts.rs
@@ -1,5 +1,5 @@
-//! In a small world of engines, fronts and a store, whatever stands still, starts again or
-//! leaves, no freed part is read.
+//! In a simulated fleet of engines, fronts and a store, no freed part is fetched, whichever
+//! processes are paused, restarted or stopped.
 
 mod small_world;
 
@@ -33,8 +33,8 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 600, ..ProptestConfig::default() })]
 
-    /// Whatever the order of namings, fetches, standstills, restarts and cancels: what
-    /// is freed is read by nobody any more, and nobody is told to fetch it.
+    /// Under any order of publications, fetches, pauses, restarts and cancellations, nobody fetches
+    /// a freed part or is told to.
     #[test]
     fn freed_is_unread(
         first_named in 500u64..3_000,
--- a/core/tests/incarnation_tracker.rs
+++ b/core/tests/incarnation_tracker.rs
@@ -1,4 +1,4 @@
-//! Lives of a process that are told apart by clocks that can be set back.
+//! Distinguishes incarnations of a process although its clock can be set back.
 
 use {
     pitchhitch_core::{
@@ -12,7 +12,7 @@
     Micros::from_millis(millis)
 }
 
-/// One that alone goes on talking is the later one, however early it was born.
+/// The incarnation that alone keeps reporting is the later one, however early it was born.
 #[test]
 fn set_back_believed() {
     let mut watch = IncarnationTracker::default();
@@ -29,7 +29,7 @@
     assert_eq!(watch.order(right, right, at(1_600)), IncarnationOrder::Same);
 }
 
-/// A word of the known life in between shows that the other was late.
+/// A report of the known incarnation in between shows that the other report was late.
 #[test]
 fn late_words_ignored() {
     let mut watch = IncarnationTracker::default();
@@ -51,7 +51,7 @@
     }
 }
 
-/// Two late words of two lives do not make one that goes on.
+/// Two late reports of two different incarnations do not count as one that keeps reporting.
 #[test]
 fn each_for_itself() {
     let mut watch = IncarnationTracker::default();
@@ -72,8 +72,8 @@
 }
 
 proptest! {
-    /// Whatever the clock of a box does, the life that talks is the known one two seconds
-    /// after it began; words of the life before come up to a second late.
+    /// Whatever the clock of a box does, the reporting incarnation is the known one two seconds
+    /// after it began; reports of the previous one arrive up to a second late.
     #[test]
     fn known_in_time(
         borns in proptest::collection::vec(0..5_u64, 1..12),
--- a/core/tests/pause_detector.rs
+++ b/core/tests/pause_detector.rs
@@ -1,4 +1,4 @@
-//! A process that stood still notices it before it goes by what it knows.
+//! A process detects its own pause before it relies on outdated state.
 
 use pitchhitch_core::{serving::PauseDetector, time::Micros};
 
@@ -9,7 +9,7 @@
         assert_eq!(watch.tick(Micros::from_millis(tick * 110)), None);
     }
     let woken = Micros::from_millis(4_000);
-    // Whoever looks first after the standstill sees it, noted or not.
+    // The first check after the pause detects it, even before a tick.
     assert!(watch.has_just_resumed(woken));
     assert_eq!(watch.tick(woken), Some(Micros::from_millis(3_010)));
     assert!(watch.has_just_resumed(woken + Micros::from_millis(100)));
--- a/core/tests/store_uptimes.rs
+++ b/core/tests/store_uptimes.rs
@@ -1,4 +1,4 @@
-//! For how long a store has lived, as boxes tell each other.
+//! Uptimes of a store that boxes report to each other.
 
 mod told_store;
 
@@ -21,8 +21,8 @@
     }
 }
 
-/// Whoever is told that the life it sees has lasted for long enough saves at once, whether
-/// it is told before or after its first look.
+/// A box that learns that the store's current epoch has been up for long enough saves at once,
+/// whether the report arrives before or after its first poll.
 #[test]
 fn told_saves_at_once() {
     let long = life(1, SAVE_AFTER + Micros(1));
@@ -38,8 +38,8 @@
     assert!(after.takes(10, START));
 }
 
-/// What is told of another life proves nothing: a box that is behind knows the one before,
-/// and a store that restarts must be waited for again.
+/// A report of another epoch proves nothing: a box that lags behind reports the previous one, and a
+/// store that restarts must be waited for again.
 #[test]
 fn other_life_proves_nothing() {
     let hours = Micros::from_secs(7_200);
@@ -60,7 +60,7 @@
     assert!(view.takes(10, waited));
 }
 
-/// The greater of two least ages counts, and both count on.
+/// The greater of two minimum uptimes counts, and both continue to grow.
 #[test]
 fn greatest_counts() {
     let mut view = StoreView::new(store());
--- a/core/tests/suspect_tracker.rs
+++ b/core/tests/suspect_tracker.rs
@@ -1,4 +1,4 @@
-//! Requests under which endpoints ended, as several fronts know them.
+//! Requests during which endpoints crashed, as reported by several fronts.
 
 use {
     pitchhitch_core::{
@@ -23,7 +23,7 @@
     })
 }
 
-/// A crash under a run whose sender knew of all crashes before.
+/// A crash during a run whose sender knew of all earlier crashes.
 fn crash(
     endpoint: u64,
     sent_ms: u64,
@@ -37,7 +37,7 @@
     }
 }
 
-/// A crash under a run whose sender knew of so many before.
+/// A crash during a run whose sender knew of `known` earlier crashes.
 fn crash_knowing(
     known: u32,
     endpoint: u64,
@@ -91,7 +91,7 @@
     );
 }
 
-/// Fronts rest for times of their own, so that one tries while the others wait.
+/// Fronts have different retry delays, so that one retries while the others wait.
 #[test]
 fn rests_differ() {
     let tracker = crashed(&[crash(1, 100, 200), crash(2, 200, 300)]);
@@ -102,7 +102,7 @@
     );
 }
 
-/// A request that many ask is at each engine of a rack that loses its power.
+/// A request that many callers send runs on each engine of a rack that loses power.
 #[test]
 fn together_counts_once() {
     let together: Vec<SuspectCrash> = (0..40).map(|n| crash(n, 100 + n, 300 + n)).collect();
@@ -113,9 +113,10 @@
     );
 }
 
-/// Three endpoints end within a tenth of a second under a request that many ask. Who sent the
-/// later two had not heard of the one before, so these runs were not apart from others: they
-/// say no more than the first. A sound request was held back for three such ends.
+/// Three endpoints crash within a tenth of a second during a request that many callers send. The
+/// senders of the later two did not know of the crash before, so these runs were not apart from
+/// other suspects and count no more than the first. A harmless request was held back after three
+/// such crashes.
 #[test]
 fn unknowing_counts_once() {
     let at = Micros::from_millis;
@@ -129,14 +130,14 @@
     // The last one was sent apart from all but one other suspect, and proves no more.
     let tracker = crashed(&unknowing);
     assert_eq!(status_at(&tracker, at(1_200)), SuspectStatus::Suspect(2));
-    // Where nobody hears of others, each front finds out by itself.
+    // Without reports from others, each front finds out by itself.
     let mut knowing = unknowing.to_vec();
     knowing.push(crash_knowing(2, 4, 1_300, 1_400));
     let status = status_at(&crashed(&knowing), at(1_500));
     assert!(matches!(status, SuspectStatus::Held(_)), "{status:?}");
 }
 
-/// However many end together, those that count are kept.
+/// However many endpoints crash together, the crashes that count are kept.
 #[test]
 fn counted_are_kept() {
     let mut crashes = vec![crash(1, 0, 100), crash(2, 200, 300)];
@@ -158,7 +159,7 @@
     let answered = Micros::from_millis(2_500);
     assert!(tracker.record_answer(named("a"), answered));
     assert_eq!(status_at(&tracker, answered), SuspectStatus::Clear);
-    // For a while ends of engines have another cause.
+    // For a while, crashes of engines have another cause.
     tracker.record_crash(named("a"), crash(4, 3_000, 3_100));
     assert_eq!(
         status_at(&tracker, Micros::from_millis(3_200)),
@@ -178,7 +179,7 @@
     assert!(tracker.is_empty() && !tracker.has_updates());
 }
 
-/// Ten thousand different ones push out each other, not the one that is held back.
+/// Ten thousand different requests evict each other, not the one that is held back.
 #[test]
 fn bounded() {
     let mut tracker = crashed(&[crash(1, 100, 200), crash(2, 200, 300), crash(3, 400, 500)]);
@@ -191,7 +192,7 @@
     assert!(matches!(status, SuspectStatus::Held(_)), "{status:?}");
 }
 
-/// Callers, paths and bodies are told apart, and no field runs into the next.
+/// Callers, paths and bodies are distinguished, and no field runs into the next.
 #[test]
 fn fields_apart() {
     let ask = FingerprintInput {
@@ -229,7 +230,7 @@
 
 fn crashes() -> impl Strategy<Value = Vec<SuspectCrash>> {
     let one = (0u64..6, 0u64..5_000, 1u64..400, 0u32..4).prop_map(|(mark, sent, ran, known)| {
-        // Each life of an endpoint ends once.
+        // Each incarnation of an endpoint crashes once.
         let (sent, ended) = (500 * mark + sent % 400, 500 * mark + 400 + ran % 50);
         crash_knowing(known, mark, sent, ended)
     });
@@ -237,7 +238,7 @@
 }
 
 proptest! {
-    /// What two fronts know adds up, in whatever order and how often it is told.
+    /// Reports of two fronts can be merged in any order and any number of times.
     #[test]
     fn tellings_add_up(
         seen in crashes(),
@@ -266,7 +267,7 @@
             matches!(status_at(tracker, NOW), SuspectStatus::Held(_))
         };
         prop_assert_eq!(is_held(&tracker), is_held(&whole));
-        // Telling all of it again is no news, so it goes round no more.
+        // Merging all of it again changes nothing, so it is not forwarded.
         let again = whole.reports(NOW);
         prop_assert!(again.iter().all(|told| !tracker.merge(told, NOW)));
     }
--- a/core/tests/trial_table.rs
+++ b/core/tests/trial_table.rs
@@ -37,7 +37,7 @@
     assert!(table.full_endpoints(false, NOW).is_empty());
 }
 
-/// One under which two have ended has no other suspect beside it, whoever came first.
+/// A suspect with two crashes runs without another suspect on its endpoint, whichever came first.
 #[test]
 fn alone() {
     let [first, second] = endpoints();
@@ -48,7 +48,7 @@
     assert_eq!(table.full_endpoints(false, NOW), [second]);
 }
 
-/// A run proves itself a moment after its first event, or ends.
+/// A run counts as harmless a moment after its first event, or when it ends.
 #[test]
 fn proves_itself() {
     let [first, _] = endpoints();
