--- a/core/src/serving/endpoint_incarnation.rs
+++ b/core/src/serving/endpoint_incarnation.rs
@@ -282,13 +282,13 @@
     pub fn mark_superseded(&mut self) {
         let mut latest: BTreeMap<(SocketAddr, &str), (EndpointKey, ListedIncarnation)> =
             BTreeMap::new();
-        let mut overtaken: Vec<EndpointKey> = Vec::new();
+        let mut superseded: Vec<EndpointKey> = Vec::new();
         for (key, entry) in self.iter().filter(|(_, entry)| entry.is_listed()) {
             let listed = entry.incarnation.listed();
             match latest.get(&service_address(entry)) {
-                Some((_, known)) if !listed.is_later_than(known) => overtaken.push(key),
+                Some((_, known)) if !listed.is_later_than(known) => superseded.push(key),
                 known => {
-                    overtaken.extend(known.map(|(earlier, _)| *earlier));
+                    superseded.extend(known.map(|(earlier, _)| *earlier));
                     latest.insert(service_address(entry), (key, listed));
                 }
             }
@@ -296,7 +296,7 @@
         for entry in self.entries.values_mut() {
             entry.is_superseded = false;
         }
-        for key in overtaken {
+        for key in superseded {
             self.entries[key].is_superseded = true;
         }
     }
--- a/core/src/serving/endpoint_rejoin.rs
+++ b/core/src/serving/endpoint_rejoin.rs
@@ -109,11 +109,11 @@
         &mut self,
         notice: &EndpointNotice,
     ) {
-        let is_asked = matches!(
+        let is_probed = matches!(
             self.rejoin,
             EndpointRejoin::Listed { .. } | EndpointRejoin::Probing { .. }
         );
-        if self.status != EndpointStatus::Leaving || is_asked {
+        if self.status != EndpointStatus::Leaving || is_probed {
             return;
         }
         self.rollback_notice = Some(notice.clone());
--- a/core/src/serving/store_directory.rs
+++ b/core/src/serving/store_directory.rs
@@ -252,8 +252,8 @@
         may_save: &dyn Fn(&KvStore) -> bool,
         now: Micros,
     ) -> Option<SocketAddr> {
-        let has = |view: &StoreView| view.has_or_gets(namespace, part.id, part.tokens);
-        if self.left_out.has(ServingMechanism::Stores) || self.views.iter().any(has) {
+        let is_saved = |view: &StoreView| view.has_or_gets(namespace, part.id, part.tokens);
+        if self.left_out.has(ServingMechanism::Stores) || self.views.iter().any(is_saved) {
             return None;
         }
         let mut best: Option<(f64, &mut StoreView)> = None;
@@ -267,10 +267,10 @@
             // high load, 8 large prompts began late instead of 30 (9 engines); on another, 2,290
             // thousand tokens of shared parts were prefilled again instead of 2,913 thousand (52
             // engines).
-            let spread = placement_fraction(part.id.number(), view.store.address);
-            let rank = view.store.link_mbps / -spread.ln();
-            if best.as_ref().is_none_or(|(most, _)| rank > *most) {
-                best = Some((rank, view));
+            let fraction = placement_fraction(part.id.number(), view.store.address);
+            let weight = view.store.link_mbps / -fraction.ln();
+            if best.as_ref().is_none_or(|(most, _)| weight > *most) {
+                best = Some((weight, view));
             }
         }
         let (_, view) = best?;
--- a/core/tests/away_endpoints.rs
+++ b/core/tests/away_endpoints.rs
@@ -158,22 +158,22 @@
 #[test]
 fn later_life_told() {
     let mut registry = EndpointRegistry::default();
-    let life = |born: u64| EndpointNotice {
+    let incarnation = |born: u64| EndpointNotice {
         born: Some(born),
         ..notice(0)
     };
-    registry.apply(&life(100));
+    registry.apply(&incarnation(100));
     registry.apply(&EndpointNotice {
         is_leaving: true,
-        ..life(100)
+        ..incarnation(100)
     });
     let away = |born: u64| EndpointNotice {
         is_away: true,
-        ..life(born)
+        ..incarnation(born)
     };
     assert_eq!(registry.apply(&away(100)), None);
-    let news = registry.apply(&away(200));
-    assert_eq!(news, Some(EndpointChange::Away("e0".to_string())));
+    let change = registry.apply(&away(200));
+    assert_eq!(change, Some(EndpointChange::Away("e0".to_string())));
     let entry = registry
         .key("e0")
         .and_then(|key| registry.get(key))
--- a/core/tests/endpoint_incarnations.rs
+++ b/core/tests/endpoint_incarnations.rs
@@ -85,7 +85,7 @@
     assert_eq!(
         (entry.running, entry.pending_prefills.len()),
         (1, 1),
-        "ours run on"
+        "our requests continue"
     );
     assert_eq!(
         (entry.incarnation.born, entry.incarnation.ended),
@@ -273,7 +273,7 @@
     assert_eq!(
         present(&registry).as_deref(),
         Some("c"),
-        "its birth is known"
+        "its start is known"
     );
     registry.apply(&row("d", Some(6), 0));
     assert_eq!(present(&registry).as_deref(), Some("d"));
@@ -405,13 +405,13 @@
     };
     registry.apply_all(&[row("i-1", 5), row("i-2", 9)], true);
     registry.retire_superseded();
-    let overtaken = |registry: &EndpointRegistry, id: &str| {
+    let superseded = |registry: &EndpointRegistry, id: &str| {
         let key = registry.key(id).expect("known");
         registry.get(key).expect("entry").is_superseded
     };
-    assert!(overtaken(&registry, "i-1") && !overtaken(&registry, "i-2"));
+    assert!(superseded(&registry, "i-1") && !superseded(&registry, "i-2"));
     let later = registry.key("i-2").expect("known");
     registry.get_mut(later).expect("entry").status = EndpointStatus::Leaving;
     registry.mark_superseded();
-    assert!(!overtaken(&registry, "i-1"));
+    assert!(!superseded(&registry, "i-1"));
 }
--- a/core/tests/endpoint_registry.rs
+++ b/core/tests/endpoint_registry.rs
@@ -59,12 +59,12 @@
     assert_eq!(probes.iter().map(|q| q.key).collect::<Vec<_>>(), [key]);
     assert!(
         registry.due_probes(Micros::ZERO).is_empty(),
-        "asked already"
+        "already being probed"
     );
     assert_eq!(registry.record_probe(key, false, Micros::ZERO), None);
     assert!(
         registry.due_probes(Micros::ZERO).is_empty(),
-        "a pause first"
+        "a delay first"
     );
     assert_eq!(registry.due_probes(Micros::from_secs(1)).len(), 1);
     assert_eq!(
--- a/core/tests/incarnation_tracker.rs
+++ b/core/tests/incarnation_tracker.rs
@@ -15,37 +15,43 @@
 /// The incarnation that alone keeps reporting is the later one, however early it was born.
 #[test]
 fn set_back_believed() {
-    let mut watch = IncarnationTracker::default();
+    let mut tracker = IncarnationTracker::default();
     let (ahead, right) = (Some(3_600_200), Some(300));
-    assert_eq!(watch.order(ahead, right, at(0)), IncarnationOrder::Earlier);
     assert_eq!(
-        watch.order(ahead, right, at(700)),
+        tracker.order(ahead, right, at(0)),
         IncarnationOrder::Earlier
     );
     assert_eq!(
-        watch.order(ahead, right, at(1_500)),
+        tracker.order(ahead, right, at(700)),
+        IncarnationOrder::Earlier
+    );
+    assert_eq!(
+        tracker.order(ahead, right, at(1_500)),
         IncarnationOrder::Later
     );
-    assert_eq!(watch.order(right, right, at(1_600)), IncarnationOrder::Same);
+    assert_eq!(
+        tracker.order(right, right, at(1_600)),
+        IncarnationOrder::Same
+    );
 }
 
 /// A report of the known incarnation in between shows that the other report was late.
 #[test]
 fn late_words_ignored() {
-    let mut watch = IncarnationTracker::default();
+    let mut tracker = IncarnationTracker::default();
     let (known, late) = (Some(200), Some(100));
     for second in 0..10 {
         let from = second * 1_000;
         assert_eq!(
-            watch.order(known, late, at(from)),
+            tracker.order(known, late, at(from)),
             IncarnationOrder::Earlier
         );
         assert_eq!(
-            watch.order(known, late, at(from + 400)),
+            tracker.order(known, late, at(from + 400)),
             IncarnationOrder::Earlier
         );
         assert_eq!(
-            watch.order(known, known, at(from + 500)),
+            tracker.order(known, known, at(from + 500)),
             IncarnationOrder::Same
         );
     }
@@ -54,19 +60,19 @@
 /// Two late reports of two different incarnations do not count as one that keeps reporting.
 #[test]
 fn each_for_itself() {
-    let mut watch = IncarnationTracker::default();
+    let mut tracker = IncarnationTracker::default();
     assert_eq!(
-        watch.order(Some(200), Some(100), at(0)),
+        tracker.order(Some(200), Some(100), at(0)),
         IncarnationOrder::Earlier
     );
-    let other = watch.order(Some(200), Some(150), at(2_000));
+    let other = tracker.order(Some(200), Some(150), at(2_000));
     assert_eq!(other, IncarnationOrder::Earlier);
     assert_eq!(
-        watch.order(Some(200), Some(300), at(2_100)),
+        tracker.order(Some(200), Some(300), at(2_100)),
         IncarnationOrder::Later
     );
     assert_eq!(
-        watch.order(Some(300), None, at(2_200)),
+        tracker.order(Some(300), None, at(2_200)),
         IncarnationOrder::Same
     );
 }
@@ -79,17 +85,17 @@
         borns in proptest::collection::vec(0..5_u64, 1..12),
         late_ms in 0..1_000_u64,
     ) {
-        let mut watch = IncarnationTracker::default();
+        let mut tracker = IncarnationTracker::default();
         let mut known = None;
         let mut before = None;
         for (place, born) in borns.iter().enumerate() {
             let starts = place as u64 * 6_000;
             for step in 0..60 {
                 let now = starts + step * 100;
-                let is_late_word = step % 3 == 1 && step * 100 < late_ms;
-                let told = if is_late_word { before } else { Some(*born) };
-                if watch.order(known, told, at(now)) == IncarnationOrder::Later || known.is_none() {
-                    known = told;
+                let is_late_report = step % 3 == 1 && step * 100 < late_ms;
+                let reported = if is_late_report { before } else { Some(*born) };
+                if tracker.order(known, reported, at(now)) == IncarnationOrder::Later || known.is_none() {
+                    known = reported;
                 }
                 prop_assert!(step * 100 < late_ms + 2_000 || known == Some(*born));
             }
--- a/core/tests/store_uptimes.rs
+++ b/core/tests/store_uptimes.rs
@@ -10,7 +10,7 @@
     told_store::{address, at, store, PORT, START},
 };
 
-fn life(
+fn uptime(
     epoch: u64,
     lasted: Micros,
 ) -> StoreUptime {
@@ -25,7 +25,7 @@
 /// whether the report arrives before or after its first poll.
 #[test]
 fn told_saves_at_once() {
-    let long = life(1, SAVE_AFTER + Micros(1));
+    let long = uptime(1, SAVE_AFTER + Micros(1));
     let mut before = StoreView::new(store());
     before.tell_life(&long, START);
     assert!(!before.takes(10, START), "it has not answered");
@@ -44,14 +44,14 @@
 fn other_life_proves_nothing() {
     let hours = Micros::from_secs(7_200);
     let mut view = StoreView::new(store());
-    view.tell_life(&life(1, hours), START);
+    view.tell_life(&uptime(1, hours), START);
     view.answered(2, Some(1), START, START);
     assert!(!view.takes(10, START));
-    view.tell_life(&life(2, hours), START);
-    view.tell_life(&life(1, hours + hours), START);
+    view.tell_life(&uptime(2, hours), START);
+    view.tell_life(&uptime(1, hours + hours), START);
     assert!(
         view.takes(10, START),
-        "the one that is behind changes nothing"
+        "the report of the previous epoch changes nothing"
     );
     view.answered(3, Some(1), START, START);
     assert!(!view.takes(10, START));
@@ -65,34 +65,34 @@
 fn greatest_counts() {
     let mut view = StoreView::new(store());
     view.answered(1, Some(1), START, START);
-    view.tell_life(&life(1, at(900)), START);
-    view.tell_life(&life(1, at(300)), START + at(100));
+    view.tell_life(&uptime(1, at(900)), START);
+    view.tell_life(&uptime(1, at(300)), START + at(100));
     let later = START + at(500);
-    assert_eq!(view.life(later), Some(life(1, at(1_400))));
-    view.tell_life(&life(1, at(1_500)), later);
-    assert_eq!(view.life(later + at(50)), Some(life(1, at(1_550))));
+    assert_eq!(view.life(later), Some(uptime(1, at(1_400))));
+    view.tell_life(&uptime(1, at(1_500)), later);
+    assert_eq!(view.life(later + at(50)), Some(uptime(1, at(1_550))));
 }
 
 #[test]
-fn lives_by_address() {
-    let mut map = StoreDirectory::default();
-    map.set_stores(&[store()]);
+fn uptimes_by_address() {
+    let mut directory = StoreDirectory::default();
+    directory.set_stores(&[store()]);
     let hours = Micros::from_secs(7_200);
-    map.record_uptime(&life(1, hours), START);
+    directory.record_uptime(&uptime(1, hours), START);
     assert_eq!(
-        map.store_uptimes(START),
+        directory.store_uptimes(START),
         Vec::new(),
         "it has not answered here"
     );
     let other = StoreUptime {
         address: ([10, 9, 0, 2], PORT).into(),
-        ..life(2, hours)
+        ..uptime(2, hours)
     };
-    map.record_uptime(&other, START);
-    let view = map.view_mut(address()).expect("view");
+    directory.record_uptime(&other, START);
+    let view = directory.view_mut(address()).expect("view");
     view.answered(1, Some(1), START, START);
     assert_eq!(
-        map.store_uptimes(START + at(5)),
-        vec![life(1, hours + at(5))]
+        directory.store_uptimes(START + at(5)),
+        vec![uptime(1, hours + at(5))]
     );
 }
--- a/core/tests/suspect_tracker.rs
+++ b/core/tests/suspect_tracker.rs
@@ -195,7 +195,7 @@
 /// Callers, paths and bodies are distinguished, and no field runs into the next.
 #[test]
 fn fields_apart() {
-    let ask = FingerprintInput {
+    let input = FingerprintInput {
         method: "POST",
         host: "h",
         target: "/a",
@@ -205,22 +205,25 @@
     let others = [
         FingerprintInput {
             method: "PUT",
-            ..ask
+            ..input
+        },
+        FingerprintInput {
+            host: "h2",
+            ..input
         },
-        FingerprintInput { host: "h2", ..ask },
         FingerprintInput {
             target: "/",
             caller: "ab",
-            ..ask
+            ..input
         },
         FingerprintInput {
             caller: "",
             body: b"bc",
-            ..ask
+            ..input
         },
-        FingerprintInput { body: b"", ..ask },
+        FingerprintInput { body: b"", ..input },
     ];
-    let known = RequestFingerprint::of(&ask);
+    let known = RequestFingerprint::of(&input);
     assert!(others
         .iter()
         .all(|other| RequestFingerprint::of(other) != known));
