--- a/core/src/serving/endpoint_incarnation.rs
+++ b/core/src/serving/endpoint_incarnation.rs
@@ -120,12 +120,12 @@
     pub(super) fn apply_listed(
         &mut self,
         notice: &EndpointNotice,
-        wanted: EndpointStatus,
+        listed_status: EndpointStatus,
     ) -> Option<EndpointChange> {
         let order = IncarnationOrder::of(self.incarnation.born, notice.born);
         // A write of the earlier incarnation may be applied seconds late.
         if order == IncarnationOrder::Earlier {
-            if wanted == EndpointStatus::Serving {
+            if listed_status == EndpointStatus::Serving {
                 self.record_rollback(notice);
             }
             return None;
@@ -153,10 +153,10 @@
             }
         }
         if is_first_listing {
-            return self.begin_listing(notice, wanted, is_later);
+            return self.begin_listing(notice, listed_status, is_later);
         }
-        self.update_status(wanted)
-            .then(|| status_change(wanted, self.id.clone()))
+        self.update_status(listed_status)
+            .then(|| status_change(listed_status, self.id.clone()))
     }
 
     /// Records a report that the endpoint is alive but not on the list; true if it was known to
@@ -181,21 +181,21 @@
     pub(super) fn begin_listing(
         &mut self,
         notice: &EndpointNotice,
-        wanted: EndpointStatus,
+        listed_status: EndpointStatus,
         is_later: bool,
     ) -> Option<EndpointChange> {
-        let before = self.status;
+        let previous = self.status;
         self.service.clone_from(&notice.service);
         self.domain.clone_from(&notice.domain);
         self.address = notice.address.unwrap_or(self.address);
         self.slots = notice.slots;
-        self.status = wanted;
-        self.rejoin = EndpointRejoin::of(wanted);
+        self.status = listed_status;
+        self.rejoin = EndpointRejoin::of(listed_status);
         self.left_at = None;
         let id = self.id.clone();
-        match (wanted, before) {
+        match (listed_status, previous) {
             (EndpointStatus::Serving, _) if is_later => Some(EndpointChange::Restarts(id)),
-            _ if before != wanted => Some(status_change(wanted, id)),
+            _ if previous != listed_status => Some(status_change(listed_status, id)),
             _ => None,
         }
     }
--- a/core/src/serving/endpoint_registry.rs
+++ b/core/src/serving/endpoint_registry.rs
@@ -108,7 +108,7 @@
         &mut self,
         notice: &EndpointNotice,
     ) -> Option<EndpointChange> {
-        let wanted = match notice.is_leaving || notice.is_away {
+        let listed_status = match notice.is_leaving || notice.is_away {
             true => EndpointStatus::Leaving,
             false => EndpointStatus::Serving,
         };
@@ -120,7 +120,7 @@
                 let is_new = entry.apply_unlisted(notice);
                 return is_new.then(|| EndpointChange::Away(entry.id.clone()));
             }
-            return entry.apply_listed(notice, wanted);
+            return entry.apply_listed(notice, listed_status);
         }
         let mut weights = WeightBelief::default();
         for (model, version) in &notice.weights {
@@ -132,13 +132,13 @@
             address,
             domain: notice.domain.clone(),
             slots: notice.slots,
-            status: wanted,
+            status: listed_status,
             is_superseded: false,
             // An endpoint that is away is probed once its entry is back. When it was treated as
             // leaving for good, it got no requests until it was forgotten.
             rejoin: match notice.is_away {
                 true => EndpointRejoin::Away,
-                false => EndpointRejoin::of(wanted),
+                false => EndpointRejoin::of(listed_status),
             },
             rollback_notice: None,
             left_at: None,
@@ -163,46 +163,46 @@
         let id = notice.id.clone();
         match notice.is_away {
             true => Some(EndpointChange::Away(id)),
-            false => Some(status_change(wanted, id)),
+            false => Some(status_change(listed_status, id)),
         }
     }
 
-    /// Records that an endpoint is no longer on the list; `is_steady` is whether the list is
+    /// Records that an endpoint is no longer on the list; `is_reliable` is whether the list is
     /// reliable.
     pub fn mark_unlisted(
         &mut self,
         id: &str,
-        is_steady: bool,
+        is_reliable: bool,
     ) -> Option<EndpointChange> {
         let key = self.key(id)?;
         let entry = &mut self.entries[key];
-        let before = entry.status;
-        if !is_steady && before == EndpointStatus::Serving {
+        let previous = entry.status;
+        if !is_reliable && previous == EndpointStatus::Serving {
             entry.status = EndpointStatus::Lapsed;
             return Some(EndpointChange::Lapses(id.to_string()));
         }
         if entry.rejoin != EndpointRejoin::Never {
             entry.rejoin = EndpointRejoin::Away;
         }
-        if !is_steady {
+        if !is_reliable {
             return None;
         }
         entry.status = EndpointStatus::Leaving;
-        (before != EndpointStatus::Leaving).then(|| EndpointChange::Leaves(id.to_string()))
+        (previous != EndpointStatus::Leaving).then(|| EndpointChange::Leaves(id.to_string()))
     }
 
     /// Applies a complete list: endpoints that are missing from it are marked as unlisted.
     pub fn apply_all(
         &mut self,
         notices: &[EndpointNotice],
-        is_steady: bool,
+        is_reliable: bool,
     ) -> Vec<EndpointChange> {
         let mut changes: Vec<EndpointChange> =
             notices.iter().filter_map(|n| self.apply(n)).collect();
         let listed: HashSet<&str> = notices.iter().map(|n| n.id.as_str()).collect();
         let known: Vec<String> = self.ids.keys().cloned().collect();
         let missing = known.iter().filter(|id| !listed.contains(id.as_str()));
-        changes.extend(missing.filter_map(|id| self.mark_unlisted(id, is_steady)));
+        changes.extend(missing.filter_map(|id| self.mark_unlisted(id, is_reliable)));
         changes
     }
 
@@ -318,13 +318,13 @@
     pub fn record_outcome(
         &mut self,
         key: EndpointKey,
-        is_sound: bool,
+        is_success: bool,
         now: Micros,
     ) -> bool {
         let Some(entry) = self.entries.get_mut(key) else {
             return false;
         };
-        if is_sound {
+        if is_success {
             entry.answered_at = Some(now);
             entry.guard.succeeded(now);
             return false;
--- a/core/src/serving/endpoint_rejoin.rs
+++ b/core/src/serving/endpoint_rejoin.rs
@@ -80,15 +80,15 @@
     /// Applies the status on the list; true if this changes the status of the entry.
     pub(super) fn update_status(
         &mut self,
-        wanted: EndpointStatus,
+        listed_status: EndpointStatus,
     ) -> bool {
-        if wanted == EndpointStatus::Leaving {
+        if listed_status == EndpointStatus::Leaving {
             self.rejoin = EndpointRejoin::Never;
         }
-        let before = self.status;
-        if before == EndpointStatus::Leaving {
+        let previous = self.status;
+        if previous == EndpointStatus::Leaving {
             // An endpoint whose entry had only disappeared may be alive: it is probed.
-            if wanted == EndpointStatus::Serving && self.rejoin == EndpointRejoin::Away {
+            if listed_status == EndpointStatus::Serving && self.rejoin == EndpointRejoin::Away {
                 self.rejoin = EndpointRejoin::Listed {
                     failed_probes: 0,
                     probe_at: Micros::ZERO,
@@ -96,8 +96,8 @@
             }
             return false;
         }
-        self.status = wanted;
-        before != wanted
+        self.status = listed_status;
+        previous != listed_status
     }
 }
 
--- a/core/tests/away_endpoints.rs
+++ b/core/tests/away_endpoints.rs
@@ -26,7 +26,7 @@
     }
 }
 
-fn hear(
+fn report_load(
     registry: &mut EndpointRegistry,
     place: usize,
     running: u32,
@@ -48,7 +48,7 @@
     let mut registry = EndpointRegistry::default();
     for place in 0..count {
         registry.apply(&notice(place));
-        hear(&mut registry, place, running, at(0));
+        report_load(&mut registry, place, running, at(0));
     }
     registry
 }
@@ -83,7 +83,7 @@
         registry.mark_unlisted(&format!("e{place}"), true);
     }
     for place in [2, 3] {
-        hear(&mut registry, place, 0, at(2_000));
+        report_load(&mut registry, place, 0, at(2_000));
     }
     planner.plan(&registry, LIMIT, at(2_000));
     assert_eq!(loading(&registry, &planner), others);
@@ -97,9 +97,9 @@
     let mut planner = planner();
     planner.plan(&registry, LIMIT, at(0));
     registry.mark_unlisted("e0", true);
-    hear(&mut registry, 0, 20, at(1_000));
+    report_load(&mut registry, 0, 20, at(1_000));
     planner.plan(&registry, LIMIT, at(1_000));
-    hear(&mut registry, 0, 20, at(1_700));
+    report_load(&mut registry, 0, 20, at(1_700));
     assert_eq!(planner.plan(&registry, LIMIT, at(1_700)).len(), 1);
 }
 
@@ -125,13 +125,13 @@
 /// A report from another box that an endpoint is away changes nothing if this box has it on the
 /// list.
 #[test]
-fn away_word_is_nothing() {
+fn away_report_ignored() {
     let mut registry = registry(1, 0);
-    let told = EndpointNotice {
+    let reported = EndpointNotice {
         is_away: true,
         ..notice(0)
     };
-    assert_eq!(registry.apply(&told), None);
+    assert_eq!(registry.apply(&reported), None);
     let entry = registry.key("e0").and_then(|key| registry.get(key));
     let entry = entry.expect("known");
     assert_eq!(entry.status, EndpointStatus::Serving);
@@ -156,7 +156,7 @@
 /// A report of a later incarnation shows that an engine that had left is alive, before the list
 /// does. Reports of the incarnation that left change nothing.
 #[test]
-fn later_life_told() {
+fn later_incarnation_reported() {
     let mut registry = EndpointRegistry::default();
     let incarnation = |born: u64| EndpointNotice {
         born: Some(born),
@@ -183,13 +183,13 @@
 
 /// An endpoint whose entry disappeared is forgotten after a while, but not while it reports.
 #[test]
-fn heard_not_forgotten() {
+fn reporting_not_forgotten() {
     let mut registry = registry(2, 0);
     for place in [0, 1] {
         registry.mark_unlisted(&format!("e{place}"), true);
     }
     for second in 0..60 {
-        hear(&mut registry, 0, 0, Micros::from_secs(second));
+        report_load(&mut registry, 0, 0, Micros::from_secs(second));
         registry.prune(Micros::from_secs(second));
     }
     assert!(registry.key("e0").is_some());
--- a/core/tests/endpoint_incarnations.rs
+++ b/core/tests/endpoint_incarnations.rs
@@ -69,18 +69,18 @@
     (registry, key)
 }
 
-fn forgot(entry: &EndpointEntry) -> bool {
+fn is_reset(entry: &EndpointEntry) -> bool {
     let has_parts = entry.parts.tokens() > 0 || entry.is_mirrored;
     let is_out = entry.guard.is_out(Micros::ZERO);
     !has_parts && entry.load.is_none() && !is_out
 }
 
 #[test]
-fn later_life_forgets() {
+fn later_incarnation_resets() {
     let (mut registry, key) = known(Some(5));
     assert_eq!(registry.apply(&notice("e", Some(6), false)), restarts("e"));
     let entry = registry.get(key).expect("entry");
-    assert!(forgot(entry));
+    assert!(is_reset(entry));
     assert_eq!(entry.weights.version("m"), Some(1), "as the list says");
     assert_eq!(
         (entry.running, entry.pending_prefills.len()),
@@ -99,25 +99,25 @@
 }
 
 #[test]
-fn same_life_kept() {
-    for (known_born, told) in [
+fn same_incarnation_kept() {
+    for (known_born, reported) in [
         (Some(5), Some(5)),
         (Some(5), None),
         (None, Some(5)),
         (None, None),
     ] {
         let (mut registry, key) = known(known_born);
-        assert_eq!(registry.apply(&notice("e", told, false)), None);
+        assert_eq!(registry.apply(&notice("e", reported, false)), None);
         let entry = registry.get(key).expect("entry");
-        assert!(!forgot(entry));
+        assert!(!is_reset(entry));
         assert_eq!(entry.weights.version("m"), Some(4));
-        assert_eq!(entry.incarnation.born, known_born.or(told));
+        assert_eq!(entry.incarnation.born, known_born.or(reported));
     }
 }
 
 /// A late write of the earlier incarnation changes nothing, whatever it says.
 #[test]
-fn earlier_life_ignored() {
+fn earlier_incarnation_ignored() {
     let (mut registry, key) = known(Some(5));
     for is_leaving in [false, true] {
         let mut late = notice("e", Some(4), is_leaving);
@@ -173,12 +173,12 @@
         registry.observe_incarnation(key, Some(5), Micros::ZERO),
         IncarnationOrder::Same
     );
-    assert!(!registry.get(key).is_some_and(forgot));
+    assert!(!registry.get(key).is_some_and(is_reset));
     assert_eq!(
         registry.observe_incarnation(key, Some(6), Micros::ZERO),
         IncarnationOrder::Later
     );
-    assert!(registry.get(key).is_some_and(forgot));
+    assert!(registry.get(key).is_some_and(is_reset));
     assert_eq!(
         registry.observe_incarnation(key, None, Micros::ZERO),
         IncarnationOrder::Same
@@ -196,7 +196,7 @@
 /// The list shows that the earlier incarnation leaves; then a digest of the later one arrives, then
 /// its list notice.
 #[test]
-fn word_behind_digest() {
+fn list_after_digest() {
     let (mut registry, key) = known(Some(5));
     registry.apply(&notice("e", Some(5), true));
     registry.observe_incarnation(key, Some(6), Micros::ZERO);
@@ -209,7 +209,7 @@
 }
 
 #[test]
-fn overtaken_by_birth() {
+fn superseded_by_birth() {
     let mut registry = EndpointRegistry::default();
     registry.apply(&notice("b-old", Some(5), false));
     assert_eq!(registry.retire_superseded(), []);
@@ -233,7 +233,7 @@
 }
 
 #[test]
-fn others_not_overtaken() {
+fn others_not_superseded() {
     let mut registry = EndpointRegistry::default();
     registry.apply(&notice("unborn", None, false));
     let mut elsewhere = notice("elsewhere", Some(5), false);
@@ -388,8 +388,8 @@
                 DigestOrder::Gap => is_whole = false,
                 DigestOrder::Overtaken => {}
             }
-            let told = incarnation.digest.map_or(0, |digest| digest.changes);
-            prop_assert!(!is_whole || seen == told);
+            let reported = incarnation.digest.map_or(0, |digest| digest.changes);
+            prop_assert!(!is_whole || seen == reported);
         }
     }
 }
--- a/core/tests/endpoint_registry.rs
+++ b/core/tests/endpoint_registry.rs
@@ -47,7 +47,7 @@
 /// Lost heartbeats look like an endpoint that left: it is probed once its entry is back, and serves
 /// when it confirms that.
 #[test]
-fn returned_is_asked() {
+fn returned_is_probed() {
     let mut registry = EndpointRegistry::default();
     registry.apply(&notice("e", 1, false));
     let key = registry.key("e").expect("known");
@@ -76,7 +76,7 @@
 
 /// A probe result that arrives after the entry has disappeared again proves nothing.
 #[test]
-fn gone_while_asked() {
+fn gone_while_probed() {
     let mut registry = EndpointRegistry::default();
     registry.apply(&notice("e", 1, false));
     let key = registry.key("e").expect("known");
@@ -91,7 +91,7 @@
 /// An endpoint that announced its leave is not probed; a late write does not bring it back, even if
 /// none of our requests run there any more.
 #[test]
-fn late_beat_no_return() {
+fn late_write_no_return() {
     let mut registry = EndpointRegistry::default();
     registry.apply(&notice("e", 1, false));
     registry.apply(&notice("e", 1, true));
@@ -135,23 +135,23 @@
 /// entry had only disappeared was forwarded as leaving for good, so the new front sent it nothing
 /// for 30 seconds after its entry returned, while all others did so after one probe.
 #[test]
-fn away_handed_on() {
+fn away_forwarded() {
     let mut peer = EndpointRegistry::default();
     peer.apply(&notice("away", 1, false));
     peer.mark_unlisted("away", true);
     peer.apply(&notice("left", 2, false));
     peer.apply(&notice("left", 2, true));
     let mut registry = EndpointRegistry::default();
-    for told in peer.notices() {
-        registry.apply(&told);
+    for forwarded in peer.notices() {
+        registry.apply(&forwarded);
     }
     for id in ["away", "left"] {
         assert_eq!(status(&registry, id), Some(EndpointStatus::Leaving));
         assert_eq!(registry.apply(&notice(id, 1, false)), None);
     }
     let probes = registry.due_probes(Micros::ZERO);
-    let asked: Vec<&str> = probes.iter().map(|q| q.id.as_str()).collect();
-    assert_eq!(asked, ["away"]);
+    let probed: Vec<&str> = probes.iter().map(|q| q.id.as_str()).collect();
+    assert_eq!(probed, ["away"]);
 }
 
 #[test]
--- a/core/tests/freed_parts.rs
+++ b/core/tests/freed_parts.rs
@@ -8,7 +8,7 @@
     small_world::{Happening, SmallWorld, ENGINES, FRONTS, PARTS, WORLD_MS},
 };
 
-fn happening() -> impl Strategy<Value = Happening> {
+fn event() -> impl Strategy<Value = Happening> {
     let still = 100u64..20_000;
     prop_oneof![
         1 => Just(Happening::Name),
@@ -38,16 +38,16 @@
     #[test]
     fn freed_is_unread(
         first_named in 500u64..3_000,
-        happenings in proptest::collection::vec((0u64..40_000, happening()), 20..120),
+        events in proptest::collection::vec((0u64..40_000, event()), 20..120),
     ) {
-        let mut happenings = happenings;
-        happenings.push((first_named, Happening::Name));
-        happenings.sort_by_key(|(time, _)| *time);
+        let mut events = events;
+        events.push((first_named, Happening::Name));
+        events.sort_by_key(|(time, _)| *time);
         let mut world = SmallWorld::new();
-        let mut next = happenings.iter().peekable();
+        let mut next = events.iter().peekable();
         while world.now < WORLD_MS {
-            while let Some((_, happening)) = next.next_if(|(time, _)| *time <= world.now) {
-                world.happen(happening);
+            while let Some((_, event)) = next.next_if(|(time, _)| *time <= world.now) {
+                world.happen(event);
                 prop_assert!(world.bad_fetch().is_none(), "{:?}", world.bad_fetch());
             }
             world.step();
--- a/core/tests/incarnation_tracker.rs
+++ b/core/tests/incarnation_tracker.rs
@@ -14,7 +14,7 @@
 
 /// The incarnation that alone keeps reporting is the later one, however early it was born.
 #[test]
-fn set_back_believed() {
+fn clock_set_back_accepted() {
     let mut tracker = IncarnationTracker::default();
     let (ahead, right) = (Some(3_600_200), Some(300));
     assert_eq!(
@@ -37,7 +37,7 @@
 
 /// A report of the known incarnation in between shows that the other report was late.
 #[test]
-fn late_words_ignored() {
+fn late_reports_ignored() {
     let mut tracker = IncarnationTracker::default();
     let (known, late) = (Some(200), Some(100));
     for second in 0..10 {
--- a/core/tests/pause_detector.rs
+++ b/core/tests/pause_detector.rs
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn slow_is_no_standstill() {
+fn slow_is_no_pause() {
     let mut detector = PauseDetector::default();
     detector.tick(Micros::ZERO);
     assert!(!detector.has_just_resumed(Micros::from_millis(550)));
--- a/core/tests/store_uptimes.rs
+++ b/core/tests/store_uptimes.rs
@@ -24,7 +24,7 @@
 /// A box that learns that the store's current epoch has been up for long enough saves at once,
 /// whether the report arrives before or after its first poll.
 #[test]
-fn told_saves_at_once() {
+fn reported_uptime_saves_at_once() {
     let long = uptime(1, SAVE_AFTER + Micros(1));
     let mut before = StoreView::new(store());
     before.tell_life(&long, START);
@@ -41,7 +41,7 @@
 /// A report of another epoch proves nothing: a box that lags behind reports the previous one, and a
 /// store that restarts must be waited for again.
 #[test]
-fn other_life_proves_nothing() {
+fn other_epoch_proves_nothing() {
     let hours = Micros::from_secs(7_200);
     let mut view = StoreView::new(store());
     view.tell_life(&uptime(1, hours), START);
--- a/core/tests/suspect_tracker.rs
+++ b/core/tests/suspect_tracker.rs
@@ -93,7 +93,7 @@
 
 /// Fronts have different retry delays, so that one retries while the others wait.
 #[test]
-fn rests_differ() {
+fn retry_delays_differ() {
     let tracker = crashed(&[crash(1, 100, 200), crash(2, 200, 300)]);
     let at = Micros::from_millis(300);
     assert_eq!(
@@ -243,11 +243,11 @@
 proptest! {
     /// Reports of two fronts can be merged in any order and any number of times.
     #[test]
-    fn tellings_add_up(
+    fn reports_merge(
         seen in crashes(),
         order in proptest::collection::vec(0usize..8, 0..30),
     ) {
-        let told = |crash: &SuspectCrash| SuspectReport {
+        let report = |crash: &SuspectCrash| SuspectReport {
             fingerprint: named("a"),
             crashes: vec![SuspectCrash {
                 sent: NOW.since(crash.sent),
@@ -260,11 +260,11 @@
         let mut tracker = SuspectTracker::default();
         for place in order {
             if let Some(crash) = seen.get(place) {
-                tracker.merge(&told(crash), NOW);
+                tracker.merge(&report(crash), NOW);
             }
         }
         for crash in seen.iter().rev() {
-            tracker.merge(&told(crash), NOW);
+            tracker.merge(&report(crash), NOW);
         }
         let is_held = |tracker: &SuspectTracker| {
             matches!(status_at(tracker, NOW), SuspectStatus::Held(_))
@@ -272,6 +272,6 @@
         prop_assert_eq!(is_held(&tracker), is_held(&whole));
         // Merging all of it again changes nothing, so it is not forwarded.
         let again = whole.reports(NOW);
-        prop_assert!(again.iter().all(|told| !tracker.merge(told, NOW)));
+        prop_assert!(again.iter().all(|report| !tracker.merge(report, NOW)));
     }
 }
