--- a/core/src/serving/endpoint_registry.rs
+++ b/core/src/serving/endpoint_registry.rs
@@ -290,7 +290,7 @@
     }
 
     /// Records that an endpoint has begun to answer a request.
-    pub fn record_started(
+    pub fn record_first_token(
         &mut self,
         key: EndpointKey,
         ticket: u64,
@@ -308,7 +308,7 @@
         key: EndpointKey,
         ticket: u64,
     ) {
-        self.record_started(key, ticket);
+        self.record_first_token(key, ticket);
         if let Some(entry) = self.entries.get_mut(key) {
             entry.running = entry.running.saturating_sub(1);
         }
--- a/core/src/serving/part_index.rs
+++ b/core/src/serving/part_index.rs
@@ -41,12 +41,12 @@
     ) -> u32 {
         let mut tokens = 0;
         for part in parts {
-            let kept = self
+            let cached = self
                 .parts
                 .get(&(namespace, part.id))
-                .map_or(0, |k| k.tokens);
-            tokens += kept.min(part.tokens);
-            if kept < part.tokens {
+                .map_or(0, |entry| entry.tokens);
+            tokens += cached.min(part.tokens);
+            if cached < part.tokens {
                 break;
             }
         }
@@ -59,7 +59,9 @@
         namespace: NamespaceTag,
         id: PartId,
     ) -> u32 {
-        self.parts.get(&(namespace, id)).map_or(0, |k| k.tokens)
+        self.parts
+            .get(&(namespace, id))
+            .map_or(0, |entry| entry.tokens)
     }
 
     /// Records that these parts have been used and are cached from now on.
@@ -83,7 +85,7 @@
         tokens: u32,
     ) {
         self.tick += 1;
-        let before = match tokens {
+        let previous = match tokens {
             0 => self.parts.remove(&(namespace, id)),
             _ => self.parts.insert(
                 (namespace, id),
@@ -94,7 +96,7 @@
             ),
         };
         self.tokens += u64::from(tokens);
-        self.tokens -= u64::from(before.map_or(0, |k| k.tokens));
+        self.tokens -= u64::from(previous.map_or(0, |entry| entry.tokens));
     }
 
     /// All parts in a namespace.
@@ -133,7 +135,7 @@
         let mut by_age: Vec<(u64, (NamespaceTag, PartId))> = self
             .parts
             .iter()
-            .map(|(key, kept)| (kept.last_used, *key))
+            .map(|(key, cached)| (cached.last_used, *key))
             .collect();
         by_age.sort_unstable();
         // Evicts a tenth more than needed, so that not every use triggers an eviction.
--- a/core/src/serving/store_directory.rs
+++ b/core/src/serving/store_directory.rs
@@ -88,14 +88,14 @@
 #[derive(Debug, Clone, Default)]
 pub struct StoreDirectory {
     views: Vec<StoreView>,
-    left_out: MechanismSet,
+    disabled: MechanismSet,
 }
 
 impl StoreDirectory {
     /// An empty directory with some mechanisms disabled.
-    pub fn without(left_out: MechanismSet) -> Self {
+    pub fn without(disabled: MechanismSet) -> Self {
         StoreDirectory {
-            left_out,
+            disabled,
             ..StoreDirectory::default()
         }
     }
@@ -105,10 +105,10 @@
         &mut self,
         stores: &[KvStore],
     ) {
-        let before = std::mem::take(&mut self.views);
-        let mut before: Vec<Option<StoreView>> = before.into_iter().map(Some).collect();
+        let previous = std::mem::take(&mut self.views);
+        let mut previous: Vec<Option<StoreView>> = previous.into_iter().map(Some).collect();
         for store in stores {
-            let known = before.iter_mut().find(|view| {
+            let known = previous.iter_mut().find(|view| {
                 view.as_ref()
                     .is_some_and(|view| view.store.address == store.address)
             });
@@ -180,7 +180,7 @@
     ) -> Vec<PartSource> {
         let bytes = u64::from(part.tokens) * group.token_bytes;
         let mut sources = Vec::new();
-        if self.left_out.has(ServingMechanism::Fetches) {
+        if self.disabled.has(ServingMechanism::Fetches) {
             return sources;
         }
         for (index, view) in self.views.iter().enumerate() {
@@ -253,7 +253,7 @@
         now: Micros,
     ) -> Option<SocketAddr> {
         let is_saved = |view: &StoreView| view.has_or_gets(namespace, part.id, part.tokens);
-        if self.left_out.has(ServingMechanism::Stores) || self.views.iter().any(is_saved) {
+        if self.disabled.has(ServingMechanism::Stores) || self.views.iter().any(is_saved) {
             return None;
         }
         let mut best: Option<(f64, &mut StoreView)> = None;
--- a/core/tests/endpoint_pick.rs
+++ b/core/tests/endpoint_pick.rs
@@ -209,7 +209,7 @@
     };
     fleet.book.record_sent(key, work);
     assert_eq!(free(&fleet), Some(18_000));
-    fleet.book.record_started(key, 1);
+    fleet.book.record_first_token(key, 1);
     fleet.load("e1", |load| load.used_tokens = 0);
     assert_eq!(free(&fleet), None, "an idle engine takes any prompt");
 }
--- a/core/tests/endpoint_registry.rs
+++ b/core/tests/endpoint_registry.rs
@@ -204,7 +204,7 @@
         registry.get(key).is_some(),
         "a request of ours still runs there"
     );
-    registry.record_started(key, 7);
+    registry.record_first_token(key, 7);
     assert_eq!(registry.get(key).map(|e| e.pending_tokens(9)), Some(0));
     registry.record_ended(key, 7);
     registry.prune(Micros::from_secs(31));
--- a/core/tests/freed_parts.rs
+++ b/core/tests/freed_parts.rs
@@ -9,7 +9,7 @@
 };
 
 fn event() -> impl Strategy<Value = Happening> {
-    let still = 100u64..20_000;
+    let pause_ms = 100u64..20_000;
     prop_oneof![
         1 => Just(Happening::Name),
         12 => (0..FRONTS, 0..ENGINES, 0..PARTS.len(), 0u64..6_000, 1u64..2_000).prop_map(
@@ -18,13 +18,13 @@
             }
         ),
         1 => (0..FRONTS).prop_map(|front| Happening::Cancel { front }),
-        4 => (0..ENGINES, still.clone())
+        4 => (0..ENGINES, pause_ms.clone())
             .prop_map(|(engine, for_ms)| Happening::StillEngine { engine, for_ms }),
-        1 => (0..ENGINES, still.clone())
+        1 => (0..ENGINES, pause_ms.clone())
             .prop_map(|(engine, for_ms)| Happening::StillReports { engine, for_ms }),
         1 => (0..ENGINES).prop_map(|engine| Happening::NewEngine { engine }),
         1 => (0..ENGINES).prop_map(|engine| Happening::Load { engine }),
-        2 => (0..FRONTS, still)
+        2 => (0..FRONTS, pause_ms)
             .prop_map(|(front, for_ms)| Happening::StillFront { front, for_ms }),
         1 => (0..FRONTS).prop_map(|front| Happening::NewFront { front }),
     ]
--- a/entry/src/front/request_answer.rs
+++ b/entry/src/front/request_answer.rs
@@ -81,7 +81,7 @@
                 let now = front.now();
                 began = Some(now);
                 let mut state = front.state();
-                state.book.record_started(choice.key, ticket);
+                state.book.record_first_token(choice.key, ticket);
                 state.trials.record_first_event(ticket, now);
                 if is_first {
                     let took = now.since(sent_at).as_millis() as f64;
--- a/testbed/src/load_model/model_front.rs
+++ b/testbed/src/load_model/model_front.rs
@@ -212,7 +212,7 @@
         took: Micros,
         is_first: bool,
     ) {
-        self.book.record_started(send.choice.key, send.ticket);
+        self.book.record_first_token(send.choice.key, send.ticket);
         if is_first {
             let tokens = send.choice.ahead_tokens + f64::from(send.choice.unread_tokens);
             let millis = took.as_millis() as f64 - send.choice.plan.fetch_ms;
