--- /dev/null
+++ b/core/src/serving/endpoint_registry.rs
@@ -0,0 +1,345 @@
+use {
+    super::{
+        EndpointEntry, EndpointIncarnation, EndpointNotice, EndpointRejoin, EndpointSlowStart,
+        EndpointStatus, PartIndex, PendingPrefill, StorePosition, SwapPlanner, SwapStage,
+        WeightBelief,
+    },
+    crate::{retry::OutlierGuard, time::Micros},
+    slotmap::{new_key_type, SlotMap},
+    std::collections::{BTreeMap, HashSet},
+};
+
+new_key_type! {
+    /// Key of an endpoint in the registry.
+    pub struct EndpointKey;
+}
+
+/// Change that an update of the endpoint list caused.
+#[derive(Debug, Clone, PartialEq, Eq)]
+pub enum EndpointChange {
+    /// The endpoint accepts requests from now on.
+    Serves(String),
+    /// The endpoint gets no new requests from now on.
+    Leaves(String),
+    /// The endpoint's entry disappeared while the list is unreliable.
+    Lapses(String),
+    /// The endpoint is alive but not on the list: it gets no requests.
+    Away(String),
+    /// The endpoint has restarted and serves; connections to its previous incarnation are unusable.
+    Restarts(String),
+}
+
+/// Time for which an endpoint that left is remembered, so that a delayed write does not bring it
+/// back: writes can arrive some seconds late.
+const LEFT_RETENTION: Micros = Micros::from_secs(30);
+
+/// All known endpoints, indexed by id because an address can be reused.
+#[derive(Debug, Clone, Default)]
+pub struct EndpointRegistry {
+    pub(super) entries: SlotMap<EndpointKey, EndpointEntry>,
+    ids: BTreeMap<String, EndpointKey>,
+}
+
+impl EndpointRegistry {
+    /// Key of an endpoint by its id.
+    pub fn key(
+        &self,
+        id: &str,
+    ) -> Option<EndpointKey> {
+        self.ids.get(id).copied()
+    }
+
+    /// Entry of an endpoint.
+    pub fn get(
+        &self,
+        key: EndpointKey,
+    ) -> Option<&EndpointEntry> {
+        self.entries.get(key)
+    }
+
+    /// Mutable entry of an endpoint.
+    pub fn get_mut(
+        &mut self,
+        key: EndpointKey,
+    ) -> Option<&mut EndpointEntry> {
+        self.entries.get_mut(key)
+    }
+
+    /// Number of known endpoints.
+    pub fn len(&self) -> usize {
+        self.entries.len()
+    }
+
+    /// Whether no endpoint is known.
+    pub fn is_empty(&self) -> bool {
+        self.entries.is_empty()
+    }
+
+    /// All endpoints, ordered by id.
+    pub fn iter(&self) -> impl Iterator<Item = (EndpointKey, &EndpointEntry)> {
+        self.ids
+            .values()
+            .filter_map(|key| Some((*key, self.entries.get(*key)?)))
+    }
+
+    /// All endpoints as list notices, for a box that cannot read the list itself. Endpoints that
+    /// left are included, so that the receiver does not treat them as serving.
+    pub fn notices(&self) -> Vec<EndpointNotice> {
+        let notice = |(_, entry): (EndpointKey, &EndpointEntry)| EndpointNotice {
+            id: entry.id.clone(),
+            service: entry.service.clone(),
+            address: Some(entry.address),
+            domain: entry.domain.clone(),
+            slots: entry.slots,
+            is_leaving: !entry.may_be_present(),
+            is_away: !entry.is_listed() && entry.may_be_present(),
+            weights: Vec::new(),
+            born: entry.incarnation.listed_born,
+            slow_ms: None,
+            // The position changes with each heartbeat, and a copy counts as changed by its
+            // content.
+            row: StorePosition::default(),
+        };
+        self.iter().map(notice).collect()
+    }
+
+    /// Applies a list notice about one endpoint.
+    pub fn apply(
+        &mut self,
+        notice: &EndpointNotice,
+    ) -> Option<EndpointChange> {
+        let listed_status = match notice.is_leaving || notice.is_away {
+            true => EndpointStatus::Leaving,
+            false => EndpointStatus::Serving,
+        };
+        let address = notice.address?;
+        if let Some(key) = self.key(&notice.id) {
+            let entry = &mut self.entries[key];
+            if notice.is_away {
+                // This box has received reports of the endpoint directly.
+                let is_new = entry.apply_unlisted(notice);
+                return is_new.then(|| EndpointChange::Away(entry.id.clone()));
+            }
+            return entry.apply_listed(notice, listed_status);
+        }
+        let mut weights = WeightBelief::default();
+        for (model, version) in &notice.weights {
+            weights.learn(model, *version);
+        }
+        let key = self.entries.insert(EndpointEntry {
+            id: notice.id.clone(),
+            service: notice.service.clone(),
+            address,
+            domain: notice.domain.clone(),
+            slots: notice.slots,
+            status: listed_status,
+            is_superseded: false,
+            // An endpoint that is away is probed once its entry is back. When it was treated as
+            // leaving for good, it got no requests until it was forgotten.
+            rejoin: match notice.is_away {
+                true => EndpointRejoin::Away,
+                false => EndpointRejoin::of(listed_status),
+            },
+            rollback_notice: None,
+            left_at: None,
+            incarnation: EndpointIncarnation {
+                born: notice.born,
+                listed_born: notice.born,
+                row: notice.row,
+                ..EndpointIncarnation::default()
+            },
+            weights,
+            load: None,
+            parts: PartIndex::default(),
+            is_mirrored: false,
+            slow_start: EndpointSlowStart::default(),
+            guard: OutlierGuard::default(),
+            answered_at: None,
+            stage: SwapStage::Idle,
+            running: 0,
+            pending_prefills: Vec::new(),
+        });
+        self.ids.insert(notice.id.clone(), key);
+        let id = notice.id.clone();
+        match notice.is_away {
+            true => Some(EndpointChange::Away(id)),
+            false => Some(status_change(listed_status, id)),
+        }
+    }
+
+    /// Records that an endpoint is no longer on the list; `is_reliable` is whether the list is
+    /// reliable.
+    pub fn mark_unlisted(
+        &mut self,
+        id: &str,
+        is_reliable: bool,
+    ) -> Option<EndpointChange> {
+        let key = self.key(id)?;
+        let entry = &mut self.entries[key];
+        let previous = entry.status;
+        if !is_reliable && previous == EndpointStatus::Serving {
+            entry.status = EndpointStatus::Lapsed;
+            return Some(EndpointChange::Lapses(id.to_string()));
+        }
+        if entry.rejoin != EndpointRejoin::Never {
+            entry.rejoin = EndpointRejoin::Away;
+        }
+        if !is_reliable {
+            return None;
+        }
+        entry.status = EndpointStatus::Leaving;
+        (previous != EndpointStatus::Leaving).then(|| EndpointChange::Leaves(id.to_string()))
+    }
+
+    /// Applies a complete list: endpoints that are missing from it are marked as unlisted.
+    pub fn apply_all(
+        &mut self,
+        notices: &[EndpointNotice],
+        is_reliable: bool,
+    ) -> Vec<EndpointChange> {
+        let mut changes: Vec<EndpointChange> =
+            notices.iter().filter_map(|n| self.apply(n)).collect();
+        let listed: HashSet<&str> = notices.iter().map(|n| n.id.as_str()).collect();
+        let known: Vec<String> = self.ids.keys().cloned().collect();
+        let missing = known.iter().filter(|id| !listed.contains(id.as_str()));
+        changes.extend(missing.filter_map(|id| self.mark_unlisted(id, is_reliable)));
+        changes
+    }
+
+    /// The list is reliable again: lapsed endpoints that did not reappear count as leaving.
+    pub fn expire_lapsed(&mut self) -> Vec<EndpointChange> {
+        let lapsed = |entry: &&mut EndpointEntry| entry.status == EndpointStatus::Lapsed;
+        let mut changes = Vec::new();
+        for entry in self.entries.values_mut().filter(lapsed) {
+            entry.status = EndpointStatus::Leaving;
+            changes.push(EndpointChange::Leaves(entry.id.clone()));
+        }
+        changes
+    }
+
+    /// Removes endpoints that left more than `LEFT_RETENTION` ago and run none of our requests. An
+    /// endpoint whose reports still arrive is kept.
+    pub fn prune(
+        &mut self,
+        now: Micros,
+    ) {
+        let entries = &mut self.entries;
+        self.ids.retain(|_, key| {
+            let entry = &mut entries[*key];
+            if entry.status != EndpointStatus::Leaving {
+                return true;
+            }
+            if entry.may_be_present() && entry.fresh_load(now).is_some() {
+                entry.left_at = Some(now);
+            }
+            let left_at = *entry.left_at.get_or_insert(now);
+            entry.parts = PartIndex::default();
+            entry.is_mirrored = false;
+            let is_expired = entry.running == 0 && now.since(left_at) > LEFT_RETENTION;
+            if is_expired {
+                entries.remove(*key);
+            }
+            !is_expired
+        });
+    }
+
+    /// Updates which endpoints are about to load new weights.
+    pub fn update_stages(
+        &mut self,
+        planner: &SwapPlanner,
+    ) {
+        for (key, entry) in &mut self.entries {
+            entry.stage = planner.stage(key);
+        }
+    }
+
+    /// Records that a request was assigned to an endpoint.
+    pub fn record_sent(
+        &mut self,
+        key: EndpointKey,
+        prefill: PendingPrefill,
+    ) {
+        if let Some(entry) = self.entries.get_mut(key) {
+            entry.running += 1;
+            entry.slow_start.note_sent(prefill.ticket, prefill.sent_at);
+            entry.pending_prefills.push(prefill);
+        }
+    }
+
+    /// Records that a request is being written to an endpoint now, some time after it was assigned.
+    pub fn record_written(
+        &mut self,
+        key: EndpointKey,
+        ticket: u64,
+        now: Micros,
+    ) {
+        if let Some(entry) = self.entries.get_mut(key) {
+            entry.slow_start.note_sent(ticket, now);
+        }
+    }
+
+    /// Records that a request assigned to an endpoint was not sent there.
+    pub fn record_unsent(
+        &mut self,
+        key: EndpointKey,
+        ticket: u64,
+    ) {
+        if let Some(entry) = self.entries.get_mut(key) {
+            entry.slow_start.note_unsent(ticket);
+        }
+    }
+
+    /// Records that an endpoint has begun to answer a request.
+    pub fn record_first_token(
+        &mut self,
+        key: EndpointKey,
+        ticket: u64,
+    ) {
+        if let Some(entry) = self.entries.get_mut(key) {
+            entry
+                .pending_prefills
+                .retain(|prefill| prefill.ticket != ticket);
+        }
+    }
+
+    /// Records that a request has ended at an endpoint.
+    pub fn record_ended(
+        &mut self,
+        key: EndpointKey,
+        ticket: u64,
+    ) {
+        self.record_first_token(key, ticket);
+        if let Some(entry) = self.entries.get_mut(key) {
+            entry.running = entry.running.saturating_sub(1);
+        }
+    }
+
+    /// Records the outcome of a request at an endpoint; true if this ejects the endpoint.
+    pub fn record_outcome(
+        &mut self,
+        key: EndpointKey,
+        is_success: bool,
+        now: Micros,
+    ) -> bool {
+        let Some(entry) = self.entries.get_mut(key) else {
+            return false;
+        };
+        if is_success {
+            entry.answered_at = Some(now);
+            entry.guard.record_success(now);
+            return false;
+        }
+        entry.guard.record_failure(now)
+    }
+}
+
+pub(super) fn status_change(
+    status: EndpointStatus,
+    id: String,
+) -> EndpointChange {
+    match status {
+        EndpointStatus::Serving => EndpointChange::Serves(id),
+        EndpointStatus::Lapsed => EndpointChange::Lapses(id),
+        EndpointStatus::Leaving => EndpointChange::Leaves(id),
+    }
+}
--- /dev/null
+++ b/core/src/serving/endpoint_rejoin.rs
@@ -0,0 +1,189 @@
+use {
+    super::{
+        EndpointChange, EndpointEntry, EndpointKey, EndpointNotice, EndpointRegistry,
+        EndpointStatus,
+    },
+    crate::time::Micros,
+    std::net::SocketAddr,
+};
+
+/// Delay before an endpoint that did not confirm that it serves is probed again. It doubles up to
+/// `MAX_PROBE_DOUBLINGS` times; a probe costs as much as a health check.
+const FIRST_PROBE_DELAY: Micros = Micros::from_millis(500);
+const MAX_PROBE_DOUBLINGS: u32 = 4;
+
+/// State of an endpoint whose entry disappeared without an announced leave, which also happens when
+/// heartbeats are lost.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum EndpointRejoin {
+    /// Its entry has not reappeared.
+    Away,
+    /// Its entry has reappeared, which a delayed write can cause, too.
+    Listed {
+        /// Probes that did not confirm that it serves.
+        failed_probes: u32,
+        /// When it is probed next.
+        probe_at: Micros,
+    },
+    /// A probe of the endpoint is in progress.
+    Probing {
+        /// Earlier probes that did not confirm that it serves.
+        failed_probes: u32,
+    },
+    /// It announced that it leaves, or another endpoint is at its address.
+    Never,
+}
+
+impl EndpointRejoin {
+    /// Initial state for the first status that is seen.
+    pub(super) fn of(status: EndpointStatus) -> Self {
+        match status {
+            EndpointStatus::Leaving => EndpointRejoin::Never,
+            EndpointStatus::Serving | EndpointStatus::Lapsed => EndpointRejoin::Away,
+        }
+    }
+}
+
+/// An endpoint to ask whether it still serves.
+#[derive(Debug, Clone, PartialEq, Eq)]
+pub struct RejoinProbe {
+    /// Its key.
+    pub key: EndpointKey,
+    /// Its id; another endpoint at the address must not answer for it.
+    pub id: String,
+    /// Service of the endpoint.
+    pub service: String,
+    /// Address at which it is probed.
+    pub address: SocketAddr,
+}
+
+impl EndpointEntry {
+    /// Whether it is on the list, as far as the list is reliable.
+    pub fn is_listed(&self) -> bool {
+        self.status != EndpointStatus::Leaving
+    }
+
+    /// Whether it may be alive: it is on the list, or its entry disappeared without an announced
+    /// leave.
+    pub fn may_be_present(&self) -> bool {
+        self.is_listed() || self.rejoin != EndpointRejoin::Never
+    }
+
+    fn probe_address(&self) -> SocketAddr {
+        let listed = self
+            .rollback_notice
+            .as_ref()
+            .and_then(|notice| notice.address);
+        listed.unwrap_or(self.address)
+    }
+
+    /// Applies the status on the list; true if this changes the status of the entry.
+    pub(super) fn update_status(
+        &mut self,
+        listed_status: EndpointStatus,
+    ) -> bool {
+        if listed_status == EndpointStatus::Leaving {
+            self.rejoin = EndpointRejoin::Never;
+        }
+        let previous = self.status;
+        if previous == EndpointStatus::Leaving {
+            // An endpoint whose entry had only disappeared may be alive: it is probed.
+            if listed_status == EndpointStatus::Serving && self.rejoin == EndpointRejoin::Away {
+                self.rejoin = EndpointRejoin::Listed {
+                    failed_probes: 0,
+                    probe_at: Micros::ZERO,
+                };
+            }
+            return false;
+        }
+        self.status = listed_status;
+        previous != listed_status
+    }
+}
+
+impl EndpointEntry {
+    /// Records a list notice that an incarnation born before the one that left is serving. When
+    /// such notices were always treated as delayed writes, an endpoint that restarted after its
+    /// clock was set back got no requests until it was forgotten 30 s later.
+    pub(super) fn record_rollback(
+        &mut self,
+        notice: &EndpointNotice,
+    ) {
+        let is_probed = matches!(
+            self.rejoin,
+            EndpointRejoin::Listed { .. } | EndpointRejoin::Probing { .. }
+        );
+        if self.status != EndpointStatus::Leaving || is_probed {
+            return;
+        }
+        self.rollback_notice = Some(notice.clone());
+        self.rejoin = EndpointRejoin::Listed {
+            failed_probes: 0,
+            probe_at: Micros::ZERO,
+        };
+    }
+}
+
+impl EndpointRegistry {
+    /// Endpoints whose entries disappeared and reappeared and that are due for a probe.
+    pub fn due_probes(
+        &mut self,
+        now: Micros,
+    ) -> Vec<RejoinProbe> {
+        let mut probes = Vec::new();
+        for (key, entry) in &mut self.entries {
+            match entry.rejoin {
+                EndpointRejoin::Listed {
+                    failed_probes,
+                    probe_at,
+                } if now >= probe_at => {
+                    entry.rejoin = EndpointRejoin::Probing { failed_probes };
+                }
+                _ => continue,
+            }
+            probes.push(RejoinProbe {
+                key,
+                id: entry.id.clone(),
+                service: entry.service.clone(),
+                address: entry.probe_address(),
+            });
+        }
+        probes
+    }
+
+    /// Records the result of a probe; an unclear one is repeated.
+    pub fn record_probe(
+        &mut self,
+        key: EndpointKey,
+        serves: bool,
+        now: Micros,
+    ) -> Option<EndpointChange> {
+        let entry = self.entries.get_mut(key)?;
+        let EndpointRejoin::Probing { failed_probes } = entry.rejoin else {
+            return None;
+        };
+        if !serves && entry.rollback_notice.take().is_some() {
+            // It was a delayed write: an endpoint whose clock was set back would write again.
+            entry.rejoin = EndpointRejoin::Never;
+            return None;
+        }
+        if !serves {
+            let delay = Micros(FIRST_PROBE_DELAY.0 << failed_probes.min(MAX_PROBE_DOUBLINGS));
+            entry.rejoin = EndpointRejoin::Listed {
+                failed_probes: failed_probes + 1,
+                probe_at: now + delay,
+            };
+            return None;
+        }
+        if let Some(notice) = entry.rollback_notice.take() {
+            entry.begin_incarnation(notice.born);
+            entry.incarnation.listed_born = notice.born;
+            entry.incarnation.row = notice.row;
+            return entry.begin_listing(&notice, EndpointStatus::Serving, true);
+        }
+        entry.rejoin = EndpointRejoin::Away;
+        entry.status = EndpointStatus::Serving;
+        entry.left_at = None;
+        Some(EndpointChange::Serves(entry.id.clone()))
+    }
+}
--- a/core/src/serving/mod.rs
+++ b/core/src/serving/mod.rs
@@ -1,39 +1,39 @@
-//! Decisions about requests that an outside platform describes: which route
-//! and organisation a request has, which endpoint takes it, what may be sent
-//! again, and how fresh the knowledge behind all that must be.
+//! Decisions about requests on a platform that is described from outside: the route and
+//! organisation of a request, the endpoint that gets it, what may be sent again, and how fresh
+//! the state behind these decisions must be.
 
 mod admission_ask;
 mod admission_rule;
 mod admission_verdict;
 mod begin_limits;
 mod caller_limits;
-mod endpoint_book;
 mod endpoint_entry;
-mod endpoint_life;
+mod endpoint_incarnation;
 mod endpoint_pick;
-mod endpoint_return;
+mod endpoint_registry;
+mod endpoint_rejoin;
 mod engine_pace;
 mod era_watch;
 mod evacuation_book;
-mod even_draw;
 mod grant_book;
 mod home_regions;
+mod incarnation_tracker;
 mod key_policy;
 mod key_trust;
 mod kv_store;
-mod life_watch;
-mod listed_life;
+mod listed_incarnation;
 mod mechanism_set;
-mod memory_map;
+mod message_intervals;
 mod order_right;
-mod part_fate;
-mod part_memory;
+mod part_index;
 mod path_index;
+mod pause_detector;
 mod prompt_ask;
 mod prompt_part;
 mod rank_shares;
 mod read_proofs;
 mod reader_tier;
+mod reclaim_state;
 mod refusal_kind;
 mod repeat_meter;
 mod request_fingerprint;
@@ -42,18 +42,18 @@
 mod serving_config;
 mod serving_mechanism;
 mod slow_start;
-mod standstill_watch;
+mod stable_hash;
 mod store_clock;
+mod store_directory;
 mod store_position;
 mod store_proof;
+mod store_uptime;
 mod store_view;
-mod suspect_book;
 mod suspect_record;
+mod suspect_tracker;
 mod swap_planner;
 mod table_mark;
-mod telling_pace;
 mod told_age;
-mod told_life;
 mod told_naming;
 mod trial_table;
 mod wall_name;
@@ -62,15 +62,16 @@
 mod weight_namings;
 
 pub use {
-    admission_ask::*, admission_rule::*, admission_verdict::*, caller_limits::*, endpoint_book::*,
-    endpoint_entry::*, endpoint_life::*, endpoint_pick::*, endpoint_return::*, engine_pace::*,
-    era_watch::*, evacuation_book::*, even_draw::*, grant_book::*, home_regions::*, key_policy::*,
-    key_trust::*, kv_store::*, life_watch::*, listed_life::*, mechanism_set::*, memory_map::*,
-    order_right::*, part_fate::*, part_memory::*, path_index::*, prompt_ask::*, prompt_part::*,
-    rank_shares::*, read_proofs::*, reader_tier::*, refusal_kind::*, repeat_meter::*,
-    request_fingerprint::*, route_habits::*, served_route::*, serving_config::*,
-    serving_mechanism::*, slow_start::*, standstill_watch::*, store_clock::*, store_position::*,
-    store_proof::*, store_view::*, suspect_book::*, suspect_record::*, swap_planner::*,
-    table_mark::*, telling_pace::*, told_life::*, told_naming::*, trial_table::*, wall_name::*,
-    weight_belief::*, weight_bounds::*, weight_namings::*,
+    admission_ask::*, admission_rule::*, admission_verdict::*, caller_limits::*, endpoint_entry::*,
+    endpoint_incarnation::*, endpoint_pick::*, endpoint_registry::*, endpoint_rejoin::*,
+    engine_pace::*, era_watch::*, evacuation_book::*, grant_book::*, home_regions::*,
+    incarnation_tracker::*, key_policy::*, key_trust::*, kv_store::*, listed_incarnation::*,
+    mechanism_set::*, message_intervals::*, order_right::*, part_index::*, path_index::*,
+    pause_detector::*, prompt_ask::*, prompt_part::*, rank_shares::*, read_proofs::*,
+    reader_tier::*, reclaim_state::*, refusal_kind::*, repeat_meter::*, request_fingerprint::*,
+    route_habits::*, served_route::*, serving_config::*, serving_mechanism::*, slow_start::*,
+    stable_hash::*, store_clock::*, store_directory::*, store_position::*, store_proof::*,
+    store_uptime::*, store_view::*, suspect_record::*, suspect_tracker::*, swap_planner::*,
+    table_mark::*, told_naming::*, trial_table::*, wall_name::*, weight_belief::*,
+    weight_bounds::*, weight_namings::*,
 };
--- /dev/null
+++ b/core/src/serving/reclaim_state.rs
@@ -0,0 +1,10 @@
+/// Whether a part whose weights have been replaced can be freed.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum ReclaimState {
+    /// It may still be fetched.
+    Fetchable,
+    /// No new fetches are requested, but an engine may still be fetching it.
+    Draining,
+    /// Nobody can read it: it may be freed.
+    Reclaimable,
+}
--- a/core/tests/early_saves.rs
+++ b/core/tests/early_saves.rs
@@ -9,7 +9,7 @@
 
 use {
     pitchhitch_core::{
-        serving::{MemoryMap, StoreView, ToldLife, SAVE_AFTER, VIEW_LIFE},
+        serving::{StoreDirectory, StoreView, StoreUptime, SAVE_AFTER, VIEW_LIFE},
         time::Micros,
     },
     proptest::prelude::*,
@@ -81,18 +81,18 @@
     PeerReply {
         to: usize,
         incarnation: u64,
-        reports: Vec<ToldLife>,
+        reports: Vec<StoreUptime>,
     },
 }
 
 struct SimFront {
-    map: MemoryMap,
+    map: StoreDirectory,
     incarnation: u64,
 }
 
 impl SimFront {
     fn start(incarnation: u64) -> Self {
-        let mut map = MemoryMap::default();
+        let mut map = StoreDirectory::default();
         map.set_stores(&[store()]);
         SimFront { map, incarnation }
     }
@@ -107,7 +107,7 @@
     messages: Vec<(usize, Message)>,
     epoch: u64,
     store_started_at: Micros,
-    /// Steps in which a front could save within [`SAVE_AFTER`] of its own start.
+    /// Steps in which a front could save within [`SAVE_DELAY`] of its own start.
     early_saves: usize,
 }
 
@@ -203,7 +203,7 @@
                 incarnation,
                 delay_steps,
             } => {
-                let reports = self.fronts[peer].map.lives(now);
+                let reports = self.fronts[peer].map.store_uptimes(now);
                 let message = Message::PeerReply {
                     to,
                     incarnation,
@@ -220,7 +220,7 @@
                 if front.incarnation == incarnation {
                     reports
                         .iter()
-                        .for_each(|report| front.map.tell_life(report, now));
+                        .for_each(|report| front.map.record_uptime(report, now));
                 }
             }
         }
--- /dev/null
+++ b/core/tests/endpoint_incarnations.rs
@@ -0,0 +1,417 @@
+//! Endpoints that restart under their id, or at the address of another endpoint.
+
+use {
+    pitchhitch_core::{
+        serving::{
+            DigestOrder, DigestPosition, EndpointChange, EndpointEntry, EndpointIncarnation,
+            EndpointKey, EndpointNotice, EndpointRegistry, EndpointStatus, EngineLoad,
+            IncarnationOrder, NamespaceTag, PartId, PendingPrefill, StoreEra, StorePosition,
+        },
+        time::Micros,
+    },
+    proptest::prelude::*,
+    std::net::SocketAddr,
+};
+
+const WALL: NamespaceTag = NamespaceTag(1);
+
+fn notice(
+    id: &str,
+    born: Option<u64>,
+    is_leaving: bool,
+) -> EndpointNotice {
+    EndpointNotice {
+        id: id.to_string(),
+        service: "llm".to_string(),
+        address: Some(address()),
+        domain: "a".to_string(),
+        slots: 8,
+        is_leaving,
+        weights: vec![("m".to_string(), 1)],
+        born,
+        ..EndpointNotice::default()
+    }
+}
+
+fn address() -> SocketAddr {
+    ([10, 0, 0, 1], 1).into()
+}
+
+fn part() -> PartId {
+    PartId::parse("aa").expect("hex")
+}
+
+fn restarts(id: &str) -> Option<EndpointChange> {
+    Some(EndpointChange::Restarts(id.to_string()))
+}
+
+/// A registry with one endpoint that has weights, parts, load, failures and a request.
+fn known(born: Option<u64>) -> (EndpointRegistry, EndpointKey) {
+    let mut registry = EndpointRegistry::default();
+    registry.apply(&notice("e", born, false));
+    let key = registry.key("e").expect("known");
+    let entry = registry.get_mut(key).expect("entry");
+    entry.weights.learn("m", 4);
+    entry.parts.set(WALL, part(), 10);
+    entry.is_mirrored = true;
+    entry.load = Some(EngineLoad::default());
+    for _ in 0..3 {
+        registry.record_outcome(key, false, Micros::ZERO);
+    }
+    let prefill = PendingPrefill {
+        ticket: 7,
+        tokens: 100,
+        memory_tokens: 120,
+        priority: 2,
+        sent_at: Micros::ZERO,
+    };
+    registry.record_sent(key, prefill);
+    (registry, key)
+}
+
+fn is_reset(entry: &EndpointEntry) -> bool {
+    let has_parts = entry.parts.tokens() > 0 || entry.is_mirrored;
+    let is_out = entry.guard.is_ejected(Micros::ZERO);
+    !has_parts && entry.load.is_none() && !is_out
+}
+
+#[test]
+fn later_incarnation_resets() {
+    let (mut registry, key) = known(Some(5));
+    assert_eq!(registry.apply(&notice("e", Some(6), false)), restarts("e"));
+    let entry = registry.get(key).expect("entry");
+    assert!(is_reset(entry));
+    assert_eq!(entry.weights.version("m"), Some(1), "as the list says");
+    assert_eq!(
+        (entry.running, entry.pending_prefills.len()),
+        (1, 1),
+        "our requests continue"
+    );
+    assert_eq!(
+        (entry.incarnation.born, entry.incarnation.ended),
+        (Some(6), 1)
+    );
+    assert_eq!(registry.apply(&notice("e", Some(6), false)), None);
+    assert_eq!(
+        registry.get(key).map(|entry| entry.incarnation.ended),
+        Some(1)
+    );
+}
+
+#[test]
+fn same_incarnation_kept() {
+    for (known_born, reported) in [
+        (Some(5), Some(5)),
+        (Some(5), None),
+        (None, Some(5)),
+        (None, None),
+    ] {
+        let (mut registry, key) = known(known_born);
+        assert_eq!(registry.apply(&notice("e", reported, false)), None);
+        let entry = registry.get(key).expect("entry");
+        assert!(!is_reset(entry));
+        assert_eq!(entry.weights.version("m"), Some(4));
+        assert_eq!(entry.incarnation.born, known_born.or(reported));
+    }
+}
+
+/// A late write of the earlier incarnation changes nothing, whatever it says.
+#[test]
+fn earlier_incarnation_ignored() {
+    let (mut registry, key) = known(Some(5));
+    for is_leaving in [false, true] {
+        let mut late = notice("e", Some(4), is_leaving);
+        late.weights = vec![("m".to_string(), 9)];
+        late.row = row_at(1, 99);
+        assert_eq!(registry.apply(&late), None);
+    }
+    assert_eq!(registry.apply_all(&[notice("e", Some(4), true)], true), []);
+    let entry = registry.get(key).expect("entry");
+    assert_eq!(entry.weights.version("m"), Some(4));
+    assert_eq!(
+        (entry.status, entry.incarnation.row),
+        (EndpointStatus::Serving, StorePosition::default())
+    );
+}
+
+/// A later incarnation voids the leave of the earlier one.
+#[test]
+fn leaver_serves_again() {
+    let (mut registry, key) = known(Some(5));
+    registry.apply(&notice("e", Some(5), true));
+    registry.prune(Micros::ZERO);
+    assert_eq!(registry.apply(&notice("e", Some(5), false)), None);
+    assert_eq!(registry.apply(&notice("e", Some(6), false)), restarts("e"));
+    let entry = registry.get(key).expect("entry");
+    assert_eq!(
+        (entry.status, entry.left_at),
+        (EndpointStatus::Serving, None)
+    );
+    assert!(registry.due_probes(Micros::ZERO).is_empty());
+    // Nor does it return by itself after the later incarnation leaves, too.
+    registry.apply(&notice("e", Some(7), true));
+    assert_eq!(registry.apply(&notice("e", Some(7), false)), None);
+    assert!(registry.due_probes(Micros::ZERO).is_empty());
+}
+
+#[test]
+fn gone_serves_again() {
+    let (mut registry, _) = known(Some(5));
+    registry.mark_unlisted("e", true);
+    assert_eq!(registry.apply(&notice("e", Some(6), false)), restarts("e"));
+}
+
+/// A digest may report the later incarnation before the list does.
+#[test]
+fn digest_first() {
+    let (mut registry, key) = known(Some(5));
+    assert_eq!(
+        registry.observe_incarnation(key, Some(4), Micros::ZERO),
+        IncarnationOrder::Earlier
+    );
+    assert_eq!(
+        registry.observe_incarnation(key, Some(5), Micros::ZERO),
+        IncarnationOrder::Same
+    );
+    assert!(!registry.get(key).is_some_and(is_reset));
+    assert_eq!(
+        registry.observe_incarnation(key, Some(6), Micros::ZERO),
+        IncarnationOrder::Later
+    );
+    assert!(registry.get(key).is_some_and(is_reset));
+    assert_eq!(
+        registry.observe_incarnation(key, None, Micros::ZERO),
+        IncarnationOrder::Same
+    );
+    // The list still shows the ended incarnation, and may show that it leaves.
+    assert_eq!(registry.apply(&notice("e", Some(5), true)), None);
+    assert_eq!(registry.apply(&notice("e", Some(6), false)), None);
+    let entry = registry.get(key).expect("entry");
+    assert_eq!(
+        (entry.incarnation.ended, entry.status),
+        (1, EndpointStatus::Serving)
+    );
+}
+
+/// The list shows that the earlier incarnation leaves; then a digest of the later one arrives, then
+/// its list notice.
+#[test]
+fn list_after_digest() {
+    let (mut registry, key) = known(Some(5));
+    registry.apply(&notice("e", Some(5), true));
+    registry.observe_incarnation(key, Some(6), Micros::ZERO);
+    assert_eq!(
+        registry.get(key).map(|e| e.status),
+        Some(EndpointStatus::Leaving)
+    );
+    let serves = Some(EndpointChange::Serves("e".to_string()));
+    assert_eq!(registry.apply(&notice("e", Some(6), false)), serves);
+}
+
+#[test]
+fn superseded_by_birth() {
+    let mut registry = EndpointRegistry::default();
+    registry.apply(&notice("b-old", Some(5), false));
+    assert_eq!(registry.retire_superseded(), []);
+    registry.apply(&notice("a-new", Some(6), true));
+    assert_eq!(
+        registry.retire_superseded(),
+        [],
+        "only one that serves ends others"
+    );
+    registry.apply(&notice("c-new", Some(7), false));
+    let left = EndpointChange::Leaves("b-old".to_string());
+    assert_eq!(registry.retire_superseded(), [left]);
+    assert_eq!(registry.apply(&notice("b-old", Some(5), false)), None);
+    assert!(registry.due_probes(Micros::ZERO).is_empty());
+    assert_eq!(registry.retire_superseded(), []);
+    // It may take the address again in a later incarnation of its own.
+    assert_eq!(
+        registry.apply(&notice("b-old", Some(8), false)),
+        restarts("b-old")
+    );
+}
+
+#[test]
+fn others_not_superseded() {
+    let mut registry = EndpointRegistry::default();
+    registry.apply(&notice("unborn", None, false));
+    let mut elsewhere = notice("elsewhere", Some(5), false);
+    elsewhere.address = Some(([10, 0, 0, 1], 2).into());
+    registry.apply(&elsewhere);
+    let mut other = notice("other", Some(5), false);
+    other.service = "plain".to_string();
+    registry.apply(&other);
+    registry.apply(&notice("new", Some(6), false));
+    assert_eq!(registry.retire_superseded(), []);
+}
+
+#[test]
+fn present_one() {
+    let mut registry = EndpointRegistry::default();
+    let row = |id: &str, born: Option<u64>, version: u64| EndpointNotice {
+        row: row_at(1, version),
+        ..notice(id, born, false)
+    };
+    let present = |registry: &EndpointRegistry| {
+        let key = registry.present_at(address(), |_| true);
+        key.and_then(|key| Some(registry.get(key)?.id.clone()))
+    };
+    registry.apply(&row("b", None, 3));
+    registry.apply(&row("a", None, 2));
+    assert_eq!(present(&registry).as_deref(), Some("b"));
+    registry.apply(&row("a", None, 4));
+    assert_eq!(present(&registry).as_deref(), Some("a"), "listed last");
+    // A store that is restored from a snapshot assigns the same versions again.
+    let again = EndpointNotice {
+        row: row_at(2, 3),
+        ..row("b", None, 0)
+    };
+    registry.apply(&again);
+    assert_eq!(present(&registry).as_deref(), Some("b"), "listed last");
+    registry.apply(&row("c", Some(5), 1));
+    assert_eq!(
+        present(&registry).as_deref(),
+        Some("c"),
+        "its start is known"
+    );
+    registry.apply(&row("d", Some(6), 0));
+    assert_eq!(present(&registry).as_deref(), Some("d"));
+    assert_eq!(
+        registry.present_at(address(), |entry| entry.id == "x"),
+        None
+    );
+}
+
+fn row_at(
+    era: u64,
+    version: u64,
+) -> StorePosition {
+    StorePosition {
+        era: StoreEra(era),
+        version,
+    }
+}
+
+fn position(
+    incarnation: u64,
+    number: u64,
+    changes: u64,
+) -> DigestPosition {
+    DigestPosition {
+        incarnation,
+        number,
+        changes,
+        at: Micros::ZERO,
+    }
+}
+
+#[test]
+fn digests_in_order() {
+    let mut incarnation = EndpointIncarnation::default();
+    assert_eq!(
+        incarnation.record_digest(position(1, 5, 2), false),
+        DigestOrder::Next
+    );
+    assert_eq!(
+        incarnation.record_digest(position(1, 5, 2), false),
+        DigestOrder::Overtaken
+    );
+    assert_eq!(
+        incarnation.record_digest(position(1, 6, 3), true),
+        DigestOrder::Next
+    );
+    // The two missing digests carried only load.
+    assert_eq!(
+        incarnation.record_digest(position(1, 9, 3), false),
+        DigestOrder::Next
+    );
+    assert_eq!(
+        incarnation.record_digest(position(1, 8, 3), false),
+        DigestOrder::Overtaken
+    );
+    assert_eq!(
+        incarnation.record_digest(position(1, 11, 5), true),
+        DigestOrder::Gap
+    );
+    assert_eq!(
+        incarnation.record_digest(position(1, 10, 4), true),
+        DigestOrder::Overtaken
+    );
+    assert_eq!(
+        incarnation.record_digest(position(1, 12, 6), false),
+        DigestOrder::Gap
+    );
+    // The sender has restarted; a digest of its earlier incarnation arrives late.
+    assert_eq!(
+        incarnation.record_digest(position(2, 1, 0), false),
+        DigestOrder::Gap
+    );
+    assert_eq!(
+        incarnation.record_digest(position(1, 13, 6), false),
+        DigestOrder::Overtaken
+    );
+    assert_eq!(
+        incarnation.record_digest(position(2, 2, 0), false),
+        DigestOrder::Next
+    );
+    // Its clock was set back: it is not ignored for good.
+    let back = DigestPosition {
+        at: Micros::from_secs(2),
+        ..position(1, 1, 0)
+    };
+    assert_eq!(incarnation.record_digest(back, false), DigestOrder::Gap);
+}
+
+proptest! {
+    /// With lost and reordered digests, a receiver that has missed changes knows so as soon as a
+    /// later digest arrives.
+    #[test]
+    fn no_silent_gap(
+        sent in proptest::collection::vec((any::<bool>(), any::<bool>(), 0..3_usize), 1..40),
+    ) {
+        let mut changes = 0;
+        let mut digests = Vec::new();
+        for (number, (is_change, is_lost, delay)) in sent.iter().enumerate() {
+            changes += u64::from(*is_change);
+            if !is_lost {
+                digests.push((number + delay, number as u64 + 1, changes, *is_change));
+            }
+        }
+        digests.sort_by_key(|(place, ..)| *place);
+        let mut incarnation = EndpointIncarnation::default();
+        incarnation.record_digest(position(1, 0, 0), false);
+        let (mut seen, mut is_whole) = (0, true);
+        for (_, number, changes, is_change) in digests {
+            match incarnation.record_digest(position(1, number, changes), is_change) {
+                DigestOrder::Next => seen += u64::from(is_change),
+                DigestOrder::Gap => is_whole = false,
+                DigestOrder::Overtaken => {}
+            }
+            let reported = incarnation.digest.map_or(0, |digest| digest.changes);
+            prop_assert!(!is_whole || seen == reported);
+        }
+    }
+}
+
+/// If two endpoints of a service are listed at one address, requests go to the one that was listed
+/// later, and to the other one if that turns out to be gone.
+#[test]
+fn later_listed_present() {
+    let mut registry = EndpointRegistry::default();
+    let row = |id: &str, version: u64| EndpointNotice {
+        row: row_at(1, version),
+        ..notice(id, None, false)
+    };
+    registry.apply_all(&[row("i-1", 5), row("i-2", 9)], true);
+    registry.retire_superseded();
+    let superseded = |registry: &EndpointRegistry, id: &str| {
+        let key = registry.key(id).expect("known");
+        registry.get(key).expect("entry").is_superseded
+    };
+    assert!(superseded(&registry, "i-1") && !superseded(&registry, "i-2"));
+    let later = registry.key("i-2").expect("known");
+    registry.get_mut(later).expect("entry").status = EndpointStatus::Leaving;
+    registry.mark_superseded();
+    assert!(!superseded(&registry, "i-1"));
+}
--- /dev/null
+++ b/core/tests/endpoint_registry.rs
@@ -0,0 +1,225 @@
+//! Which endpoints may get requests when entries lapse, return, or reuse an address.
+
+use pitchhitch_core::{
+    serving::{
+        EndpointChange, EndpointNotice, EndpointRegistry, EndpointStatus, StoreEra, StorePosition,
+    },
+    time::Micros,
+};
+
+fn notice(
+    id: &str,
+    port: u16,
+    is_leaving: bool,
+) -> EndpointNotice {
+    EndpointNotice {
+        id: id.to_string(),
+        service: "llm".to_string(),
+        address: Some(([10, 0, 0, 1], port).into()),
+        domain: "a".to_string(),
+        slots: 8,
+        is_leaving,
+        weights: vec![("m".to_string(), 1)],
+        ..EndpointNotice::default()
+    }
+}
+
+fn status(
+    registry: &EndpointRegistry,
+    id: &str,
+) -> Option<EndpointStatus> {
+    Some(registry.get(registry.key(id)?)?.status)
+}
+
+#[test]
+fn leaving_stays() {
+    let mut registry = EndpointRegistry::default();
+    registry.apply(&notice("e", 1, false));
+    assert_eq!(
+        registry.apply(&notice("e", 1, true)),
+        Some(EndpointChange::Leaves("e".to_string()))
+    );
+    // A late read that still shows it serving changes nothing.
+    assert_eq!(registry.apply(&notice("e", 1, false)), None);
+    assert_eq!(status(&registry, "e"), Some(EndpointStatus::Leaving));
+}
+
+/// Lost heartbeats look like an endpoint that left: it is probed once its entry is back, and serves
+/// when it confirms that.
+#[test]
+fn returned_is_probed() {
+    let mut registry = EndpointRegistry::default();
+    registry.apply(&notice("e", 1, false));
+    let key = registry.key("e").expect("known");
+    registry.mark_unlisted("e", true);
+    assert!(registry.due_probes(Micros::ZERO).is_empty());
+    assert_eq!(registry.apply(&notice("e", 1, false)), None);
+    assert_eq!(status(&registry, "e"), Some(EndpointStatus::Leaving));
+    let probes = registry.due_probes(Micros::ZERO);
+    assert_eq!(probes.iter().map(|q| q.key).collect::<Vec<_>>(), [key]);
+    assert!(
+        registry.due_probes(Micros::ZERO).is_empty(),
+        "already being probed"
+    );
+    assert_eq!(registry.record_probe(key, false, Micros::ZERO), None);
+    assert!(
+        registry.due_probes(Micros::ZERO).is_empty(),
+        "a delay first"
+    );
+    assert_eq!(registry.due_probes(Micros::from_secs(1)).len(), 1);
+    assert_eq!(
+        registry.record_probe(key, true, Micros::from_secs(1)),
+        Some(EndpointChange::Serves("e".to_string()))
+    );
+    assert_eq!(status(&registry, "e"), Some(EndpointStatus::Serving));
+}
+
+/// A probe result that arrives after the entry has disappeared again proves nothing.
+#[test]
+fn gone_while_probed() {
+    let mut registry = EndpointRegistry::default();
+    registry.apply(&notice("e", 1, false));
+    let key = registry.key("e").expect("known");
+    registry.mark_unlisted("e", true);
+    registry.apply(&notice("e", 1, false));
+    registry.due_probes(Micros::ZERO);
+    registry.mark_unlisted("e", true);
+    assert_eq!(registry.record_probe(key, true, Micros::ZERO), None);
+    assert_eq!(status(&registry, "e"), Some(EndpointStatus::Leaving));
+}
+
+/// An endpoint that announced its leave is not probed; a late write does not bring it back, even if
+/// none of our requests run there any more.
+#[test]
+fn late_write_no_return() {
+    let mut registry = EndpointRegistry::default();
+    registry.apply(&notice("e", 1, false));
+    registry.apply(&notice("e", 1, true));
+    registry.mark_unlisted("e", true);
+    registry.prune(Micros::ZERO);
+    registry.prune(Micros::from_secs(6));
+    assert_eq!(registry.apply(&notice("e", 1, false)), None);
+    assert!(registry.due_probes(Micros::from_secs(6)).is_empty());
+    assert_eq!(status(&registry, "e"), Some(EndpointStatus::Leaving));
+}
+
+#[test]
+fn lapse_forgiven() {
+    let mut registry = EndpointRegistry::default();
+    registry.apply(&notice("back", 1, false));
+    registry.apply(&notice("lost", 2, false));
+    assert_eq!(
+        registry.mark_unlisted("back", false),
+        Some(EndpointChange::Lapses("back".to_string()))
+    );
+    registry.mark_unlisted("lost", false);
+    registry.apply(&notice("back", 1, false));
+    assert_eq!(
+        registry.expire_lapsed(),
+        vec![EndpointChange::Leaves("lost".to_string())]
+    );
+    assert_eq!(status(&registry, "back"), Some(EndpointStatus::Serving));
+    assert_eq!(status(&registry, "lost"), Some(EndpointStatus::Leaving));
+}
+
+#[test]
+fn seen_leaving_binds() {
+    let mut registry = EndpointRegistry::default();
+    registry.apply(&notice("e", 1, true));
+    // Its entry disappears while the list is unreliable, after it announced its leave.
+    assert_eq!(registry.mark_unlisted("e", false), None);
+    assert_eq!(status(&registry, "e"), Some(EndpointStatus::Leaving));
+}
+
+/// A front that starts while the store is down takes the endpoints of a peer. An endpoint whose
+/// entry had only disappeared was forwarded as leaving for good, so the new front sent it nothing
+/// for 30 seconds after its entry returned, while all others did so after one probe.
+#[test]
+fn away_forwarded() {
+    let mut peer = EndpointRegistry::default();
+    peer.apply(&notice("away", 1, false));
+    peer.mark_unlisted("away", true);
+    peer.apply(&notice("left", 2, false));
+    peer.apply(&notice("left", 2, true));
+    let mut registry = EndpointRegistry::default();
+    for forwarded in peer.notices() {
+        registry.apply(&forwarded);
+    }
+    for id in ["away", "left"] {
+        assert_eq!(status(&registry, id), Some(EndpointStatus::Leaving));
+        assert_eq!(registry.apply(&notice(id, 1, false)), None);
+    }
+    let probes = registry.due_probes(Micros::ZERO);
+    let probed: Vec<&str> = probes.iter().map(|q| q.id.as_str()).collect();
+    assert_eq!(probed, ["away"]);
+}
+
+#[test]
+fn whole_list_compared() {
+    let mut registry = EndpointRegistry::default();
+    registry.apply(&notice("old", 1, false));
+    let changes = registry.apply_all(&[notice("new", 2, false)], true);
+    assert!(changes.contains(&EndpointChange::Serves("new".to_string())));
+    assert!(changes.contains(&EndpointChange::Leaves("old".to_string())));
+}
+
+#[test]
+fn address_reused() {
+    let mut registry = EndpointRegistry::default();
+    registry.apply(&EndpointNotice {
+        row: StorePosition {
+            era: StoreEra(1),
+            version: 9,
+        },
+        ..notice("old", 1, false)
+    });
+    registry.mark_unlisted("old", true);
+    let address = ([10, 0, 0, 1], 1).into();
+    assert_eq!(registry.present_at(address, |_| true), registry.key("old"));
+    // A listed endpoint takes precedence over one that may be alive, whenever that was listed.
+    registry.apply(&notice("new", 1, false));
+    assert_eq!(registry.present_at(address, |_| true), registry.key("new"));
+    registry.prune(Micros::ZERO);
+    registry.prune(Micros::from_secs(31));
+    assert_eq!(registry.key("old"), None);
+}
+
+#[test]
+fn busy_kept() {
+    let mut registry = EndpointRegistry::default();
+    registry.apply(&notice("e", 1, false));
+    let key = registry.key("e").expect("known");
+    let prefill = pitchhitch_core::serving::PendingPrefill {
+        ticket: 7,
+        tokens: 100,
+        memory_tokens: 120,
+        priority: 2,
+        sent_at: Micros::ZERO,
+    };
+    registry.record_sent(key, prefill);
+    registry.mark_unlisted("e", true);
+    registry.prune(Micros::ZERO);
+    registry.prune(Micros::from_secs(31));
+    assert!(
+        registry.get(key).is_some(),
+        "a request of ours still runs there"
+    );
+    registry.record_first_token(key, 7);
+    assert_eq!(registry.get(key).map(|e| e.pending_tokens(9)), Some(0));
+    registry.record_ended(key, 7);
+    registry.prune(Micros::from_secs(31));
+    assert!(registry.get(key).is_none());
+}
+
+#[test]
+fn versions_never_back() {
+    let mut registry = EndpointRegistry::default();
+    registry.apply(&notice("e", 1, false));
+    let key = registry.key("e").expect("known");
+    registry.get_mut(key).expect("entry").weights.learn("m", 3);
+    registry.apply(&notice("e", 1, false));
+    assert_eq!(
+        registry.get(key).and_then(|e| e.weights.version("m")),
+        Some(3)
+    );
+}
--- a/core/tests/fleet_sim/mod.rs
+++ b/core/tests/fleet_sim/mod.rs
@@ -2,7 +2,7 @@
 
 use {
     pitchhitch_core::{
-        serving::{KvStore, PartFate, PartId, ReadProofs, StoreView, SwapPlanner, WeightBelief},
+        serving::{KvStore, ReclaimState, PartId, ReadProofs, StoreView, SwapPlanner, WeightBelief},
         time::Micros,
     },
     std::net::SocketAddr,
@@ -42,7 +42,7 @@
 pub enum SimEvent {
     /// A newer weight version is published.
     PublishWeights,
-    /// A front tells an engine to fetch a part; the fetch starts after `wait_ms` and reads for
+    /// A front tells an engine to fetch a part; the fetch starts after `estimate_ms` and reads for
     /// `need_ms`.
     Fetch {
         front: usize,
@@ -322,7 +322,7 @@
             let id = PartId::parse(part).expect("hex");
             let planner = &front.planner;
             let fate = planner.fate("m", version, id, over_ms, clock_ms, at(now));
-            if fate == PartFate::Over {
+            if fate == ReclaimState::Reclaimable {
                 freed.push((version, index));
             }
         }
--- a/core/tests/freed_parts.rs
+++ b/core/tests/freed_parts.rs
@@ -1,15 +1,15 @@
-//! In a small world of engines, fronts and a store, whatever stands still, starts again or
-//! leaves, no freed part is read.
+//! In a simulated fleet of engines, fronts and a store, no freed part is fetched, whichever
+//! processes are paused, restarted or stopped.
 
 mod fleet_sim;
 
 use {
-    fleet_sim::{FleetSim, SimEvent, ENGINES, FRONTS, PARTS, SIM_MS},
     proptest::prelude::*,
+    fleet_sim::{SimEvent, FleetSim, ENGINES, FRONTS, PARTS, SIM_MS},
 };
 
-fn happening() -> impl Strategy<Value = SimEvent> {
-    let still = 100u64..20_000;
+fn event() -> impl Strategy<Value = SimEvent> {
+    let pause_ms = 100u64..20_000;
     prop_oneof![
         1 => Just(SimEvent::PublishWeights),
         12 => (0..FRONTS, 0..ENGINES, 0..PARTS.len(), 0u64..6_000, 1u64..2_000).prop_map(
@@ -18,13 +18,13 @@
             }
         ),
         1 => (0..FRONTS).prop_map(|front| SimEvent::Cancel { front }),
-        4 => (0..ENGINES, still.clone())
+        4 => (0..ENGINES, pause_ms.clone())
             .prop_map(|(engine, for_ms)| SimEvent::PauseEngine { engine, for_ms }),
-        1 => (0..ENGINES, still.clone())
+        1 => (0..ENGINES, pause_ms.clone())
             .prop_map(|(engine, for_ms)| SimEvent::PauseReports { engine, for_ms }),
         1 => (0..ENGINES).prop_map(|engine| SimEvent::RestartEngine { engine }),
         1 => (0..ENGINES).prop_map(|engine| SimEvent::Load { engine }),
-        2 => (0..FRONTS, still)
+        2 => (0..FRONTS, pause_ms)
             .prop_map(|(front, for_ms)| SimEvent::PauseFront { front, for_ms }),
         1 => (0..FRONTS).prop_map(|front| SimEvent::RestartFront { front }),
     ]
@@ -33,21 +33,21 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 600, ..ProptestConfig::default() })]
 
-    /// Whatever the order of namings, fetches, standstills, restarts and cancels: what
-    /// is freed is read by nobody any more, and nobody is told to fetch it.
+    /// Under any order of publications, fetches, pauses, restarts and cancellations, nobody fetches
+    /// a freed part or is told to.
     #[test]
     fn freed_is_unread(
         first_named in 500u64..3_000,
-        happenings in proptest::collection::vec((0u64..40_000, happening()), 20..120),
+        events in proptest::collection::vec((0u64..40_000, event()), 20..120),
     ) {
-        let mut happenings = happenings;
-        happenings.push((first_named, SimEvent::PublishWeights));
-        happenings.sort_by_key(|(time, _)| *time);
+        let mut events = events;
+        events.push((first_named, SimEvent::PublishWeights));
+        events.sort_by_key(|(time, _)| *time);
         let mut world = FleetSim::new();
-        let mut next = happenings.iter().peekable();
+        let mut next = events.iter().peekable();
         while world.now < SIM_MS {
-            while let Some((_, happening)) = next.next_if(|(time, _)| *time <= world.now) {
-                world.apply_event(happening);
+            while let Some((_, event)) = next.next_if(|(time, _)| *time <= world.now) {
+                world.apply_event(event);
                 prop_assert!(world.unsafe_fetch().is_none(), "{:?}", world.unsafe_fetch());
             }
             world.step();
--- /dev/null
+++ b/core/tests/store_uptimes.rs
@@ -0,0 +1,98 @@
+//! Uptimes of a store that boxes report to each other.
+
+mod told_store;
+
+use {
+    pitchhitch_core::{
+        serving::{StoreDirectory, StoreUptime, StoreView, SAVE_AFTER},
+        time::Micros,
+    },
+    told_store::{address, at, store, PORT, START},
+};
+
+fn uptime(
+    epoch: u64,
+    lasted: Micros,
+) -> StoreUptime {
+    StoreUptime {
+        address: address(),
+        epoch,
+        lasted,
+    }
+}
+
+/// A box that learns that the store's current epoch has been up for long enough saves at once,
+/// whether the report arrives before or after its first poll.
+#[test]
+fn reported_uptime_saves_at_once() {
+    let long = uptime(1, SAVE_AFTER + Micros(1));
+    let mut before = StoreView::new(store());
+    before.tell_life(&long, START);
+    assert!(!before.takes(10, START), "it has not answered");
+    before.answered(1, Some(1), START, START);
+    assert!(before.takes(10, START));
+    let mut after = StoreView::new(store());
+    after.answered(1, Some(1), START, START);
+    assert!(!after.takes(10, START));
+    after.tell_life(&long, START);
+    assert!(after.takes(10, START));
+}
+
+/// A report of another epoch proves nothing: a box that lags behind reports the previous one, and a
+/// store that restarts must be waited for again.
+#[test]
+fn other_epoch_proves_nothing() {
+    let hours = Micros::from_secs(7_200);
+    let mut view = StoreView::new(store());
+    view.tell_life(&uptime(1, hours), START);
+    view.answered(2, Some(1), START, START);
+    assert!(!view.takes(10, START));
+    view.tell_life(&uptime(2, hours), START);
+    view.tell_life(&uptime(1, hours + hours), START);
+    assert!(
+        view.takes(10, START),
+        "the report of the previous epoch changes nothing"
+    );
+    view.answered(3, Some(1), START, START);
+    assert!(!view.takes(10, START));
+    let waited = START + SAVE_AFTER + Micros(1);
+    view.answered(3, Some(1), waited, waited);
+    assert!(view.takes(10, waited));
+}
+
+/// The greater of two minimum uptimes counts, and both continue to grow.
+#[test]
+fn greatest_counts() {
+    let mut view = StoreView::new(store());
+    view.answered(1, Some(1), START, START);
+    view.tell_life(&uptime(1, at(900)), START);
+    view.tell_life(&uptime(1, at(300)), START + at(100));
+    let later = START + at(500);
+    assert_eq!(view.life(later), Some(uptime(1, at(1_400))));
+    view.tell_life(&uptime(1, at(1_500)), later);
+    assert_eq!(view.life(later + at(50)), Some(uptime(1, at(1_550))));
+}
+
+#[test]
+fn uptimes_by_address() {
+    let mut directory = StoreDirectory::default();
+    directory.set_stores(&[store()]);
+    let hours = Micros::from_secs(7_200);
+    directory.record_uptime(&uptime(1, hours), START);
+    assert_eq!(
+        directory.store_uptimes(START),
+        Vec::new(),
+        "it has not answered here"
+    );
+    let other = StoreUptime {
+        address: ([10, 9, 0, 2], PORT).into(),
+        ..uptime(2, hours)
+    };
+    directory.record_uptime(&other, START);
+    let view = directory.view_mut(address()).expect("view");
+    view.answered(1, Some(1), START, START);
+    assert_eq!(
+        directory.store_uptimes(START + at(5)),
+        vec![uptime(1, hours + at(5))]
+    );
+}
