--- a/agent/src/beside/front_contacts.rs
+++ b/agent/src/beside/front_contacts.rs
@@ -1,6 +1,6 @@
 use {
     pitchhitch_core::{
-        serving::{GrantBook, SendGrant},
+        serving::{GrantAllocator, SendGrant},
         time::Micros,
     },
     pitchhitch_wire::beside::{FrontHello, GreetingEcho},
@@ -51,7 +51,7 @@
 pub(crate) struct FrontContacts {
     fronts: HashMap<SocketAddr, FrontContact>,
     limits_starts: bool,
-    grants: GrantBook<SocketAddr>,
+    grants: GrantAllocator<SocketAddr>,
 }
 
 impl FrontContacts {
--- a/core/src/serving/admission_verdict.rs
+++ b/core/src/serving/admission_verdict.rs
@@ -1,6 +1,6 @@
 /// What is decided of a prompt, if the best engine for it is known.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum AdmissionVerdict {
+pub enum AdmissionDecision {
     /// It is sent.
     Admitted,
     /// The engine would begin with it too late, or too many wait there already.
@@ -9,13 +9,13 @@
     NoMemory,
 }
 
-impl AdmissionVerdict {
+impl AdmissionDecision {
     /// Word for the logs.
-    pub fn word(self) -> &'static str {
+    pub fn as_str(self) -> &'static str {
         match self {
-            AdmissionVerdict::Admitted => "admitted",
-            AdmissionVerdict::TooLate => "too-late",
-            AdmissionVerdict::NoMemory => "no-memory",
+            AdmissionDecision::Admitted => "admitted",
+            AdmissionDecision::TooLate => "too-late",
+            AdmissionDecision::NoMemory => "no-memory",
         }
     }
 }
--- a/core/src/serving/begin_limits.rs
+++ b/core/src/serving/begin_limits.rs
@@ -11,7 +11,7 @@
 impl SwapPlanner {
     /// Time until no request may begin on a version any more; `None` where no newer one is
     /// named. It counts from when this box learned of it where nobody knows the age.
-    pub fn begin_left(
+    pub fn time_to_expiry(
         &self,
         model: &str,
         version: u64,
--- a/core/src/serving/caller_limits.rs
+++ b/core/src/serving/caller_limits.rs
@@ -4,23 +4,23 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct CallerLimits {
     /// Longest head, in bytes.
-    pub head_bytes: usize,
+    pub max_header_bytes: usize,
     /// Longest body, in bytes.
-    pub body_bytes: usize,
+    pub max_body_bytes: usize,
     /// Time for a whole head, from its first byte.
-    pub head_time: Micros,
+    pub header_timeout: Micros,
     /// Time for which an open connection may rest.
-    pub idle_time: Micros,
+    pub idle_timeout: Micros,
 }
 
 impl Default for CallerLimits {
     /// Used until a configuration is known; the figures of the first sites.
     fn default() -> Self {
         CallerLimits {
-            head_bytes: 16 << 10,
-            body_bytes: 4 << 20,
-            head_time: Micros::from_secs(3),
-            idle_time: Micros::from_secs(15),
+            max_header_bytes: 16 << 10,
+            max_body_bytes: 4 << 20,
+            header_timeout: Micros::from_secs(3),
+            idle_timeout: Micros::from_secs(15),
         }
     }
 }
--- a/core/src/serving/endpoint_book.rs
+++ b/core/src/serving/endpoint_book.rs
@@ -260,7 +260,7 @@
     ) {
         if let Some(entry) = self.entries.get_mut(key) {
             entry.running += 1;
-            entry.slow_start.note_sent(work.ticket, work.sent_at);
+            entry.slow_start.record_sent(work.ticket, work.sent_at);
             entry.unread.push(work);
         }
     }
@@ -273,7 +273,7 @@
         now: Micros,
     ) {
         if let Some(entry) = self.entries.get_mut(key) {
-            entry.slow_start.note_sent(ticket, now);
+            entry.slow_start.record_sent(ticket, now);
         }
     }
 
@@ -284,7 +284,7 @@
         ticket: u64,
     ) {
         if let Some(entry) = self.entries.get_mut(key) {
-            entry.slow_start.note_unsent(ticket);
+            entry.slow_start.record_unsent(ticket);
         }
     }
 
--- a/core/src/serving/endpoint_entry.rs
+++ b/core/src/serving/endpoint_entry.rs
@@ -1,7 +1,7 @@
 use {
     super::{
-        EndpointLife, EndpointReturn, EndpointSlowStart, EnginePace, PartMemory, StorePosition,
-        SwapStage, WeightBelief,
+        EndpointLife, EndpointReturn, EndpointSlowStart, LatencyEstimator, PartMemory,
+        StorePosition, SwapStage, WeightBelief,
     },
     crate::{retry::OutlierGuard, time::Micros},
     serde::{Deserialize, Serialize},
@@ -211,18 +211,18 @@
     pub fn tokens_of_others(
         &self,
         now: Micros,
-        pace: &EnginePace,
+        pace: &LatencyEstimator,
     ) -> f64 {
         let Some(load) = self.fresh_load(now) else {
             return 0.0;
         };
         let reading = f64::from(load.reading) / f64::from(load.unread.max(1));
         let others = f64::from(self.unread_of_others(now));
-        let told = others * (1.0 - reading * READ_PART) * pace.unread_tokens();
-        let usual = pace.queued_tokens();
+        let told = others * (1.0 - reading * READ_PART) * pace.prefill_tokens();
+        let usual = pace.mean_queued_tokens();
         // What did not change since is not told again.
         let age = now.since(load.at).min(load.changes_within);
-        usual + (told - usual) * pace.still_holds(age)
+        usual + (told - usual) * pace.report_weight(age)
     }
 
     /// Tokens that our requests still have to be read for, of those that go
@@ -240,7 +240,7 @@
     pub fn coming_tokens(
         &self,
         now: Micros,
-        pace: &EnginePace,
+        pace: &LatencyEstimator,
     ) -> u64 {
         let load = self.fresh_load(now);
         let is_new = |work: &&UnreadWork| load.is_none_or(|l| work.sent_at + REPORT_LAG >= l.at);
@@ -256,7 +256,7 @@
     pub fn free_tokens(
         &self,
         now: Micros,
-        pace: &EnginePace,
+        pace: &LatencyEstimator,
     ) -> Option<u64> {
         let load = self.fresh_load(now)?;
         let room = load.total_tokens * FILLED_PART / 100;
--- a/core/src/serving/endpoint_pick.rs
+++ b/core/src/serving/endpoint_pick.rs
@@ -1,7 +1,7 @@
 use {
     super::{
-        plan_prompt, EndpointBook, EndpointEntry, EndpointKey, EndpointStanding, EnginePace,
-        MechanismSet, PartOutlook, PromptAsk, PromptPlan, ServingMechanism, SwapStage, WallTag,
+        plan_prompt, EndpointBook, EndpointEntry, EndpointKey, EndpointStanding, LatencyEstimator,
+        MechanismSet, PartOutlook, PromptInfo, PromptPlan, ServingMechanism, SwapStage, WallTag,
         WeightBounds,
     },
     crate::{retry::OutlierGuard, time::Micros},
@@ -9,89 +9,89 @@
 
 /// Cost of crossing to another failure domain, in milliseconds: the way there
 /// and back, and the price of the bytes.
-const OTHER_DOMAIN_MS: f64 = 5.0;
+const CROSS_DOMAIN_COST_MS: f64 = 5.0;
 /// Cost of opening a connection, in milliseconds: a round trip, and work at both ends. Many
 /// boxes that each use all engines would have half of their requests open one.
-const NEW_LINK_MS: f64 = 4.0;
+const NEW_CONNECTION_COST_MS: f64 = 4.0;
 /// Cost of each request that runs, as it slows each step down: this part of what
 /// it takes to read a usual prompt.
-const RUNNING_PART: f64 = 0.02;
+const RUNNING_REQUEST_FACTOR: f64 = 0.02;
 /// What the home of a prompt gets ahead for each shared token that nobody has
 /// read, in times of reading it: boxes that know nothing of each other's choices
 /// then read it at the same place, once.
-const HOME_UNREAD: f64 = 1.0;
+const HOME_PREFILL_FACTOR: f64 = 1.0;
 /// What the home gets ahead for each shared token in any case, in times of reading
 /// it: a part that many engines hold takes the room of others.
-const HOME_SHARED: f64 = 0.25;
+const HOME_SHARED_FACTOR: f64 = 0.25;
 /// Cost of a token that is fetched, beyond its time, in times of reading it: the
 /// price of the move, and the room that it takes from others.
-const FETCHED: f64 = 0.25;
+const FETCH_COST_FACTOR: f64 = 0.25;
 /// Cost of an engine that has no place free, in milliseconds.
-const FULL_MS: f64 = 800.0;
+const NO_SLOT_COST_MS: f64 = 800.0;
 /// Cost of memory that is short, for each token, in times of reading it: requests
 /// that run are put back and read anew.
-const SHORT_MEMORY: f64 = 2.0;
+const MISSING_MEMORY_FACTOR: f64 = 2.0;
 /// Cost of reading a token of a shared part, beyond the time that it takes, in
 /// times of reading it: what an engine reads again costs some fifty fetches.
-const SHARED_UNREAD: f64 = 1.0;
+const SHARED_PREFILL_FACTOR: f64 = 1.0;
 /// Cost of weights that newer ones are named for, in milliseconds: what they
 /// make is worth less and less.
-const BEHIND_MS: f64 = 12.0;
+const OLD_WEIGHTS_COST_MS: f64 = 12.0;
 /// Longest answer that goes to an engine which ends its long runs, as a part of
 /// the usual answer.
-const SHORT_ANSWER: f64 = 0.5;
+const SHORT_ANSWER_FRACTION: f64 = 0.5;
 /// Cost of one request that a plain service holds already, in milliseconds.
-const PLAIN_QUEUE_MS: f64 = 12.0;
+const PLAIN_REQUEST_COST_MS: f64 = 12.0;
 
 /// Difference in cost, in milliseconds, that is not worth meeting another suspect: about a
 /// request that runs beside it.
-const ABOUT_SAME_MS: f64 = 15.0;
+const TRIAL_COST_TOLERANCE_MS: f64 = 15.0;
 
 /// What is looked for.
 #[derive(Clone, Copy)]
-pub struct PickAsk<'a> {
+pub struct PickRequest<'a> {
     /// Service that the route leads to.
     pub service: &'a str,
     /// Failure domain of this box.
     pub domain: &'a str,
     /// Prompt, where the service is of model engines.
-    pub prompt: Option<&'a PromptAsk>,
+    pub prompt: Option<&'a PromptInfo>,
     /// Rank of the request; 0 is the most urgent.
-    pub rank: u8,
+    pub priority: u8,
     /// Endpoints that this request has been to.
     pub tried: &'a [EndpointKey],
     /// What is learned of the engines.
-    pub pace: &'a EnginePace,
+    pub estimator: &'a LatencyEstimator,
     /// Set where endpoints have ended under the request.
-    pub trial: Option<TrialAsk<'a>>,
+    pub trial: Option<TrialRequest<'a>>,
     /// Whether an endpoint may get the request at all: its failure domain serves, it is in a region
     /// where the request may run, and it bears one more request.
-    pub may_take: &'a dyn Fn(&EndpointEntry) -> bool,
+    pub is_eligible: &'a dyn Fn(&EndpointEntry) -> bool,
     /// Whether a connection to an endpoint is open and unused.
-    pub is_linked: &'a dyn Fn(EndpointKey) -> bool,
+    pub is_connected: &'a dyn Fn(EndpointKey) -> bool,
     /// Weights that the prompt may begin on.
     pub weights: WeightBounds,
     /// Mechanisms that are left out.
-    pub left_out: MechanismSet,
+    pub disabled: MechanismSet,
     /// Current time.
     pub now: Micros,
 }
 
 /// What a suspect asks of its endpoint.
 #[derive(Debug, Clone, Copy)]
-pub struct TrialAsk<'a> {
+pub struct TrialRequest<'a> {
     /// A number of the request: of endpoints that cost about the same it goes to one by that,
     /// wherever it comes again. Sent by cost alone, a sound one met two others at one endpoint
     /// after the other, and was held back.
-    pub number: u64,
+    pub request_hash: u64,
     /// Whether the number alone decides: two endpoints have ended under it. Before, most are
     /// sound: by number alone, those that three waves of crashes broke off read 133,000 tokens
     /// of shared parts again on a replayed day.
     pub is_alone: bool,
     /// Endpoints that have no room for a suspect.
-    pub barred: &'a [EndpointKey],
+    pub excluded: &'a [EndpointKey],
     /// Endpoints that must serve, so that it is not the last one that it may end.
-    pub least: u32,
+    pub min_endpoints: u32,
 }
 
 /// The endpoint that was chosen, and why.
@@ -100,7 +100,7 @@
     /// Endpoint.
     pub key: EndpointKey,
     /// Estimated time until the answer begins, in milliseconds.
-    pub wait_ms: f64,
+    pub estimate_ms: f64,
     /// Tokens that it reads for others first.
     pub ahead_tokens: f64,
     /// Time for which it does, in milliseconds.
@@ -117,28 +117,28 @@
     /// All memory of it, in tokens, where that is known.
     pub total_tokens: u64,
     /// Tokens that it will have to read.
-    pub unread_tokens: u32,
+    pub prefill_tokens: u32,
     /// What it keeps already and what it fetches.
     pub plan: PromptPlan,
     /// Tokens of shared parts.
     pub shared_tokens: u32,
     /// Tokens of shared parts that it will have to read.
-    pub shared_unread: u32,
+    pub shared_prefill_tokens: u32,
     /// Version of the weights that is expected of it.
     pub version: Option<u64>,
     /// Endpoints that were weighed.
     pub candidates: u32,
     /// Whether it has a place free, as far as is known.
-    pub has_place: bool,
+    pub has_free_slot: bool,
 }
 
 /// What is known about a prompt's parts under one version of the weights.
 #[derive(Debug, Clone, PartialEq)]
-pub struct VersionOutlook {
+pub struct VersionAvailability {
     /// Version.
     pub version: u64,
     /// Tag of the salt that goes with it.
-    pub wall: WallTag,
+    pub namespace: WallTag,
     /// Shared parts and where they can be fetched.
     pub parts: Vec<PartOutlook>,
 }
@@ -147,98 +147,100 @@
 /// weights that some engine has.
 pub fn pick_endpoint(
     book: &EndpointBook,
-    ask: &PickAsk<'_>,
-    outlooks: &[VersionOutlook],
+    request: &PickRequest<'_>,
+    availabilities: &[VersionAvailability],
 ) -> Option<EndpointChoice> {
-    let is_long = ask.prompt.is_some_and(|prompt| {
-        f64::from(prompt.tokens_out) > ask.pace.answer_tokens() * SHORT_ANSWER
+    let is_long = request.prompt.is_some_and(|prompt| {
+        f64::from(prompt.tokens_out) > request.estimator.answer_tokens() * SHORT_ANSWER_FRACTION
     });
-    let sound = best_of(book, ask, outlooks, &|entry| {
+    let healthy = pick_best(book, request, availabilities, &|entry| {
         let drains = entry.stage == SwapStage::Draining;
-        is_sound(entry, ask) && !(is_long && drains)
+        is_healthy(entry, request) && !(is_long && drains)
     });
-    if sound.is_some() || ask.trial.is_some() {
-        return sound;
+    if healthy.is_some() || request.trial.is_some() {
+        return healthy;
     }
     // Nobody is in order: somebody who may be is better than nobody.
-    best_of(book, ask, outlooks, &|_| true)
+    pick_best(book, request, availabilities, &|_| true)
 }
 
-fn is_sound(
+fn is_healthy(
     entry: &EndpointEntry,
-    ask: &PickAsk<'_>,
+    request: &PickRequest<'_>,
 ) -> bool {
-    let now = ask.now;
+    let now = request.now;
     let load = entry.fresh_load(now);
     let is_away = load.is_some_and(|load| load.is_silent || load.is_swapping);
     let is_loading = entry.stage == SwapStage::Loading;
-    let is_suspect = !ask.left_out.has(ServingMechanism::Suspicion) && entry.is_suspect(now);
-    !is_away && !is_loading && !is_suspect && !guard_of(entry, ask).is_out(now)
+    let is_suspect =
+        !request.disabled.contains(ServingMechanism::Suspicion) && entry.is_suspect(now);
+    !is_away && !is_loading && !is_suspect && !outlier_guard(entry, request).is_out(now)
 }
 
 /// What watches the endpoint's failures; one that has seen none, where it is left out.
-fn guard_of(
+fn outlier_guard(
     entry: &EndpointEntry,
-    ask: &PickAsk<'_>,
+    request: &PickRequest<'_>,
 ) -> OutlierGuard {
-    match ask.left_out.has(ServingMechanism::OutlierGuard) {
+    match request.disabled.contains(ServingMechanism::OutlierGuard) {
         true => OutlierGuard::default(),
         false => entry.guard,
     }
 }
 
-fn best_of(
+fn pick_best(
     book: &EndpointBook,
-    ask: &PickAsk<'_>,
-    outlooks: &[VersionOutlook],
-    admits: &dyn Fn(&EndpointEntry) -> bool,
+    request: &PickRequest<'_>,
+    availabilities: &[VersionAvailability],
+    is_allowed: &dyn Fn(&EndpointEntry) -> bool,
 ) -> Option<EndpointChoice> {
-    let home = home_number(ask);
-    let token_ms = ask.pace.token_ms();
+    let home = home_hash(request);
+    let token_ms = request.estimator.token_ms();
     let mut best: Option<(f64, EndpointChoice)> = None;
     let mut best_home: Option<(u64, EndpointKey)> = None;
-    let mut weighed = Vec::new();
+    let mut eligible = Vec::new();
     for (key, entry) in book.iter() {
-        let serves = entry.service == ask.service
+        let serves = entry.service == request.service
             && entry.standing != EndpointStanding::Leaving
             && !entry.is_overtaken;
-        let version = ask.prompt.and_then(|p| entry.weights.version(&p.model));
-        let is_out = !ask.weights.allows(version) || ask.tried.contains(&key);
-        if !serves || is_out || !(ask.may_take)(entry) || !admits(entry) {
+        let version = request.prompt.and_then(|p| entry.weights.version(&p.model));
+        let is_out = !request.weights.allows(version) || request.tried.contains(&key);
+        if !serves || is_out || !(request.is_eligible)(entry) || !is_allowed(entry) {
             continue;
         }
-        let place = mix(home, &entry.id);
-        if best_home.is_none_or(|(other, _)| place > other) {
-            best_home = Some((place, key));
+        let score = hash_with_seed(home, &entry.id);
+        if best_home.is_none_or(|(other, _)| score > other) {
+            best_home = Some((score, key));
         }
-        weighed.push((key, entry));
+        eligible.push((key, entry));
     }
-    if let Some(trial) = &ask.trial {
-        if (weighed.len() as u32) < trial.least {
+    if let Some(trial) = &request.trial {
+        if (eligible.len() as u32) < trial.min_endpoints {
             return None;
         }
-        weighed.retain(|(key, _)| !trial.barred.contains(key));
-        let choices = weighed.iter().map(|(key, entry)| EndpointChoice {
-            candidates: weighed.len() as u32,
-            ..weigh(*key, entry, ask, outlooks)
+        eligible.retain(|(key, _)| !trial.excluded.contains(key));
+        let choices = eligible.iter().map(|(key, entry)| EndpointChoice {
+            candidates: eligible.len() as u32,
+            ..estimate_choice(*key, entry, request, availabilities)
         });
-        return trial_home(book, trial, choices.collect());
+        return pick_for_trial(book, trial, choices.collect());
     }
-    for (key, entry) in &weighed {
-        let mut choice = weigh(*key, entry, ask, outlooks);
-        choice.candidates = weighed.len() as u32;
-        let mut cost = choice.wait_ms * f64::from(guard_of(entry, ask).penalty(ask.now));
-        if entry.domain != ask.domain {
-            cost += OTHER_DOMAIN_MS;
+    for (key, entry) in &eligible {
+        let mut choice = estimate_choice(*key, entry, request, availabilities);
+        choice.candidates = eligible.len() as u32;
+        let mut cost =
+            choice.estimate_ms * f64::from(outlier_guard(entry, request).penalty(request.now));
+        if entry.domain != request.domain {
+            cost += CROSS_DOMAIN_COST_MS;
         }
-        if !(ask.is_linked)(*key) {
-            cost += NEW_LINK_MS;
+        if !(request.is_connected)(*key) {
+            cost += NEW_CONNECTION_COST_MS;
         }
         if best_home.is_some_and(|(_, at)| at == *key) {
-            cost -= f64::from(choice.shared_unread) * token_ms * HOME_UNREAD;
-            cost -= f64::from(choice.shared_tokens) * token_ms * HOME_SHARED;
+            cost -= f64::from(choice.shared_prefill_tokens) * token_ms * HOME_PREFILL_FACTOR;
+            cost -= f64::from(choice.shared_tokens) * token_ms * HOME_SHARED_FACTOR;
         }
-        if best.as_ref().is_none_or(|(least, _)| cost < *least) {
+        if best.as_ref().is_none_or(|(lowest, _)| cost < *lowest) {
             best = Some((cost, choice));
         }
     }
@@ -246,105 +248,112 @@
 }
 
 /// Where a suspect runs.
-fn trial_home(
+fn pick_for_trial(
     book: &EndpointBook,
-    trial: &TrialAsk<'_>,
+    trial: &TrialRequest<'_>,
     mut choices: Vec<EndpointChoice>,
 ) -> Option<EndpointChoice> {
-    let waits = choices.iter().map(|choice| choice.wait_ms);
-    let least = waits.fold(f64::INFINITY, f64::min);
+    let estimates = choices.iter().map(|choice| choice.estimate_ms);
+    let lowest = estimates.fold(f64::INFINITY, f64::min);
     if !trial.is_alone {
-        choices.retain(|choice| choice.wait_ms <= least + ABOUT_SAME_MS);
+        choices.retain(|choice| choice.estimate_ms <= lowest + TRIAL_COST_TOLERANCE_MS);
     }
-    let place = |choice: &EndpointChoice| {
+    let score = |choice: &EndpointChoice| {
         let entry = book.get(choice.key);
-        entry.map(|entry| mix(trial.number, &entry.id))
+        entry.map(|entry| hash_with_seed(trial.request_hash, &entry.id))
     };
-    choices.into_iter().max_by_key(place)
+    choices.into_iter().max_by_key(score)
 }
 
-fn weigh(
+fn estimate_choice(
     key: EndpointKey,
     entry: &EndpointEntry,
-    ask: &PickAsk<'_>,
-    outlooks: &[VersionOutlook],
+    request: &PickRequest<'_>,
+    availabilities: &[VersionAvailability],
 ) -> EndpointChoice {
     let mut choice = EndpointChoice {
         key,
-        wait_ms: f64::from(entry.running) * PLAIN_QUEUE_MS,
-        has_place: entry.slots == 0 || entry.occupied(ask.now) < entry.slots,
+        estimate_ms: f64::from(entry.running) * PLAIN_REQUEST_COST_MS,
+        has_free_slot: entry.slots == 0 || entry.occupied(request.now) < entry.slots,
         ..EndpointChoice::default()
     };
-    if let Some(prompt) = ask.prompt {
-        weigh_engine(&mut choice, entry, prompt, ask, outlooks);
+    if let Some(prompt) = request.prompt {
+        estimate_engine(&mut choice, entry, prompt, request, availabilities);
     }
-    if !choice.has_place {
-        choice.wait_ms += FULL_MS;
+    if !choice.has_free_slot {
+        choice.estimate_ms += NO_SLOT_COST_MS;
     }
     choice
 }
 
-fn weigh_engine(
+fn estimate_engine(
     choice: &mut EndpointChoice,
     entry: &EndpointEntry,
-    prompt: &PromptAsk,
-    ask: &PickAsk<'_>,
-    outlooks: &[VersionOutlook],
+    prompt: &PromptInfo,
+    request: &PickRequest<'_>,
+    availabilities: &[VersionAvailability],
 ) {
     let version = entry.weights.version(&prompt.model);
-    choice.version = ask.weights.expected(version);
-    let known = outlooks
+    choice.version = request.weights.expected(version);
+    let known = availabilities
         .iter()
-        .find(|outlook| Some(outlook.version) == choice.version);
-    let known = known.filter(|_| !ask.left_out.has(ServingMechanism::Affinity));
-    if let Some(outlook) = known {
-        choice.plan = plan_prompt(choice.key, entry, outlook.wall, &outlook.parts);
+        .find(|availability| Some(availability.version) == choice.version);
+    let known = known.filter(|_| !request.disabled.contains(ServingMechanism::Affinity));
+    if let Some(availability) = known {
+        choice.plan = plan_prompt(
+            choice.key,
+            entry,
+            availability.namespace,
+            &availability.parts,
+        );
     }
-    let at_hand = choice.plan.kept_tokens + choice.plan.fetched_tokens;
-    choice.unread_tokens = prompt.tokens_in.saturating_sub(at_hand);
-    let shared = match ask.left_out.has(ServingMechanism::Home) {
+    let available = choice.plan.kept_tokens + choice.plan.fetched_tokens;
+    choice.prefill_tokens = prompt.tokens_in.saturating_sub(available);
+    let shared = match request.disabled.contains(ServingMechanism::Home) {
         true => 0,
         false => shared_tokens(prompt),
     };
     choice.shared_tokens = shared;
-    choice.shared_unread = shared.saturating_sub(at_hand);
-    let now = ask.now;
-    let pace = ask.pace;
-    let token_ms = pace.token_ms();
-    let others = entry.tokens_of_others(now, pace);
-    choice.ahead_tokens = entry.unread_tokens(ask.rank) as f64 + others * others_before(ask.rank);
+    choice.shared_prefill_tokens = shared.saturating_sub(available);
+    let now = request.now;
+    let estimator = request.estimator;
+    let token_ms = estimator.token_ms();
+    let other_tokens = entry.tokens_of_others(now, estimator);
+    choice.ahead_tokens =
+        entry.unread_tokens(request.priority) as f64 + other_tokens * share_ahead(request.priority);
     choice.ahead_ms = choice.ahead_tokens * token_ms;
-    choice.wait_ms = choice.ahead_ms + f64::from(choice.unread_tokens) * token_ms;
-    choice.wait_ms += choice.plan.fetch_ms;
-    choice.queue_ms = choice.ahead_ms + pace.begin_ms();
-    choice.wait_ms += f64::from(choice.shared_unread) * token_ms * SHARED_UNREAD;
-    choice.wait_ms += f64::from(choice.plan.fetched_tokens) * token_ms * FETCHED;
-    let running_ms = pace.unread_tokens() * token_ms * RUNNING_PART;
-    choice.wait_ms += f64::from(entry.occupied(now)) * running_ms;
-    if ask.weights.is_behind(version) {
-        choice.wait_ms += BEHIND_MS;
+    choice.estimate_ms = choice.ahead_ms + f64::from(choice.prefill_tokens) * token_ms;
+    choice.estimate_ms += choice.plan.fetch_ms;
+    choice.queue_ms = choice.ahead_ms + estimator.overhead_ms();
+    choice.estimate_ms +=
+        f64::from(choice.shared_prefill_tokens) * token_ms * SHARED_PREFILL_FACTOR;
+    choice.estimate_ms += f64::from(choice.plan.fetched_tokens) * token_ms * FETCH_COST_FACTOR;
+    let running_ms = estimator.prefill_tokens() * token_ms * RUNNING_REQUEST_FACTOR;
+    choice.estimate_ms += f64::from(entry.occupied(now)) * running_ms;
+    if request.weights.is_behind(version) {
+        choice.estimate_ms += OLD_WEIGHTS_COST_MS;
     }
-    choice.free_tokens = entry.free_tokens(now, pace);
+    choice.free_tokens = entry.free_tokens(now, estimator);
     if let Some(load) = entry.fresh_load(now) {
         choice.waiting = load.waiting;
         choice.used_tokens = load.used_tokens;
         choice.total_tokens = load.total_tokens;
-        let wanted =
-            load.used_tokens + entry.coming_tokens(now, pace) + u64::from(prompt.tokens_in);
-        let short = wanted.saturating_sub(load.total_tokens);
-        choice.wait_ms += short as f64 * token_ms * SHORT_MEMORY;
+        let needed =
+            load.used_tokens + entry.coming_tokens(now, estimator) + u64::from(prompt.tokens_in);
+        let missing = needed.saturating_sub(load.total_tokens);
+        choice.estimate_ms += missing as f64 * token_ms * MISSING_MEMORY_FACTOR;
     }
 }
 
-fn shared_tokens(prompt: &PromptAsk) -> u32 {
+fn shared_tokens(prompt: &PromptInfo) -> u32 {
     let shared = prompt.parts.iter().rev().skip(1);
     shared.map(|part| part.tokens).sum()
 }
 
 /// Part of the others' tokens that goes before a request of this rank: of the
 /// sites' tokens a fifth is of the most urgent rank, and most is of the third.
-fn others_before(rank: u8) -> f64 {
-    match rank {
+fn share_ahead(priority: u8) -> f64 {
+    match priority {
         0 => 0.25,
         1 => 0.4,
         _ => 1.0,
@@ -352,21 +361,21 @@
 }
 
 /// The number that a prompt's home is drawn from: its last shared part.
-fn home_number(ask: &PickAsk<'_>) -> u64 {
-    let parts = ask.prompt.map_or(&[][..], |prompt| &prompt.parts);
+fn home_hash(request: &PickRequest<'_>) -> u64 {
+    let parts = request.prompt.map_or(&[][..], |prompt| &prompt.parts);
     let shared = parts
         .len()
         .checked_sub(2)
-        .and_then(|place| parts.get(place));
-    shared.or(parts.last()).map_or(0, |part| part.id.number())
+        .and_then(|index| parts.get(index));
+    shared.or(parts.last()).map_or(0, |part| part.id.value())
 }
 
 /// Mixes a number with a text, evenly spread.
-fn mix(
-    number: u64,
+fn hash_with_seed(
+    seed: u64,
     text: &str,
 ) -> u64 {
-    let mut hash = number ^ 0x9e37_79b9_7f4a_7c15;
+    let mut hash = seed ^ 0x9e37_79b9_7f4a_7c15;
     for byte in text.bytes() {
         hash = (hash ^ u64::from(byte)).wrapping_mul(0x0000_0100_0000_01b3);
     }
--- a/core/src/serving/evacuation_book.rs
+++ b/core/src/serving/evacuation_book.rs
@@ -5,7 +5,7 @@
 /// What a copy of the platform's store lacks may still be asked for: an evacuation that is
 /// missing there holds until the operators have had the time to write it again.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct EvacuationBook {
+pub struct EvacuationSet {
     /// By failure domain, whether the present era of the store shows it.
     domains: BTreeMap<String, bool>,
 }
@@ -19,9 +19,9 @@
     Ends(String),
 }
 
-impl EvacuationBook {
+impl EvacuationSet {
     /// Whether endpoints of a failure domain get nothing new.
-    pub fn has(
+    pub fn contains(
         &self,
         domain: &str,
     ) -> bool {
@@ -53,27 +53,31 @@
     }
 
     /// Records that another box knows of an evacuation; a reading of everything has yet to show it.
-    pub fn take_told(
+    pub fn add_reported(
         &mut self,
         domain: &str,
     ) -> Option<EvacuationChange> {
-        let is_known = self.has(domain);
+        let is_known = self.contains(domain);
         self.domains.entry(domain.to_string()).or_insert(false);
         (!is_known).then(|| EvacuationChange::Begins(domain.to_string()))
     }
 
     /// All that is known has yet to be shown: a reading of everything follows.
-    pub fn begin_reading(&mut self) {
-        for is_shown in self.domains.values_mut() {
-            *is_shown = false;
+    pub fn begin_full_read(&mut self) {
+        for is_confirmed in self.domains.values_mut() {
+            *is_confirmed = false;
         }
     }
 
     /// Ends the evacuations that no reading has shown since the last one of everything began.
-    pub fn settle(&mut self) -> Vec<EvacuationChange> {
-        let unseen = self.domains.iter().filter(|(_, is_shown)| !**is_shown);
-        let over: Vec<String> = unseen.map(|(domain, _)| domain.clone()).collect();
-        over.iter()
+    pub fn finish_full_read(&mut self) -> Vec<EvacuationChange> {
+        let unconfirmed = self
+            .domains
+            .iter()
+            .filter(|(_, is_confirmed)| !**is_confirmed);
+        let ended: Vec<String> = unconfirmed.map(|(domain, _)| domain.clone()).collect();
+        ended
+            .iter()
             .filter_map(|domain| self.set(domain, false))
             .collect()
     }
--- a/core/src/serving/grant_book.rs
+++ b/core/src/serving/grant_book.rs
@@ -1,12 +1,12 @@
 use {
-    super::{SendGrant, GRANT_OVER},
+    super::{SendGrant, GRANT_RECLAIM_DELAY},
     crate::time::Micros,
     std::collections::BTreeMap,
 };
 
 /// Part of the limit that is shared out among the boxes that are known, in hundredths; the rest
 /// is there for one that comes.
-const SHARED_PART: u32 = 90;
+const SHARED_PERCENT: u32 = 90;
 
 /// A grant that may still be used.
 #[derive(Debug, Clone, Copy)]
@@ -19,24 +19,24 @@
 /// the sum of all grants that may still be used is never above the limit, whichever of them were
 /// lost, came late or are out of date.
 #[derive(Debug, Clone)]
-pub struct GrantBook<B> {
+pub struct GrantAllocator<B> {
     limit: u32,
     /// When this book began: grants of the one before may be used for a while.
-    since: Option<Micros>,
+    started_at: Option<Micros>,
     open: BTreeMap<B, Vec<OpenGrant>>,
 }
 
-impl<B> Default for GrantBook<B> {
+impl<B> Default for GrantAllocator<B> {
     fn default() -> Self {
-        GrantBook {
+        GrantAllocator {
             limit: 0,
-            since: None,
+            started_at: None,
             open: BTreeMap::new(),
         }
     }
 }
 
-impl<B: Ord + Copy> GrantBook<B> {
+impl<B: Ord + Copy> GrantAllocator<B> {
     /// Sets the limit, in requests a second.
     pub fn set_limit(
         &mut self,
@@ -52,20 +52,20 @@
         boxes: usize,
         now: Micros,
     ) -> SendGrant {
-        let since = *self.since.get_or_insert(now);
-        if now.since(since) <= GRANT_OVER {
+        let started_at = *self.started_at.get_or_insert(now);
+        if now.since(started_at) <= GRANT_RECLAIM_DELAY {
             return SendGrant::default();
         }
         self.prune(now);
-        let taken: u32 = self
+        let granted: u32 = self
             .open
             .iter()
             .filter(|(other, _)| **other != to)
             .map(|(_, grants)| largest(grants))
             .sum();
         let boxes = u32::try_from(boxes.max(1)).unwrap_or(u32::MAX);
-        let share = (self.limit * SHARED_PART / 100 / boxes).max(1);
-        let per_second = share.min(self.limit.saturating_sub(taken));
+        let share = (self.limit * SHARED_PERCENT / 100 / boxes).max(1);
+        let per_second = share.min(self.limit.saturating_sub(granted));
         self.open.entry(to).or_default().push(OpenGrant {
             per_second,
             sent_at: now,
@@ -79,15 +79,15 @@
         now: Micros,
     ) {
         self.open.retain(|_, grants| {
-            grants.retain(|grant| now.since(grant.sent_at) <= GRANT_OVER);
+            grants.retain(|grant| now.since(grant.sent_at) <= GRANT_RECLAIM_DELAY);
             let mut later = 0;
-            let mut place = grants.len();
-            while place > 0 {
-                place -= 1;
-                if grants[place].per_second <= later {
-                    grants.remove(place);
+            let mut index = grants.len();
+            while index > 0 {
+                index -= 1;
+                if grants[index].per_second <= later {
+                    grants.remove(index);
                 } else {
-                    later = grants[place].per_second;
+                    later = grants[index].per_second;
                 }
             }
             !grants.is_empty()
--- a/core/src/serving/home_regions.rs
+++ b/core/src/serving/home_regions.rs
@@ -1,27 +1,27 @@
 /// Regions in which a request may run and its state may be kept: those that its route names and
 /// those that its organisation names. Each of the two that names any binds.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct HomeRegions<'a> {
+pub struct AllowedRegions<'a> {
     /// Regions of the route; empty where it names none.
     pub route: &'a [String],
     /// Regions of the organisation; empty where it names none.
     pub organisation: &'a [String],
 }
 
-impl HomeRegions<'_> {
+impl AllowedRegions<'_> {
     /// Whether nobody names any.
-    pub fn is_open(&self) -> bool {
+    pub fn is_unrestricted(&self) -> bool {
         self.route.is_empty() && self.organisation.is_empty()
     }
 
     /// Whether the request may run, and its state be kept, in a region; one that is not known is
     /// nobody's.
-    pub fn allow(
+    pub fn allows(
         &self,
         region: Option<&str>,
     ) -> bool {
-        let names = |homes: &[String]| homes.iter().any(|home| Some(home.as_str()) == region);
-        let is_named = |homes: &[String]| homes.is_empty() || names(homes);
+        let names = |allowed: &[String]| allowed.iter().any(|name| Some(name.as_str()) == region);
+        let is_named = |allowed: &[String]| allowed.is_empty() || names(allowed);
         is_named(self.route) && is_named(self.organisation)
     }
 }
--- a/core/src/serving/mechanism_set.rs
+++ b/core/src/serving/mechanism_set.rs
@@ -16,7 +16,7 @@
     }
 
     /// Whether a mechanism is among them.
-    pub fn has(
+    pub fn contains(
         self,
         mechanism: ServingMechanism,
     ) -> bool {
@@ -26,7 +26,7 @@
     /// Names of those that are among them, as one text; empty where none is.
     pub fn names(self) -> String {
         let members = ServingMechanism::ALL.into_iter();
-        let members = members.filter(|mechanism| self.has(*mechanism));
+        let members = members.filter(|mechanism| self.contains(*mechanism));
         let names: Vec<&str> = members.map(ServingMechanism::name).collect();
         names.join(",")
     }
--- a/core/src/serving/memory_map.rs
+++ b/core/src/serving/memory_map.rs
@@ -181,7 +181,7 @@
     ) -> Vec<PartSource> {
         let bytes = u64::from(part.tokens) * group.token_bytes;
         let mut sources = Vec::new();
-        if self.left_out.has(ServingMechanism::Fetches) {
+        if self.left_out.contains(ServingMechanism::Fetches) {
             return sources;
         }
         for (place, view) in self.views.iter().enumerate() {
@@ -254,7 +254,7 @@
         now: Micros,
     ) -> Option<SocketAddr> {
         let has = |view: &StoreView| view.has_or_gets(wall, part.id, part.tokens);
-        if self.left_out.has(ServingMechanism::Stores) || self.views.iter().any(has) {
+        if self.left_out.contains(ServingMechanism::Stores) || self.views.iter().any(has) {
             return None;
         }
         let mut best: Option<(f64, &mut StoreView)> = None;
@@ -268,7 +268,7 @@
             // replayed day of high load 8 large prompts began late in place of 30 (9
             // engines), on another 2,290 thousand tokens of shared parts were read
             // again in place of 2,913 thousand (52 engines).
-            let spread = home_spread(part.id.number(), view.store.address);
+            let spread = home_spread(part.id.value(), view.store.address);
             let rank = view.store.link_mbps / -spread.ln();
             if best.as_ref().is_none_or(|(most, _)| rank > *most) {
                 best = Some((rank, view));
--- a/core/src/serving/path_index.rs
+++ b/core/src/serving/path_index.rs
@@ -11,9 +11,9 @@
     /// An index over the routes; places are those in `routes`.
     pub fn new(routes: &[ServedRoute]) -> Self {
         let mut index = PathIndex::default();
-        for (place, route) in routes.iter().enumerate() {
+        for (position, route) in routes.iter().enumerate() {
             let host = index.hosts.entry(route.host.to_ascii_lowercase());
-            host.or_default().insert(route.prefix.clone(), place);
+            host.or_default().insert(route.prefix.clone(), position);
         }
         index
     }
--- a/core/src/serving/prompt_ask.rs
+++ b/core/src/serving/prompt_ask.rs
@@ -2,7 +2,7 @@
 
 /// What a request says of itself, in the product's terms.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct RequestAsk {
+pub struct RequestInfo {
     /// Id of this try, given by the caller.
     pub request_id: String,
     /// Host that it names.
@@ -12,14 +12,14 @@
     /// Key of the caller, if it shows one.
     pub key: Option<String>,
     /// Time for which the caller will wait.
-    pub patience: Option<Micros>,
+    pub time_left: Option<Micros>,
     /// What it wants a model to do, where it is a prompt.
-    pub prompt: Option<PromptAsk>,
+    pub prompt: Option<PromptInfo>,
 }
 
 /// The prompt of a request.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct PromptAsk {
+pub struct PromptInfo {
     /// Model that is wanted.
     pub model: String,
     /// Length of the prompt, in tokens.
--- a/core/src/serving/prompt_part.rs
+++ b/core/src/serving/prompt_part.rs
@@ -19,8 +19,8 @@
 impl PartId {
     /// Reads an id of at most 16 hex digits.
     pub fn parse(text: &str) -> Option<Self> {
-        let sound = (1..=16).contains(&text.len());
-        let value = sound
+        let is_valid = (1..=16).contains(&text.len());
+        let value = is_valid
             .then(|| u64::from_str_radix(text, 16).ok())
             .flatten()?;
         Some(PartId {
@@ -30,7 +30,7 @@
     }
 
     /// A number to spread by.
-    pub fn number(self) -> u64 {
+    pub fn value(self) -> u64 {
         self.value
     }
 }
--- a/core/src/serving/refusal_kind.rs
+++ b/core/src/serving/refusal_kind.rs
@@ -45,67 +45,73 @@
 
 /// One row of the table from kind to answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct RefusalRow {
+pub struct RefusalResponse {
     /// Status code.
     pub status: u16,
     /// Word for logs and for the caller.
-    pub word: &'static str,
+    pub code: &'static str,
     /// What the caller can do.
     pub advice: &'static str,
     /// When the caller may come back, where that helps.
-    pub come_back: Option<Micros>,
+    pub retry_after: Option<Micros>,
     /// Whether the connection ends with the answer.
     pub closes: bool,
 }
 
 /// A short while, for what another endpoint or box may take at once.
-const SOON: Micros = Micros::from_millis(40);
+const RETRY_SOON: Micros = Micros::from_millis(40);
 /// A while in which a queue of engines gets shorter.
-const LATER: Micros = Micros::from_millis(600);
+const RETRY_LATER: Micros = Micros::from_millis(600);
 /// A while in which a store can be reached again.
-const STORE_PAUSE: Micros = Micros::from_millis(400);
+const RETRY_STORE: Micros = Micros::from_millis(400);
 
 impl RefusalKind {
     /// The answer for this kind.
-    pub fn row(self) -> RefusalRow {
-        let row = |status, word, advice| RefusalRow {
+    pub fn response(self) -> RefusalResponse {
+        let response = |status, code, advice| RefusalResponse {
             status,
-            word,
+            code,
             advice,
-            come_back: None,
+            retry_after: None,
             closes: false,
         };
-        let back = |word, advice, time| RefusalRow {
-            come_back: Some(time),
-            ..row(503, word, advice)
+        let retryable = |code, advice, delay| RefusalResponse {
+            retry_after: Some(delay),
+            ..response(503, code, advice)
         };
         match self {
-            RefusalKind::NoConfig => back("no-config", "try another box", SOON),
-            RefusalKind::StaleKeys => back("stale-keys", "try another box", STORE_PAUSE),
-            RefusalKind::NoEndpoint => back("no-endpoint", "come back later", LATER),
-            RefusalKind::Overloaded => back("overloaded", "come back later", LATER),
-            RefusalKind::EndpointRefused => back("endpoint-refused", "come back", SOON),
-            RefusalKind::BudgetSpent => back("budget-spent", "come back", SOON),
-            RefusalKind::NeverSent => back("never-sent", "come back", SOON),
-            RefusalKind::Suspected => back("suspected", "come back later", LATER),
-            RefusalKind::HeldBack => row(429, "held-back", "servers end under it; do not repeat"),
-            RefusalKind::Stopping => back("stopping", "try another box", SOON),
-            RefusalKind::UnknownRoute => row(404, "unknown-route", "check host and path"),
-            RefusalKind::UnknownKey => row(401, "unknown-key", "check the key"),
-            RefusalKind::EndpointLost => row(502, "endpoint-lost", "it may have run"),
-            RefusalKind::BadAnswer => row(502, "bad-answer", "it may have run"),
-            RefusalKind::TimedOut => row(504, "timed-out", "it may have run"),
-            RefusalKind::BadRequest => closing(row(400, "bad-request", "check the request")),
-            RefusalKind::HeadTooLong => closing(row(431, "head-too-long", "send a shorter head")),
-            RefusalKind::BodyTooLong => closing(row(413, "body-too-long", "send a shorter body")),
-            RefusalKind::SlowRequest => closing(row(408, "slow-request", "send it faster")),
+            RefusalKind::NoConfig => retryable("no-config", "try another box", RETRY_SOON),
+            RefusalKind::StaleKeys => retryable("stale-keys", "try another box", RETRY_STORE),
+            RefusalKind::NoEndpoint => retryable("no-endpoint", "come back later", RETRY_LATER),
+            RefusalKind::Overloaded => retryable("overloaded", "come back later", RETRY_LATER),
+            RefusalKind::EndpointRefused => retryable("endpoint-refused", "come back", RETRY_SOON),
+            RefusalKind::BudgetSpent => retryable("budget-spent", "come back", RETRY_SOON),
+            RefusalKind::NeverSent => retryable("never-sent", "come back", RETRY_SOON),
+            RefusalKind::Suspected => retryable("suspected", "come back later", RETRY_LATER),
+            RefusalKind::HeldBack => {
+                response(429, "held-back", "servers end under it; do not repeat")
+            }
+            RefusalKind::Stopping => retryable("stopping", "try another box", RETRY_SOON),
+            RefusalKind::UnknownRoute => response(404, "unknown-route", "check host and path"),
+            RefusalKind::UnknownKey => response(401, "unknown-key", "check the key"),
+            RefusalKind::EndpointLost => response(502, "endpoint-lost", "it may have run"),
+            RefusalKind::BadAnswer => response(502, "bad-answer", "it may have run"),
+            RefusalKind::TimedOut => response(504, "timed-out", "it may have run"),
+            RefusalKind::BadRequest => closing(response(400, "bad-request", "check the request")),
+            RefusalKind::HeadTooLong => {
+                closing(response(431, "head-too-long", "send a shorter head"))
+            }
+            RefusalKind::BodyTooLong => {
+                closing(response(413, "body-too-long", "send a shorter body"))
+            }
+            RefusalKind::SlowRequest => closing(response(408, "slow-request", "send it faster")),
         }
     }
 }
 
-fn closing(row: RefusalRow) -> RefusalRow {
-    RefusalRow {
+fn closing(response: RefusalResponse) -> RefusalResponse {
+    RefusalResponse {
         closes: true,
-        ..row
+        ..response
     }
 }
--- a/core/src/serving/repeat_meter.rs
+++ b/core/src/serving/repeat_meter.rs
@@ -3,11 +3,11 @@
 /// Width of one count; the window slides in steps of it.
 const STEP: Micros = Micros::from_millis(500);
 /// Part of the bound that is used: what is on its way is not counted yet.
-const CAUTION: f64 = 0.7;
+const SAFETY_FACTOR: f64 = 0.7;
 
 /// The bound on what is sent again to one service, over a sliding window.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct RepeatBound {
+pub struct RetryLimit {
     /// Length of the window.
     pub window: Micros,
     /// Repeats for each request of the window.
@@ -20,55 +20,55 @@
 struct StepCount {
     step: u64,
     requests: u32,
-    repeats: u32,
+    retries: u32,
 }
 
 /// Counts requests and repeats of one box for one service.
 #[derive(Debug, Clone, Default)]
-pub struct RepeatMeter {
+pub struct RetryWindow {
     counts: VecDeque<StepCount>,
 }
 
-impl RepeatMeter {
+impl RetryWindow {
     /// Notes a request.
-    pub fn request(
+    pub fn record_request(
         &mut self,
         now: Micros,
     ) {
-        self.count(now).requests += 1;
+        self.current_step(now).requests += 1;
     }
 
     /// Takes a repeat, if the bound's share for one of `boxes` has room.
     ///
     /// A process that has lived for less than the window may stand in the place
     /// of one that has used its share: it takes half.
-    pub fn take(
+    pub fn try_acquire(
         &mut self,
-        bound: &RepeatBound,
+        limit: &RetryLimit,
         boxes: u32,
-        lived: Micros,
+        uptime: Micros,
         now: Micros,
     ) -> bool {
-        let oldest = step_of(now).saturating_sub(bound.window.0.div_ceil(STEP.0));
+        let oldest = step_of(now).saturating_sub(limit.window.0.div_ceil(STEP.0));
         while self.counts.front().is_some_and(|c| c.step < oldest) {
             self.counts.pop_front();
         }
         let requests: u32 = self.counts.iter().map(|c| c.requests).sum();
-        let repeats: u32 = self.counts.iter().map(|c| c.repeats).sum();
-        let slack = bound.slack / f64::from(boxes.max(1));
-        let caution = match lived < bound.window {
-            true => CAUTION / 2.0,
-            false => CAUTION,
+        let retries: u32 = self.counts.iter().map(|c| c.retries).sum();
+        let slack = limit.slack / f64::from(boxes.max(1));
+        let safety_factor = match uptime < limit.window {
+            true => SAFETY_FACTOR / 2.0,
+            false => SAFETY_FACTOR,
         };
-        let room = caution * (bound.ratio * f64::from(requests) + slack);
-        if f64::from(repeats) + 1.0 > room {
+        let allowance = safety_factor * (limit.ratio * f64::from(requests) + slack);
+        if f64::from(retries) + 1.0 > allowance {
             return false;
         }
-        self.count(now).repeats += 1;
+        self.current_step(now).retries += 1;
         true
     }
 
-    fn count(
+    fn current_step(
         &mut self,
         now: Micros,
     ) -> &mut StepCount {
@@ -78,7 +78,7 @@
             self.counts.push_back(StepCount {
                 step,
                 requests: 0,
-                repeats: 0,
+                retries: 0,
             });
         }
         let last = self.counts.len() - 1;
--- a/core/src/serving/route_habits.rs
+++ b/core/src/serving/route_habits.rs
@@ -1,57 +1,57 @@
 use crate::time::Micros;
 
 /// Weight of one request in the mean sizes of its route.
-const SIZE_STEP: f64 = 0.05;
+const SIZE_SMOOTHING: f64 = 0.05;
 /// Part of the longest patience below which a caller has been here before: it
 /// waited, was refused, and has that much less time left.
-const RETURN_PART: f64 = 0.97;
+const RETRY_FRACTION: f64 = 0.97;
 
 /// What the prompts of one route are like.
 #[derive(Debug, Clone, Default)]
-pub struct RouteHabits {
+pub struct RouteStats {
     tokens: Option<f64>,
-    unread: f64,
-    patience: Micros,
+    prefill_tokens: f64,
+    longest_time_left: Micros,
 }
 
-impl RouteHabits {
+impl RouteStats {
     /// Notes a prompt: its size and what has to be read of it, in tokens, and the
     /// time that its caller still has.
-    pub fn note(
+    pub fn record(
         &mut self,
         tokens: u32,
-        unread: u32,
-        patience: Micros,
+        prefill_tokens: u32,
+        time_left: Micros,
     ) {
-        let (tokens, unread) = (f64::from(tokens), f64::from(unread));
-        self.patience = self.patience.max(patience);
+        let (tokens, prefill_tokens) = (f64::from(tokens), f64::from(prefill_tokens));
+        self.longest_time_left = self.longest_time_left.max(time_left);
         match &mut self.tokens {
             Some(mean) => {
-                *mean += (tokens - *mean) * SIZE_STEP;
-                self.unread += (unread - self.unread) * SIZE_STEP;
+                *mean += (tokens - *mean) * SIZE_SMOOTHING;
+                self.prefill_tokens += (prefill_tokens - self.prefill_tokens) * SIZE_SMOOTHING;
             }
             None => {
                 self.tokens = Some(tokens);
-                self.unread = unread;
+                self.prefill_tokens = prefill_tokens;
             }
         }
     }
 
     /// Mean size, in tokens; one where no prompt has come.
-    pub fn tokens(&self) -> f64 {
+    pub fn mean_tokens(&self) -> f64 {
         self.tokens.unwrap_or(1.0).max(1.0)
     }
 
     /// Mean of what has to be read, in tokens.
-    pub fn unread(&self) -> f64 {
-        self.unread
+    pub fn mean_prefill_tokens(&self) -> f64 {
+        self.prefill_tokens
     }
 
     /// Whether a caller with so much time left has most likely been refused before.
-    pub fn is_return(
+    pub fn is_retry(
         &self,
-        patience: Micros,
+        time_left: Micros,
     ) -> bool {
-        (patience.0 as f64) < self.patience.0 as f64 * RETURN_PART
+        (time_left.0 as f64) < self.longest_time_left.0 as f64 * RETRY_FRACTION
     }
 }
--- a/core/src/serving/served_route.rs
+++ b/core/src/serving/served_route.rs
@@ -2,19 +2,19 @@
 
 /// What may be done a second time.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum RepeatRule {
+pub enum RetryPolicy {
     /// All of it.
-    Free,
+    Idempotent,
     /// Nothing: it may run once.
-    Once,
+    NonIdempotent,
     /// A stream that may go on elsewhere behind the last event that came.
-    Resume,
+    Resumable,
 }
 
-impl RepeatRule {
+impl RetryPolicy {
     /// Whether a request that may have begun can be sent again.
-    pub fn allows_second_run(self) -> bool {
-        self != RepeatRule::Once
+    pub fn allows_rerun(self) -> bool {
+        self != RetryPolicy::NonIdempotent
     }
 }
 
@@ -39,13 +39,13 @@
     /// Whether the answer is a stream of events.
     pub is_stream: bool,
     /// What may be done a second time.
-    pub repeat: RepeatRule,
+    pub retry: RetryPolicy,
     /// Longest time for which a request is held.
     pub time_limit: Micros,
     /// Time within which an answer, or its first event, is worth most.
-    pub aim: Micros,
+    pub target_latency: Micros,
     /// Longest pause between events of a stream that is in time.
-    pub pause_aim: Option<Micros>,
+    pub target_gap: Option<Micros>,
     /// Rank; 0 is the most urgent.
     pub priority: u8,
     /// Most endpoints that one request may go to.
@@ -53,7 +53,7 @@
     /// Whether it is served without a key.
     pub is_public: bool,
     /// Regions in which its requests may run; empty where all may.
-    pub homes: Vec<String>,
+    pub allowed_regions: Vec<String>,
     /// Where it leads.
     pub targets: Vec<RouteTarget>,
 }
@@ -68,13 +68,13 @@
         if total == 0 {
             return None;
         }
-        let mut place = spread % total;
+        let mut offset = spread % total;
         for target in &self.targets {
             let weight = u64::from(target.weight);
-            if place < weight {
+            if offset < weight {
                 return Some(&target.service);
             }
-            place -= weight;
+            offset -= weight;
         }
         None
     }
--- a/core/src/serving/serving_config.rs
+++ b/core/src/serving/serving_config.rs
@@ -1,6 +1,6 @@
 use {
     super::{
-        CallerLimits, KvStore, PathIndex, RefusalKind, RequestAsk, ServedRoute, SlowStartRule,
+        CallerLimits, KvStore, PathIndex, RefusalKind, RequestInfo, ServedRoute, SlowStartRule,
     },
     std::collections::HashMap,
 };
@@ -22,7 +22,7 @@
 
 /// One service that routes lead to.
 #[derive(Debug, Clone, PartialEq)]
-pub struct ServedGroup {
+pub struct ServedService {
     /// Most connections that one endpoint takes from all callers.
     pub max_connections: u32,
     /// Path at which an endpoint says that it is well and not leaving.
@@ -43,7 +43,7 @@
     /// Whether it shares no kept part with anybody.
     pub is_isolated: bool,
     /// Regions in which its requests may run; empty where all may.
-    pub homes: Vec<String>,
+    pub allowed_regions: Vec<String>,
 }
 
 /// One configuration, whole; requests are decided on one of these throughout.
@@ -54,7 +54,7 @@
     /// Routes.
     pub routes: Vec<ServedRoute>,
     /// Services by name.
-    pub groups: HashMap<String, ServedGroup>,
+    pub services: HashMap<String, ServedService>,
     /// Stores of kept parts.
     pub stores: Vec<KvStore>,
     /// Limits for callers.
@@ -69,13 +69,13 @@
 
 /// The route and organisation of a request, as places in one configuration.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct RequestPlace {
+pub struct ResolvedRequest {
     /// Place of the route.
     pub route: usize,
     /// Place of the organisation, where the request has one.
     pub organisation: Option<usize>,
     /// Whether the request was let in by its key.
-    pub is_keyed: bool,
+    pub is_authenticated: bool,
 }
 
 impl ServingConfig {
@@ -84,30 +84,30 @@
         &self,
         service: &str,
     ) -> Option<SlowStartRule> {
-        self.groups.get(service)?.slow_start
+        self.services.get(service)?.slow_start
     }
 
     /// Finds the route and the organisation of a request.
     ///
     /// # Errors
     /// Refused where there is no such route, or no such key.
-    pub fn place(
+    pub fn resolve(
         &self,
-        ask: &RequestAsk,
-    ) -> Result<RequestPlace, RefusalKind> {
-        let route = self.paths.find(&ask.host, &ask.path);
+        request: &RequestInfo,
+    ) -> Result<ResolvedRequest, RefusalKind> {
+        let route = self.paths.find(&request.host, &request.path);
         let route = route.ok_or(RefusalKind::UnknownRoute)?;
-        let mut place = RequestPlace {
+        let mut resolved = ResolvedRequest {
             route,
             organisation: None,
-            is_keyed: false,
+            is_authenticated: false,
         };
         if self.organisations.is_empty() || self.routes[route].is_public {
-            return Ok(place);
+            return Ok(resolved);
         }
-        let key = ask.key.as_ref().and_then(|key| self.keys.get(key));
-        place.organisation = Some(*key.ok_or(RefusalKind::UnknownKey)?);
-        place.is_keyed = true;
-        Ok(place)
+        let key = request.key.as_ref().and_then(|key| self.keys.get(key));
+        resolved.organisation = Some(*key.ok_or(RefusalKind::UnknownKey)?);
+        resolved.is_authenticated = true;
+        Ok(resolved)
     }
 }
--- a/core/src/serving/serving_mechanism.rs
+++ b/core/src/serving/serving_mechanism.rs
@@ -84,7 +84,7 @@
     ///
     /// # Errors
     /// Says which names there are, where none is that one.
-    pub fn named(name: &str) -> Result<Self, String> {
+    pub fn from_name(name: &str) -> Result<Self, String> {
         let found = Self::ALL.into_iter().find(|known| known.name() == name);
         found.ok_or_else(|| format!("{name}: name one of {}", Self::names()))
     }
--- a/core/src/serving/slow_start.rs
+++ b/core/src/serving/slow_start.rs
@@ -5,18 +5,18 @@
 };
 
 /// Span in which sends are counted against a rate.
-pub const RATE_SPAN: Micros = Micros::from_secs(1);
+pub const RATE_WINDOW: Micros = Micros::from_secs(1);
 /// Time for which a grant holds, from when it was sent: a digest or two may get lost in it.
-pub const GRANT_LIFE: Micros = Micros::from_millis(700);
+pub const GRANT_TTL: Micros = Micros::from_millis(700);
 /// Time after which a grant is over for whoever had it: what was sent in its last moment counts in
 /// the second after that.
-pub const GRANT_OVER: Micros = Micros(GRANT_LIFE.0 + RATE_SPAN.0);
+pub const GRANT_RECLAIM_DELAY: Micros = Micros(GRANT_TTL.0 + RATE_WINDOW.0);
 
 /// How an endpoint of a service bears load right after its start.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct SlowStartRule {
     /// Time from its start for which it is slow.
-    pub span: Micros,
+    pub duration: Micros,
     /// Requests a second that it bears then.
     pub per_second: f64,
 }
@@ -62,16 +62,16 @@
     /// Records that it is slow for so long from now.
     pub fn begin(
         &mut self,
-        left: Micros,
+        time_left: Micros,
         now: Micros,
     ) {
-        if left > Micros::ZERO {
-            self.until = self.until.max(Some(now + left));
+        if time_left > Micros::ZERO {
+            self.until = self.until.max(Some(now + time_left));
         }
     }
 
     /// Records a grant that was sent at `sent_at` or later.
-    pub fn take_grant(
+    pub fn update_grant(
         &mut self,
         grant: SendGrant,
         sent_at: Micros,
@@ -91,7 +91,7 @@
     }
 
     /// For how long it is still slow.
-    pub fn left(
+    pub fn time_left(
         &self,
         now: Micros,
     ) -> Micros {
@@ -100,17 +100,19 @@
 
     /// Time after which a request may be sent to it: one that was sent counts no more, or who shares
     /// out what it bears may do so, or it is warm.
-    pub fn open_after(
+    pub fn admits_after(
         &self,
         now: Micros,
     ) -> Micros {
         if self.admits(now) {
             return Micros::ZERO;
         }
-        let oldest = self.sends.iter().find(|(_, at)| is_counted(*at, now));
-        let over = oldest.filter(|_| self.granted(now) > 0);
-        let wait = over.map_or(GRANT_OVER, |(_, at)| RATE_SPAN.since(now.since(*at)));
-        wait.min(self.left(now))
+        let oldest = self.sends.iter().find(|(_, at)| is_in_window(*at, now));
+        let over = oldest.filter(|_| self.granted_rate(now) > 0);
+        let wait = over.map_or(GRANT_RECLAIM_DELAY, |(_, at)| {
+            RATE_WINDOW.since(now.since(*at))
+        });
+        wait.min(self.time_left(now))
     }
 
     /// Whether a request may be sent to it now.
@@ -118,40 +120,40 @@
         &self,
         now: Micros,
     ) -> bool {
-        !self.is_slow(now) || self.sent_since(now) < self.granted(now)
+        !self.is_slow(now) || self.sent_in_window(now) < self.granted_rate(now)
     }
 
     /// Requests that this box may send to it in a second while it is slow.
-    fn granted(
+    fn granted_rate(
         &self,
         now: Micros,
     ) -> u32 {
-        let holds = |at: Micros| now.since(at) < GRANT_LIFE;
+        let holds = |at: Micros| now.since(at) < GRANT_TTL;
         let grant = self.grant.filter(|(_, sent_at)| holds(*sent_at));
         grant.map_or(0, |(grant, _)| grant.per_second)
     }
 
-    fn sent_since(
+    fn sent_in_window(
         &self,
         now: Micros,
     ) -> u32 {
-        let recent = self.sends.iter().filter(|(_, at)| is_counted(*at, now));
+        let recent = self.sends.iter().filter(|(_, at)| is_in_window(*at, now));
         recent.count() as u32
     }
 
     /// Notes a request that is sent now. One that was noted before counts from now.
-    pub fn note_sent(
+    pub fn record_sent(
         &mut self,
         ticket: u64,
         now: Micros,
     ) {
         self.sends
-            .retain(|(known, at)| *known != ticket && is_counted(*at, now));
+            .retain(|(known, at)| *known != ticket && is_in_window(*at, now));
         self.sends.push_back((ticket, now));
     }
 
     /// Forgets a request that was not sent.
-    pub fn note_unsent(
+    pub fn record_unsent(
         &mut self,
         ticket: u64,
     ) {
@@ -159,9 +161,9 @@
     }
 }
 
-fn is_counted(
+fn is_in_window(
     at: Micros,
     now: Micros,
 ) -> bool {
-    now.since(at) <= RATE_SPAN
+    now.since(at) <= RATE_WINDOW
 }
--- a/core/src/serving/wall_name.rs
+++ b/core/src/serving/wall_name.rs
@@ -3,7 +3,7 @@
 /// The wall inside which parts of prompts are shared: weights of one version,
 /// and one organisation where that shares with nobody.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub struct WallName {
+pub struct CacheNamespace {
     /// Version of the weights.
     pub version: u64,
     /// Model.
@@ -12,7 +12,7 @@
     pub organisation: Option<String>,
 }
 
-impl WallName {
+impl CacheNamespace {
     /// The wall as a salt.
     pub fn salt(&self) -> String {
         let organisation = self.organisation.as_deref().unwrap_or_default();
@@ -25,7 +25,7 @@
         let version = words.next()?.parse().ok()?;
         let model = words.next()?.to_string();
         let organisation = words.next()?;
-        Some(WallName {
+        Some(CacheNamespace {
             version,
             model,
             organisation: (!organisation.is_empty()).then(|| organisation.to_string()),
--- a/core/src/serving/weight_namings.rs
+++ b/core/src/serving/weight_namings.rs
@@ -82,7 +82,7 @@
 /// boxes know it from the part alone.
 fn fetch_life(part: PartId) -> Micros {
     // Ids may be counted up: neighbours must not end together.
-    let spread = part.number().wrapping_mul(SPREAD_FACTOR).rotate_left(32);
+    let spread = part.value().wrapping_mul(SPREAD_FACTOR).rotate_left(32);
     FETCH_ALL + Micros(spread % FETCH_FADE.0)
 }
 
--- a/core/tests/endpoint_pick.rs
+++ b/core/tests/endpoint_pick.rs
@@ -6,7 +6,7 @@
     pick_fleet::{part, prompt, Fleet, NOW},
     pitchhitch_core::{
         serving::{
-            EndpointKey, EnginePace, MemoryMap, PartPlace, PromptAsk, SwapStage, UnreadWork,
+            EndpointKey, LatencyEstimator, MemoryMap, PartPlace, PromptInfo, SwapStage, UnreadWork,
             WeightBounds,
         },
         time::Micros,
@@ -21,7 +21,7 @@
         let choice = fleet.pick(&prompt(), &[]).expect("somebody");
         assert_eq!(choice.key, fleet.key(id));
         assert_eq!(choice.plan.kept_tokens, 9_100);
-        assert_eq!(choice.unread_tokens, 2_900);
+        assert_eq!(choice.prefill_tokens, 2_900);
     }
 }
 
@@ -96,7 +96,7 @@
     let first = fleet.picked();
     fleet.book.get_mut(first).expect("entry").stage = SwapStage::Draining;
     assert_ne!(fleet.picked(), first);
-    let short = PromptAsk {
+    let short = PromptInfo {
         tokens_out: 4,
         ..prompt()
     };
@@ -125,7 +125,7 @@
     fleet.fill_store();
     let choice = fleet.pick(&prompt(), &[]).expect("somebody");
     assert_eq!(choice.plan.fetched_tokens, 9_100);
-    assert_eq!(choice.shared_unread, 0);
+    assert_eq!(choice.shared_prefill_tokens, 0);
 }
 
 #[test]
@@ -197,7 +197,7 @@
         fleet
             .book
             .get(key)
-            .and_then(|e| e.free_tokens(NOW, &EnginePace::default()))
+            .and_then(|e| e.free_tokens(NOW, &LatencyEstimator::default()))
     };
     assert_eq!(free(&fleet), Some(30_000), "a tenth is left for answers");
     let work = UnreadWork {
@@ -218,14 +218,14 @@
 /// are kept goes there all the same.
 #[test]
 fn linked_preferred() {
-    let fresh = PromptAsk {
+    let fresh = PromptInfo {
         parts: Vec::new(),
         tokens_in: 900,
         ..prompt()
     };
     for id in ["e1", "e2", "e3"] {
         let mut fleet = Fleet::new();
-        fleet.linked = Some([fleet.key(id)].into());
+        fleet.connected = Some([fleet.key(id)].into());
         let choice = fleet.pick(&fresh, &[]).expect("somebody");
         assert_eq!(choice.key, fleet.key(id));
         fleet.keep("e2");
--- a/core/tests/home_regions.rs
+++ b/core/tests/home_regions.rs
@@ -1,6 +1,6 @@
 //! Regions in which a request may run.
 
-use pitchhitch_core::serving::HomeRegions;
+use pitchhitch_core::serving::AllowedRegions;
 
 fn names(regions: &[&str]) -> Vec<String> {
     regions.iter().map(|region| region.to_string()).collect()
@@ -8,24 +8,24 @@
 
 #[test]
 fn none_named() {
-    let homes = HomeRegions::default();
-    assert!(homes.is_open());
-    assert!(homes.allow(Some("a")) && homes.allow(None));
+    let regions = AllowedRegions::default();
+    assert!(regions.is_unrestricted());
+    assert!(regions.allows(Some("a")) && regions.allows(None));
 }
 
 #[test]
 fn each_binds() {
     let (route, organisation) = (names(&["a", "b"]), names(&["b", "c"]));
-    let homes = HomeRegions {
+    let regions = AllowedRegions {
         route: &route,
         organisation: &organisation,
     };
-    let allowed = ["a", "b", "c", "d"].map(|region| homes.allow(Some(region)));
+    let allowed = ["a", "b", "c", "d"].map(|region| regions.allows(Some(region)));
     assert_eq!(allowed, [false, true, false, false]);
-    assert!(!homes.allow(None), "an unknown region is nobody's");
-    let alone = HomeRegions {
+    assert!(!regions.allows(None), "an unknown region is nobody's");
+    let alone = AllowedRegions {
         route: &route,
         organisation: &[],
     };
-    assert!(alone.allow(Some("a")) && !alone.allow(Some("c")));
+    assert!(alone.allows(Some("a")) && !alone.allows(Some("c")));
 }
--- a/core/tests/left_out.rs
+++ b/core/tests/left_out.rs
@@ -5,8 +5,9 @@
     pitchhitch_core::{
         serving::{
             pick_endpoint, EndpointBook, EndpointChoice, EndpointKey, EndpointNotice, EngineGroup,
-            EngineLoad, EnginePace, KvStore, MechanismSet, MemoryMap, PartId, PickAsk, PromptAsk,
-            PromptPart, ServingMechanism, VersionOutlook, WallTag, WeightBounds, SAVE_AFTER,
+            EngineLoad, KvStore, LatencyEstimator, MechanismSet, MemoryMap, PartId, PickRequest,
+            PromptInfo, PromptPart, ServingMechanism, VersionAvailability, WallTag, WeightBounds,
+            SAVE_AFTER,
         },
         time::Micros,
     },
@@ -31,8 +32,8 @@
 }
 
 /// A prompt whose largest shared part has this number.
-fn prompt(number: u64) -> PromptAsk {
-    PromptAsk {
+fn prompt(number: u64) -> PromptInfo {
+    PromptInfo {
         model: "m".to_string(),
         tokens_in: 12_000,
         tokens_out: 64,
@@ -69,11 +70,11 @@
 
     fn pick(
         &self,
-        prompt: &PromptAsk,
+        prompt: &PromptInfo,
         tried: &[EndpointKey],
-        left_out: MechanismSet,
+        disabled: MechanismSet,
     ) -> EndpointChoice {
-        let memory = MemoryMap::without(left_out);
+        let memory = MemoryMap::without(disabled);
         let group = EngineGroup {
             slots: 128,
             capacity_tokens: MEMORY,
@@ -81,29 +82,29 @@
             link_mbps: 1_100_000.0,
             models: vec!["m".to_string()],
         };
-        let outlooks = [VersionOutlook {
+        let availabilities = [VersionAvailability {
             version: 1,
-            wall: WALL,
+            namespace: WALL,
             parts: memory.outlook(&self.book, &group, WALL, &prompt.parts, NOW),
         }];
-        let ask = PickAsk {
+        let request = PickRequest {
             trial: None,
-            may_take: &|_| true,
-            is_linked: &|_| true,
-            pace: &EnginePace::starting_at(1.0 / 97.0),
+            is_eligible: &|_| true,
+            is_connected: &|_| true,
+            estimator: &LatencyEstimator::with_token_ms(1.0 / 97.0),
             weights: WeightBounds::default(),
-            left_out,
+            disabled,
             service: "llm",
             domain: "a",
             prompt: Some(prompt),
-            rank: 2,
+            priority: 2,
             tried,
             now: NOW,
         };
-        pick_endpoint(&self.book, &ask, &outlooks).expect("somebody")
+        pick_endpoint(&self.book, &request, &availabilities).expect("somebody")
     }
 
-    fn all_on(
+    fn pick_with_all(
         &self,
         number: u64,
     ) -> EndpointKey {
@@ -112,7 +113,7 @@
     }
 
     /// The engine that takes a prompt without a mechanism.
-    fn lacking(
+    fn pick_without(
         &self,
         number: u64,
         mechanism: ServingMechanism,
@@ -132,37 +133,37 @@
 #[test]
 fn kept_parts() {
     let mut fleet = Fleet::new();
-    let home = fleet.all_on(3);
+    let home = fleet.pick_with_all(3);
     let other = IDS.iter().filter_map(|id| fleet.book.key(id));
     let holder = other.into_iter().find(|key| *key != home).expect("another");
     fleet.keep(holder);
-    assert_eq!(fleet.all_on(3), holder);
-    assert_eq!(fleet.lacking(3, ServingMechanism::Affinity), home);
+    assert_eq!(fleet.pick_with_all(3), holder);
+    assert_eq!(fleet.pick_without(3, ServingMechanism::Affinity), home);
 }
 
 #[test]
 fn homes_spread() {
     let fleet = Fleet::new();
-    let homes = (3..40).map(|number| fleet.all_on(number));
+    let homes = (3..40).map(|number| fleet.pick_with_all(number));
     let spread: BTreeSet<EndpointKey> = homes.collect();
     assert_eq!(spread.len(), IDS.len());
-    let lacking = (3..40).map(|number| fleet.lacking(number, ServingMechanism::Home));
-    let same: BTreeSet<EndpointKey> = lacking.collect();
+    let without_home = (3..40).map(|number| fleet.pick_without(number, ServingMechanism::Home));
+    let same: BTreeSet<EndpointKey> = without_home.collect();
     assert_eq!(same.len(), 1);
 }
 
 #[test]
 fn parts_fetched() {
     let mut fleet = Fleet::new();
-    let keeper = fleet.all_on(3);
-    fleet.keep(keeper);
-    let fetched = |left_out| {
-        let choice = fleet.pick(&prompt(3), &[keeper], left_out);
-        (choice.plan.fetched_tokens, choice.unread_tokens)
+    let holder = fleet.pick_with_all(3);
+    fleet.keep(holder);
+    let fetched = |disabled| {
+        let choice = fleet.pick(&prompt(3), &[holder], disabled);
+        (choice.plan.fetched_tokens, choice.prefill_tokens)
     };
     assert_eq!(fetched(MechanismSet::default()), (9_100, 2_900));
-    let lacking = without(ServingMechanism::Fetches);
-    assert_eq!(fetched(lacking), (0, 12_000));
+    let no_fetches = without(ServingMechanism::Fetches);
+    assert_eq!(fetched(no_fetches), (0, 12_000));
 }
 
 #[test]
@@ -175,10 +176,10 @@
         link_mbps: 130_000.0,
         first_ms: 6.0,
         is_managed: true,
-        held_calls: 12,
+        max_pending_calls: 12,
     };
-    let saved = |left_out| {
-        let mut memory = MemoryMap::without(left_out);
+    let saved = |disabled| {
+        let mut memory = MemoryMap::without(disabled);
         memory.set_stores(std::slice::from_ref(&store));
         let later = NOW + SAVE_AFTER + Micros(1);
         let view = memory.view_mut(store.address).expect("view");
@@ -194,35 +195,35 @@
 #[test]
 fn failing_endpoint() {
     let mut fleet = Fleet::new();
-    let first = fleet.all_on(3);
+    let first = fleet.pick_with_all(3);
     for _ in 0..3 {
         fleet.book.judged(first, false, NOW);
     }
-    assert_ne!(fleet.all_on(3), first);
-    assert_eq!(fleet.lacking(3, ServingMechanism::OutlierGuard), first);
-    assert_ne!(fleet.lacking(3, ServingMechanism::Suspicion), first);
+    assert_ne!(fleet.pick_with_all(3), first);
+    assert_eq!(fleet.pick_without(3, ServingMechanism::OutlierGuard), first);
+    assert_ne!(fleet.pick_without(3, ServingMechanism::Suspicion), first);
 }
 
 #[test]
 fn reports_stopped() {
     let mut fleet = Fleet::new();
-    let first = fleet.all_on(3);
+    let first = fleet.pick_with_all(3);
     let entry = fleet.book.get_mut(first).expect("entry");
     entry.load.as_mut().expect("load").at = NOW - Micros::from_millis(900);
-    assert_ne!(fleet.all_on(3), first);
-    assert_eq!(fleet.lacking(3, ServingMechanism::Suspicion), first);
-    assert_ne!(fleet.lacking(3, ServingMechanism::OutlierGuard), first);
+    assert_ne!(fleet.pick_with_all(3), first);
+    assert_eq!(fleet.pick_without(3, ServingMechanism::Suspicion), first);
+    assert_ne!(fleet.pick_without(3, ServingMechanism::OutlierGuard), first);
 }
 
 #[test]
 fn names_apart() {
     for mechanism in ServingMechanism::ALL {
-        assert_eq!(ServingMechanism::named(mechanism.name()), Ok(mechanism));
+        assert_eq!(ServingMechanism::from_name(mechanism.name()), Ok(mechanism));
         let set = without(mechanism);
         assert_eq!(set.names(), mechanism.name());
         let others = ServingMechanism::ALL.into_iter();
-        assert_eq!(others.filter(|other| set.has(*other)).count(), 1);
+        assert_eq!(others.filter(|other| set.contains(*other)).count(), 1);
     }
-    let unknown = ServingMechanism::named("no-such").expect_err("none has it");
+    let unknown = ServingMechanism::from_name("no-such").expect_err("none has it");
     assert!(unknown.contains("no-such: name one of admission, "));
 }
--- a/core/tests/left_out_admission.rs
+++ b/core/tests/left_out_admission.rs
@@ -3,8 +3,8 @@
 
 use pitchhitch_core::{
     serving::{
-        AdmissionAsk, AdmissionRule, AdmissionVerdict, EndpointChoice, EnginePace, MechanismSet,
-        ServingMechanism,
+        AdmissionController, AdmissionDecision, AdmissionRequest, EndpointChoice, LatencyEstimator,
+        MechanismSet, ServingMechanism,
     },
     time::Micros,
 };
@@ -15,41 +15,41 @@
     MechanismSet::of([mechanism])
 }
 
-fn ask<'a>(
+fn request<'a>(
     route: &'a str,
-    rank: u8,
-) -> AdmissionAsk<'a> {
-    AdmissionAsk {
+    priority: u8,
+) -> AdmissionRequest<'a> {
+    AdmissionRequest {
         route,
-        rank,
-        aim: Micros::from_secs(1),
-        patience: Micros::from_secs(10),
+        priority,
+        target_latency: Micros::from_secs(1),
+        time_left: Micros::from_secs(10),
     }
 }
 
 /// A rule that has seen a large kind of the least urgent rank and a small one.
-fn rule(left_out: MechanismSet) -> AdmissionRule {
-    let mut rule = AdmissionRule::without(left_out);
+fn controller(disabled: MechanismSet) -> AdmissionController {
+    let mut controller = AdmissionController::without(disabled);
     for _ in 0..100 {
-        rule.note(&ask("large", 2), 12_000, 3_000);
-        rule.note(&ask("small", 1), 800, 200);
+        controller.record(&request("large", 2), 12_000, 3_000);
+        controller.record(&request("small", 1), 800, 200);
     }
-    rule
+    controller
 }
 
-fn pace() -> EnginePace {
-    EnginePace::starting_at(1.0 / 97.0)
+fn estimator() -> LatencyEstimator {
+    LatencyEstimator::with_token_ms(1.0 / 97.0)
 }
 
 /// Mechanisms of the admission without which the large prompt gets another verdict.
 fn deciding(
-    ask: &AdmissionAsk<'_>,
+    request: &AdmissionRequest<'_>,
     choice: &EndpointChoice,
 ) -> Vec<ServingMechanism> {
-    let verdict = |left_out| rule(left_out).judge(ask, &pace(), choice);
-    let whole = verdict(MechanismSet::default());
+    let decision = |disabled| controller(disabled).decide(request, &estimator(), choice);
+    let with_all = decision(MechanismSet::default());
     let all = ServingMechanism::ALL.into_iter();
-    all.filter(|mechanism| verdict(without(*mechanism)) != whole)
+    all.filter(|mechanism| decision(without(*mechanism)) != with_all)
         .collect()
 }
 
@@ -67,7 +67,7 @@
         queue_ms: 5_000.0,
         ..idle()
     };
-    let found = deciding(&ask("large", 2), &late);
+    let found = deciding(&request("large", 2), &late);
     assert_eq!(
         found,
         [ServingMechanism::Admission, ServingMechanism::LateRule]
@@ -80,7 +80,7 @@
         waiting: 4,
         ..idle()
     };
-    let found = deciding(&ask("large", 2), &crowded);
+    let found = deciding(&request("large", 2), &crowded);
     assert_eq!(
         found,
         [ServingMechanism::Admission, ServingMechanism::WaitingRule]
@@ -93,7 +93,7 @@
         free_tokens: Some(11_000),
         ..idle()
     };
-    let found = deciding(&ask("large", 2), &full);
+    let found = deciding(&request("large", 2), &full);
     assert_eq!(
         found,
         [ServingMechanism::Admission, ServingMechanism::MemoryRule]
@@ -102,12 +102,12 @@
 
 #[test]
 fn kept_memory() {
-    let mut keeper = EndpointChoice {
+    let mut holder = EndpointChoice {
         free_tokens: Some(8_000),
         ..idle()
     };
-    keeper.plan.kept_tokens = 9_000;
-    let found = deciding(&ask("large", 2), &keeper);
+    holder.plan.kept_tokens = 9_000;
+    let found = deciding(&request("large", 2), &holder);
     assert_eq!(found, [ServingMechanism::KeptMemory]);
 }
 
@@ -118,38 +118,38 @@
         queue_ms: 800.0,
         ..idle()
     };
-    let back = AdmissionAsk {
-        patience: Micros::from_secs(5),
-        ..ask("large", 2)
+    let back = AdmissionRequest {
+        time_left: Micros::from_secs(5),
+        ..request("large", 2)
     };
     assert_eq!(deciding(&back, &behind), [ServingMechanism::ReturnOrder]);
 }
 
 #[test]
 fn memory_kept_back() {
-    let large = ask("large", 2);
-    let verdict = |left_out| {
-        let mut rule = rule(left_out);
+    let large = request("large", 2);
+    let decision = |disabled| {
+        let mut controller = controller(disabled);
         let full = EndpointChoice {
             free_tokens: Some(0),
             ..idle()
         };
         for _ in 0..300 {
             assert_eq!(
-                rule.judge(&large, &pace(), &full),
-                AdmissionVerdict::NoMemory
+                controller.decide(&large, &estimator(), &full),
+                AdmissionDecision::NoMemory
             );
         }
         let some = EndpointChoice {
             free_tokens: Some(20_000),
             ..idle()
         };
-        rule.judge(&large, &pace(), &some)
+        controller.decide(&large, &estimator(), &some)
     };
-    let whole = verdict(MechanismSet::default());
-    assert_eq!(whole, AdmissionVerdict::NoMemory);
-    let lacking = verdict(without(ServingMechanism::KeptBack));
-    assert_eq!(lacking, AdmissionVerdict::Admitted);
+    let with_all = decision(MechanismSet::default());
+    assert_eq!(with_all, AdmissionDecision::NoMemory);
+    let without_mechanism = decision(without(ServingMechanism::KeptBack));
+    assert_eq!(without_mechanism, AdmissionDecision::Admitted);
 }
 
 #[test]
@@ -159,26 +159,32 @@
         queue_ms,
         ..idle()
     };
-    let back = |left_out, queue_ms| {
-        rule(left_out).come_back(&ask("large", 2), &pace(), &choice(queue_ms), 0.0)
+    let back = |disabled, queue_ms| {
+        controller(disabled).retry_after(&request("large", 2), &estimator(), &choice(queue_ms), 0.0)
     };
     let none = MechanismSet::default();
     assert!(back(none, 800.0) < back(none, 1_500.0));
-    let lacking = without(ServingMechanism::ComeBack);
-    assert_eq!(back(lacking, 800.0), back(lacking, 1_500.0));
+    let without_mechanism = without(ServingMechanism::ComeBack);
+    assert_eq!(
+        back(without_mechanism, 800.0),
+        back(without_mechanism, 1_500.0)
+    );
 }
 
 #[test]
 fn learned_pace() {
-    let start = EnginePace::default().token_ms();
-    let learn = |mut pace: EnginePace| {
+    let start = LatencyEstimator::default().token_ms();
+    let learn = |mut estimator: LatencyEstimator| {
         for tokens in (0..400).map(|number| f64::from(number * 100)) {
-            pace.note_begun(tokens, tokens * start * 3.0);
+            estimator.record_first_token(tokens, tokens * start * 3.0);
         }
-        pace.token_ms()
+        estimator.token_ms()
     };
-    let whole = learn(EnginePace::without(MechanismSet::default()));
-    assert!(whole > start * 2.0, "{whole} ms, {start} ms at the start");
-    let lacking = without(ServingMechanism::LearnedPace);
-    assert_eq!(learn(EnginePace::without(lacking)), start);
+    let with_all = learn(LatencyEstimator::without(MechanismSet::default()));
+    assert!(
+        with_all > start * 2.0,
+        "{with_all} ms, {start} ms at the start"
+    );
+    let without_mechanism = without(ServingMechanism::LearnedPace);
+    assert_eq!(learn(LatencyEstimator::without(without_mechanism)), start);
 }
--- a/core/tests/path_lookup.rs
+++ b/core/tests/path_lookup.rs
@@ -2,7 +2,7 @@
 
 use pitchhitch_core::{
     serving::{
-        Organisation, PathIndex, RefusalKind, RepeatRule, RequestAsk, RouteTarget, ServedRoute,
+        Organisation, PathIndex, RefusalKind, RequestInfo, RetryPolicy, RouteTarget, ServedRoute,
         ServingConfig,
     },
     time::Micros,
@@ -18,14 +18,14 @@
         host: host.to_string(),
         prefix: prefix.to_string(),
         is_stream: false,
-        repeat: RepeatRule::Once,
+        retry: RetryPolicy::NonIdempotent,
         time_limit: Micros::from_secs(1),
-        aim: Micros::from_millis(100),
-        pause_aim: None,
+        target_latency: Micros::from_millis(100),
+        target_gap: None,
         priority: 2,
         max_endpoints: 1,
         is_public: name == "public",
-        homes: Vec::new(),
+        allowed_regions: Vec::new(),
         targets: vec![
             RouteTarget {
                 service: "first".to_string(),
@@ -54,23 +54,23 @@
             name: "farm".to_string(),
             priority: None,
             is_isolated: false,
-            homes: Vec::new(),
+            allowed_regions: Vec::new(),
         }],
         keys: [("key".to_string(), 0)].into(),
         ..ServingConfig::default()
     }
 }
 
-fn ask(
+fn request(
     host: &str,
     path: &str,
     key: Option<&str>,
-) -> RequestAsk {
-    RequestAsk {
+) -> RequestInfo {
+    RequestInfo {
         host: host.to_string(),
         path: path.to_string(),
         key: key.map(str::to_string),
-        ..RequestAsk::default()
+        ..RequestInfo::default()
     }
 }
 
@@ -81,7 +81,7 @@
         config
             .paths
             .find(host, path)
-            .map(|place| &config.routes[place].name[..])
+            .map(|index| &config.routes[index].name[..])
     };
     assert_eq!(name("a.example", "/api/x"), Some("short"));
     assert_eq!(name("a.example", "/api/deep/x"), Some("long"));
@@ -96,23 +96,23 @@
 #[test]
 fn keys_asked() {
     let config = config();
-    let place = |host, path, key| config.place(&ask(host, path, key));
+    let resolve = |host, path, key| config.resolve(&request(host, path, key));
     assert_eq!(
-        place("a.example", "/api/", None),
+        resolve("a.example", "/api/", None),
         Err(RefusalKind::UnknownKey)
     );
     assert_eq!(
-        place("a.example", "/api/", Some("no")),
+        resolve("a.example", "/api/", Some("no")),
         Err(RefusalKind::UnknownKey)
     );
     assert_eq!(
-        place("a.example", "/no", Some("key")),
+        resolve("a.example", "/no", Some("key")),
         Err(RefusalKind::UnknownRoute)
     );
-    let keyed = place("a.example", "/api/", Some("key")).expect("let in");
-    assert!(keyed.is_keyed && keyed.organisation == Some(0));
-    let open = place("b.example", "/open/x", None).expect("let in");
-    assert!(!open.is_keyed && open.organisation.is_none());
+    let keyed = resolve("a.example", "/api/", Some("key")).expect("let in");
+    assert!(keyed.is_authenticated && keyed.organisation == Some(0));
+    let open = resolve("b.example", "/open/x", None).expect("let in");
+    assert!(!open.is_authenticated && open.organisation.is_none());
 }
 
 #[test]
--- a/core/tests/pick_fleet/mod.rs
+++ b/core/tests/pick_fleet/mod.rs
@@ -4,8 +4,8 @@
     pitchhitch_core::{
         serving::{
             pick_endpoint, EndpointBook, EndpointChoice, EndpointKey, EndpointNotice, EngineGroup,
-            EngineLoad, EnginePace, KvStore, MechanismSet, MemoryMap, PartId, PickAsk, PromptAsk,
-            PromptPart, VersionOutlook, WallTag, WeightBounds,
+            EngineLoad, KvStore, LatencyEstimator, MechanismSet, MemoryMap, PartId, PickRequest,
+            PromptInfo, PromptPart, VersionAvailability, WallTag, WeightBounds,
         },
         time::Micros,
     },
@@ -20,7 +20,7 @@
     pub memory: MemoryMap,
     pub bounds: WeightBounds,
     /// Engines to which a connection is open.
-    pub linked: Option<BTreeSet<EndpointKey>>,
+    pub connected: Option<BTreeSet<EndpointKey>>,
 }
 
 pub fn part(
@@ -31,8 +31,8 @@
     PromptPart { id, tokens }
 }
 
-pub fn prompt() -> PromptAsk {
-    PromptAsk {
+pub fn prompt() -> PromptInfo {
+    PromptInfo {
         model: "m".to_string(),
         tokens_in: 12_000,
         tokens_out: 64,
@@ -56,7 +56,7 @@
             book: EndpointBook::default(),
             memory: MemoryMap::default(),
             bounds: WeightBounds::default(),
-            linked: None,
+            connected: None,
         };
         for (place, id) in ["e1", "e2", "e3"].iter().enumerate() {
             fleet.book.take(&EndpointNotice {
@@ -117,7 +117,7 @@
             link_mbps: 130_000.0,
             first_ms: 6.0,
             is_managed: true,
-            held_calls: 12,
+            max_pending_calls: 12,
         }]);
         let view = self.memory.view_mut(address).expect("view");
         view.answered(5, Some(1_000), NOW, NOW);
@@ -128,35 +128,35 @@
 
     pub fn pick(
         &self,
-        prompt: &PromptAsk,
+        prompt: &PromptInfo,
         tried: &[EndpointKey],
     ) -> Option<EndpointChoice> {
-        let outlooks = [VersionOutlook {
+        let availabilities = [VersionAvailability {
             version: 1,
-            wall: WALL,
+            namespace: WALL,
             parts: self
                 .memory
                 .outlook(&self.book, &group(), WALL, &prompt.parts, NOW),
         }];
-        let ask = PickAsk {
+        let request = PickRequest {
             trial: None,
-            may_take: &|_| true,
-            is_linked: &|key| {
-                self.linked
+            is_eligible: &|_| true,
+            is_connected: &|key| {
+                self.connected
                     .as_ref()
-                    .is_none_or(|linked| linked.contains(&key))
+                    .is_none_or(|connected| connected.contains(&key))
             },
-            pace: &EnginePace::starting_at(1.0 / 97.0),
-            left_out: MechanismSet::default(),
+            estimator: &LatencyEstimator::with_token_ms(1.0 / 97.0),
+            disabled: MechanismSet::default(),
             weights: self.bounds,
             service: "llm",
             domain: "a",
             prompt: Some(prompt),
-            rank: 2,
+            priority: 2,
             tried,
             now: NOW,
         };
-        pick_endpoint(&self.book, &ask, &outlooks)
+        pick_endpoint(&self.book, &request, &availabilities)
     }
 
     pub fn picked(&self) -> EndpointKey {
--- a/core/tests/rank_shares.rs
+++ b/core/tests/rank_shares.rs
@@ -1,34 +1,34 @@
 //! Which rank is the least urgent that makes up a part of the prompts.
 
-use pitchhitch_core::serving::RankShares;
+use pitchhitch_core::serving::PriorityShares;
 
-fn after(ranks: impl Iterator<Item = u8>) -> RankShares {
-    let mut shares = RankShares::default();
-    ranks.for_each(|rank| shares.note(rank));
+fn after(priorities: impl Iterator<Item = u8>) -> PriorityShares {
+    let mut shares = PriorityShares::default();
+    priorities.for_each(|priority| shares.record(priority));
     shares
 }
 
 #[test]
 fn first_rank_counts() {
-    assert_eq!(after([3].into_iter()).lowest(), 3);
+    assert_eq!(after([3].into_iter()).least_urgent(), 3);
 }
 
 /// One caller of a rank that nobody else has does not shield the others.
 #[test]
 fn rare_rank_left_out() {
     let shares = after((0..2_000).map(|number| if number % 100 == 0 { 9 } else { 2 }));
-    assert_eq!(shares.lowest(), 2);
+    assert_eq!(shares.least_urgent(), 2);
 }
 
 #[test]
 fn common_ranks_count() {
     let shares = after((0..2_000).map(|number| if number % 5 == 0 { 7 } else { 1 }));
-    assert_eq!(shares.lowest(), 7);
+    assert_eq!(shares.least_urgent(), 7);
 }
 
 /// A rank that has gone out of use is forgotten.
 #[test]
 fn old_rank_forgotten() {
     let shares = after((0..2_000).map(|number| if number < 1_000 { 5 } else { 1 }));
-    assert_eq!(shares.lowest(), 1);
+    assert_eq!(shares.least_urgent(), 1);
 }
--- a/core/tests/serving_limits.rs
+++ b/core/tests/serving_limits.rs
@@ -2,8 +2,9 @@
 
 use pitchhitch_core::{
     serving::{
-        AdmissionAsk, AdmissionRule, AdmissionVerdict, EndpointChoice, EnginePace, KeyPolicy,
-        KeyTrust, PartId, PartMemory, PromptPart, RefusalKind, RepeatBound, RepeatMeter, WallTag,
+        AdmissionController, AdmissionDecision, AdmissionRequest, EndpointChoice, KeyPolicy,
+        KeyTrust, LatencyEstimator, PartId, PartMemory, PromptPart, RefusalKind, RetryLimit,
+        RetryWindow, WallTag,
     },
     time::Micros,
 };
@@ -12,7 +13,7 @@
     Micros::from_millis(millis)
 }
 
-const BOUND: RepeatBound = RepeatBound {
+const BOUND: RetryLimit = RetryLimit {
     window: Micros::from_secs(10),
     ratio: 0.2,
     slack: 50.0,
@@ -21,16 +22,16 @@
 /// Over any window the repeats of all boxes stay within the bound of the pages.
 #[test]
 fn repeats_bounded() {
-    let mut meters = [RepeatMeter::default(), RepeatMeter::default()];
+    let mut meters = [RetryWindow::default(), RetryWindow::default()];
     let mut taken: Vec<u64> = Vec::new();
     let mut asked: Vec<u64> = Vec::new();
     for millis in 0..60_000u64 {
         let meter = &mut meters[(millis % 2) as usize];
         if millis % 20 == 0 {
-            meter.request(at(millis));
+            meter.record_request(at(millis));
             asked.push(millis);
         }
-        if meter.take(&BOUND, 2, BOUND.window, at(millis)) {
+        if meter.try_acquire(&BOUND, 2, BOUND.window, at(millis)) {
             taken.push(millis);
         }
     }
@@ -57,10 +58,10 @@
 fn restart_within_share() {
     let mut taken = 0;
     for life in 0..2 {
-        let mut meter = RepeatMeter::default();
-        let lived = |millis: u64| at(millis) + Micros(BOUND.window.0 * (1 - life));
+        let mut meter = RetryWindow::default();
+        let uptime = |millis: u64| at(millis) + Micros(BOUND.window.0 * (1 - life));
         for millis in 0..2_000 {
-            taken += u32::from(meter.take(&BOUND, 2, lived(millis), at(millis)));
+            taken += u32::from(meter.try_acquire(&BOUND, 2, uptime(millis), at(millis)));
         }
     }
     assert!(f64::from(taken) <= BOUND.slack / 2.0 * 1.05, "{taken}");
@@ -113,7 +114,7 @@
     waiting: u32,
 ) -> EndpointChoice {
     EndpointChoice {
-        wait_ms: ahead_ms,
+        estimate_ms: ahead_ms,
         ahead_ms,
         ahead_tokens: ahead_ms * 97.0,
         queue_ms: ahead_ms,
@@ -124,54 +125,58 @@
     }
 }
 
-fn ask(
+fn request(
     route: &str,
-    rank: u8,
-) -> AdmissionAsk<'_> {
-    AdmissionAsk {
+    priority: u8,
+) -> AdmissionRequest<'_> {
+    AdmissionRequest {
         route,
-        rank,
-        aim: at(600),
-        patience: at(12_000),
+        priority,
+        target_latency: at(600),
+        time_left: at(12_000),
     }
 }
 
 fn refuses(
-    rule: &mut AdmissionRule,
-    ask: &AdmissionAsk<'_>,
+    controller: &mut AdmissionController,
+    request: &AdmissionRequest<'_>,
     choice: &EndpointChoice,
 ) -> bool {
-    let pace = EnginePace::starting_at(1.0 / 97.0);
-    rule.judge(ask, &pace, choice) != AdmissionVerdict::Admitted
+    let estimator = LatencyEstimator::with_token_ms(1.0 / 97.0);
+    controller.decide(request, &estimator, choice) != AdmissionDecision::Admitted
 }
 
 /// A rule that has seen a large kind of the least urgent rank and a small one.
 fn two_kinds(
     tokens: u32,
     unread: u32,
-) -> AdmissionRule {
-    let mut rule = AdmissionRule::default();
+) -> AdmissionController {
+    let mut controller = AdmissionController::default();
     for _ in 0..100 {
-        rule.note(&ask("large", 2), tokens, unread);
-        rule.note(&ask("small", 1), 800, 200);
+        controller.record(&request("large", 2), tokens, unread);
+        controller.record(&request("small", 1), 800, 200);
     }
-    rule
+    controller
 }
 
 /// With two of nine engines dark, memory was full of running prompts and nothing
 /// was in time for twenty seconds (first day of high load).
 #[test]
 fn large_kinds_first() {
-    let mut rule = two_kinds(12_000, 3_000);
-    let large = ask("large", 2);
-    let small = ask("small", 1);
-    assert!(!refuses(&mut rule, &large, &choice(0.0, 1)));
-    assert!(refuses(&mut rule, &large, &choice(0.0, 4)));
-    assert!(!refuses(&mut rule, &small, &choice(0.0, 4)));
-    assert!(refuses(&mut rule, &small, &choice(0.0, 60)));
-    assert!(refuses(&mut rule, &small, &choice(400.0, 0)));
+    let mut controller = two_kinds(12_000, 3_000);
+    let large = request("large", 2);
+    let small = request("small", 1);
+    assert!(!refuses(&mut controller, &large, &choice(0.0, 1)));
+    assert!(refuses(&mut controller, &large, &choice(0.0, 4)));
+    assert!(!refuses(&mut controller, &small, &choice(0.0, 4)));
+    assert!(refuses(&mut controller, &small, &choice(0.0, 60)));
+    assert!(refuses(&mut controller, &small, &choice(400.0, 0)));
     // A route that is not known yet is not refused for its size.
-    assert!(!refuses(&mut rule, &ask("new", 2), &choice(0.0, 4)));
+    assert!(!refuses(
+        &mut controller,
+        &request("new", 2),
+        &choice(0.0, 4)
+    ));
 }
 
 fn with_free(free: u64) -> EndpointChoice {
@@ -184,31 +189,39 @@
 /// Engines whose memory was full put 81 prompts of a day back and read them anew.
 #[test]
 fn memory_kept_free() {
-    let mut rule = two_kinds(12_000, 3_000);
-    let large = ask("large", 2);
-    assert!(!refuses(&mut rule, &large, &with_free(12_500)));
-    assert!(refuses(&mut rule, &large, &with_free(11_000)));
+    let mut controller = two_kinds(12_000, 3_000);
+    let large = request("large", 2);
+    assert!(!refuses(&mut controller, &large, &with_free(12_500)));
+    assert!(refuses(&mut controller, &large, &with_free(11_000)));
     // A more urgent one is let in first.
-    assert!(!refuses(&mut rule, &ask("large", 1), &with_free(11_000)));
+    assert!(!refuses(
+        &mut controller,
+        &request("large", 1),
+        &with_free(11_000)
+    ));
     // A small one fits in, or waits for a moment only.
-    assert!(!refuses(&mut rule, &ask("small", 1), &with_free(0)));
+    assert!(!refuses(
+        &mut controller,
+        &request("small", 1),
+        &with_free(0)
+    ));
 }
 
 /// Prompts of late began far too late: an engine with memory free and nothing to read
 /// is not shut for that, one that reads and has others waiting is.
 #[test]
 fn free_engines_taken() {
-    let mut pace = EnginePace::starting_at(1.0 / 97.0);
+    let mut estimator = LatencyEstimator::with_token_ms(1.0 / 97.0);
     for _ in 0..200 {
-        pace.note_begun(100.0, 5_000.0);
+        estimator.record_first_token(100.0, 5_000.0);
     }
-    let mut rule = AdmissionRule::default();
+    let mut controller = AdmissionController::default();
     let mut refused = |choice: &EndpointChoice| {
-        let verdicts = (0..20).map(|_| rule.judge(&ask("any", 2), &pace, choice));
-        let refused = verdicts.filter(|verdict| *verdict != AdmissionVerdict::Admitted);
+        let decisions = (0..20).map(|_| controller.decide(&request("any", 2), &estimator, choice));
+        let refused = decisions.filter(|decision| *decision != AdmissionDecision::Admitted);
         refused.count()
     };
-    let late_ms = pace.begin_ms();
+    let late_ms = estimator.overhead_ms();
     assert!(late_ms > 600.0, "{late_ms}");
     let free = EndpointChoice {
         queue_ms: late_ms,
@@ -263,8 +276,8 @@
         RefusalKind::TimedOut,
     ];
     for kind in unknown {
-        assert!(!matches!(kind.row().status, 408 | 421 | 429 | 503));
-        assert_eq!(kind.row().come_back, None);
+        assert!(!matches!(kind.response().status, 408 | 421 | 429 | 503));
+        assert_eq!(kind.response().retry_after, None);
     }
     let not_run = [
         RefusalKind::NoConfig,
@@ -272,6 +285,6 @@
         RefusalKind::Overloaded,
     ];
     for kind in not_run {
-        assert!(kind.row().status == 503 && kind.row().come_back.is_some());
+        assert!(kind.response().status == 503 && kind.response().retry_after.is_some());
     }
 }
--- a/core/tests/slow_start.rs
+++ b/core/tests/slow_start.rs
@@ -3,8 +3,8 @@
 use {
     pitchhitch_core::{
         serving::{
-            EndpointSlowStart, GrantBook, SendGrant, SlowStartBound, SlowStartRule, GRANT_LIFE,
-            GRANT_OVER,
+            EndpointSlowStart, GrantAllocator, SendGrant, SlowStartBound, SlowStartRule,
+            GRANT_RECLAIM_DELAY, GRANT_TTL,
         },
         time::Micros,
     },
@@ -21,7 +21,7 @@
 #[test]
 fn limit_of_bound() {
     let rule = SlowStartRule {
-        span: ms(3_000),
+        duration: ms(3_000),
         per_second: 20.0,
     };
     let bound = |ratio, slack| SlowStartBound { ratio, slack };
@@ -35,7 +35,7 @@
     let mut start = EndpointSlowStart::default();
     for ticket in 0..200 {
         assert!(start.admits(ms(5)));
-        start.note_sent(ticket, ms(5));
+        start.record_sent(ticket, ms(5));
     }
     start.begin(ms(500), ms(10));
     assert!(!start.admits(ms(10)), "no grant, and many were sent");
@@ -46,16 +46,16 @@
 fn grant_used_up() {
     let mut start = EndpointSlowStart::default();
     start.begin(ms(3_000), ms(0));
-    start.take_grant(SendGrant { per_second: 2 }, ms(0));
+    start.update_grant(SendGrant { per_second: 2 }, ms(0));
     for ticket in 0..2 {
         assert!(start.admits(ms(100)));
-        start.note_sent(ticket, ms(100));
+        start.record_sent(ticket, ms(100));
     }
     assert!(!start.admits(ms(100)));
-    start.note_unsent(1);
+    start.record_unsent(1);
     assert!(start.admits(ms(100)));
-    start.note_sent(1, ms(400));
-    start.take_grant(SendGrant { per_second: 2 }, ms(1_000));
+    start.record_sent(1, ms(400));
+    start.update_grant(SendGrant { per_second: 2 }, ms(1_000));
     assert!(!start.admits(ms(1_050)));
     assert!(start.admits(ms(1_101)));
 }
@@ -64,23 +64,23 @@
 fn old_grant_void() {
     let mut start = EndpointSlowStart::default();
     start.begin(ms(9_000), ms(0));
-    start.take_grant(SendGrant { per_second: 2 }, ms(100));
+    start.update_grant(SendGrant { per_second: 2 }, ms(100));
     assert!(start.admits(ms(100)));
-    assert!(!start.admits(ms(100) + GRANT_LIFE));
-    start.take_grant(SendGrant { per_second: 9 }, ms(50));
-    assert!(!start.admits(ms(100) + GRANT_LIFE), "it came out of order");
+    assert!(!start.admits(ms(100) + GRANT_TTL));
+    start.update_grant(SendGrant { per_second: 9 }, ms(50));
+    assert!(!start.admits(ms(100) + GRANT_TTL), "it came out of order");
 }
 
 /// Once all have been told for a while each has its share, and a further one gets some at once.
 #[test]
 fn shares_settle() {
     for boxes in [1u32, 3, 25, 34, 35, 103] {
-        let mut book = GrantBook::default();
-        book.set_limit(LIMIT);
+        let mut allocator = GrantAllocator::default();
+        allocator.set_limit(LIMIT);
         let mut shares = Vec::new();
         for turn in 0..40 {
             let now = ms(turn * 250);
-            let grants = (0..boxes).map(|to| book.grant(to, boxes as usize, now).per_second);
+            let grants = (0..boxes).map(|to| allocator.grant(to, boxes as usize, now).per_second);
             shares = grants.collect();
         }
         let sum: u32 = shares.iter().sum();
@@ -92,7 +92,7 @@
             assert!(shares.iter().all(|share| *share > 0), "{boxes}: {shares:?}");
         }
         if boxes == 3 {
-            assert!(book.grant(99, 4, ms(10_000)).per_second > 0);
+            assert!(allocator.grant(99, 4, ms(10_000)).per_second > 0);
         }
     }
 }
@@ -129,8 +129,8 @@
     #[test]
     fn never_above_limit(steps in proptest::collection::vec(step(), 1..200)) {
         let mut now = 0u64;
-        let mut book = GrantBook::default();
-        book.set_limit(LIMIT);
+        let mut allocator = GrantAllocator::default();
+        allocator.set_limit(LIMIT);
         let mut believed = 4;
         let mut boxes: Vec<EndpointSlowStart> = vec![EndpointSlowStart::default(); 8];
         for start in &mut boxes {
@@ -145,11 +145,11 @@
                 Step::Pass(millis) => now += millis,
                 Step::Believe(count) => believed = count,
                 Step::Restart => {
-                    book = GrantBook::default();
-                    book.set_limit(LIMIT);
+                    allocator = GrantAllocator::default();
+                    allocator.set_limit(LIMIT);
                 }
                 Step::Tell { to, way } => {
-                    let grant = book.grant(to, believed, ms(now));
+                    let grant = allocator.grant(to, believed, ms(now));
                     if let Some(way) = way {
                         under_way.push((now + way, to, grant, now));
                     }
@@ -160,7 +160,7 @@
                             break;
                         }
                         ticket += 1;
-                        boxes[by].note_sent(ticket, ms(now));
+                        boxes[by].record_sent(ticket, ms(now));
                         sends.push(now);
                     }
                 }
@@ -168,7 +168,7 @@
             let (come, later) = under_way.into_iter().partition(|(at, ..)| *at <= now);
             under_way = later;
             for (_, to, grant, sent_at) in come {
-                boxes[to].take_grant(grant, ms(sent_at));
+                boxes[to].update_grant(grant, ms(sent_at));
             }
         }
         for from in &sends {
@@ -182,16 +182,16 @@
 #[test]
 fn open_again() {
     let mut start = EndpointSlowStart::default();
-    assert_eq!(start.open_after(ms(0)), Micros::ZERO);
+    assert_eq!(start.admits_after(ms(0)), Micros::ZERO);
     start.begin(ms(5_000), ms(0));
     assert_eq!(
-        start.open_after(ms(0)),
-        GRANT_OVER,
+        start.admits_after(ms(0)),
+        GRANT_RECLAIM_DELAY,
         "whoever shares it out may not yet"
     );
-    start.take_grant(SendGrant { per_second: 1 }, ms(100));
-    assert_eq!(start.open_after(ms(100)), Micros::ZERO);
-    start.note_sent(1, ms(100));
-    assert_eq!(start.open_after(ms(400)), ms(700));
-    assert_eq!(start.open_after(ms(4_990)), ms(10), "it is warm then");
+    start.update_grant(SendGrant { per_second: 1 }, ms(100));
+    assert_eq!(start.admits_after(ms(100)), Micros::ZERO);
+    start.record_sent(1, ms(100));
+    assert_eq!(start.admits_after(ms(400)), ms(700));
+    assert_eq!(start.admits_after(ms(4_990)), ms(10), "it is warm then");
 }
--- a/core/tests/small_world/mod.rs
+++ b/core/tests/small_world/mod.rs
@@ -141,7 +141,7 @@
                 link_mbps: 130_000.0,
                 first_ms: 6.0,
                 is_managed: true,
-                held_calls: 12,
+                max_pending_calls: 12,
             }),
             proven_at: None,
             inbox: Vec::new(),
--- a/core/tests/store_view.rs
+++ b/core/tests/store_view.rs
@@ -2,8 +2,8 @@
 
 use pitchhitch_core::{
     serving::{
-        move_ms, KvStore, MemoryMap, PartId, PromptPart, StoreView, WallName, WallTag, SAVE_AFTER,
-        VIEW_LIFE,
+        move_ms, CacheNamespace, KvStore, MemoryMap, PartId, PromptPart, StoreView, WallTag,
+        SAVE_AFTER, VIEW_LIFE,
     },
     time::Micros,
 };
@@ -23,7 +23,7 @@
         link_mbps: 130_000.0,
         first_ms: 6.0,
         is_managed: true,
-        held_calls: 12,
+        max_pending_calls: 12,
     }
 }
 
@@ -183,7 +183,7 @@
 
 #[test]
 fn walls_apart() {
-    let wall = |version, organisation: Option<&str>| WallName {
+    let wall = |version, organisation: Option<&str>| CacheNamespace {
         version,
         model: "m/1".to_string(),
         organisation: organisation.map(str::to_string),
@@ -199,12 +199,12 @@
             assert_ne!(name.tag(), other.tag());
         }
     }
-    let plain = WallName {
+    let plain = CacheNamespace {
         model: "m".to_string(),
         ..wall(7, Some("farm"))
     };
-    assert_eq!(WallName::parse(&plain.salt()), Some(plain));
-    assert_eq!(WallName::parse("9c41d07be2a35f68"), None);
+    assert_eq!(CacheNamespace::parse(&plain.salt()), Some(plain));
+    assert_eq!(CacheNamespace::parse("9c41d07be2a35f68"), None);
 }
 
 /// Few fronts are told of changes at once. Many take half of the calls that a
@@ -213,10 +213,10 @@
 fn held_calls_suffice() {
     for fronts in 1..400 {
         let store = store(1, 1_000);
-        let plan = store.look_plan(fronts);
-        let cycle = plan.hold + plan.pause;
-        let held = f64::from(fronts) * plan.hold.0 as f64 / cycle.0 as f64;
-        let half = f64::from(store.held_calls) / 2.0;
+        let plan = store.poll_plan(fronts);
+        let cycle = plan.wait + plan.pause;
+        let held = f64::from(fronts) * plan.wait.0 as f64 / cycle.0 as f64;
+        let half = f64::from(store.max_pending_calls) / 2.0;
         assert!(fronts > 30 || held <= half, "{fronts}: {held}");
         assert!(cycle.0 * 2 <= VIEW_LIFE.0, "{fronts}: {cycle:?}");
     }
@@ -224,8 +224,8 @@
 
 #[test]
 fn few_fronts_ask_often() {
-    let few = store(1, 1_000).look_plan(8);
-    let many = store(1, 1_000).look_plan(30);
+    let few = store(1, 1_000).poll_plan(8);
+    let many = store(1, 1_000).poll_plan(30);
     assert!(few.pause < many.pause);
-    assert!(few.hold > many.hold);
+    assert!(few.wait > many.wait);
 }
--- a/core/tests/told_store/mod.rs
+++ b/core/tests/told_store/mod.rs
@@ -27,6 +27,6 @@
         link_mbps: 130_000.0,
         first_ms: 6.0,
         is_managed: true,
-        held_calls: 12,
+        max_pending_calls: 12,
     }
 }
--- a/core/tests/weight_bounds.rs
+++ b/core/tests/weight_bounds.rs
@@ -104,7 +104,7 @@
     planner.name("m", 1, None, at(0));
     planner.name("m", 2, Some(at(1_000)), at(1_500));
     planner.name("m", 3, Some(at(4_000)), at(4_500));
-    let left = |version: u64, time: u64| planner.begin_left("m", version, LIMIT, at(time));
+    let left = |version: u64, time: u64| planner.time_to_expiry("m", version, LIMIT, at(time));
     assert_eq!(left(3, 5_000), None);
     assert_eq!(left(2, 5_000), Some(at(8_000)));
     assert_eq!(left(1, 5_000), Some(at(5_000)));
--- a/core/tests/worst_engine/mod.rs
+++ b/core/tests/worst_engine/mod.rs
@@ -3,16 +3,19 @@
 
 use {
     pitchhitch_core::{
-        serving::{AdmissionAsk, AdmissionRule, AdmissionVerdict, EndpointChoice, EnginePace},
+        serving::{
+            AdmissionController, AdmissionDecision, AdmissionRequest, EndpointChoice,
+            LatencyEstimator,
+        },
         time::Micros,
     },
     std::collections::VecDeque,
 };
 
-pub const AIM_MS: f64 = 1_200.0;
+pub const TARGET_MS: f64 = 1_200.0;
 const MEMORY: f64 = 70_000.0;
 /// Memory that prompts may fill.
-pub const ROOM: f64 = MEMORY * 0.9;
+pub const USABLE_MEMORY: f64 = MEMORY * 0.9;
 /// Time that an answer takes on an engine that reads nothing.
 const ANSWER_MS: f64 = 1_300.0;
 const PLAYED_MS: u32 = 30_000;
@@ -21,12 +24,12 @@
 struct Prompt {
     came_at: f64,
     tokens: f64,
-    unread: f64,
+    prefill_tokens: f64,
 }
 
 /// One engine on a clock of milliseconds.
 pub struct Engine {
-    read_per_ms: f64,
+    prefill_per_ms: f64,
     queue: VecDeque<Prompt>,
     answering: Vec<(f64, f64)>,
     in_time: u32,
@@ -34,9 +37,9 @@
 }
 
 impl Engine {
-    pub fn new(read_per_ms: f64) -> Self {
+    pub fn new(prefill_per_ms: f64) -> Self {
         Engine {
-            read_per_ms,
+            prefill_per_ms,
             queue: VecDeque::new(),
             answering: Vec::new(),
             in_time: 0,
@@ -52,29 +55,29 @@
     fn step(
         &mut self,
         now: f64,
-        pace: &mut EnginePace,
+        estimator: &mut LatencyEstimator,
     ) {
         let used = self.used();
         let first = self.queue.front_mut();
-        let reads = first.filter(|prompt| used + prompt.tokens <= MEMORY);
+        let runnable = first.filter(|prompt| used + prompt.tokens <= MEMORY);
         // Steps that read hold up the answers: a third of their speed is left.
-        let speed = if reads.is_some() { 0.33 } else { 1.0 };
+        let speed = if runnable.is_some() { 0.33 } else { 1.0 };
         for (_, left) in &mut self.answering {
             *left -= speed;
         }
         self.answering.retain(|(_, left)| *left > 0.0);
-        let Some(prompt) = reads else {
+        let Some(prompt) = runnable else {
             return;
         };
-        prompt.unread -= self.read_per_ms;
-        if prompt.unread > 0.0 {
+        prompt.prefill_tokens -= self.prefill_per_ms;
+        if prompt.prefill_tokens > 0.0 {
             return;
         }
         let begun = *prompt;
         self.queue.pop_front();
         self.answering.push((begun.tokens, ANSWER_MS));
-        pace.note_ended(begun.tokens as u32, ANSWER_MS * 2.0);
-        match now - begun.came_at <= AIM_MS {
+        estimator.record_end(begun.tokens as u32, ANSWER_MS * 2.0);
+        match now - begun.came_at <= TARGET_MS {
             true => self.in_time += 1,
             false => self.late += 1,
         }
@@ -82,19 +85,19 @@
 
     pub fn choice(
         &self,
-        pace: &EnginePace,
+        estimator: &LatencyEstimator,
     ) -> EndpointChoice {
-        let ahead_tokens: f64 = self.queue.iter().map(|prompt| prompt.unread).sum();
+        let ahead_tokens: f64 = self.queue.iter().map(|prompt| prompt.prefill_tokens).sum();
         let waiting = self.queue.len().saturating_sub(1) as u32;
         let coming: f64 = self.queue.iter().map(|prompt| prompt.tokens).sum();
-        let ahead_ms = ahead_tokens * pace.token_ms();
+        let ahead_ms = ahead_tokens * estimator.token_ms();
         EndpointChoice {
-            wait_ms: ahead_ms,
+            estimate_ms: ahead_ms,
             ahead_tokens,
             ahead_ms,
-            queue_ms: ahead_ms + pace.begin_ms(),
+            queue_ms: ahead_ms + estimator.overhead_ms(),
             waiting,
-            free_tokens: Some((ROOM - self.used() - coming).max(0.0) as u64),
+            free_tokens: Some((USABLE_MEMORY - self.used() - coming).max(0.0) as u64),
             used_tokens: self.used() as u64,
             total_tokens: MEMORY as u64,
             ..EndpointChoice::default()
@@ -112,38 +115,38 @@
 
 /// Plays prompts that come each `gap_ms`; `admits` decides about each.
 pub fn play(
-    read_per_ms: f64,
+    prefill_per_ms: f64,
     gap_ms: u32,
     size: (f64, f64),
-    mut pace: EnginePace,
-    admits: &mut dyn FnMut(&EndpointChoice, &EnginePace) -> bool,
+    mut estimator: LatencyEstimator,
+    is_admitted: &mut dyn FnMut(&EndpointChoice, &LatencyEstimator) -> bool,
 ) -> Outcome {
-    let mut engine = Engine::new(read_per_ms);
+    let mut engine = Engine::new(prefill_per_ms);
     let mut refused = 0;
     let mut learned = VecDeque::new();
     for now in 0..PLAYED_MS {
         let at = f64::from(now);
         if now % gap_ms == 0 {
-            let choice = engine.choice(&pace);
-            if admits(&choice, &pace) {
+            let choice = engine.choice(&estimator);
+            if is_admitted(&choice, &estimator) {
                 // What is learned comes when the prompt begins.
-                let to_read = choice.ahead_tokens + size.1;
-                learned.push_back((at, to_read));
+                let queued_tokens = choice.ahead_tokens + size.1;
+                learned.push_back((at, queued_tokens));
                 engine.queue.push_back(Prompt {
                     came_at: at,
                     tokens: size.0,
-                    unread: size.1,
+                    prefill_tokens: size.1,
                 });
-                pace.note_sent(size.0 as u32, size.1 as u32, 60);
+                estimator.record_sent(size.0 as u32, size.1 as u32, 60);
             } else {
                 refused += 1;
             }
         }
         let before = engine.in_time + engine.late;
-        engine.step(at, &mut pace);
+        engine.step(at, &mut estimator);
         if engine.in_time + engine.late > before {
-            if let Some((sent, to_read)) = learned.pop_front() {
-                pace.note_begun(to_read, at - sent);
+            if let Some((sent, queued_tokens)) = learned.pop_front() {
+                estimator.record_first_token(queued_tokens, at - sent);
             }
         }
     }
@@ -154,25 +157,31 @@
     }
 }
 
-pub fn ask() -> AdmissionAsk<'static> {
-    AdmissionAsk {
+pub fn request() -> AdmissionRequest<'static> {
+    AdmissionRequest {
         route: "large",
-        rank: 1,
-        aim: Micros::from_millis(AIM_MS as u64),
-        patience: Micros::from_secs(12),
+        priority: 1,
+        target_latency: Micros::from_millis(TARGET_MS as u64),
+        time_left: Micros::from_secs(12),
     }
 }
 
 /// The same load by the rule that the product uses.
-pub fn play_ruled(
-    read_per_ms: f64,
+pub fn play_admitted(
+    prefill_per_ms: f64,
     gap_ms: u32,
     size: (f64, f64),
-    pace: EnginePace,
+    estimator: LatencyEstimator,
 ) -> Outcome {
-    let mut rule = AdmissionRule::default();
-    play(read_per_ms, gap_ms, size, pace, &mut |choice, pace| {
-        rule.note(&ask(), size.0 as u32, size.1 as u32);
-        rule.judge(&ask(), pace, choice) == AdmissionVerdict::Admitted
-    })
+    let mut controller = AdmissionController::default();
+    play(
+        prefill_per_ms,
+        gap_ms,
+        size,
+        estimator,
+        &mut |choice, estimator| {
+            controller.record(&request(), size.0 as u32, size.1 as u32);
+            controller.decide(&request(), estimator, choice) == AdmissionDecision::Admitted
+        },
+    )
 }
--- a/entry/src/front/beside_link.rs
+++ b/entry/src/front/beside_link.rs
@@ -185,7 +185,7 @@
     config: &ServingConfig,
     entry: &EndpointEntry,
 ) -> bool {
-    let group = config.groups.get(&entry.service);
+    let group = config.services.get(&entry.service);
     group.is_some_and(|group| group.engine.is_some())
 }
 
--- a/entry/src/front/caller_conn.rs
+++ b/entry/src/front/caller_conn.rs
@@ -80,11 +80,16 @@
     link: &mut ByteLink,
     limits: &CallerLimits,
 ) -> Arrival {
-    if link.unused().is_empty() && !wait_for_first_byte(front, link, limits.idle_time).await {
+    if link.unused().is_empty() && !wait_for_first_byte(front, link, limits.idle_timeout).await {
         return Arrival::End;
     }
     let came_at = front.now();
-    let head = match within(limits.head_time, read_head(link, limits.head_bytes)).await {
+    let head = match within(
+        limits.header_timeout,
+        read_head(link, limits.max_header_bytes),
+    )
+    .await
+    {
         Some(Ok(Some(head))) => head,
         Some(Ok(None)) => return Arrival::End,
         Some(Err(kind)) => return Arrival::Refused(kind),
@@ -171,7 +176,7 @@
     limits: &CallerLimits,
 ) -> Result<Option<Vec<u8>>, RefusalKind> {
     let framing = BodyFraming::of_request(&head.fields).map_err(|_| RefusalKind::BadRequest)?;
-    if matches!(framing, BodyFraming::Length(length) if length > limits.body_bytes as u64) {
+    if matches!(framing, BodyFraming::Length(length) if length > limits.max_body_bytes as u64) {
         return Err(RefusalKind::BodyTooLong);
     }
     let mut decoder = BodyDecoder::new(framing);
@@ -185,7 +190,7 @@
     loop {
         let used = decoder.decode(link.unused(), &mut body);
         link.use_up(used.map_err(|_| RefusalKind::BadRequest)?);
-        if body.len() > limits.body_bytes {
+        if body.len() > limits.max_body_bytes {
             return Err(RefusalKind::BodyTooLong);
         }
         if decoder.is_done() {
@@ -204,9 +209,9 @@
     link: &mut ByteLink,
     kind: RefusalKind,
 ) {
-    let row = kind.row();
-    log::info!(event = "refused", kind = row.word, status = row.status; "");
-    front.metrics.count("refused", row.word);
+    let row = kind.response();
+    log::info!(event = "refused", kind = row.code, status = row.status; "");
+    front.metrics.count("refused", row.code);
     let answer = encode_refusal(kind, &row, "", true);
     // A caller that does not read its refusal gets none.
     let _ = within(LAST_WORD, link.write_all(&answer)).await;
--- a/entry/src/front/digest_watch.rs
+++ b/entry/src/front/digest_watch.rs
@@ -95,7 +95,9 @@
 ) {
     let began_at = state.greetings.began_at(echo.number);
     if let (Some(began_at), Some(entry)) = (began_at, state.book.get_mut(key)) {
-        entry.slow_start.take_grant(echo.grant, began_at + echo.age);
+        entry
+            .slow_start
+            .update_grant(echo.grant, began_at + echo.age);
     }
 }
 
@@ -166,7 +168,7 @@
     let state = &mut *guard;
     // Whoever is told of here gets greetings: nobody brings those upon others.
     let is_own = told.address == Some(digest.engine) && digest.engine.ip() == from.ip();
-    let groups = state.config.as_ref().map(|config| &config.groups);
+    let groups = state.config.as_ref().map(|config| &config.services);
     let group = groups.and_then(|groups| groups.get(&told.service));
     let is_engine = group.is_some_and(|group| group.engine.is_some());
     // Before the list is read, it is on no list for that reason alone.
@@ -226,7 +228,7 @@
         DigestOrder::Next => {}
     }
     take_load(entry, &digest, now);
-    state.pace.note_report(digest.load.unread);
+    state.pace.record_report(digest.load.unread);
     take_weights(state, key, &digest, now);
     take_parts(state.book.get_mut(key)?, &digest);
     change
--- a/entry/src/front/front_settings.rs
+++ b/entry/src/front/front_settings.rs
@@ -1,6 +1,6 @@
 use {
     pitchhitch_core::{
-        serving::{KeyPolicy, MechanismSet, RepeatBound, ServingMechanism, SlowStartBound},
+        serving::{KeyPolicy, MechanismSet, RetryLimit, ServingMechanism, SlowStartBound},
         settings::{SettingsErrors, SettingsReader},
         time::Micros,
     },
@@ -48,7 +48,7 @@
     /// is given up.
     pub begin_limit: Micros,
     /// What may be sent again.
-    pub repeats: RepeatBound,
+    pub repeats: RetryLimit,
     /// What endpoints may get while they start slowly.
     pub slow_start: SlowStartBound,
     /// Gap that engines are owed between orders of two boxes.
@@ -152,7 +152,7 @@
             drain_limit: reader.millis("drain_limit_ms", 2_000.0, LIMITS_MS),
             weights_limit: weights_limit.since(WEIGHTS_MARGIN),
             begin_limit: weights_limit.since(BEGIN_MARGIN),
-            repeats: RepeatBound {
+            repeats: RetryLimit {
                 window: reader.seconds("repeat_window_s", 10.0, SPANS_S),
                 ratio: reader.fraction("repeat_ratio", 0.2, 0.0..=1.0),
                 slack: reader.fraction("repeat_slack", 50.0, 0.0..=1_000_000.0),
@@ -177,7 +177,7 @@
     let names: Option<Vec<String>> = reader.value("without", Some(Vec::new()), &wanted);
     let mut mechanisms = Vec::new();
     for name in names.unwrap_or_default() {
-        match ServingMechanism::named(&name) {
+        match ServingMechanism::from_name(&name) {
             Ok(mechanism) => mechanisms.push(mechanism),
             Err(_) => reader.refuse("without", &name, &wanted),
         }
--- a/entry/src/front/front_state.rs
+++ b/entry/src/front/front_state.rs
@@ -2,10 +2,10 @@
     super::{is_engine, EndProbe, FrontSettings, GreetingPlan, LinkPool, StoreReaders},
     pitchhitch_core::{
         serving::{
-            AdmissionRule, EndpointBook, EndpointEntry, EndpointKey, EnginePace, EraWatch,
-            EvacuationBook, KeyTrust, MemoryMap, ProvenTable, ReadProofs, RepeatMeter,
-            ServingConfig, StandstillWatch, StoreEra, SuspectBook, SwapPlanner, TrialTable,
-            WallName, WallTag, WRITE_AGAIN,
+            AdmissionController, CacheNamespace, EndpointBook, EndpointEntry, EndpointKey,
+            EraWatch, EvacuationSet, KeyTrust, LatencyEstimator, MemoryMap, ProvenTable,
+            ReadProofs, RetryWindow, ServingConfig, StandstillWatch, StoreEra, SuspectBook,
+            SwapPlanner, TrialTable, WallTag, WRITE_AGAIN,
         },
         time::Micros,
     },
@@ -50,11 +50,11 @@
     /// Era in which a reading of this process last proved the configuration.
     pub proven_era: Option<StoreEra>,
     /// Failure domains that get nothing new.
-    pub evacuations: EvacuationBook,
+    pub evacuations: EvacuationSet,
     /// What is refused while engines are behind.
-    pub admission: AdmissionRule,
+    pub admission: AdmissionController,
     /// What is learned of how engines take prompts.
-    pub pace: EnginePace,
+    pub pace: LatencyEstimator,
     /// Stores and what is known of their content.
     pub memory: MemoryMap,
     /// Until when engines' fetches are proven to be over.
@@ -89,7 +89,7 @@
     pub running: u32,
     /// Fronts that live, as far as is known.
     pub fronts: u32,
-    meters: HashMap<String, RepeatMeter>,
+    meters: HashMap<String, RetryWindow>,
     walls: HashMap<String, WallTag>,
     next_ticket: u64,
 }
@@ -109,9 +109,9 @@
             heard_at: None,
             greetings: GreetingPlan::default(),
             proven_era: None,
-            evacuations: EvacuationBook::default(),
-            admission: AdmissionRule::without(settings.left_out),
-            pace: EnginePace::without(settings.left_out),
+            evacuations: EvacuationSet::default(),
+            admission: AdmissionController::without(settings.left_out),
+            pace: LatencyEstimator::without(settings.left_out),
             memory: MemoryMap::without(settings.left_out),
             reads: ReadProofs::default(),
             planner: SwapPlanner::default(),
@@ -220,7 +220,7 @@
         starts_slowly: bool,
         now: Micros,
     ) -> bool {
-        let is_evacuated = self.evacuations.has(&entry.domain);
+        let is_evacuated = self.evacuations.contains(&entry.domain);
         !is_evacuated && (!starts_slowly || entry.slow_start.admits(now))
     }
 
@@ -234,10 +234,10 @@
     pub fn meter(
         &mut self,
         service: &str,
-    ) -> &mut RepeatMeter {
+    ) -> &mut RetryWindow {
         if !self.meters.contains_key(service) {
             self.meters
-                .insert(service.to_string(), RepeatMeter::default());
+                .insert(service.to_string(), RetryWindow::default());
         }
         self.meters.entry(service.to_string()).or_default()
     }
@@ -259,10 +259,10 @@
     }
 
     /// All salts of ours that have been seen, with their tags.
-    pub fn walls(&self) -> Vec<(WallName, WallTag)> {
+    pub fn walls(&self) -> Vec<(CacheNamespace, WallTag)> {
         let walls = self.walls.iter();
         walls
-            .filter_map(|(salt, tag)| Some((WallName::parse(salt)?, *tag)))
+            .filter_map(|(salt, tag)| Some((CacheNamespace::parse(salt)?, *tag)))
             .collect()
     }
 
--- a/entry/src/front/operator_watch.rs
+++ b/entry/src/front/operator_watch.rs
@@ -45,7 +45,7 @@
             Ok(page) => note_position(&front, "operator", page.position).map(|()| {
                 if seen.replace(page.position).is_none() {
                     mark.clear();
-                    front.state().evacuations.begin_reading();
+                    front.state().evacuations.begin_full_read();
                 }
                 // A question that was held at the store proves what was in force when it answered.
                 let proven_at = store_clock.proof_time(sent_at, page.store_ms, front.now());
@@ -140,7 +140,7 @@
     let settled = {
         let mut state = front.state();
         match state.eras.proves(proven_at) {
-            true => state.evacuations.settle(),
+            true => state.evacuations.finish_full_read(),
             false => Vec::new(),
         }
     };
--- a/entry/src/front/part_freeing.rs
+++ b/entry/src/front/part_freeing.rs
@@ -1,7 +1,7 @@
 use {
     super::{has_view, FrontContext, CALL_LIMIT},
     pitchhitch_core::{
-        serving::{EndpointStanding, PartFate, PartId, WallName},
+        serving::{CacheNamespace, EndpointStanding, PartFate, PartId},
         time::Micros,
     },
     pitchhitch_platform::KeptClient,
@@ -72,7 +72,7 @@
 fn free_pause(front: &FrontContext) -> Micros {
     let walls = front.state().walls();
     let state = front.state();
-    let is_old = |wall: &WallName| state.planner.named(&wall.model) > Some(wall.version);
+    let is_old = |wall: &CacheNamespace| state.planner.named(&wall.model) > Some(wall.version);
     match walls.iter().any(|(wall, _)| is_old(wall)) {
         true => FREE_PAUSE,
         false => CALM_PAUSE,
@@ -90,7 +90,7 @@
     let mut engines = Vec::new();
     let mut others = HashSet::new();
     for (_, entry) in state.book.iter() {
-        let Some(group) = config.groups.get(&entry.service) else {
+        let Some(group) = config.services.get(&entry.service) else {
             continue;
         };
         if group.engine.is_some() {
@@ -111,7 +111,7 @@
 fn log_held(
     front: &FrontContext,
     address: SocketAddr,
-    held: Option<&WallName>,
+    held: Option<&CacheNamespace>,
 ) {
     let state = front.state();
     let last = held.map(|wall| state.reads.last_proven(&wall.model, wall.version));
@@ -143,7 +143,7 @@
     /// Life of the store that this is known of.
     epoch: u64,
     /// Weights of some that are held until engines prove that they are done.
-    held: Option<WallName>,
+    held: Option<CacheNamespace>,
 }
 
 fn old_parts(
--- a/entry/src/front/peer_state.rs
+++ b/entry/src/front/peer_state.rs
@@ -295,7 +295,7 @@
     if state.trust.proven_at().is_none_or(|at| at < handed_at) {
         let told = handed.evacuated.iter();
         let told: Vec<_> = told
-            .filter_map(|domain| state.evacuations.take_told(domain))
+            .filter_map(|domain| state.evacuations.add_reported(domain))
             .collect();
         drop(guard);
         take_evacuations(front, &told, "peer");
--- a/entry/src/front/request_admit.rs
+++ b/entry/src/front/request_admit.rs
@@ -1,7 +1,7 @@
 use {
     super::{within, FrontContext, RequestEnd},
     pitchhitch_core::{
-        serving::{RefusalKind, RequestAsk, RequestPlace, ServingConfig},
+        serving::{RefusalKind, RequestInfo, ResolvedRequest, ServingConfig},
         time::Micros,
     },
     pitchhitch_http1::ByteLink,
@@ -20,8 +20,8 @@
 /// Finds route and organisation, if what is known is fresh enough to say so.
 pub(super) fn admit(
     front: &FrontContext,
-    ask: &RequestAsk,
-) -> Result<(Rc<ServingConfig>, RequestPlace), RefusalKind> {
+    ask: &RequestInfo,
+) -> Result<(Rc<ServingConfig>, ResolvedRequest), RefusalKind> {
     let state = front.state();
     let config = state.config.clone().ok_or(RefusalKind::NoConfig)?;
     if ask.request_id.is_empty() {
@@ -29,12 +29,12 @@
     }
     let now = front.now();
     let may_deny = state.trust.may_deny(now);
-    let place = config.place(ask).map_err(|kind| match may_deny {
+    let place = config.resolve(ask).map_err(|kind| match may_deny {
         true => kind,
         // A key or route that was added meanwhile may be meant.
         false => RefusalKind::StaleKeys,
     })?;
-    if place.is_keyed && !state.trust.lets_in(now) {
+    if place.is_authenticated && !state.trust.lets_in(now) {
         return Err(RefusalKind::StaleKeys);
     }
     drop(state);
@@ -44,8 +44,8 @@
 /// A stopping process takes nothing that may not end before it has to.
 fn refuse_if_stopping(
     front: &FrontContext,
-    admitted: (Rc<ServingConfig>, RequestPlace),
-) -> Result<(Rc<ServingConfig>, RequestPlace), RefusalKind> {
+    admitted: (Rc<ServingConfig>, ResolvedRequest),
+) -> Result<(Rc<ServingConfig>, ResolvedRequest), RefusalKind> {
     let (config, place) = &admitted;
     let stops_since = front.state().stops_since;
     let limit = match config.routes[place.route].is_stream {
@@ -76,11 +76,11 @@
 pub(super) async fn refuse(
     front: &FrontContext,
     caller: &ByteLink,
-    ask: &RequestAsk,
+    ask: &RequestInfo,
     refusal: OwnRefusal,
 ) -> RequestEnd {
-    let mut row = refusal.kind.row();
-    row.come_back = refusal.come_back.or(row.come_back);
+    let mut row = refusal.kind.response();
+    row.retry_after = refusal.come_back.or(row.retry_after);
     let closes = refusal.closes || row.closes;
     let (version, key_age) = {
         let state = front.state();
@@ -90,16 +90,16 @@
     log::info!(
         event = "refused",
         request = ask.request_id.as_str(),
-        kind = row.word,
+        kind = row.code,
         status = row.status,
         config = version,
         config_age_ms = key_age.map_or(-1, |age| age.as_millis() as i64),
         sends = refusal.sends,
         held_ms = front.now().since(refusal.came_at).as_millis(),
-        back_ms = row.come_back.map_or(-1, |back| back.as_millis() as i64);
+        back_ms = row.retry_after.map_or(-1, |back| back.as_millis() as i64);
         ""
     );
-    front.metrics.count("refused", row.word);
+    front.metrics.count("refused", row.code);
     let answer = encode_refusal(refusal.kind, &row, &ask.request_id, closes);
     let is_written = within(REFUSAL_LIMIT, caller.write_all(&answer)).await;
     match (closes, is_written) {
--- a/entry/src/front/request_answer.rs
+++ b/entry/src/front/request_answer.rs
@@ -72,7 +72,7 @@
     ) -> TryEnd {
         let front = self.front;
         let is_prompt = self.ask.prompt.is_some() && !self.progress.is_begun;
-        let to_read = choice.ahead_tokens + f64::from(choice.unread_tokens);
+        let to_read = choice.ahead_tokens + f64::from(choice.prefill_tokens);
         let is_first = is_prompt && self.sends == 1;
         let mut began = None;
         let mut version = None;
@@ -85,7 +85,9 @@
                 state.trials.begun(ticket, now);
                 if is_first {
                     let took = now.since(sent_at).as_millis() as f64;
-                    state.pace.note_begun(to_read, took - choice.plan.fetch_ms);
+                    state
+                        .pace
+                        .record_first_token(to_read, took - choice.plan.fetch_ms);
                 }
             }
             RelayNews::Version(new) => version = Some(new),
--- a/entry/src/front/request_choice.rs
+++ b/entry/src/front/request_choice.rs
@@ -2,9 +2,9 @@
     super::{FrontState, RequestRun, USUAL_PATIENCE},
     pitchhitch_core::{
         serving::{
-            even_part, pick_endpoint, AdmissionAsk, AdmissionVerdict, EndpointChoice,
-            EndpointEntry, EndpointStanding, EngineGroup, HomeRegions, PartOutlook, PartPlace,
-            PickAsk, TrialAsk, VersionOutlook, WallName, WeightBounds,
+            even_part, pick_endpoint, AdmissionDecision, AdmissionRequest, AllowedRegions,
+            CacheNamespace, EndpointChoice, EndpointEntry, EndpointStanding, EngineGroup,
+            PartOutlook, PartPlace, PickRequest, TrialRequest, VersionAvailability, WeightBounds,
         },
         time::Micros,
     },
@@ -21,10 +21,10 @@
     pub(super) fn wall(
         &self,
         version: u64,
-    ) -> WallName {
+    ) -> CacheNamespace {
         let organisation = self.organisation();
         let organisation = organisation.filter(|organisation| organisation.is_isolated);
-        WallName {
+        CacheNamespace {
             version,
             model: self
                 .ask
@@ -47,16 +47,16 @@
     pub(super) fn judge_admission(
         &self,
         choice: &EndpointChoice,
-    ) -> AdmissionVerdict {
+    ) -> AdmissionDecision {
         let Some(prompt) = self.ask.prompt.as_ref().filter(|_| self.is_weighed()) else {
-            return AdmissionVerdict::Admitted;
+            return AdmissionDecision::Admitted;
         };
         let mut guard = self.front.state();
         let state = &mut *guard;
         let ask = self.admission_ask();
         let admission = &mut state.admission;
-        admission.note(&ask, prompt.tokens_in, choice.unread_tokens);
-        admission.judge(&ask, &state.pace, choice)
+        admission.record(&ask, prompt.tokens_in, choice.prefill_tokens);
+        admission.decide(&ask, &state.pace, choice)
     }
 
     /// Whether it may be refused for load: what was sent has its place, and a suspect runs
@@ -74,21 +74,21 @@
         let spread = even_part(self.spread);
         state
             .admission
-            .come_back(&self.admission_ask(), &state.pace, choice, spread)
+            .retry_after(&self.admission_ask(), &state.pace, choice, spread)
     }
 
-    fn admission_ask(&self) -> AdmissionAsk<'_> {
+    fn admission_ask(&self) -> AdmissionRequest<'_> {
         let route = self.route();
-        AdmissionAsk {
+        AdmissionRequest {
             route: &route.name,
-            rank: self.rank(),
-            aim: route.aim,
-            patience: self.ask.patience.unwrap_or(USUAL_PATIENCE),
+            priority: self.rank(),
+            target_latency: route.target_latency,
+            time_left: self.ask.time_left.unwrap_or(USUAL_PATIENCE),
         }
     }
 
     pub(super) fn group(&self) -> Option<&EngineGroup> {
-        self.config.groups.get(&self.service)?.engine.as_ref()
+        self.config.services.get(&self.service)?.engine.as_ref()
     }
 
     pub(super) fn pick(&mut self) -> Option<EndpointChoice> {
@@ -100,27 +100,30 @@
         let starts_slowly = self.starts_slowly();
         let is_alone = self.trial.is_some_and(|crashes| crashes > 1);
         let barred = state.trials.barred(is_alone, now);
-        let trial = self.trial.and(self.known_as).map(|fingerprint| TrialAsk {
-            number: fingerprint.number(),
-            is_alone,
-            barred: &barred,
-            // What has ended two is not tried on the last one.
-            least: if is_alone { 2 } else { 1 },
-        });
-        let ask = PickAsk {
+        let trial = self
+            .trial
+            .and(self.known_as)
+            .map(|fingerprint| TrialRequest {
+                request_hash: fingerprint.number(),
+                is_alone,
+                excluded: &barred,
+                // What has ended two is not tried on the last one.
+                min_endpoints: if is_alone { 2 } else { 1 },
+            });
+        let ask = PickRequest {
             service: &self.service,
             domain: &front.settings.failure_domain,
             prompt: self.ask.prompt.as_ref(),
-            rank: self.rank(),
+            priority: self.rank(),
             tried: &self.tried,
             trial,
-            may_take: &|entry| {
+            is_eligible: &|entry| {
                 state.is_open(entry, starts_slowly, now) && self.may_lie_in(&entry.domain)
             },
-            is_linked: &|key| state.pool.has_open(key, now),
-            pace: &state.pace,
+            is_connected: &|key| state.pool.has_open(key, now),
+            estimator: &state.pace,
             weights: self.weight_bounds(state, now),
-            left_out: front.settings.left_out,
+            disabled: front.settings.left_out,
             now,
         };
         pick_endpoint(&state.book, &ask, &outlooks)
@@ -137,11 +140,11 @@
         domain: &str,
     ) -> bool {
         let organisation = self.organisation();
-        let homes = HomeRegions {
-            route: &self.route().homes,
-            organisation: organisation.map_or(&[], |organisation| &organisation.homes),
+        let homes = AllowedRegions {
+            route: &self.route().allowed_regions,
+            organisation: organisation.map_or(&[], |organisation| &organisation.allowed_regions),
         };
-        homes.is_open() || homes.allow(self.front.settings.region(domain))
+        homes.is_unrestricted() || homes.allows(self.front.settings.region(domain))
     }
 
     /// When a caller should come back that only endpoints could serve which have just started;
@@ -163,7 +166,7 @@
         let entries = state.book.iter().map(|(_, entry)| entry);
         let waits: Vec<Micros> = entries
             .filter(is_waited_for)
-            .map(|entry| entry.slow_start.open_after(now))
+            .map(|entry| entry.slow_start.admits_after(now))
             .collect();
         let spread = (even_part(self.spread) * SLOW_START_SPREAD.0 as f64) as u64;
         let back = *waits.iter().min()? + SLOW_START_BACK + Micros(spread);
@@ -196,7 +199,7 @@
         &self,
         state: &mut FrontState,
         now: Micros,
-    ) -> Vec<VersionOutlook> {
+    ) -> Vec<VersionAvailability> {
         let (Some(prompt), Some(group)) = (&self.ask.prompt, self.group()) else {
             return Vec::new();
         };
@@ -209,13 +212,13 @@
         versions.dedup();
         let mut outlooks = Vec::new();
         for version in versions {
-            let wall = state.wall(&self.wall(version).salt());
+            let namespace = state.wall(&self.wall(version).salt());
             let parts = state
                 .memory
-                .outlook(&state.book, group, wall, &prompt.parts, now);
-            outlooks.push(VersionOutlook {
+                .outlook(&state.book, group, namespace, &prompt.parts, now);
+            outlooks.push(VersionAvailability {
                 version,
-                wall,
+                namespace,
                 parts: self.allowed(state, version, parts, now),
             });
         }
--- a/entry/src/front/request_moves.rs
+++ b/entry/src/front/request_moves.rs
@@ -1,7 +1,7 @@
 use {
     super::{FrontState, RequestRun},
     pitchhitch_core::{
-        serving::{EndpointChoice, KvStore, PartPlace, PromptAsk},
+        serving::{EndpointChoice, KvStore, PartPlace, PromptInfo},
         time::Micros,
     },
     pitchhitch_platform::{encode_request, PartAddress, SendOrder},
@@ -76,7 +76,7 @@
     fn plan_moves(
         &self,
         state: &mut FrontState,
-        prompt: &PromptAsk,
+        prompt: &PromptInfo,
         choice: &EndpointChoice,
         version: u64,
         now: Micros,
--- a/entry/src/front/request_run.rs
+++ b/entry/src/front/request_run.rs
@@ -5,8 +5,8 @@
     },
     pitchhitch_core::{
         serving::{
-            AdmissionVerdict, EndpointKey, Organisation, RefusalKind, RequestAsk,
-            RequestFingerprint, RequestPlace, ServedRoute, ServingConfig,
+            AdmissionDecision, EndpointKey, Organisation, RefusalKind, RequestFingerprint,
+            RequestInfo, ResolvedRequest, ServedRoute, ServingConfig,
         },
         time::Micros,
     },
@@ -42,9 +42,9 @@
     pub(super) front: &'a FrontContext,
     pub(super) caller: &'a mut ByteLink,
     pub(super) request: &'a WholeRequest,
-    pub(super) ask: RequestAsk,
+    pub(super) ask: RequestInfo,
     pub(super) config: Rc<ServingConfig>,
-    pub(super) place: RequestPlace,
+    pub(super) place: ResolvedRequest,
     pub(super) service: String,
     pub(super) spread: u64,
     pub(super) ends_at: Micros,
@@ -88,12 +88,12 @@
         }
     };
     let route = &config.routes[place.route];
-    let patience = ask.patience.unwrap_or(USUAL_PATIENCE);
+    let patience = ask.time_left.unwrap_or(USUAL_PATIENCE);
     let ends_at = request.came_at + patience.min(route.time_limit);
     let spread = spread_number(&ask.request_id);
     let service = route.target(spread).unwrap_or_default().to_string();
     let left = ends_at.since(front.now());
-    front.state().meter(&service).request(front.now());
+    front.state().meter(&service).record_request(front.now());
     let mut run = RequestRun {
         front,
         caller,
@@ -202,8 +202,8 @@
                 break;
             }
             let verdict = self.judge_admission(&choice);
-            if verdict != AdmissionVerdict::Admitted {
-                self.log_try(&choice, verdict.word(), "");
+            if verdict != AdmissionDecision::Admitted {
+                self.log_try(&choice, verdict.as_str(), "");
                 last_failure = RefusalKind::Overloaded;
                 come_back = Some(self.come_back(&choice));
                 break;
@@ -289,7 +289,7 @@
 
     /// Whether a request that may have run can run once more.
     pub(super) fn can_repeat(&self) -> bool {
-        let is_allowed = self.may_have_run == 0 || self.route().repeat.allows_second_run();
+        let is_allowed = self.may_have_run == 0 || self.route().retry.allows_rerun();
         is_allowed && self.may_have_run < self.route().max_endpoints
     }
 
@@ -305,7 +305,7 @@
         let now = front.now();
         // The clock starts with the process.
         let lived = now;
-        meter.take(&front.settings.repeats, fronts, lived, now)
+        meter.try_acquire(&front.settings.repeats, fronts, lived, now)
     }
 
     pub(super) async fn deliver_whole(
--- a/entry/src/front/request_try.rs
+++ b/entry/src/front/request_try.rs
@@ -87,7 +87,7 @@
         }
         let work = UnreadWork {
             ticket,
-            tokens: choice.unread_tokens,
+            tokens: choice.prefill_tokens,
             memory_tokens: self.ask.prompt.as_ref().map_or(0, |p| p.tokens_in),
             rank: self.rank(),
             sent_at: front.now(),
@@ -136,11 +136,11 @@
         self.run.sent_at = sent_at;
         front.state().book.written(choice.key, ticket, sent_at);
         if let Some(prompt) = &self.ask.prompt {
-            let unread = choice.unread_tokens;
+            let unread = choice.prefill_tokens;
             let mut state = front.state();
             state
                 .pace
-                .note_sent(prompt.tokens_in, unread, prompt.tokens_out);
+                .record_sent(prompt.tokens_in, unread, prompt.tokens_out);
         }
         self.sends += 1;
         self.log_send(choice, "sent", "", place.moves.until_ms);
@@ -190,7 +190,7 @@
         let limit = front.settings.begin_limit;
         let state = front.state();
         let planner = &state.planner;
-        let left = planner.begin_left(&prompt.model, version, limit, front.now());
+        let left = planner.time_to_expiry(&prompt.model, version, limit, front.now());
         left.map_or(self.time_left(), |left| {
             to_duration(left).min(self.time_left())
         })
--- a/entry/src/front/return_check.rs
+++ b/entry/src/front/return_check.rs
@@ -51,7 +51,7 @@
     service: &str,
 ) -> Option<String> {
     let config = front.state().config.clone()?;
-    config.groups.get(service)?.health_path.clone()
+    config.services.get(service)?.health_path.clone()
 }
 
 /// Status of its answer; an endpoint of another id at the address says no.
--- a/entry/src/front/slow_starts.rs
+++ b/entry/src/front/slow_starts.rs
@@ -13,7 +13,7 @@
 ) {
     let span = || {
         let service = &state.book.get(key)?.service;
-        Some(state.config.as_ref()?.slow_start(service)?.span)
+        Some(state.config.as_ref()?.slow_start(service)?.duration)
     };
     let Some(left) = left.or_else(span) else {
         return;
--- a/entry/src/front/store_watch.rs
+++ b/entry/src/front/store_watch.rs
@@ -1,7 +1,7 @@
 use {
     super::{free_old_parts, FrontContext, FrontState},
     pitchhitch_core::{
-        serving::{LookPlan, StoreView},
+        serving::{PollPlan, StoreView},
         time::Micros,
     },
     pitchhitch_platform::{KeptChange, KeptClient, KeptFailure},
@@ -78,7 +78,7 @@
         // next change.
         let hold = match asks_at_once {
             true => Micros::ZERO,
-            false => plan.hold,
+            false => plan.wait,
         };
         let step = match next {
             Some(since) => read_changes(&front, &mut client, address, since, hold).await,
@@ -183,11 +183,11 @@
 fn look_plan(
     front: &FrontContext,
     address: SocketAddr,
-) -> Option<LookPlan> {
+) -> Option<PollPlan> {
     let mut state = front.state();
     let fronts = state.fronts;
     let view = state.memory.view_mut(address)?;
-    Some(view.store.look_plan(fronts))
+    Some(view.store.poll_plan(fronts))
 }
 
 /// Whether the configuration still names a store.
--- a/testbed/examples/load_lab/lab_options.rs
+++ b/testbed/examples/load_lab/lab_options.rs
@@ -46,7 +46,7 @@
         let usage = options.usage("use: load_lab --load FILE");
         let found = options.parse(args).context(usage)?;
         let names = found.opt_strs("without");
-        let named = |name: &String| ServingMechanism::named(name).map_err(anyhow::Error::msg);
+        let named = |name: &String| ServingMechanism::from_name(name).map_err(anyhow::Error::msg);
         let without: anyhow::Result<_> = names.iter().map(named).collect();
         Ok(LabOptions {
             load: found.opt_str("load").unwrap_or_default().into(),
--- a/testbed/src/load_model/front_ask.rs
+++ b/testbed/src/load_model/front_ask.rs
@@ -1,7 +1,7 @@
 use {
     super::{model_front::MODEL, KindSpec, PromptCall},
     pitchhitch_core::{
-        serving::{EndpointChoice, PromptAsk},
+        serving::{EndpointChoice, PromptInfo},
         time::Micros,
     },
     std::net::SocketAddr,
@@ -13,7 +13,7 @@
     /// Its kind.
     pub kind: &'a KindSpec,
     /// Its prompt.
-    pub prompt: &'a PromptAsk,
+    pub prompt: &'a PromptInfo,
     /// Time that its caller still has.
     pub patience: Micros,
     /// Engines that it has been to, by number.
@@ -47,8 +47,8 @@
 }
 
 /// The prompt of a request as its front reads it.
-pub fn prompt_ask(call: &PromptCall) -> PromptAsk {
-    PromptAsk {
+pub fn prompt_ask(call: &PromptCall) -> PromptInfo {
+    PromptInfo {
         model: MODEL.to_string(),
         tokens_in: call.tokens_in(),
         tokens_out: call.tokens_out,
--- a/testbed/src/load_model/load_world.rs
+++ b/testbed/src/load_model/load_world.rs
@@ -4,7 +4,7 @@
         LoadTally, ModelEngine, ModelEvent, ModelFront, ModelStore, PromptCall, SendKey, LEAD_TIME,
     },
     pitchhitch_core::{
-        serving::{MechanismSet, PartId, PromptAsk, ServingMechanism},
+        serving::{MechanismSet, PartId, PromptInfo, ServingMechanism},
         time::Micros,
     },
     std::collections::{BTreeMap, HashMap},
@@ -43,7 +43,7 @@
     pub(super) now: Micros,
     pub(super) queue: EventQueue,
     pub(super) calls: Vec<PromptCall>,
-    pub(super) prompts: Vec<PromptAsk>,
+    pub(super) prompts: Vec<PromptInfo>,
     pub(super) states: Vec<CallState>,
     pub(super) fronts: Vec<ModelFront>,
     pub(super) engines: Vec<ModelEngine>,
--- a/testbed/src/load_model/model_front.rs
+++ b/testbed/src/load_model/model_front.rs
@@ -2,9 +2,10 @@
     super::{EngineSpec, FrontAsk, FrontSend, FrontVerdict, ModelStore},
     pitchhitch_core::{
         serving::{
-            pick_endpoint, AdmissionAsk, AdmissionRule, AdmissionVerdict, EndpointBook,
-            EndpointChoice, EndpointKey, EndpointNotice, EngineGroup, EnginePace, MechanismSet,
-            MemoryMap, PickAsk, PromptAsk, UnreadWork, VersionOutlook, WallTag, WeightBounds,
+            pick_endpoint, AdmissionController, AdmissionDecision, AdmissionRequest, EndpointBook,
+            EndpointChoice, EndpointKey, EndpointNotice, EngineGroup, LatencyEstimator,
+            MechanismSet, MemoryMap, PickRequest, PromptInfo, UnreadWork, VersionAvailability,
+            WallTag, WeightBounds,
         },
         time::Micros,
     },
@@ -28,8 +29,8 @@
     /// Stores, as this front knows them.
     pub memory: MemoryMap,
     /// What it has learned of engines.
-    pub pace: EnginePace,
-    admission: AdmissionRule,
+    pub pace: LatencyEstimator,
+    admission: AdmissionController,
     keys: Vec<EndpointKey>,
     group: EngineGroup,
     tickets: u64,
@@ -59,8 +60,8 @@
             domain,
             book,
             memory,
-            pace: EnginePace::without(left_out),
-            admission: AdmissionRule::without(left_out),
+            pace: LatencyEstimator::without(left_out),
+            admission: AdmissionController::without(left_out),
             keys,
             group: EngineGroup {
                 slots: spec.places,
@@ -100,7 +101,7 @@
             return FrontVerdict::NoEngine;
         };
         // Only a first send is judged: what has been let in is carried through.
-        if ask.tried.is_empty() && self.judge(ask, &choice) != AdmissionVerdict::Admitted {
+        if ask.tried.is_empty() && self.judge(ask, &choice) != AdmissionDecision::Admitted {
             return FrontVerdict::Refused(self.come_back(ask, &choice));
         }
         match self.engine(choice.key) {
@@ -116,18 +117,18 @@
     ) -> Option<EndpointChoice> {
         let outlooks = self.outlooks(ask.prompt, now);
         let tried: Vec<EndpointKey> = ask.tried.iter().map(|at| self.key(*at)).collect();
-        let pick = PickAsk {
+        let pick = PickRequest {
             trial: None,
-            may_take: &|_| true,
-            is_linked: &|_| true,
+            is_eligible: &|_| true,
+            is_connected: &|_| true,
             service: SERVICE,
             domain: &domain_name(self.domain),
             prompt: Some(ask.prompt),
-            rank: ask.kind.rank,
+            priority: ask.kind.rank,
             tried: &tried,
-            pace: &self.pace,
+            estimator: &self.pace,
             weights: WeightBounds::default(),
-            left_out: self.left_out,
+            disabled: self.left_out,
             now,
         };
         pick_endpoint(&self.book, &pick, &outlooks)
@@ -135,14 +136,14 @@
 
     fn outlooks(
         &self,
-        prompt: &PromptAsk,
+        prompt: &PromptInfo,
         now: Micros,
-    ) -> Vec<VersionOutlook> {
+    ) -> Vec<VersionAvailability> {
         let (book, group) = (&self.book, &self.group);
         let parts = self.memory.outlook(book, group, WALL, &prompt.parts, now);
-        vec![VersionOutlook {
+        vec![VersionAvailability {
             version: VERSION,
-            wall: WALL,
+            namespace: WALL,
             parts,
         }]
     }
@@ -151,11 +152,11 @@
         &mut self,
         ask: &FrontAsk<'_>,
         choice: &EndpointChoice,
-    ) -> AdmissionVerdict {
+    ) -> AdmissionDecision {
         let asked = admission_ask(ask);
-        let (tokens, unread) = (ask.prompt.tokens_in, choice.unread_tokens);
-        self.admission.note(&asked, tokens, unread);
-        self.admission.judge(&asked, &self.pace, choice)
+        let (tokens, unread) = (ask.prompt.tokens_in, choice.prefill_tokens);
+        self.admission.record(&asked, tokens, unread);
+        self.admission.decide(&asked, &self.pace, choice)
     }
 
     fn come_back(
@@ -165,7 +166,7 @@
     ) -> Micros {
         let asked = admission_ask(ask);
         self.admission
-            .come_back(&asked, &self.pace, choice, ask.spread)
+            .retry_after(&asked, &self.pace, choice, ask.spread)
     }
 
     fn send(
@@ -179,7 +180,7 @@
         self.tickets += 1;
         let work = UnreadWork {
             ticket: self.tickets,
-            tokens: choice.unread_tokens,
+            tokens: choice.prefill_tokens,
             memory_tokens: prompt.tokens_in,
             rank: ask.kind.rank,
             sent_at: now,
@@ -191,9 +192,9 @@
             let capacity = self.group.capacity_tokens;
             entry.parts.touch(WALL, &prompt.parts, capacity);
         }
-        let unread = choice.unread_tokens;
+        let unread = choice.prefill_tokens;
         self.pace
-            .note_sent(prompt.tokens_in, unread, prompt.tokens_out);
+            .record_sent(prompt.tokens_in, unread, prompt.tokens_out);
         FrontSend {
             engine,
             choice,
@@ -211,9 +212,9 @@
     ) {
         self.book.begun(send.choice.key, send.ticket);
         if is_first {
-            let tokens = send.choice.ahead_tokens + f64::from(send.choice.unread_tokens);
+            let tokens = send.choice.ahead_tokens + f64::from(send.choice.prefill_tokens);
             let millis = took.as_millis() as f64 - send.choice.plan.fetch_ms;
-            self.pace.note_begun(tokens, millis);
+            self.pace.record_first_token(tokens, millis);
         }
     }
 
@@ -227,17 +228,17 @@
     ) {
         self.book.ended(send.choice.key, send.ticket);
         if let Some(held) = held {
-            self.pace.note_ended(tokens_in, held.as_millis() as f64);
+            self.pace.record_end(tokens_in, held.as_millis() as f64);
         }
     }
 }
 
-fn admission_ask<'a>(ask: &FrontAsk<'a>) -> AdmissionAsk<'a> {
-    AdmissionAsk {
+fn admission_ask<'a>(ask: &FrontAsk<'a>) -> AdmissionRequest<'a> {
+    AdmissionRequest {
         route: &ask.kind.name,
-        rank: ask.kind.rank,
-        aim: ask.kind.aim(),
-        patience: ask.patience,
+        priority: ask.kind.rank,
+        target_latency: ask.kind.aim(),
+        time_left: ask.patience,
     }
 }
 
--- a/testbed/src/load_model/model_store.rs
+++ b/testbed/src/load_model/model_store.rs
@@ -48,7 +48,7 @@
             link_mbps: self.spec.link_mbps,
             first_ms: self.spec.first_ms,
             is_managed: true,
-            held_calls: HELD_CALLS,
+            max_pending_calls: HELD_CALLS,
         }
     }
 
--- a/testbed/tests/load_model.rs
+++ b/testbed/tests/load_model.rs
@@ -80,10 +80,10 @@
 
 #[test]
 fn wrong_names() {
-    assert!(ServingMechanism::named("no-such").is_err());
+    assert!(ServingMechanism::from_name("no-such").is_err());
     for mechanism in ServingMechanism::ALL {
         assert_eq!(
-            ServingMechanism::named(mechanism.name()).unwrap(),
+            ServingMechanism::from_name(mechanism.name()).unwrap(),
             mechanism
         );
     }
