--- a/core/src/serving/endpoint_entry.rs
+++ b/core/src/serving/endpoint_entry.rs
@@ -1,6 +1,6 @@
 use {
     super::{
-        EndpointIncarnation, EndpointRejoin, EndpointSlowStart, EnginePace, PartIndex,
+        EndpointIncarnation, EndpointRejoin, EndpointSlowStart, LatencyEstimator, PartIndex,
         StorePosition, SwapStage, WeightBelief,
     },
     crate::{retry::OutlierGuard, time::Micros},
@@ -212,18 +212,18 @@
     pub fn other_prefill_tokens(
         &self,
         now: Micros,
-        pace: &EnginePace,
+        pace: &LatencyEstimator,
     ) -> f64 {
         let Some(load) = self.fresh_load(now) else {
             return 0.0;
         };
         let reading = f64::from(load.reading) / f64::from(load.unread.max(1));
         let others = f64::from(self.other_pending_prefills(now));
-        let reported = others * (1.0 - reading * PREFILL_PROGRESS) * pace.unread_tokens();
-        let average = pace.queued_tokens();
+        let reported = others * (1.0 - reading * PREFILL_PROGRESS) * pace.prefill_tokens();
+        let average = pace.mean_queued_tokens();
         // Unchanged values are not reported again.
         let age = now.since(load.at).min(load.changes_within);
-        average + (reported - average) * pace.still_holds(age)
+        average + (reported - average) * pace.report_weight(age)
     }
 
     /// Tokens to prefill for requests of this front that precede a request of this priority.
@@ -243,7 +243,7 @@
     pub fn unreported_tokens(
         &self,
         now: Micros,
-        pace: &EnginePace,
+        pace: &LatencyEstimator,
     ) -> u64 {
         let load = self.fresh_load(now);
         let is_new =
@@ -260,7 +260,7 @@
     pub fn free_tokens(
         &self,
         now: Micros,
-        pace: &EnginePace,
+        pace: &LatencyEstimator,
     ) -> Option<u64> {
         let load = self.fresh_load(now)?;
         let usable = load.total_tokens * PROMPT_MEMORY_PERCENT / 100;
--- a/core/src/serving/endpoint_registry.rs
+++ b/core/src/serving/endpoint_registry.rs
@@ -261,7 +261,7 @@
     ) {
         if let Some(entry) = self.entries.get_mut(key) {
             entry.running += 1;
-            entry.slow_start.note_sent(prefill.ticket, prefill.sent_at);
+            entry.slow_start.record_sent(prefill.ticket, prefill.sent_at);
             entry.pending_prefills.push(prefill);
         }
     }
@@ -274,7 +274,7 @@
         now: Micros,
     ) {
         if let Some(entry) = self.entries.get_mut(key) {
-            entry.slow_start.note_sent(ticket, now);
+            entry.slow_start.record_sent(ticket, now);
         }
     }
 
@@ -285,7 +285,7 @@
         ticket: u64,
     ) {
         if let Some(entry) = self.entries.get_mut(key) {
-            entry.slow_start.note_unsent(ticket);
+            entry.slow_start.record_unsent(ticket);
         }
     }
 
--- a/core/src/serving/store_directory.rs
+++ b/core/src/serving/store_directory.rs
@@ -180,7 +180,7 @@
     ) -> Vec<PartSource> {
         let bytes = u64::from(part.tokens) * group.token_bytes;
         let mut sources = Vec::new();
-        if self.disabled.has(ServingMechanism::Fetches) {
+        if self.disabled.contains(ServingMechanism::Fetches) {
             return sources;
         }
         for (index, view) in self.views.iter().enumerate() {
@@ -253,7 +253,7 @@
         now: Micros,
     ) -> Option<SocketAddr> {
         let is_saved = |view: &StoreView| view.has_or_gets(namespace, part.id, part.tokens);
-        if self.disabled.has(ServingMechanism::Stores) || self.views.iter().any(is_saved) {
+        if self.disabled.contains(ServingMechanism::Stores) || self.views.iter().any(is_saved) {
             return None;
         }
         let mut best: Option<(f64, &mut StoreView)> = None;
@@ -267,7 +267,7 @@
             // high load, 8 large prompts began late instead of 30 (9 engines); on another, 2,290
             // thousand tokens of shared parts were prefilled again instead of 2,913 thousand (52
             // engines).
-            let fraction = placement_fraction(part.id.number(), view.store.address);
+            let fraction = placement_fraction(part.id.value(), view.store.address);
             let weight = view.store.link_mbps / -fraction.ln();
             if best.as_ref().is_none_or(|(most, _)| weight > *most) {
                 best = Some((weight, view));
--- a/core/src/serving/weight_namings.rs
+++ b/core/src/serving/weight_namings.rs
@@ -18,7 +18,7 @@
 /// compromise: longer is better right after a naming, shorter some seconds later.
 const FETCH_FADE: Micros = Micros::from_secs(10);
 /// Time from the end of the fetches until a part is freed, on another box: the
-/// longest fetch ([`VIEW_LIFE`]) and a standstill that reports do not show.
+/// longest fetch ([`VIEW_TTL`]) and a standstill that reports do not show.
 const FREE_MARGIN: Micros = Micros(VIEW_LIFE.0 + AWAKE_GAP.0);
 
 /// Time after which a reading must show a naming that came before. By judgement:
@@ -82,7 +82,7 @@
 /// boxes know it from the part alone.
 fn fetch_life(part: PartId) -> Micros {
     // Ids may be counted up: neighbours must not end together.
-    let spread = part.number().wrapping_mul(SPREAD_FACTOR).rotate_left(32);
+    let spread = part.value().wrapping_mul(SPREAD_FACTOR).rotate_left(32);
     FETCH_ALL + Micros(spread % FETCH_FADE.0)
 }
 
@@ -160,7 +160,7 @@
         }
     }
 
-    /// The newest namings of each model, [`TOLD_NAMINGS`] at most, as this box knows them.
+    /// The newest namings of each model, [`MAX_REPORTED_PUBLICATIONS`] at most, as this box knows them.
     pub fn told_namings(
         &self,
         now: Micros,
@@ -236,7 +236,7 @@
     /// What becomes of a part made under a version. It may be freed once no box tells an
     /// engine to fetch it, and those that were told have proven that they are done.
     ///
-    /// `reads_over_ms` tells for what time they have ([`super::ReadProofs::over_until_ms`]),
+    /// `reads_over_ms` tells for what time they have ([`super::FetchCompletion::over_until_ms`]),
     /// `clock_ms` is a time on the engines' clock that is not over at `now`.
     pub fn fate(
         &self,
