--- a/core/tests/endpoint_pick.rs
+++ b/core/tests/endpoint_pick.rs
@@ -1,9 +1,9 @@
 //! Which engine takes a prompt.
 
-mod pick_fleet;
+mod fleet_fixture;
 
 use {
-    pick_fleet::{part, prompt, Fleet, NOW},
+    fleet_fixture::{part, prompt, Fleet, NOW},
     pitchhitch_core::{
         serving::{
             EndpointKey, LatencyEstimator, MemoryMap, PartPlace, PromptInfo, SwapStage, UnreadWork,
--- a/core/tests/worst_load.rs
+++ b/core/tests/overload.rs
@@ -1,8 +1,9 @@
 //! Loads that engines cannot serve, replayed on a small model of one engine.
 
-mod worst_engine;
+mod engine_sim;
 
 use {
+    engine_sim::{play, play_admitted, request, Engine, TARGET_MS, USABLE_MEMORY},
     pitchhitch_core::{
         serving::{
             AdmissionController, AdmissionDecision, AdmissionRequest, EndpointChoice,
@@ -10,7 +11,6 @@
         },
         time::Micros,
     },
-    worst_engine::{play, play_admitted, request, Engine, TARGET_MS, USABLE_MEMORY},
 };
 
 /// Twice as much to read as an engine can: without a rule all but the first are
