--- a/core/src/serving/mod.rs
+++ b/core/src/serving/mod.rs
@@ -2,21 +2,21 @@
 //! organisation of a request, the endpoint that gets it, what may be sent again, and how fresh
 //! the state behind these decisions must be.
 
-mod admission_ask;
-mod admission_rule;
-mod admission_verdict;
-mod begin_limits;
+mod admission_request;
+mod admission_controller;
+mod admission_decision;
+mod version_expiry;
 mod caller_limits;
 mod endpoint_entry;
 mod endpoint_incarnation;
 mod endpoint_pick;
 mod endpoint_registry;
 mod endpoint_rejoin;
-mod engine_pace;
+mod latency_estimator;
 mod era_watch;
-mod evacuation_book;
-mod grant_book;
-mod home_regions;
+mod evacuation_set;
+mod grant_allocator;
+mod allowed_regions;
 mod incarnation_tracker;
 mod key_policy;
 mod key_trust;
@@ -28,16 +28,16 @@
 mod part_index;
 mod path_index;
 mod pause_detector;
-mod prompt_ask;
+mod prompt_info;
 mod prompt_part;
-mod rank_shares;
+mod priority_shares;
 mod read_proofs;
 mod reader_tier;
 mod reclaim_state;
 mod refusal_kind;
-mod repeat_meter;
+mod retry_window;
 mod request_fingerprint;
-mod route_habits;
+mod route_stats;
 mod served_route;
 mod serving_config;
 mod serving_mechanism;
@@ -56,22 +56,22 @@
 mod told_age;
 mod told_naming;
 mod trial_table;
-mod wall_name;
+mod cache_namespace;
 mod weight_belief;
 mod weight_bounds;
 mod weight_namings;
 
 pub use {
-    admission_ask::*, admission_rule::*, admission_verdict::*, caller_limits::*, endpoint_entry::*,
+    admission_request::*, admission_controller::*, admission_decision::*, caller_limits::*, endpoint_entry::*,
     endpoint_incarnation::*, endpoint_pick::*, endpoint_registry::*, endpoint_rejoin::*,
-    engine_pace::*, era_watch::*, evacuation_book::*, grant_book::*, home_regions::*,
+    latency_estimator::*, era_watch::*, evacuation_set::*, grant_allocator::*, allowed_regions::*,
     incarnation_tracker::*, key_policy::*, key_trust::*, kv_store::*, listed_incarnation::*,
     mechanism_set::*, message_intervals::*, order_right::*, part_index::*, path_index::*,
-    pause_detector::*, prompt_ask::*, prompt_part::*, rank_shares::*, read_proofs::*,
-    reader_tier::*, reclaim_state::*, refusal_kind::*, repeat_meter::*, request_fingerprint::*,
-    route_habits::*, served_route::*, serving_config::*, serving_mechanism::*, slow_start::*,
+    pause_detector::*, prompt_info::*, prompt_part::*, priority_shares::*, read_proofs::*,
+    reader_tier::*, reclaim_state::*, refusal_kind::*, retry_window::*, request_fingerprint::*,
+    route_stats::*, served_route::*, serving_config::*, serving_mechanism::*, slow_start::*,
     stable_hash::*, store_clock::*, store_directory::*, store_position::*, store_proof::*,
     store_uptime::*, store_view::*, suspect_record::*, suspect_tracker::*, swap_planner::*,
-    table_mark::*, told_naming::*, trial_table::*, wall_name::*, weight_belief::*,
+    table_mark::*, told_naming::*, trial_table::*, cache_namespace::*, weight_belief::*,
     weight_bounds::*, weight_namings::*,
 };
--- a/core/tests/worst_load.rs
+++ b/core/tests/overload.rs
@@ -1,13 +1,13 @@
 //! Loads that engines cannot serve, replayed on a small model of one engine.
 
-mod worst_engine;
+mod engine_sim;
 
 use {
     pitchhitch_core::{
         serving::{AdmissionRequest, AdmissionController, AdmissionDecision, EndpointChoice, LatencyEstimator},
         time::Micros,
     },
-    worst_engine::{request, play, play_admitted, Engine, TARGET_MS, USABLE_MEMORY},
+    engine_sim::{request, play, play_admitted, Engine, TARGET_MS, USABLE_MEMORY},
 };
 
 /// Twice as much to read as an engine can: without a rule all but the first are
