--- a/core/src/serving/admission_controller.rs
+++ b/core/src/serving/admission_controller.rs
@@ -7,50 +7,48 @@
     std::collections::HashMap,
 };
 
-/// Part of a prompt's aim within which it must begin by the estimate, the reading
-/// of a usual prompt of its route included. Estimates miss by some hundred
-/// milliseconds; those that begin late take the time of those that would not.
+/// Fraction of the target latency within which an answer must be expected to start, including the
+/// prefill of a typical prompt of its route. Estimates are off by some hundred milliseconds, and
+/// prompts that start late take time from those that would not.
 const MAX_START_FRACTION: f64 = 0.6;
-/// The same for a caller that was refused before: it goes before who comes first
-/// now, as a second refusal is worth less than a first.
+/// The same for a caller that was refused before. It takes precedence over new callers, as refusing
+/// it a second time costs more than refusing a new caller once.
 const RETRY_MAX_START_FRACTION: f64 = 1.0;
-/// Part of the aim that may always be spent before the reading begins: where the
-/// reading alone takes most of the aim, a refusal would not help anybody.
+/// Fraction of the target latency that a prompt may always queue before its prefill. Where the
+/// prefill alone takes most of the target, a refusal would help nobody.
 const MIN_QUEUE_FRACTION: f64 = 0.25;
-/// Part of an engine's memory that prompts may wait for: while more do, what runs
-/// is put back and read again, and nothing is in time.
+/// Fraction of an engine's memory that prompts may wait for. If more wait, running prompts are
+/// preempted and prefilled again, and no answer is in time.
 const MAX_WAITING_FRACTION: f64 = 0.2;
-/// Part of what an engine keeps of a prompt already for which no memory must be free:
-/// other runs hold some of it, and nothing of it has to be read. Prompts that come
-/// back to such an engine are let in before those that would push out what is kept:
-/// 0.761 in place of 0.751 of the worth of ten replayed days (9 engines); with all of
-/// it 0.761 too, but on 52 engines, short of memory, 0.702 in place of 0.712.
+/// Fraction of the cached tokens of a prompt that reduces the free memory it needs: other running
+/// prompts share some of these tokens, and none have to be prefilled. Prompts that return to such
+/// an engine are admitted before prompts that would evict its cache. In replays of ten days this
+/// reached 0.761 instead of 0.751 of the possible value on 9 engines. A fraction of 1 reached 0.761
+/// too, but 0.702 instead of 0.712 on 52 engines that were short of memory.
 const CACHED_FRACTION: f64 = 0.6;
-/// Weight of one large prompt in the part that found no memory.
+/// Weight of one large prompt in the moving average of the memory shortage.
 const SHORTAGE_SMOOTHING: f64 = 0.03;
-/// Part of the large prompts that may find no memory before some is kept back:
-/// short crowds pass, and filled memory serves them best.
+/// Memory shortage above which some memory is reserved. Short bursts stay below it; they are served
+/// best if memory is filled completely.
 const SHORTAGE_THRESHOLD: f64 = 0.35;
-/// Part of the memory that is kept back for each part of the large prompts that
-/// finds none beyond that. Where most are refused anyway, engines that are less
-/// full answer sooner, keep more parts and serve more: with four times the large
-/// prompts, 625 in time in place of 534, and 1,040 thousand tokens read again in
-/// place of 2,550 thousand.
+/// Fraction of the memory that is reserved per unit of memory shortage above the threshold. Where
+/// most large prompts are refused anyway, engines with some free memory answer sooner, keep more
+/// parts cached and serve more: with four times the large prompts, 625 instead of 534 were in time,
+/// and 1,040 thousand instead of 2,550 thousand tokens were prefilled again.
 const RESERVE_PER_SHORTAGE: f64 = 0.7;
-/// Shortest and longest time after which a refused caller is asked back, in
-/// milliseconds: the way to another box, and the order of the longest queues.
+/// Bounds of the time after which a refused caller should retry, in milliseconds: the time to reach
+/// another box, and the order of magnitude of the longest queues.
 const MIN_RETRY_AFTER_MS: f64 = 40.0;
 const MAX_RETRY_AFTER_MS: f64 = 2_000.0;
-/// When refused callers are asked back where that is not worked out.
+/// Time after which refused callers should retry if it is not computed.
 const FIXED_RETRY_AFTER: Micros = Micros::from_millis(500);
 
-/// Decides which prompts are refused at once, because an engine would begin with
-/// them too late: their callers do better to come back.
+/// Refuses prompts that an engine would start too late, so that their callers can retry.
 ///
-/// The load that it answers: for seconds more prompts come than engines read or
-/// have memory for. Each that is let in beyond that makes all others later. Sizes
-/// count by route, not by request: a large request of a kind has the same chance
-/// as a small one.
+/// It handles overloads of some seconds, in which more prompts arrive than engines can prefill or
+/// have memory for; each prompt admitted beyond that delays all others. It uses mean sizes by route
+/// rather than the size of the request, so that within a route large requests have the same chance
+/// as small ones.
 #[derive(Debug, Clone, Default)]
 pub struct AdmissionController {
     routes: HashMap<String, RouteStats>,
@@ -60,7 +58,7 @@
 }
 
 impl AdmissionController {
-    /// A rule that does without some mechanisms.
+    /// A controller with some mechanisms disabled.
     pub fn without(disabled: MechanismSet) -> Self {
         AdmissionController {
             disabled,
@@ -68,7 +66,7 @@
         }
     }
 
-    /// Notes a prompt that came: its size and what has to be read of it, in tokens.
+    /// Records a prompt that arrived: its size and the part of it to prefill, in tokens.
     pub fn record(
         &mut self,
         request: &AdmissionRequest<'_>,
@@ -85,12 +83,12 @@
         }
     }
 
-    /// The part of the large prompts that finds no memory.
+    /// Moving average of the fraction of large prompts that found too little free memory.
     pub fn memory_shortage(&self) -> f64 {
         self.memory_shortage
     }
 
-    /// Decides about a prompt, if `choice` is the best engine for it.
+    /// Decides on a prompt for which `choice` is the best engine.
     pub fn decide(
         &mut self,
         request: &AdmissionRequest<'_>,
@@ -115,8 +113,8 @@
         AdmissionDecision::Admitted
     }
 
-    /// Whether the prompt would begin too late. An engine that has nothing else to
-    /// read takes any: what it makes of them shows when the trouble is over.
+    /// Whether the prompt would start too late. An engine with an empty queue accepts any prompt:
+    /// its results show when it has recovered.
     fn starts_too_late(
         &self,
         request: &AdmissionRequest<'_>,
@@ -174,10 +172,10 @@
         has_long_queue && !self.disabled.contains(ServingMechanism::WaitingRule)
     }
 
-    /// Large prompts of the least urgent rank would be put back, or others for
-    /// them, where their memory is not free: reading one anew costs as much as it
-    /// earns. Smaller ones fit in, or wait for a moment; more urgent ones are let
-    /// in first.
+    /// Whether the prompt needs free memory to be admitted. Without it, large prompts of the least
+    /// urgent priority would be preempted or cause others to be, and prefilling one again costs as
+    /// much as serving it gains. Smaller prompts fit in or wait briefly, and more urgent ones are
+    /// admitted first.
     fn needs_free_memory(
         &self,
         request: &AdmissionRequest<'_>,
@@ -202,7 +200,7 @@
             .is_some_and(|free| needed > free as f64)
     }
 
-    /// Memory that is kept back from the prompt, in tokens.
+    /// Memory that the prompt must leave free, in tokens.
     fn reserved_tokens(
         &self,
         request: &AdmissionRequest<'_>,
@@ -215,7 +213,7 @@
         choice.total_tokens as f64 * RESERVE_PER_SHORTAGE * excess
     }
 
-    /// Memory that is free for prompts, in tokens, where that is known and counts.
+    /// Free memory for prompts, in tokens; `None` if it is unknown or the mechanism is disabled.
     fn free_tokens(
         &self,
         choice: &EndpointChoice,
@@ -226,9 +224,9 @@
         }
     }
 
-    /// When a refused caller should come back: once the queue is short enough, or
-    /// the memory is free, as far as engines tell. `spread` from 0 to 1 keeps those
-    /// that are refused together from coming back together.
+    /// Time after which a refused caller should retry: when the queue is estimated to be short
+    /// enough and the memory free. `jitter` from 0 to 1 spreads the retries of callers that were
+    /// refused at the same time.
     pub fn retry_after(
         &self,
         request: &AdmissionRequest<'_>,
--- a/core/src/serving/admission_decision.rs
+++ b/core/src/serving/admission_decision.rs
@@ -1,16 +1,16 @@
-/// What is decided of a prompt, if the best engine for it is known.
+/// Decision on a prompt, given the best engine for it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AdmissionDecision {
-    /// It is sent.
+    /// The prompt is sent.
     Admitted,
-    /// The engine would begin with it too late, or too many wait there already.
+    /// The engine would start it too late, or too many prompts wait there.
     TooLate,
-    /// Memory for prompts of its kind is not free.
+    /// The engine has too little free memory for a prompt of this route.
     NoMemory,
 }
 
 impl AdmissionDecision {
-    /// Word for the logs.
+    /// Name in logs.
     pub fn as_str(self) -> &'static str {
         match self {
             AdmissionDecision::Admitted => "admitted",
--- a/core/src/serving/admission_request.rs
+++ b/core/src/serving/admission_request.rs
@@ -1,14 +1,14 @@
 use crate::time::Micros;
 
-/// A prompt that asks to be let in.
+/// A prompt that asks for admission.
 #[derive(Debug, Clone, Copy)]
 pub struct AdmissionRequest<'a> {
-    /// Route.
+    /// Name of the route.
     pub route: &'a str,
-    /// Rank; 0 is the most urgent.
+    /// Priority; 0 is the most urgent.
     pub priority: u8,
-    /// Time within which it should begin, from when it came.
+    /// Target time from arrival to the first token of the answer.
     pub target_latency: Micros,
-    /// Time that its caller still has.
+    /// Time until the caller's deadline.
     pub time_left: Micros,
 }
--- a/core/src/serving/allowed_regions.rs
+++ b/core/src/serving/allowed_regions.rs
@@ -1,21 +1,21 @@
-/// Regions in which a request may run and its state may be kept: those that its route names and
-/// those that its organisation names. Each of the two that names any binds.
+/// Regions in which a request may run and its state may be stored. The lists of the route and of
+/// the organisation both apply, each if it is not empty.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct AllowedRegions<'a> {
-    /// Regions of the route; empty where it names none.
+    /// Regions of the route; empty for all.
     pub route: &'a [String],
-    /// Regions of the organisation; empty where it names none.
+    /// Regions of the organisation; empty for all.
     pub organisation: &'a [String],
 }
 
 impl AllowedRegions<'_> {
-    /// Whether nobody names any.
+    /// Whether all regions are allowed.
     pub fn is_unrestricted(&self) -> bool {
         self.route.is_empty() && self.organisation.is_empty()
     }
 
-    /// Whether the request may run, and its state be kept, in a region; one that is not known is
-    /// nobody's.
+    /// Whether the request may run and its state may be stored in a region. An unknown region is in
+    /// no list.
     pub fn allows(
         &self,
         region: Option<&str>,
--- a/core/src/serving/cache_namespace.rs
+++ b/core/src/serving/cache_namespace.rs
@@ -1,25 +1,25 @@
 use super::WallTag;
 
-/// The wall inside which parts of prompts are shared: weights of one version,
-/// and one organisation where that shares with nobody.
+/// Namespace in which prompt parts are shared: the weights of one version, and one organisation if
+/// it is isolated.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct CacheNamespace {
     /// Version of the weights.
     pub version: u64,
     /// Model.
     pub model: String,
-    /// Organisation that shares with nobody.
+    /// Organisation, if it is isolated.
     pub organisation: Option<String>,
 }
 
 impl CacheNamespace {
-    /// The wall as a salt.
+    /// Cache salt of the namespace.
     pub fn salt(&self) -> String {
         let organisation = self.organisation.as_deref().unwrap_or_default();
         format!("{}/{}/{}", self.version, self.model, organisation)
     }
 
-    /// Reads a salt of ours; `None` where it is not one.
+    /// Parses a cache salt; `None` if it has another format.
     pub fn parse(salt: &str) -> Option<Self> {
         let mut words = salt.splitn(3, '/');
         let version = words.next()?.parse().ok()?;
@@ -32,7 +32,7 @@
         })
     }
 
-    /// Tag of the salt.
+    /// Hash of the salt.
     pub fn tag(&self) -> WallTag {
         WallTag::of(&self.salt())
     }
--- a/core/src/serving/caller_limits.rs
+++ b/core/src/serving/caller_limits.rs
@@ -1,20 +1,20 @@
 use crate::time::Micros;
 
-/// What a caller may send, and how long it may take for it.
+/// Size and time limits for requests of callers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct CallerLimits {
-    /// Longest head, in bytes.
+    /// Maximum size of the request line and headers, in bytes.
     pub max_header_bytes: usize,
-    /// Longest body, in bytes.
+    /// Maximum size of the body, in bytes.
     pub max_body_bytes: usize,
-    /// Time for a whole head, from its first byte.
+    /// Time limit for receiving the complete headers, from their first byte.
     pub header_timeout: Micros,
-    /// Time for which an open connection may rest.
+    /// Time after which an idle connection is closed.
     pub idle_timeout: Micros,
 }
 
 impl Default for CallerLimits {
-    /// Used until a configuration is known; the figures of the first sites.
+    /// Limits until a configuration is known, as configured at the first sites.
     fn default() -> Self {
         CallerLimits {
             max_header_bytes: 16 << 10,
--- a/core/src/serving/endpoint_pick.rs
+++ b/core/src/serving/endpoint_pick.rs
@@ -7,144 +7,143 @@
     crate::{retry::OutlierGuard, time::Micros},
 };
 
-/// Cost of crossing to another failure domain, in milliseconds: the way there
-/// and back, and the price of the bytes.
+/// Cost of another failure domain, in milliseconds: the round trip and the price of the traffic.
 const CROSS_DOMAIN_COST_MS: f64 = 5.0;
-/// Cost of opening a connection, in milliseconds: a round trip, and work at both ends. Many
-/// boxes that each use all engines would have half of their requests open one.
+/// Cost of opening a connection, in milliseconds: a round trip, and work at both ends. With many
+/// boxes that each use all engines, half of the requests would open one without this cost.
 const NEW_CONNECTION_COST_MS: f64 = 4.0;
-/// Cost of each request that runs, as it slows each step down: this part of what
-/// it takes to read a usual prompt.
+/// Cost of each running request, as a fraction of the prefill time of a typical prompt: each one
+/// slows down every step of the engine.
 const RUNNING_REQUEST_FACTOR: f64 = 0.02;
-/// What the home of a prompt gets ahead for each shared token that nobody has
-/// read, in times of reading it: boxes that know nothing of each other's choices
-/// then read it at the same place, once.
+/// Bonus of the home engine per shared token that no engine has cached, as a multiple of its
+/// prefill time. Boxes that do not know each other's choices then prefill the part on the same
+/// engine, once.
 const HOME_PREFILL_FACTOR: f64 = 1.0;
-/// What the home gets ahead for each shared token in any case, in times of reading
-/// it: a part that many engines hold takes the room of others.
+/// Bonus of the home engine per shared token in any case, as a multiple of its prefill time: a part
+/// that many engines cache displaces others.
 const HOME_SHARED_FACTOR: f64 = 0.25;
-/// Cost of a token that is fetched, beyond its time, in times of reading it: the
-/// price of the move, and the room that it takes from others.
+/// Cost of a fetched token beyond its transfer time, as a multiple of its prefill time: the price
+/// of the transfer, and the memory that it takes from other parts.
 const FETCH_COST_FACTOR: f64 = 0.25;
-/// Cost of an engine that has no place free, in milliseconds.
+/// Cost of an engine without a free slot, in milliseconds.
 const NO_SLOT_COST_MS: f64 = 800.0;
-/// Cost of memory that is short, for each token, in times of reading it: requests
-/// that run are put back and read anew.
+/// Cost per token of missing memory, as a multiple of its prefill time: running requests are
+/// preempted and prefilled again.
 const MISSING_MEMORY_FACTOR: f64 = 2.0;
-/// Cost of reading a token of a shared part, beyond the time that it takes, in
-/// times of reading it: what an engine reads again costs some fifty fetches.
+/// Cost of prefilling a token of a shared part beyond the time it takes, as a multiple of that
+/// time: prefilling a part again costs as much as some fifty fetches.
 const SHARED_PREFILL_FACTOR: f64 = 1.0;
-/// Cost of weights that newer ones are named for, in milliseconds: what they
-/// make is worth less and less.
+/// Cost of weights that a newer version replaces, in milliseconds: their answers lose value with
+/// time.
 const OLD_WEIGHTS_COST_MS: f64 = 12.0;
-/// Longest answer that goes to an engine which ends its long runs, as a part of
-/// the usual answer.
+/// Longest answer that is sent to a draining engine, as a fraction of the typical answer.
 const SHORT_ANSWER_FRACTION: f64 = 0.5;
-/// Cost of one request that a plain service holds already, in milliseconds.
+/// Cost of each request that an endpoint of a plain service is running, in milliseconds.
 const PLAIN_REQUEST_COST_MS: f64 = 12.0;
 
-/// Difference in cost, in milliseconds, that is not worth meeting another suspect: about a
-/// request that runs beside it.
+/// Difference in cost, in milliseconds, that is accepted to keep two suspect requests apart: about
+/// one more running request.
 const TRIAL_COST_TOLERANCE_MS: f64 = 15.0;
 
-/// What is looked for.
+/// Input of the choice of an endpoint.
 #[derive(Clone, Copy)]
 pub struct PickRequest<'a> {
-    /// Service that the route leads to.
+    /// Name of the service.
     pub service: &'a str,
     /// Failure domain of this box.
     pub domain: &'a str,
-    /// Prompt, where the service is of model engines.
+    /// Prompt, if the service has model engines.
     pub prompt: Option<&'a PromptInfo>,
-    /// Rank of the request; 0 is the most urgent.
+    /// Priority of the request; 0 is the most urgent.
     pub priority: u8,
-    /// Endpoints that this request has been to.
+    /// Endpoints that the request has already been sent to.
     pub tried: &'a [EndpointKey],
-    /// What is learned of the engines.
+    /// Latency estimates of the engines.
     pub estimator: &'a LatencyEstimator,
-    /// Set where endpoints have ended under the request.
+    /// Set for a suspect request, one under which endpoints have crashed.
     pub trial: Option<TrialRequest<'a>>,
-    /// Whether an endpoint may get the request at all: its failure domain serves, it is in a region
-    /// where the request may run, and it bears one more request.
+    /// Whether an endpoint may get the request: its failure domain is not evacuated, its region is
+    /// allowed, and slow start permits another request.
     pub is_eligible: &'a dyn Fn(&EndpointEntry) -> bool,
-    /// Whether a connection to an endpoint is open and unused.
+    /// Whether there is an open, unused connection to an endpoint.
     pub is_connected: &'a dyn Fn(EndpointKey) -> bool,
-    /// Weights that the prompt may begin on.
+    /// Versions of the weights that the prompt may start on.
     pub weights: WeightBounds,
-    /// Mechanisms that are left out.
+    /// Disabled mechanisms.
     pub disabled: MechanismSet,
     /// Current time.
     pub now: Micros,
 }
 
-/// What a suspect asks of its endpoint.
+/// Constraints on the endpoint for a suspect request.
 #[derive(Debug, Clone, Copy)]
 pub struct TrialRequest<'a> {
-    /// A number of the request: of endpoints that cost about the same it goes to one by that,
-    /// wherever it comes again. Sent by cost alone, a sound one met two others at one endpoint
-    /// after the other, and was held back.
+    /// Hash of the request, which selects among endpoints of about the same cost, so that
+    /// repetitions of a request go to the same endpoint. When cost alone decided, a harmless
+    /// request met two other suspects on one endpoint after the other, and was blocked.
     pub request_hash: u64,
-    /// Whether the number alone decides: two endpoints have ended under it. Before, most are
-    /// sound: by number alone, those that three waves of crashes broke off read 133,000 tokens
-    /// of shared parts again on a replayed day.
+    /// Whether the hash alone decides, because two endpoints have crashed under the request. Before
+    /// that, most suspects are harmless: when the hash alone decided for them too, requests that
+    /// three waves of crashes interrupted prefilled 133,000 tokens of shared parts again in one
+    /// replayed day.
     pub is_alone: bool,
-    /// Endpoints that have no room for a suspect.
+    /// Endpoints that cannot take a suspect request.
     pub excluded: &'a [EndpointKey],
-    /// Endpoints that must serve, so that it is not the last one that it may end.
+    /// Minimum number of available endpoints, so that a suspect request cannot crash the last one.
     pub min_endpoints: u32,
 }
 
-/// The endpoint that was chosen, and why.
+/// The chosen endpoint, and the estimates that led to the choice.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct EndpointChoice {
-    /// Endpoint.
+    /// Key of the endpoint.
     pub key: EndpointKey,
-    /// Estimated time until the answer begins, in milliseconds.
+    /// Estimated time until the answer starts plus other costs, in milliseconds.
     pub estimate_ms: f64,
-    /// Tokens that it reads for others first.
+    /// Tokens of other requests that the endpoint prefills first.
     pub ahead_tokens: f64,
-    /// Time for which it does, in milliseconds.
+    /// Prefill time of these tokens, in milliseconds.
     pub ahead_ms: f64,
-    /// Time until a prompt begins beside its own reading, as prompts of late have
-    /// taken, in milliseconds.
+    /// Time until the answer starts, beside the request's own prefill, according to recent prompts,
+    /// in milliseconds.
     pub queue_ms: f64,
-    /// Requests that wait at it for a place or for memory.
+    /// Requests that wait at the endpoint for a slot or memory.
     pub waiting: u32,
-    /// Memory that it has for further prompts, in tokens, where that is known.
+    /// Memory for further prompts, in tokens, if known.
     pub free_tokens: Option<u64>,
-    /// Memory that runs at it take, in tokens, where that is known.
+    /// Memory of running requests, in tokens; 0 if unknown.
     pub used_tokens: u64,
-    /// All memory of it, in tokens, where that is known.
+    /// Total memory, in tokens; 0 if unknown.
     pub total_tokens: u64,
-    /// Tokens that it will have to read.
+    /// Tokens that it has to prefill for the request.
     pub prefill_tokens: u32,
-    /// What it keeps already and what it fetches.
+    /// Parts that it has cached, and parts that it fetches.
     pub plan: PromptPlan,
     /// Tokens of shared parts.
     pub shared_tokens: u32,
-    /// Tokens of shared parts that it will have to read.
+    /// Tokens of shared parts that it has to prefill.
     pub shared_prefill_tokens: u32,
-    /// Version of the weights that is expected of it.
+    /// Expected version of the weights.
     pub version: Option<u64>,
-    /// Endpoints that were weighed.
+    /// Number of endpoints that were compared.
     pub candidates: u32,
-    /// Whether it has a place free, as far as is known.
+    /// Whether it has a free slot, as far as known.
     pub has_free_slot: bool,
 }
 
-/// What is known about a prompt's parts under one version of the weights.
+/// Availability of a prompt's parts for one version of the weights.
 #[derive(Debug, Clone, PartialEq)]
 pub struct VersionAvailability {
-    /// Version.
+    /// Version of the weights.
     pub version: u64,
-    /// Tag of the salt that goes with it.
+    /// Tag of the cache namespace of this version.
     pub namespace: WallTag,
-    /// Shared parts and where they can be fetched.
+    /// Shared parts and where they can be fetched from.
     pub parts: Vec<PartOutlook>,
 }
 
-/// Chooses an endpoint; `outlooks` has one entry for each version of the
-/// weights that some engine has.
+/// Chooses an endpoint. `availabilities` has one entry for each version of the weights that an
+/// engine has.
 pub fn pick_endpoint(
     book: &EndpointBook,
     request: &PickRequest<'_>,
@@ -160,7 +159,7 @@
     if healthy.is_some() || request.trial.is_some() {
         return healthy;
     }
-    // Nobody is in order: somebody who may be is better than nobody.
+    // No endpoint is known to be healthy: one that may be is better than none.
     pick_best(book, request, availabilities, &|_| true)
 }
 
@@ -177,7 +176,7 @@
     !is_away && !is_loading && !is_suspect && !outlier_guard(entry, request).is_out(now)
 }
 
-/// What watches the endpoint's failures; one that has seen none, where it is left out.
+/// Outlier guard of the endpoint; one without failures if the mechanism is disabled.
 fn outlier_guard(
     entry: &EndpointEntry,
     request: &PickRequest<'_>,
@@ -247,7 +246,7 @@
     best.map(|(_, choice)| choice)
 }
 
-/// Where a suspect runs.
+/// Chooses the endpoint for a suspect request.
 fn pick_for_trial(
     book: &EndpointBook,
     trial: &TrialRequest<'_>,
@@ -350,8 +349,8 @@
     shared.map(|part| part.tokens).sum()
 }
 
-/// Part of the others' tokens that goes before a request of this rank: of the
-/// sites' tokens a fifth is of the most urgent rank, and most is of the third.
+/// Fraction of the tokens of other boxes' requests that are prefilled before a request of this
+/// priority. At the sites, a fifth of the tokens has the highest priority, and most have the third.
 fn share_ahead(priority: u8) -> f64 {
     match priority {
         0 => 0.25,
@@ -360,7 +359,7 @@
     }
 }
 
-/// The number that a prompt's home is drawn from: its last shared part.
+/// Hash that selects a prompt's home engine: the id of its last shared part.
 fn home_hash(request: &PickRequest<'_>) -> u64 {
     let parts = request.prompt.map_or(&[][..], |prompt| &prompt.parts);
     let shared = parts
@@ -370,7 +369,7 @@
     shared.or(parts.last()).map_or(0, |part| part.id.value())
 }
 
-/// Mixes a number with a text, evenly spread.
+/// Hashes a text with a seed; the results are evenly distributed.
 fn hash_with_seed(
     seed: u64,
     text: &str,
--- a/core/src/serving/evacuation_set.rs
+++ b/core/src/serving/evacuation_set.rs
@@ -1,26 +1,26 @@
 use std::collections::BTreeMap;
 
-/// Failure domains whose endpoints are to get nothing new, as the operators wrote.
+/// Failure domains that operators have evacuated: their endpoints get no new requests.
 ///
-/// What a copy of the platform's store lacks may still be asked for: an evacuation that is
-/// missing there holds until the operators have had the time to write it again.
+/// An evacuation that is missing from a restored snapshot of the platform's store may still be
+/// wanted. It stays in force until the operators have had time to write it again.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct EvacuationSet {
-    /// By failure domain, whether the present era of the store shows it.
+    /// Whether the current era of the store has confirmed the evacuation, by failure domain.
     domains: BTreeMap<String, bool>,
 }
 
-/// What a reading changed.
+/// Change found by a read of the store.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum EvacuationChange {
-    /// A failure domain gets nothing new from now on.
+    /// The failure domain gets no new requests from now on.
     Begins(String),
-    /// It serves again.
+    /// The failure domain serves again.
     Ends(String),
 }
 
 impl EvacuationSet {
-    /// Whether endpoints of a failure domain get nothing new.
+    /// Whether the endpoints of a failure domain get no new requests.
     pub fn contains(
         &self,
         domain: &str,
@@ -28,12 +28,12 @@
         self.domains.contains_key(domain)
     }
 
-    /// The failure domains.
+    /// Evacuated failure domains.
     pub fn domains(&self) -> impl Iterator<Item = &str> {
         self.domains.keys().map(String::as_str)
     }
 
-    /// Records that a failure domain is evacuated, or no more.
+    /// Sets whether a failure domain is evacuated; returns the change, if any.
     pub fn set(
         &mut self,
         domain: &str,
@@ -52,7 +52,8 @@
         }
     }
 
-    /// Records that another box knows of an evacuation; a reading of everything has yet to show it.
+    /// Adds an evacuation that another box reported. It is unconfirmed until a read of the store
+    /// shows it.
     pub fn add_reported(
         &mut self,
         domain: &str,
@@ -62,14 +63,14 @@
         (!is_known).then(|| EvacuationChange::Begins(domain.to_string()))
     }
 
-    /// All that is known has yet to be shown: a reading of everything follows.
+    /// Marks all evacuations as unconfirmed, at the start of a full read.
     pub fn begin_full_read(&mut self) {
         for is_confirmed in self.domains.values_mut() {
             *is_confirmed = false;
         }
     }
 
-    /// Ends the evacuations that no reading has shown since the last one of everything began.
+    /// Ends the evacuations that have not been confirmed since the last full read began.
     pub fn finish_full_read(&mut self) -> Vec<EvacuationChange> {
         let unconfirmed = self
             .domains
--- a/core/src/serving/grant_allocator.rs
+++ b/core/src/serving/grant_allocator.rs
@@ -4,24 +4,24 @@
     std::collections::BTreeMap,
 };
 
-/// Part of the limit that is shared out among the boxes that are known, in hundredths; the rest
-/// is there for one that comes.
+/// Percentage of the limit that is divided among the known boxes. The rest is left for a box that
+/// joins.
 const SHARED_PERCENT: u32 = 90;
 
-/// A grant that may still be used.
+/// A grant that may still be in use.
 #[derive(Debug, Clone, Copy)]
 struct OpenGrant {
     per_second: u32,
     sent_at: Micros,
 }
 
-/// Shares the limit of one endpoint that starts slowly out among boxes, without their agreement:
-/// the sum of all grants that may still be used is never above the limit, whichever of them were
-/// lost, came late or are out of date.
+/// Divides the rate limit of one endpoint in slow start among boxes that do not coordinate. The
+/// grants that may be in use never add up to more than the limit, even if some were lost, delayed
+/// or are out of date.
 #[derive(Debug, Clone)]
 pub struct GrantAllocator<B> {
     limit: u32,
-    /// When this book began: grants of the one before may be used for a while.
+    /// When this allocator started; grants of its predecessor may be in use for a while.
     started_at: Option<Micros>,
     open: BTreeMap<B, Vec<OpenGrant>>,
 }
@@ -37,7 +37,7 @@
 }
 
 impl<B: Ord + Copy> GrantAllocator<B> {
-    /// Sets the limit, in requests a second.
+    /// Sets the limit, in requests per second.
     pub fn set_limit(
         &mut self,
         limit: u32,
@@ -45,7 +45,7 @@
         self.limit = limit;
     }
 
-    /// The grant of a box that is told now, one of so many that are known.
+    /// Grants box `to` its share, given the number of known boxes.
     pub fn grant(
         &mut self,
         to: B,
@@ -73,7 +73,7 @@
         SendGrant { per_second }
     }
 
-    /// Forgets grants that are over, and those behind which a larger one was sent.
+    /// Removes expired grants, and grants that a later one at least as large supersedes.
     fn prune(
         &mut self,
         now: Micros,
--- a/core/src/serving/kv_store.rs
+++ b/core/src/serving/kv_store.rs
@@ -1,48 +1,49 @@
 use {crate::time::Micros, std::net::SocketAddr};
 
-/// Time that a question for changes is held while there are none, where few ask.
+/// Time for which the store may hold a poll for changes while there are none, with few clients.
 const POLL_WAIT: Micros = Micros::from_millis(300);
-/// Pause between two questions; each has its price, and each answer proves for
-/// two seconds that the store still lives as it did.
+/// Pause between two polls. Each call has a price, and each answer proves for two seconds that the
+/// store has not restarted.
 const POLL_PAUSE: Micros = Micros::from_millis(400);
-/// The same where many ask; the platform prices calls that are held for less.
+/// The same as `POLL_WAIT` with many clients; the platform charges for calls that are held for
+/// less.
 const BUSY_POLL_WAIT: Micros = Micros::from_millis(200);
-/// The longest pause: an answer is good for two seconds, and may be one too late.
+/// Maximum pause: an answer is valid for two seconds, and one answer may be late.
 const MAX_POLL_PAUSE: Micros = Micros::from_millis(800);
 
-/// How a store is asked for changes.
+/// How a client polls a store for changes (long polling).
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PollPlan {
-    /// Time that it may hold the call while there are none.
+    /// Time for which the store may hold the call while there are no changes.
     pub wait: Micros,
     /// Time until the next call.
     pub pause: Micros,
 }
 
-/// A place outside of the engines that keeps parts of prompts.
+/// A store for prompt parts outside of the engines.
 #[derive(Debug, Clone, PartialEq)]
 pub struct KvStore {
-    /// Name.
+    /// Name of the store.
     pub name: String,
-    /// Where engines reach it.
+    /// Address for engines.
     pub address: SocketAddr,
     /// Failure domain.
     pub domain: String,
-    /// Room, in tokens.
+    /// Capacity, in tokens.
     pub capacity_tokens: u64,
-    /// Speed of its link, in megabits a second.
+    /// Bandwidth of its link, in megabits per second.
     pub link_mbps: f64,
-    /// Time until a move begins, in milliseconds.
+    /// Latency until a transfer begins, in milliseconds.
     pub first_ms: f64,
-    /// Whether parts must be freed by us.
+    /// Whether we have to delete parts from it.
     pub is_managed: bool,
-    /// Calls that it holds at once; further ones are refused.
+    /// Maximum number of calls that it holds at once; it refuses further ones.
     pub max_pending_calls: u32,
 }
 
 impl KvStore {
-    /// How each of so many fronts asks for changes, so that the calls of all of
-    /// them take half of what the store holds, or as near to it as may be.
+    /// Polling plan for each of `fronts` clients. Together they use at most half of the calls that
+    /// the store holds, as far as the maximum pause permits.
     pub fn poll_plan(
         &self,
         fronts: u32,
--- a/core/src/serving/latency_estimator.rs
+++ b/core/src/serving/latency_estimator.rs
@@ -3,43 +3,43 @@
     crate::time::Micros,
 };
 
-/// Time to read a token until prompts have shown it, in milliseconds. Engines on
-/// which this was measured read 24 to 190 tokens in a millisecond; the first
-/// hundred prompts set it right from four times too much or too little.
+/// Initial prefill time per token, in milliseconds. Engines on which it was measured prefill 24 to
+/// 190 tokens per millisecond; a hundred prompts correct an initial value that is wrong by a factor
+/// of four.
 const INITIAL_TOKEN_MS: f64 = 0.02;
-/// How far the learned time may be from the start, as a factor either way.
+/// Maximum ratio between the learned and the initial time per token, in either direction.
 const MAX_TOKEN_MS_RATIO: f64 = 30.0;
-/// Prompts that the start counts for: a few dozen outweigh it.
+/// Weight of the initial value, in prompts: a few dozen prompts outweigh it.
 const INITIAL_WEIGHT: f64 = 5.0;
-/// Part of what was learned that one more prompt leaves: the last hundred count.
+/// Factor on the weight of earlier prompts with each new one: about the last hundred count.
 const DECAY: f64 = 0.99;
-/// A prompt that took longer than this many times what was expected waited for
-/// something else, such as memory: it counts as this many times.
+/// Maximum ratio between the measured and the expected time of a prompt; longer times are capped,
+/// as such a prompt waited for something else, such as memory.
 const MAX_OUTLIER_RATIO: f64 = 4.0;
 /// Weight of one prompt in the mean sizes.
 const SIZE_SMOOTHING: f64 = 0.02;
-/// The most that one prompt moves a mean.
+/// Maximum weight of one prompt in a mean.
 const MAX_SMOOTHING: f64 = 0.2;
-/// Sizes of a prompt, in tokens, until some have come.
+/// Initial mean size and prefill size of a prompt, in tokens.
 const INITIAL_PROMPT_TOKENS: f64 = 4_000.0;
 const INITIAL_PREFILL_TOKENS: f64 = 2_000.0;
-/// Size of an answer, in tokens, until some have been asked for.
+/// Initial mean size of the requested answers, in tokens.
 const INITIAL_ANSWER_TOKENS: f64 = 50.0;
-/// Weight of one report in the mean of queues.
+/// Weight of one report in the mean queue length.
 const QUEUE_SMOOTHING: f64 = 0.02;
-/// Age up to which a report says all of a queue, in milliseconds.
+/// Age up to which a report fully describes a queue, in milliseconds.
 const QUEUE_FRESH_MS: f64 = 100.0;
-/// Times to read a usual prompt, beyond that, after which it says little.
+/// Further age after which a report says little, in prefill times of a typical prompt.
 const QUEUE_DECAY_PREFILLS: f64 = 20.0;
-/// Time for which a prompt holds its memory, in milliseconds, until some have ended.
+/// Initial mean time for which a prompt holds its memory, in milliseconds.
 const INITIAL_HOLD_MS: f64 = 1_000.0;
 
-/// What is learned of how engines take prompts: the time until one begins is a
-/// time of its own and a time for each token that is read until then.
+/// Learns the time to first token of the engines: a fixed overhead plus a time per token to
+/// prefill, by linear regression.
 ///
-/// The decisions count with these figures in place of any that hold for one kind
-/// of engine. Gain on engines that read 48 tokens in a millisecond, against a fixed
-/// 97, in one replayed day of high load: 41 of 2,027 small prompts late, not 65.
+/// Decisions use these estimates instead of constants that fit one kind of engine. With engines
+/// that prefill 48 tokens per millisecond, in one replayed day of high load, 41 of 2,027 small
+/// prompts were late instead of 65 with a constant of 97.
 #[derive(Debug, Clone)]
 pub struct LatencyEstimator {
     weight: f64,
@@ -62,7 +62,7 @@
 }
 
 impl LatencyEstimator {
-    /// Nothing is learned yet, and some mechanisms are done without.
+    /// An estimator in its initial state with some mechanisms disabled.
     pub fn without(disabled: MechanismSet) -> Self {
         LatencyEstimator {
             disabled,
@@ -70,7 +70,8 @@
         }
     }
 
-    /// Nothing is learned yet; a token is believed to take `token_ms` milliseconds.
+    /// An estimator in its initial state, with an initial prefill time of `token_ms` milliseconds
+    /// per token.
     pub fn with_token_ms(token_ms: f64) -> Self {
         let mut estimator = LatencyEstimator {
             weight: 0.0,
@@ -85,7 +86,7 @@
             queued_prompts: 0.0,
             disabled: MechanismSet::default(),
         };
-        // Two points on the line that is believed in.
+        // Two points define the initial line.
         for tokens in [0.0, INITIAL_PROMPT_TOKENS] {
             estimator.add(INITIAL_WEIGHT / 2.0, tokens, tokens * token_ms);
         }
@@ -105,7 +106,7 @@
         self.tokens_millis += weight * tokens * millis;
     }
 
-    /// Notes a report of an engine: prompts that it has not begun to answer.
+    /// Records a report of an engine: the number of prompts that it has not started to answer.
     pub fn record_report(
         &mut self,
         unstarted: u32,
@@ -113,13 +114,13 @@
         self.queued_prompts += QUEUE_SMOOTHING * (f64::from(unstarted) - self.queued_prompts);
     }
 
-    /// Tokens that an engine still has to read, in the mean of all.
+    /// Mean number of tokens that an engine has yet to prefill.
     pub fn mean_queued_tokens(&self) -> f64 {
         self.queued_prompts * self.prefill_tokens
     }
 
-    /// How much of what a report said of an engine's queue still holds after so long, from 1 to
-    /// 0: what was queued then has been read some times over.
+    /// Weight, from 1 to 0, of a report of an engine's queue by age: the queue of that time has
+    /// since been prefilled several times over.
     pub fn report_weight(
         &self,
         age: Micros,
@@ -129,8 +130,8 @@
         (-stale_ms / decay_ms).exp()
     }
 
-    /// Notes a prompt that is sent: its size, what of it has to be read, and the
-    /// longest answer that it asks for, in tokens.
+    /// Records a prompt that is sent: its size, its tokens to prefill, and the maximum length of
+    /// the answer, in tokens.
     pub fn record_sent(
         &mut self,
         prompt_tokens: u32,
@@ -144,8 +145,8 @@
         update(&mut self.answer_tokens, answer_tokens);
     }
 
-    /// Notes that a prompt began `millis` after it was sent, with `tokens` to be
-    /// read until then: those that were ahead of it, and its own.
+    /// Records that the answer started `millis` after the prompt was sent, with `tokens` to prefill
+    /// until then: those ahead of it and its own.
     pub fn record_first_token(
         &mut self,
         tokens: f64,
@@ -168,8 +169,8 @@
         self.add(1.0, tokens, millis);
     }
 
-    /// Notes that a prompt of so many tokens held its memory for `millis`: larger
-    /// ones count more, as it is their memory that others wait for.
+    /// Records that a prompt of `tokens` held its memory for `millis`. Larger prompts have a larger
+    /// weight, as others wait for their memory.
     pub fn record_end(
         &mut self,
         tokens: u32,
@@ -180,8 +181,8 @@
         self.hold_ms += step * (millis - self.hold_ms);
     }
 
-    /// Time until an engine on which runs take `used` tokens of memory has freed
-    /// one more, in milliseconds.
+    /// Mean time until an engine frees one more token of memory, in milliseconds, if running
+    /// requests use `used` tokens.
     pub fn ms_per_freed_token(
         &self,
         used: u64,
@@ -189,7 +190,7 @@
         self.hold_ms / (used as f64).max(1.0)
     }
 
-    /// Time to read one token, in milliseconds, beside the other work of an engine.
+    /// Prefill time per token, in milliseconds, beside the other work of an engine.
     pub fn token_ms(&self) -> f64 {
         let variance = self.weight * self.tokens_squared - self.tokens * self.tokens;
         let covariance = self.weight * self.tokens_millis - self.tokens * self.millis;
@@ -202,7 +203,7 @@
         slope.clamp(lowest, INITIAL_TOKEN_MS * MAX_TOKEN_MS_RATIO)
     }
 
-    /// Time until a prompt begins beside the reading, in milliseconds.
+    /// Time until the answer starts, without the prefill, in milliseconds.
     pub fn overhead_ms(&self) -> f64 {
         let rest = self.millis - self.token_ms() * self.tokens;
         (rest / self.weight).max(0.0)
@@ -213,12 +214,12 @@
         self.prompt_tokens
     }
 
-    /// Mean of what has to be read of a prompt, in tokens.
+    /// Mean number of tokens to prefill per prompt.
     pub fn prefill_tokens(&self) -> f64 {
         self.prefill_tokens
     }
 
-    /// Mean of the longest answers that are asked for, in tokens.
+    /// Mean of the maximum answer lengths requested, in tokens.
     pub fn answer_tokens(&self) -> f64 {
         self.answer_tokens
     }
--- a/core/src/serving/mechanism_set.rs
+++ b/core/src/serving/mechanism_set.rs
@@ -1,13 +1,13 @@
 use super::ServingMechanism;
 
-/// Mechanisms that are left out; none by default.
+/// A set of disabled mechanisms; empty by default.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct MechanismSet {
     bits: u32,
 }
 
 impl MechanismSet {
-    /// The set of these.
+    /// Creates a set of these mechanisms.
     pub fn of(mechanisms: impl IntoIterator<Item = ServingMechanism>) -> Self {
         let bits = mechanisms.into_iter().map(bit);
         MechanismSet {
@@ -15,7 +15,7 @@
         }
     }
 
-    /// Whether a mechanism is among them.
+    /// Whether a mechanism is in the set.
     pub fn contains(
         self,
         mechanism: ServingMechanism,
@@ -23,7 +23,7 @@
         self.bits & bit(mechanism) != 0
     }
 
-    /// Names of those that are among them, as one text; empty where none is.
+    /// Names of the mechanisms in the set, separated by commas.
     pub fn names(self) -> String {
         let members = ServingMechanism::ALL.into_iter();
         let members = members.filter(|mechanism| self.contains(*mechanism));
--- a/core/src/serving/path_index.rs
+++ b/core/src/serving/path_index.rs
@@ -1,14 +1,14 @@
 use {super::ServedRoute, std::collections::HashMap};
 
-/// Finds the route with the longest prefix in as many look-ups as a path has
-/// slashes, however many routes there are.
+/// Finds the route with the longest matching prefix. A look-up takes one hash access per slash of
+/// the path, independent of the number of routes.
 #[derive(Debug, Clone, Default)]
 pub struct PathIndex {
     hosts: HashMap<String, HashMap<String, usize>>,
 }
 
 impl PathIndex {
-    /// An index over the routes; places are those in `routes`.
+    /// Builds an index; positions refer to `routes`.
     pub fn new(routes: &[ServedRoute]) -> Self {
         let mut index = PathIndex::default();
         for (position, route) in routes.iter().enumerate() {
@@ -18,7 +18,7 @@
         index
     }
 
-    /// Place of the route for a path, if there is one.
+    /// Position of the route for a host and path, if any.
     pub fn find(
         &self,
         host: &str,
--- a/core/src/serving/priority_shares.rs
+++ b/core/src/serving/priority_shares.rs
@@ -1,18 +1,17 @@
-/// Weight of one prompt in the shares: ranks out of use for some two hundred
-/// prompts are forgotten. By judgement.
+/// Weight of one prompt in the shares; a priority that has been unused for some two hundred prompts
+/// is forgotten.
 const SHARE_SMOOTHING: f64 = 0.01;
-/// Share from which a rank counts as served. One prompt alone stays below it.
+/// Share above which a priority counts as in use. A single prompt stays below it.
 const MIN_SHARE: f64 = 0.05;
 
-/// Which part of the prompts each rank makes up; the higher the rank, the less
-/// urgent.
+/// Moving average of the share of prompts by priority; 0 is the most urgent.
 #[derive(Debug, Clone, Default)]
 pub struct PriorityShares {
     shares: [f64; 10],
 }
 
 impl PriorityShares {
-    /// Notes a prompt of a rank.
+    /// Records a prompt of a priority.
     pub fn record(
         &mut self,
         priority: u8,
@@ -28,7 +27,7 @@
         }
     }
 
-    /// The least urgent rank that makes up more than a trace.
+    /// The least urgent priority in use.
     pub fn least_urgent(&self) -> u8 {
         let is_common = |share: &f64| *share >= MIN_SHARE;
         self.shares.iter().rposition(is_common).unwrap_or(0) as u8
--- a/core/src/serving/prompt_info.rs
+++ b/core/src/serving/prompt_info.rs
@@ -1,31 +1,31 @@
 use {super::PromptPart, crate::time::Micros};
 
-/// What a request says of itself, in the product's terms.
+/// Attributes of a request, independent of the platform's protocol.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct RequestInfo {
-    /// Id of this try, given by the caller.
+    /// Id of this attempt, chosen by the caller.
     pub request_id: String,
-    /// Host that it names.
+    /// Requested host.
     pub host: String,
-    /// Path, without the query.
+    /// Path without the query.
     pub path: String,
-    /// Key of the caller, if it shows one.
+    /// API key of the caller, if any.
     pub key: Option<String>,
-    /// Time for which the caller will wait.
+    /// Time until the caller's deadline.
     pub time_left: Option<Micros>,
-    /// What it wants a model to do, where it is a prompt.
+    /// Prompt, if the request is for a model.
     pub prompt: Option<PromptInfo>,
 }
 
-/// The prompt of a request.
+/// Prompt of a request.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct PromptInfo {
-    /// Model that is wanted.
+    /// Requested model.
     pub model: String,
     /// Length of the prompt, in tokens.
     pub tokens_in: u32,
-    /// Longest answer, in tokens.
+    /// Maximum length of the answer, in tokens.
     pub tokens_out: u32,
-    /// Parts of the prompt in order; the last is the request's own.
+    /// Parts of the prompt in order; the last one is specific to this request.
     pub parts: Vec<PromptPart>,
 }
--- a/core/src/serving/prompt_part.rs
+++ b/core/src/serving/prompt_part.rs
@@ -1,15 +1,15 @@
 use serde::{Deserialize, Serialize};
 
-/// One part of a prompt: requests that begin with the same parts share them.
+/// Part of a prompt. Requests that begin with the same parts share them.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct PromptPart {
     /// Id of the text of this part.
     pub id: PartId,
-    /// Length in tokens.
+    /// Length, in tokens.
     pub tokens: u32,
 }
 
-/// Id of a part's text, with the number of hex digits that it was written in.
+/// Id of the text of a part: a hex number that keeps its number of digits.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct PartId {
     value: u64,
@@ -17,7 +17,7 @@
 }
 
 impl PartId {
-    /// Reads an id of at most 16 hex digits.
+    /// Parses an id of up to 16 hex digits.
     pub fn parse(text: &str) -> Option<Self> {
         let is_valid = (1..=16).contains(&text.len());
         let value = is_valid
@@ -29,7 +29,7 @@
         })
     }
 
-    /// A number to spread by.
+    /// Value of the id, for hashing.
     pub fn value(self) -> u64 {
         self.value
     }
--- a/core/src/serving/refusal_kind.rs
+++ b/core/src/serving/refusal_kind.rs
@@ -1,72 +1,72 @@
 use crate::time::Micros;
 
-/// Why a request gets an answer of our own.
+/// Reason why a front answers a request itself.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum RefusalKind {
     /// No configuration is known yet.
     NoConfig,
-    /// No route has this host and path.
+    /// No route matches the host and path.
     UnknownRoute,
     /// No organisation has this key.
     UnknownKey,
-    /// What is known of the keys is too old to let anybody in.
+    /// The known keys are too old to accept callers.
     StaleKeys,
-    /// No endpoint can take it.
+    /// No endpoint can take the request.
     NoEndpoint,
-    /// It would not be served in time.
+    /// The request would not be served in time.
     Overloaded,
-    /// The endpoint said that it did not run it, and nobody else may try.
+    /// The endpoint reported that it did not run the request, and no other one may try.
     EndpointRefused,
-    /// All that may be sent again has been sent.
+    /// The retry budget is used up.
     BudgetSpent,
-    /// Its head or body cannot be read.
+    /// The headers or the body are malformed.
     BadRequest,
-    /// Its head is too long.
+    /// The headers are too long.
     HeadTooLong,
-    /// Its body is too long.
+    /// The body is too long.
     BodyTooLong,
-    /// Its head or body did not come in time.
+    /// The headers or the body did not arrive in time.
     SlowRequest,
-    /// The endpoint was lost and may have run it.
+    /// The connection to the endpoint was lost, and the endpoint may have run the request.
     EndpointLost,
-    /// The endpoint's bytes are no answer to it.
+    /// The endpoint sent a malformed answer.
     BadAnswer,
-    /// Its time ran out at an endpoint.
+    /// The deadline passed at an endpoint.
     TimedOut,
-    /// Its time ran out before an endpoint was asked.
+    /// The deadline passed before the request was sent to an endpoint.
     NeverSent,
-    /// The process stops.
+    /// The process is shutting down.
     Stopping,
-    /// Endpoints ended under it of late: it is not tried just now.
+    /// Endpoints have recently crashed under this request; it is not tried for now.
     Suspected,
-    /// Endpoints ended under it again and again: it is held back.
+    /// Endpoints have crashed under this request repeatedly; it is blocked.
     HeldBack,
 }
 
-/// One row of the table from kind to answer.
+/// Response for a refusal kind.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct RefusalResponse {
     /// Status code.
     pub status: u16,
-    /// Word for logs and for the caller.
+    /// Error code for logs and for the caller.
     pub code: &'static str,
-    /// What the caller can do.
+    /// Advice for the caller.
     pub advice: &'static str,
-    /// When the caller may come back, where that helps.
+    /// Time after which the caller may retry, if that helps.
     pub retry_after: Option<Micros>,
-    /// Whether the connection ends with the answer.
+    /// Whether the connection is closed after the response.
     pub closes: bool,
 }
 
-/// A short while, for what another endpoint or box may take at once.
+/// Another endpoint or box may take the request at once.
 const RETRY_SOON: Micros = Micros::from_millis(40);
-/// A while in which a queue of engines gets shorter.
+/// Time in which the queues of engines get shorter.
 const RETRY_LATER: Micros = Micros::from_millis(600);
-/// A while in which a store can be reached again.
+/// Time in which a store may become reachable again.
 const RETRY_STORE: Micros = Micros::from_millis(400);
 
 impl RefusalKind {
-    /// The answer for this kind.
+    /// Response for this kind.
     pub fn response(self) -> RefusalResponse {
         let response = |status, code, advice| RefusalResponse {
             status,
--- a/core/src/serving/retry_window.rs
+++ b/core/src/serving/retry_window.rs
@@ -1,18 +1,18 @@
 use {crate::time::Micros, std::collections::VecDeque};
 
-/// Width of one count; the window slides in steps of it.
+/// Width of one counter; the window slides in steps of it.
 const STEP: Micros = Micros::from_millis(500);
-/// Part of the bound that is used: what is on its way is not counted yet.
+/// Fraction of the limit that is used, as requests in transit are not counted yet.
 const SAFETY_FACTOR: f64 = 0.7;
 
-/// The bound on what is sent again to one service, over a sliding window.
+/// Limit on retries to one service, over a sliding window.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct RetryLimit {
     /// Length of the window.
     pub window: Micros,
-    /// Repeats for each request of the window.
+    /// Retries per request in the window.
     pub ratio: f64,
-    /// Repeats beyond those, for all boxes together.
+    /// Additional retries, for all boxes together.
     pub slack: f64,
 }
 
@@ -23,14 +23,14 @@
     retries: u32,
 }
 
-/// Counts requests and repeats of one box for one service.
+/// Counts requests and retries of one box for one service.
 #[derive(Debug, Clone, Default)]
 pub struct RetryWindow {
     counts: VecDeque<StepCount>,
 }
 
 impl RetryWindow {
-    /// Notes a request.
+    /// Records a request.
     pub fn record_request(
         &mut self,
         now: Micros,
@@ -38,10 +38,10 @@
         self.current_step(now).requests += 1;
     }
 
-    /// Takes a repeat, if the bound's share for one of `boxes` has room.
+    /// Records a retry if it is within this box's share of the limit, one of `boxes`.
     ///
-    /// A process that has lived for less than the window may stand in the place
-    /// of one that has used its share: it takes half.
+    /// A process with an uptime below the window may replace one that has used its share, so it
+    /// gets half of the share.
     pub fn try_acquire(
         &mut self,
         limit: &RetryLimit,
--- a/core/src/serving/route_stats.rs
+++ b/core/src/serving/route_stats.rs
@@ -2,11 +2,11 @@
 
 /// Weight of one request in the mean sizes of its route.
 const SIZE_SMOOTHING: f64 = 0.05;
-/// Part of the longest patience below which a caller has been here before: it
-/// waited, was refused, and has that much less time left.
+/// Fraction of the longest time left below which a caller counts as retrying: it has waited, was
+/// refused and has less time left.
 const RETRY_FRACTION: f64 = 0.97;
 
-/// What the prompts of one route are like.
+/// Statistics of the prompts of one route.
 #[derive(Debug, Clone, Default)]
 pub struct RouteStats {
     tokens: Option<f64>,
@@ -15,8 +15,8 @@
 }
 
 impl RouteStats {
-    /// Notes a prompt: its size and what has to be read of it, in tokens, and the
-    /// time that its caller still has.
+    /// Records a prompt: its size and the part of it to prefill, in tokens, and the time left until
+    /// the caller's deadline.
     pub fn record(
         &mut self,
         tokens: u32,
@@ -37,17 +37,17 @@
         }
     }
 
-    /// Mean size, in tokens; one where no prompt has come.
+    /// Mean size, in tokens; 1 before the first prompt.
     pub fn mean_tokens(&self) -> f64 {
         self.tokens.unwrap_or(1.0).max(1.0)
     }
 
-    /// Mean of what has to be read, in tokens.
+    /// Mean number of tokens to prefill.
     pub fn mean_prefill_tokens(&self) -> f64 {
         self.prefill_tokens
     }
 
-    /// Whether a caller with so much time left has most likely been refused before.
+    /// Whether a caller with this time left has probably been refused before.
     pub fn is_retry(
         &self,
         time_left: Micros,
--- a/core/src/serving/served_route.rs
+++ b/core/src/serving/served_route.rs
@@ -1,65 +1,65 @@
 use crate::time::Micros;
 
-/// What may be done a second time.
+/// Which requests of a route may run a second time.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RetryPolicy {
-    /// All of it.
+    /// All requests.
     Idempotent,
-    /// Nothing: it may run once.
+    /// None: a request may run at most once.
     NonIdempotent,
-    /// A stream that may go on elsewhere behind the last event that came.
+    /// Streams that can be resumed on another endpoint after the last event received.
     Resumable,
 }
 
 impl RetryPolicy {
-    /// Whether a request that may have begun can be sent again.
+    /// Whether a request that may have started can be sent again.
     pub fn allows_rerun(self) -> bool {
         self != RetryPolicy::NonIdempotent
     }
 }
 
-/// A service that a route leads to, and its part of the requests.
+/// Service that a route leads to, and its share of the requests.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RouteTarget {
     /// Name of the service.
     pub service: String,
-    /// Its weight among the targets of the route.
+    /// Weight among the targets of the route.
     pub weight: u32,
 }
 
-/// One route of a configuration.
+/// A route of a configuration.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ServedRoute {
-    /// Name, for the logs.
+    /// Name in logs.
     pub name: String,
-    /// Host that it belongs to.
+    /// Host of the route.
     pub host: String,
-    /// Beginning of the paths; begins and ends with a slash.
+    /// Path prefix; begins and ends with a slash.
     pub prefix: String,
     /// Whether the answer is a stream of events.
     pub is_stream: bool,
-    /// What may be done a second time.
+    /// Which requests may run a second time.
     pub retry: RetryPolicy,
-    /// Longest time for which a request is held.
+    /// Maximum time for a request.
     pub time_limit: Micros,
-    /// Time within which an answer, or its first event, is worth most.
+    /// Target time until the answer, or its first event.
     pub target_latency: Micros,
-    /// Longest pause between events of a stream that is in time.
+    /// Target for the longest gap between events of a stream.
     pub target_gap: Option<Micros>,
-    /// Rank; 0 is the most urgent.
+    /// Priority; 0 is the most urgent.
     pub priority: u8,
-    /// Most endpoints that one request may go to.
+    /// Maximum number of endpoints that one request may be sent to.
     pub max_endpoints: u32,
-    /// Whether it is served without a key.
+    /// Whether no key is required.
     pub is_public: bool,
-    /// Regions in which its requests may run; empty where all may.
+    /// Regions in which requests may run; empty for all.
     pub allowed_regions: Vec<String>,
-    /// Where it leads.
+    /// Services that the route leads to.
     pub targets: Vec<RouteTarget>,
 }
 
 impl ServedRoute {
-    /// The target for a request, spread by weight; `spread` is any number.
+    /// Service for a request, chosen by weight; `spread` is any number.
     pub fn target(
         &self,
         spread: u64,
--- a/core/src/serving/serving_config.rs
+++ b/core/src/serving/serving_config.rs
@@ -5,81 +5,81 @@
     std::collections::HashMap,
 };
 
-/// What a configuration says of the engines of a service.
+/// Configuration of the engines of a service.
 #[derive(Debug, Clone, PartialEq)]
 pub struct EngineGroup {
-    /// Requests that one engine runs at once.
+    /// Maximum number of requests that one engine runs at once.
     pub slots: u32,
-    /// Memory of one engine, in tokens.
+    /// KV cache capacity of one engine, in tokens.
     pub capacity_tokens: u64,
-    /// Memory of one token, in bytes.
+    /// KV cache size of one token, in bytes.
     pub token_bytes: u64,
-    /// Speed of an engine's link, in megabits a second.
+    /// Bandwidth of an engine's link, in megabits per second.
     pub link_mbps: f64,
     /// Models that the engines serve.
     pub models: Vec<String>,
 }
 
-/// One service that routes lead to.
+/// A service that routes lead to.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ServedService {
-    /// Most connections that one endpoint takes from all callers.
+    /// Maximum number of connections that one endpoint accepts from all callers.
     pub max_connections: u32,
-    /// Path at which an endpoint says that it is well and not leaving.
+    /// Path of the health check, which an endpoint passes if it is well and not leaving.
     pub health_path: Option<String>,
-    /// Set where the endpoints are model engines.
+    /// Engine configuration, if the endpoints are model engines.
     pub engine: Option<EngineGroup>,
-    /// Set where they are slow right after their start.
+    /// Slow start rule, if endpoints are slow after their start.
     pub slow_start: Option<SlowStartRule>,
 }
 
 /// An organisation.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Organisation {
-    /// Name.
+    /// Name of the organisation.
     pub name: String,
-    /// Rank that goes before the route's.
+    /// Priority that overrides the route's.
     pub priority: Option<u8>,
-    /// Whether it shares no kept part with anybody.
+    /// Whether its cached parts are shared with no other organisation.
     pub is_isolated: bool,
-    /// Regions in which its requests may run; empty where all may.
+    /// Regions in which its requests may run; empty for all.
     pub allowed_regions: Vec<String>,
 }
 
-/// One configuration, whole; requests are decided on one of these throughout.
+/// A complete configuration. Each request uses one throughout.
 #[derive(Debug, Clone, Default)]
 pub struct ServingConfig {
-    /// Version; it only rises.
+    /// Version; increases with each change.
     pub version: u64,
     /// Routes.
     pub routes: Vec<ServedRoute>,
     /// Services by name.
     pub services: HashMap<String, ServedService>,
-    /// Stores of kept parts.
+    /// Stores for prompt parts.
     pub stores: Vec<KvStore>,
     /// Limits for callers.
     pub limits: CallerLimits,
-    /// Organisations; empty where no keys are asked for.
+    /// Organisations; empty if no keys are required.
     pub organisations: Vec<Organisation>,
-    /// Place in `organisations` by key.
+    /// Index in `organisations` by key.
     pub keys: HashMap<String, usize>,
-    /// Look-up of routes.
+    /// Index of the routes.
     pub paths: PathIndex,
 }
 
-/// The route and organisation of a request, as places in one configuration.
+/// Route and organisation of a request, as indices in one configuration.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ResolvedRequest {
-    /// Place of the route.
+    /// Index of the route.
     pub route: usize,
-    /// Place of the organisation, where the request has one.
+    /// Index of the organisation, if any.
     pub organisation: Option<usize>,
-    /// Whether the request was let in by its key.
+    /// Whether the request was accepted by its key.
     pub is_authenticated: bool,
 }
 
 impl ServingConfig {
-    /// How endpoints of a service bear load right after their start, where they are slow then.
+    /// Slow start rule of a service, if its endpoints are slow after their start.
     pub fn slow_start(
         &self,
         service: &str,
@@ -90,7 +90,7 @@
     /// Finds the route and the organisation of a request.
     ///
     /// # Errors
-    /// Refused where there is no such route, or no such key.
+    /// `UnknownRoute` if no route matches, `UnknownKey` if the key is missing or unknown.
     pub fn resolve(
         &self,
         request: &RequestInfo,
--- a/core/src/serving/serving_mechanism.rs
+++ b/core/src/serving/serving_mechanism.rs
@@ -1,36 +1,36 @@
-/// A mechanism of the serving decisions that can be left out, to learn what it is
-/// worth. For experiments only: with none left out each decision is as ever.
+/// A mechanism of the serving decisions that can be disabled to measure its effect, for experiments
+/// only. Names of the variants follow the settings.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ServingMechanism {
-    /// Prompts are refused for load at all.
+    /// Prompts are refused under load.
     Admission,
-    /// Prompts that would begin too late are refused.
+    /// Prompts that would start too late are refused.
     LateRule,
     /// Prompts are refused where too many wait.
     WaitingRule,
-    /// Large prompts are refused where memory is short.
+    /// Large prompts are refused where free memory is short.
     MemoryRule,
-    /// What an engine keeps of a prompt lessens the memory that must be free.
+    /// Cached tokens of a prompt reduce the free memory that it needs.
     KeptMemory,
-    /// Memory is kept back where most large prompts find none.
+    /// Memory is reserved where most large prompts find too little.
     KeptBack,
-    /// Callers that were refused before go first.
+    /// Callers that were refused before take precedence.
     ReturnOrder,
-    /// Refused callers are told when to come back; otherwise after a fixed time.
+    /// The time after which refused callers should retry is computed; otherwise it is fixed.
     ComeBack,
-    /// The pace of engines is learned; otherwise the start value stays.
+    /// The prefill speed of engines is learned; otherwise the initial value is used.
     LearnedPace,
-    /// What engines keep or can fetch counts when one is chosen.
+    /// Parts that engines have cached or can fetch count in the choice of an engine.
     Affinity,
-    /// Shared parts have a home, and reading them has a price beyond its time.
+    /// Shared parts have a home engine, and prefilling them costs more than its time.
     Home,
     /// Parts are fetched from engines and stores.
     Fetches,
     /// Parts are saved to stores.
     Stores,
-    /// Endpoints that keep failing are passed over for a while.
+    /// Endpoints that keep failing are avoided for a while.
     OutlierGuard,
-    /// Endpoints whose reports have just stopped are passed over.
+    /// Endpoints whose reports have just stopped are avoided.
     Suspicion,
 }
 
@@ -54,7 +54,7 @@
         ServingMechanism::Suspicion,
     ];
 
-    /// Name, as it is given to leave the mechanism out.
+    /// Name in the settings.
     pub fn name(self) -> &'static str {
         match self {
             ServingMechanism::Admission => "admission",
@@ -75,15 +75,15 @@
         }
     }
 
-    /// All names, as one text.
+    /// All names, separated by commas.
     pub fn names() -> String {
         Self::ALL.map(ServingMechanism::name).join(", ")
     }
 
-    /// The mechanism of a name.
+    /// Finds a mechanism by name.
     ///
     /// # Errors
-    /// Says which names there are, where none is that one.
+    /// Lists the known names if there is no such mechanism.
     pub fn from_name(name: &str) -> Result<Self, String> {
         let found = Self::ALL.into_iter().find(|known| known.name() == name);
         found.ok_or_else(|| format!("{name}: name one of {}", Self::names()))
--- a/core/src/serving/slow_start.rs
+++ b/core/src/serving/slow_start.rs
@@ -4,34 +4,34 @@
     std::collections::VecDeque,
 };
 
-/// Span in which sends are counted against a rate.
+/// Window in which requests are counted against a rate.
 pub const RATE_WINDOW: Micros = Micros::from_secs(1);
-/// Time for which a grant holds, from when it was sent: a digest or two may get lost in it.
+/// Validity of a grant, from when it was sent: one or two lost digests do not interrupt it.
 pub const GRANT_TTL: Micros = Micros::from_millis(700);
-/// Time after which a grant is over for whoever had it: what was sent in its last moment counts in
-/// the second after that.
+/// Time after which a grant can be given to another box: requests sent at the end of its validity
+/// count in the following window.
 pub const GRANT_RECLAIM_DELAY: Micros = Micros(GRANT_TTL.0 + RATE_WINDOW.0);
 
-/// How an endpoint of a service bears load right after its start.
+/// Load that an endpoint of a service bears after its start.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct SlowStartRule {
-    /// Time from its start for which it is slow.
+    /// Time after its start during which the endpoint is slow.
     pub duration: Micros,
-    /// Requests a second that it bears then.
+    /// Requests per second that it bears during that time.
     pub per_second: f64,
 }
 
-/// How far the requests of all boxes together may be above what an endpoint bears.
+/// How far the requests of all boxes together may exceed what an endpoint bears.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct SlowStartBound {
-    /// Times of what it bears.
+    /// Multiple of what it bears.
     pub ratio: f64,
-    /// Requests beyond that.
+    /// Additional requests per second.
     pub slack: f64,
 }
 
 impl SlowStartBound {
-    /// Most requests that such an endpoint may get in a second from all boxes.
+    /// Maximum number of requests per second that the endpoint may get from all boxes.
     pub fn limit(
         &self,
         rule: &SlowStartRule,
@@ -40,26 +40,26 @@
     }
 }
 
-/// Requests a second that one box may send to one endpoint while that starts slowly; all grants
-/// for the endpoint that hold together are within its limit.
+/// Requests per second that one box may send to one endpoint in slow start. All valid grants for
+/// the endpoint add up to its limit at most.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SendGrant {
-    /// Requests in any second.
+    /// Requests in any window of one second.
     pub per_second: u32,
 }
 
-/// Where an endpoint stands with its slow start, as one box sees it.
+/// Slow start of an endpoint, as seen by one box.
 #[derive(Debug, Clone, Default)]
 pub struct EndpointSlowStart {
     until: Option<Micros>,
-    /// The last grant, and when it had been sent at the earliest.
+    /// The last grant, and the earliest time at which it can have been sent.
     grant: Option<(SendGrant, Micros)>,
-    /// Requests of this box in the last second, by ticket.
+    /// Requests of this box within the last window, by ticket.
     sends: VecDeque<(u64, Micros)>,
 }
 
 impl EndpointSlowStart {
-    /// Records that it is slow for so long from now.
+    /// Records that the endpoint is slow for the given time from now.
     pub fn begin(
         &mut self,
         time_left: Micros,
@@ -76,13 +76,13 @@
         grant: SendGrant,
         sent_at: Micros,
     ) {
-        // One that comes out of order says nothing new.
+        // Ignores a grant that arrives out of order.
         if self.grant.is_none_or(|(_, known)| sent_at >= known) {
             self.grant = Some((grant, sent_at));
         }
     }
 
-    /// Whether it is slow now.
+    /// Whether the endpoint is slow now.
     pub fn is_slow(
         &self,
         now: Micros,
@@ -90,7 +90,7 @@
         self.until.is_some_and(|until| now < until)
     }
 
-    /// For how long it is still slow.
+    /// Time until the endpoint is no longer slow.
     pub fn time_left(
         &self,
         now: Micros,
@@ -98,8 +98,8 @@
         self.until.map_or(Micros::ZERO, |until| until.since(now))
     }
 
-    /// Time after which a request may be sent to it: one that was sent counts no more, or who shares
-    /// out what it bears may do so, or it is warm.
+    /// Time until a request may be sent: until an earlier one leaves the window, a grant may have
+    /// arrived, or the slow start ends.
     pub fn admits_after(
         &self,
         now: Micros,
@@ -115,7 +115,7 @@
         wait.min(self.time_left(now))
     }
 
-    /// Whether a request may be sent to it now.
+    /// Whether a request may be sent now.
     pub fn admits(
         &self,
         now: Micros,
@@ -123,7 +123,7 @@
         !self.is_slow(now) || self.sent_in_window(now) < self.granted_rate(now)
     }
 
-    /// Requests that this box may send to it in a second while it is slow.
+    /// Requests that this box may send per window during slow start.
     fn granted_rate(
         &self,
         now: Micros,
@@ -141,7 +141,7 @@
         recent.count() as u32
     }
 
-    /// Notes a request that is sent now. One that was noted before counts from now.
+    /// Records a request that is sent now. A request recorded before counts from now.
     pub fn record_sent(
         &mut self,
         ticket: u64,
@@ -152,7 +152,7 @@
         self.sends.push_back((ticket, now));
     }
 
-    /// Forgets a request that was not sent.
+    /// Removes a request that was not sent.
     pub fn record_unsent(
         &mut self,
         ticket: u64,
--- a/core/src/serving/version_expiry.rs
+++ b/core/src/serving/version_expiry.rs
@@ -1,4 +1,4 @@
-//! Until when requests may begin on weights that newer ones have replaced.
+//! Time limit for starting requests on weights that a newer version has replaced.
 
 use {
     super::{
@@ -9,8 +9,9 @@
 };
 
 impl SwapPlanner {
-    /// Time until no request may begin on a version any more; `None` where no newer one is
-    /// named. It counts from when this box learned of it where nobody knows the age.
+    /// Time until requests may no longer start on a version; `None` if no newer version is
+    /// published. Where the age of the newer version is unknown, it counts from when this box
+    /// learned of it.
     pub fn time_to_expiry(
         &self,
         model: &str,
@@ -23,11 +24,11 @@
         Some(limit.since(naming.age(now).unwrap_or(known_for)))
     }
 
-    /// Which versions a request may begin on, where weights may be used for `limit` after
-    /// newer ones were named.
+    /// Versions that a request may start on, if weights may be used for `limit` after a newer
+    /// version was published.
     ///
-    /// Asked for each choice: a mark that is worked out for each engine from time to time
-    /// is missing for one that has just been listed, and lets prompts begin too late.
+    /// It is computed for each choice. A flag per engine that is updated periodically would be
+    /// missing on an engine that has just been listed, and let prompts start too late.
     pub fn bounds(
         &self,
         model: &str,
@@ -39,8 +40,8 @@
             if naming.is_over(limit, now) {
                 return Some(*version);
             }
-            // Of versions before those that it replaced nothing is known, unless their
-            // naming is known as well.
+            // Nothing is known of versions older than those it replaced, unless their own
+            // publication is known too.
             let after = naming.after.unwrap_or(*version);
             let is_told = self.namings.contains_key(&(model.to_string(), after));
             let is_gap = naming.after.is_none() || (after > 0 && !is_told);
--- a/core/tests/disabled_admission.rs
+++ b/core/tests/disabled_admission.rs
@@ -1,5 +1,5 @@
-//! Mechanisms of the admission that are left out: each changes the decision that it
-//! names, and no other.
+//! Each disabled mechanism of the admission changes the decision that it is named for, and no
+//! other.
 
 use pitchhitch_core::{
     serving::{
@@ -27,7 +27,7 @@
     }
 }
 
-/// A rule that has seen a large kind of the least urgent rank and a small one.
+/// A controller that has recorded large prompts of the least urgent priority and small ones.
 fn controller(disabled: MechanismSet) -> AdmissionController {
     let mut controller = AdmissionController::without(disabled);
     for _ in 0..100 {
@@ -41,7 +41,7 @@
     LatencyEstimator::with_token_ms(1.0 / 97.0)
 }
 
-/// Mechanisms of the admission without which the large prompt gets another verdict.
+/// Mechanisms without which the decision on the prompt changes.
 fn deciding(
     request: &AdmissionRequest<'_>,
     choice: &EndpointChoice,
--- a/core/tests/disabled_mechanisms.rs
+++ b/core/tests/disabled_mechanisms.rs
@@ -1,5 +1,5 @@
-//! Mechanisms of choice and moves that are left out: each changes the decision that it
-//! names.
+//! Each disabled mechanism of endpoint choice and transfers changes the decision that it is named
+//! for.
 
 use {
     pitchhitch_core::{
@@ -31,7 +31,7 @@
     PromptPart { id, tokens }
 }
 
-/// A prompt whose largest shared part has this number.
+/// A prompt with this id of its largest shared part.
 fn prompt(number: u64) -> PromptInfo {
     PromptInfo {
         model: "m".to_string(),
@@ -112,7 +112,7 @@
         self.pick(&prompt(number), &[], none).key
     }
 
-    /// The engine that takes a prompt without a mechanism.
+    /// The engine that takes a prompt if a mechanism is disabled.
     fn pick_without(
         &self,
         number: u64,
--- a/core/tests/endpoint_pick.rs
+++ b/core/tests/endpoint_pick.rs
@@ -1,4 +1,4 @@
-//! Which engine takes a prompt.
+//! Choice of the engine for a prompt.
 
 mod fleet_fixture;
 
@@ -32,7 +32,7 @@
     fleet.load("e1", |load| load.unread = 30);
     let choice = fleet.pick(&prompt(), &[]).expect("somebody");
     assert_ne!(choice.key, fleet.key("e1"));
-    // The other one fetches from the busy one instead of reading.
+    // The other engine fetches from the busy one instead of prefilling.
     let holder = PartPlace::Engine(fleet.key("e1"));
     let sources = choice
         .plan
@@ -130,7 +130,7 @@
 
 #[test]
 fn home_agrees() {
-    // Fronts that know nothing of each other send the same cold prompt to the same engine.
+    // Fronts without knowledge of each other send the same uncached prompt to the same engine.
     let homes: Vec<EndpointKey> = (0..50u64)
         .map(|number| {
             let mut cold = prompt();
@@ -145,14 +145,14 @@
     assert!(first < 40, "homes are spread: {first} of 50 at one engine");
 }
 
-/// Links between engines are many times faster than those of stores: with what
-/// engines keep told at once, they go before a store that others fetch from too.
+/// Links between engines are many times faster than those of stores. As engines report cached parts
+/// at once, they are preferred to a store that others fetch from too.
 #[test]
 fn engine_before_store() {
     let mut fleet = Fleet::new();
     fleet.fill_store();
     fleet.keep("e1");
-    // Somebody else than the engine that keeps it must take the prompt.
+    // The prompt must go to another engine than the one that has it cached.
     let keeper = fleet.key("e1");
     let choice = fleet.pick(&prompt(), &[keeper]).expect("somebody");
     let fetch = choice.plan.parts.iter().find(|f| f.part.tokens == 8_600);
@@ -160,8 +160,8 @@
     assert_eq!(source.place, PartPlace::Engine(keeper));
 }
 
-/// What an engine is believed to keep may have given way: a place that has it is
-/// named all the same, at no cost where nothing is missing.
+/// Parts that an engine is believed to have cached may have been evicted. The plan names a place to
+/// fetch them from all the same, at no cost if nothing is missing.
 #[test]
 fn kept_parts_spared() {
     let mut fleet = Fleet::new();
@@ -176,15 +176,15 @@
         let place = fetch.source.as_ref().map(|(source, _)| source.place);
         assert_eq!(place, Some(PartPlace::Store(0)));
     }
-    // Nothing is queued at the store for what is not expected to be fetched.
+    // Parts that are not expected to be fetched add nothing to the queue of the store.
     let wait = |memory: &MemoryMap| memory.views()[0].fetch_ms(0, NOW);
     let before = wait(&fleet.memory);
     fleet.memory.fetching(&choice.plan, NOW);
     assert_eq!(wait(&fleet.memory), before);
 }
 
-/// A report does not show yet what was just sent: the memory that it will take
-/// counts whole, also where little of it has to be read.
+/// A report does not yet include prompts that were just sent. The memory they will use counts in
+/// full, even if few of their tokens need prefill.
 #[test]
 fn coming_prompts_take_memory() {
     let mut fleet = Fleet::new();
@@ -214,8 +214,8 @@
     assert_eq!(free(&fleet), None, "an idle engine takes any prompt");
 }
 
-/// Plain prompts of which nobody keeps anything go where a connection is open; one whose parts
-/// are kept goes there all the same.
+/// Prompts without cached parts prefer an engine with an open connection; cached parts outweigh the
+/// connection.
 #[test]
 fn linked_preferred() {
     let fresh = PromptInfo {
--- a/core/tests/engine_sim/mod.rs
+++ b/core/tests/engine_sim/mod.rs
@@ -1,5 +1,5 @@
-//! A small model of one engine: it reads prompts in turn, holds their memory while they
-//! answer, and answers slower the more of its time it reads.
+//! A small model of one engine: it prefills prompts in order, holds their memory while they are
+//! answered, and answers more slowly while it prefills.
 
 use {
     pitchhitch_core::{
@@ -14,9 +14,9 @@
 
 pub const TARGET_MS: f64 = 1_200.0;
 const MEMORY: f64 = 70_000.0;
-/// Memory that prompts may fill.
+/// Memory available for prompts.
 pub const USABLE_MEMORY: f64 = MEMORY * 0.9;
-/// Time that an answer takes on an engine that reads nothing.
+/// Time for an answer on an engine that prefills nothing.
 const ANSWER_MS: f64 = 1_300.0;
 const PLAYED_MS: u32 = 30_000;
 
@@ -27,7 +27,7 @@
     prefill_tokens: f64,
 }
 
-/// One engine on a clock of milliseconds.
+/// An engine with a clock in milliseconds.
 pub struct Engine {
     prefill_per_ms: f64,
     queue: VecDeque<Prompt>,
@@ -51,7 +51,7 @@
         self.answering.iter().map(|(tokens, _)| tokens).sum()
     }
 
-    /// One millisecond: the first prompt is read, if its memory is free.
+    /// Simulates one millisecond: the first prompt is prefilled if its memory is free.
     fn step(
         &mut self,
         now: f64,
@@ -60,7 +60,7 @@
         let used = self.used();
         let first = self.queue.front_mut();
         let runnable = first.filter(|prompt| used + prompt.tokens <= MEMORY);
-        // Steps that read hold up the answers: a third of their speed is left.
+        // Steps with prefill slow down the answers to a third of their speed.
         let speed = if runnable.is_some() { 0.33 } else { 1.0 };
         for (_, left) in &mut self.answering {
             *left -= speed;
@@ -105,7 +105,7 @@
     }
 }
 
-/// What became of a load.
+/// Result of a load.
 #[derive(Debug, PartialEq)]
 pub struct Outcome {
     pub in_time: u32,
@@ -113,7 +113,7 @@
     pub refused: u32,
 }
 
-/// Plays prompts that come each `gap_ms`; `admits` decides about each.
+/// Runs a load with one prompt every `gap_ms`; `is_admitted` decides on each.
 pub fn play(
     prefill_per_ms: f64,
     gap_ms: u32,
@@ -129,7 +129,7 @@
         if now % gap_ms == 0 {
             let choice = engine.choice(&estimator);
             if is_admitted(&choice, &estimator) {
-                // What is learned comes when the prompt begins.
+                // The estimator learns from the prompt when its answer starts.
                 let queued_tokens = choice.ahead_tokens + size.1;
                 learned.push_back((at, queued_tokens));
                 engine.queue.push_back(Prompt {
@@ -166,7 +166,7 @@
     }
 }
 
-/// The same load by the rule that the product uses.
+/// Runs the same load with the admission controller.
 pub fn play_admitted(
     prefill_per_ms: f64,
     gap_ms: u32,
--- a/core/tests/fleet_fixture/mod.rs
+++ b/core/tests/fleet_fixture/mod.rs
@@ -1,4 +1,4 @@
-//! Three engines and a store to pick among, for tests.
+//! Three engines and a store to choose among.
 
 use {
     pitchhitch_core::{
@@ -19,7 +19,7 @@
     pub book: EndpointBook,
     pub memory: MemoryMap,
     pub bounds: WeightBounds,
-    /// Engines to which a connection is open.
+    /// Engines with an open connection; `None` for all.
     pub connected: Option<BTreeSet<EndpointKey>>,
 }
 
@@ -106,7 +106,7 @@
         entry.parts.touch(WALL, &prompt().parts, 179_000);
     }
 
-    /// Adds a slow store that keeps the shared parts.
+    /// Adds a slow store with the shared parts.
     pub fn fill_store(&mut self) {
         let address = ([10, 9, 0, 1], 80).into();
         self.memory.set_stores(&[KvStore {
--- a/core/tests/latency_estimator.rs
+++ b/core/tests/latency_estimator.rs
@@ -1,16 +1,16 @@
-//! What is learned of engines: how fast they read, how long prompts hold memory.
+//! Learning of prefill speed, overhead and time for which prompts hold memory.
 
 use pitchhitch_core::serving::LatencyEstimator;
 
-/// Prompts after which what was learned counts.
+/// Number of prompts after which the estimates must be accurate.
 const PROMPTS: u32 = 150;
 
-/// Sizes to read, from small to large, in an order without a pattern.
+/// Prefill sizes from small to large, in irregular order.
 fn sizes() -> impl Iterator<Item = f64> {
     (0..PROMPTS).map(|number| f64::from(number * 7_919 % 12_000))
 }
 
-/// Plays prompts of an engine that takes `begin_ms` and `token_ms` for each.
+/// Estimator after prompts of an engine with this overhead and time per token.
 fn played(
     start_ms: f64,
     overhead_ms: f64,
@@ -30,8 +30,8 @@
     (actual - expected).abs() < expected * 0.2
 }
 
-/// Engines that read 24, 48, 97 or 190 tokens in a millisecond, each with a start
-/// that is four times wrong either way.
+/// Engines that prefill 24, 48, 97 or 190 tokens per millisecond, with an initial value that is
+/// wrong by a factor of four in either direction.
 #[test]
 fn wrong_start_mended() {
     for token_ms in [1.0 / 24.0, 1.0 / 48.0, 1.0 / 97.0, 1.0 / 190.0] {
@@ -49,8 +49,8 @@
     }
 }
 
-/// The start itself is right within a factor of three for those engines but the
-/// quickest, which is within four.
+/// The default initial value is right within a factor of three for these engines, except for the
+/// fastest one, where it is within four.
 #[test]
 fn start_within_bounds() {
     let start = LatencyEstimator::default().token_ms();
@@ -60,8 +60,8 @@
     }
 }
 
-/// Some prompts that waited ten seconds for something else do not make the engine
-/// slow, and prompts of one size alone leave the rate within its bounds.
+/// Some prompts that waited ten seconds for other reasons do not make the engine appear slow, and
+/// prompts of a single size leave the time per token within its bounds.
 #[test]
 fn outliers_bounded() {
     let mut estimator = played(0.02, 30.0, 0.02);
@@ -80,7 +80,7 @@
     ));
 }
 
-/// An engine that becomes slower is known as such within some hundred prompts.
+/// An engine that becomes slower is recognised within some hundred prompts.
 #[test]
 fn change_followed() {
     let mut estimator = played(0.02, 30.0, 0.01);
@@ -92,7 +92,7 @@
     assert!(is_near(estimator.token_ms(), 0.03), "{estimator:?}");
 }
 
-/// Memory is free sooner where prompts hold it for a shorter time, or more is used.
+/// Memory is freed sooner if prompts hold it for a shorter time, or if more of it is in use.
 #[test]
 fn memory_release() {
     let mut estimator = LatencyEstimator::default();
--- a/core/tests/overload.rs
+++ b/core/tests/overload.rs
@@ -1,4 +1,4 @@
-//! Loads that engines cannot serve, replayed on a small model of one engine.
+//! Loads beyond the capacity of an engine, on a small model of one engine.
 
 mod engine_sim;
 
@@ -13,8 +13,9 @@
     },
 };
 
-/// Twice as much to read as an engine can: without a rule all but the first are
-/// late; by what prompts of late have taken, most of those let in are in time.
+/// Twice as much to prefill as an engine can handle. Without admission control all but the first
+/// prompts are late; with it, most of those admitted are in time, also if the initial estimate is
+/// wrong.
 #[test]
 fn reading_overloaded() {
     let size = (2_400.0, 2_400.0);
@@ -33,8 +34,8 @@
     }
 }
 
-/// Four times the memory that an engine has: what is let in begins in time, and
-/// nothing waits for seconds.
+/// Four times the memory of an engine: prompts that are admitted start in time, and none waits for
+/// seconds.
 #[test]
 fn memory_overloaded() {
     let size = (12_000.0, 4_000.0);
@@ -46,8 +47,8 @@
     assert!(admitted.late * 4 < admitted.in_time, "{admitted:?}");
 }
 
-/// Four times what an engine can read: some are let in all the time, and no run of
-/// callers gets nothing for as long as an engine could have read ten prompts.
+/// Four times what an engine can prefill: some prompts are admitted all the time, and a series of
+/// refusals is shorter than the time in which an engine prefills ten prompts.
 #[test]
 fn refused_in_short_runs() {
     let size = (2_400.0, 2_400.0);
@@ -62,19 +63,18 @@
         longest = longest.max(run);
         is_admitted
     });
-    // Forty prompts come while an engine reads ten.
+    // Forty prompts arrive while an engine prefills ten.
     assert!((1..40).contains(&longest), "{longest} in a row");
 }
 
-/// Half of what the engine can do: nobody is refused.
+/// At half of the capacity nothing is refused.
 #[test]
 fn light_load_served() {
     let admitted = play_admitted(48.0, 600, (9_000.0, 3_000.0), LatencyEstimator::default());
     assert_eq!((admitted.late, admitted.refused), (0, 0), "{admitted:?}");
 }
 
-/// Some load of both kinds, as much of it as an engine has room for and more: the
-/// urgent kind is refused only where the other one is.
+/// With varying free memory and queues, the urgent prompt is refused only if the other one is too.
 #[test]
 fn least_urgent_pay_first() {
     let estimator = LatencyEstimator::default();
@@ -116,8 +116,8 @@
     );
 }
 
-/// After a crowd has passed, the engine takes prompts again at once, whatever was
-/// learned in it: nothing stays shut by an old lesson.
+/// After an overload the engine takes prompts again at once, whatever the estimator has learned
+/// during it.
 #[test]
 fn idle_engine_takes_any() {
     let mut estimator = LatencyEstimator::default();
@@ -132,8 +132,8 @@
     assert_eq!(decision, AdmissionDecision::Admitted);
 }
 
-/// Where most large prompts find no memory, some of it is kept back; a caller that
-/// was refused before gets it, and goes before who comes first now.
+/// If most large prompts find no memory, some of it is reserved. A caller that was refused before
+/// may use it, and so goes before new callers.
 #[test]
 fn memory_kept_back() {
     let estimator = LatencyEstimator::default();
@@ -170,8 +170,8 @@
     );
 }
 
-/// Engines are nearly full, and half of the prompts come back to one that keeps three
-/// quarters of them: these are let in, those that would be read whole are not.
+/// Engines are nearly full, and half of the prompts return to an engine that has three quarters of
+/// them cached. These are admitted; prompts without cached parts are not.
 #[test]
 fn kept_parts_let_in() {
     let estimator = LatencyEstimator::default();
@@ -195,8 +195,7 @@
     assert_eq!((returning, new), (20, 0));
 }
 
-/// Refused callers are asked back when the backlog will have gone, not before and
-/// not all at once.
+/// Refused callers should retry when the backlog will be gone, not earlier and not all at once.
 #[test]
 fn return_by_backlog() {
     let mut estimator = LatencyEstimator::with_token_ms(0.02);
@@ -217,7 +216,7 @@
             .retry_after(&request(), &estimator, &choice, jitter)
             .as_millis()
     };
-    // 12,000 tokens at 30 a millisecond.
+    // 12,000 tokens at 30 per millisecond.
     assert!((350..=450).contains(&retry_after(0, 0.0, 0.0)));
     assert!(retry_after(6_000, 0.0, 0.0) < retry_after(0, 0.0, 0.0));
     assert!(retry_after(0, 1_500.0, 0.0) > 800);
--- a/core/tests/path_lookup.rs
+++ b/core/tests/path_lookup.rs
@@ -1,4 +1,4 @@
-//! Routes by longest prefix, and callers by key.
+//! Look-up of routes by longest prefix, and of callers by key.
 
 use pitchhitch_core::{
     serving::{
--- a/core/tests/priority_shares.rs
+++ b/core/tests/priority_shares.rs
@@ -1,4 +1,4 @@
-//! Which rank is the least urgent that makes up a part of the prompts.
+//! The least urgent priority in use.
 
 use pitchhitch_core::serving::PriorityShares;
 
@@ -13,7 +13,7 @@
     assert_eq!(after([3].into_iter()).least_urgent(), 3);
 }
 
-/// One caller of a rank that nobody else has does not shield the others.
+/// A single caller with a priority that nobody else uses does not shield the others from refusals.
 #[test]
 fn rare_rank_left_out() {
     let shares = after((0..2_000).map(|number| if number % 100 == 0 { 9 } else { 2 }));
@@ -26,7 +26,7 @@
     assert_eq!(shares.least_urgent(), 7);
 }
 
-/// A rank that has gone out of use is forgotten.
+/// A priority that is no longer used is forgotten.
 #[test]
 fn old_rank_forgotten() {
     let shares = after((0..2_000).map(|number| if number < 1_000 { 5 } else { 1 }));
--- a/core/tests/serving_limits.rs
+++ b/core/tests/serving_limits.rs
@@ -1,4 +1,4 @@
-//! What may be sent again, how old keys may be, and what is refused early.
+//! Limits on retries, age of keys, and admission.
 
 use pitchhitch_core::{
     serving::{
@@ -19,7 +19,7 @@
     slack: 50.0,
 };
 
-/// Over any window the repeats of all boxes stay within the bound of the pages.
+/// In any window the retries of all boxes stay within the configured limit.
 #[test]
 fn repeats_bounded() {
     let mut meters = [RetryWindow::default(), RetryWindow::default()];
@@ -52,8 +52,8 @@
     );
 }
 
-/// A box that is killed and comes back has forgotten what it sent again: both
-/// lives together stay within the box's share.
+/// A process that is killed and restarted has lost its count of retries; both processes together
+/// stay within the share of the box.
 #[test]
 fn restart_within_share() {
     let mut taken = 0;
@@ -74,13 +74,13 @@
     trust.proven(at(1_000));
     assert!(trust.lets_in(at(4_999)) && !trust.lets_in(at(5_000)));
     assert!(trust.is_sound(at(3_000)) && !trust.is_sound(at(3_300)));
-    // An answer to an older question proves nothing newer.
+    // An answer to an earlier request proves nothing newer.
     trust.proven(at(500));
     assert_eq!(trust.proven_at(), Some(at(1_000)));
 }
 
-/// Where keys serve on, age turns nobody away, but nobody is told that a key is
-/// wrong by old knowledge; without any knowledge nobody is let in.
+/// With the fail-open policy, old keys still let callers in, but no caller is told that its key is
+/// wrong on the basis of old keys. Without any keys nobody is let in.
 #[test]
 fn old_keys_open() {
     let mut trust = KeyTrust::new(at(4_000), KeyPolicy::ServeOn);
@@ -90,8 +90,8 @@
     assert!(trust.may_deny(at(4_999)) && !trust.may_deny(at(5_000)));
 }
 
-/// What another box handed on keeps its age, also one from before this process
-/// started; it lets callers in, but tells nobody that a key is wrong.
+/// Keys forwarded by another box keep their age, even if they are older than this process. They let
+/// callers in, but no caller is told that its key is wrong.
 #[test]
 fn handed_keys_aged() {
     let mut trust = KeyTrust::new(at(4_000), KeyPolicy::FailClosed);
@@ -99,7 +99,7 @@
     assert_eq!(trust.age(at(600)), Some(at(3_500)));
     assert!(trust.lets_in(at(1_000)) && !trust.lets_in(at(1_100)));
     assert!(!trust.may_deny(at(200)) && trust.proven_at().is_none());
-    // An older one changes nothing, a younger one does.
+    // Older keys change nothing, newer ones do.
     trust.handed_on(at(9_000), at(200));
     assert_eq!(trust.age(at(600)), Some(at(3_500)));
     trust.handed_on(at(500), at(200));
@@ -146,7 +146,7 @@
     controller.decide(request, &estimator, choice) != AdmissionDecision::Admitted
 }
 
-/// A rule that has seen a large kind of the least urgent rank and a small one.
+/// A controller that has recorded large prompts of the least urgent priority and small ones.
 fn two_kinds(
     tokens: u32,
     unread: u32,
@@ -159,8 +159,8 @@
     controller
 }
 
-/// With two of nine engines dark, memory was full of running prompts and nothing
-/// was in time for twenty seconds (first day of high load).
+/// With two of nine engines unreachable, running prompts filled the memory and no answer was in
+/// time for twenty seconds (first day of high load).
 #[test]
 fn large_kinds_first() {
     let mut controller = two_kinds(12_000, 3_000);
@@ -171,7 +171,7 @@
     assert!(!refuses(&mut controller, &small, &choice(0.0, 4)));
     assert!(refuses(&mut controller, &small, &choice(0.0, 60)));
     assert!(refuses(&mut controller, &small, &choice(400.0, 0)));
-    // A route that is not known yet is not refused for its size.
+    // A prompt of an unknown route is not refused for its size.
     assert!(!refuses(
         &mut controller,
         &request("new", 2),
@@ -186,20 +186,20 @@
     }
 }
 
-/// Engines whose memory was full put 81 prompts of a day back and read them anew.
+/// Engines with full memory preempted 81 prompts in one day and prefilled them again.
 #[test]
 fn memory_kept_free() {
     let mut controller = two_kinds(12_000, 3_000);
     let large = request("large", 2);
     assert!(!refuses(&mut controller, &large, &with_free(12_500)));
     assert!(refuses(&mut controller, &large, &with_free(11_000)));
-    // A more urgent one is let in first.
+    // A more urgent prompt is admitted without free memory.
     assert!(!refuses(
         &mut controller,
         &request("large", 1),
         &with_free(11_000)
     ));
-    // A small one fits in, or waits for a moment only.
+    // A small prompt fits in or waits briefly.
     assert!(!refuses(
         &mut controller,
         &request("small", 1),
@@ -207,8 +207,8 @@
     ));
 }
 
-/// Prompts of late began far too late: an engine with memory free and nothing to read
-/// is not shut for that, one that reads and has others waiting is.
+/// Recent prompts started far too late. An engine with free memory and nothing to prefill still
+/// takes prompts; one with a queue does not.
 #[test]
 fn free_engines_taken() {
     let mut estimator = LatencyEstimator::with_token_ms(1.0 / 97.0);
@@ -266,8 +266,8 @@
     }
 }
 
-/// "Has not run" is promised only by kinds that are used before anything is sent,
-/// or on the endpoint's own word.
+/// Only kinds that are used before anything is sent, or if the endpoint itself says so, promise
+/// that a request has not run.
 #[test]
 fn promises_by_kind() {
     let unknown = [
--- a/core/tests/slow_start.rs
+++ b/core/tests/slow_start.rs
@@ -1,4 +1,4 @@
-//! Requests to endpoints that start slowly: all boxes together stay within their limit.
+//! Requests to endpoints in slow start: all boxes together stay within the limit.
 
 use {
     pitchhitch_core::{
@@ -71,7 +71,8 @@
     assert!(!start.admits(ms(100) + GRANT_TTL), "it came out of order");
 }
 
-/// Once all have been told for a while each has its share, and a further one gets some at once.
+/// Once all boxes have repeatedly got grants, each has its share, and a new box gets a grant at
+/// once.
 #[test]
 fn shares_settle() {
     for boxes in [1u32, 3, 25, 34, 35, 103] {
@@ -97,18 +98,18 @@
     }
 }
 
-/// What the one at the endpoint and the boxes do.
+/// An event at the process beside the endpoint or at a box.
 #[derive(Debug, Clone)]
 enum Step {
-    /// Time goes on, in milliseconds.
+    /// Time passes, in milliseconds.
     Pass(u64),
-    /// A box is told; the message comes after so many milliseconds, or never.
+    /// A box is sent a grant, which arrives after this time in milliseconds, or never.
     Tell { to: usize, way: Option<u64> },
-    /// A box that has been told as many as it takes sends while it may.
+    /// A box sends up to this many requests while it may.
     Send { by: usize, most: usize },
-    /// The one at the endpoint starts anew.
+    /// The process beside the endpoint restarts.
     Restart,
-    /// So many boxes are believed to be there.
+    /// It assumes this number of boxes.
     Believe(usize),
 }
 
@@ -124,8 +125,8 @@
 }
 
 proptest! {
-    /// Whatever is lost, late, out of order or out of date, and however many boxes are believed to
-    /// be there: in no second does the endpoint get more than its limit.
+    /// Whatever is lost, late, out of order or out of date, and whatever number of boxes is
+    /// assumed: the endpoint never gets more than its limit within a second.
     #[test]
     fn never_above_limit(steps in proptest::collection::vec(step(), 1..200)) {
         let mut now = 0u64;
@@ -136,7 +137,7 @@
         for start in &mut boxes {
             start.begin(Micros::from_secs(100_000), ms(0));
         }
-        // Messages under way: when they come, to whom, what they say, and when they were sent.
+        // Messages in transit: time of arrival, box, grant, and time of sending.
         let mut under_way: Vec<(u64, usize, SendGrant, u64)> = Vec::new();
         let mut sends: Vec<u64> = Vec::new();
         let mut ticket = 0;
