--- a/core/src/serving/allowed_regions.rs
+++ b/core/src/serving/allowed_regions.rs
@@ -20,8 +20,9 @@
         &self,
         region: Option<&str>,
     ) -> bool {
-        let names = |allowed: &[String]| allowed.iter().any(|name| Some(name.as_str()) == region);
-        let is_named = |allowed: &[String]| allowed.is_empty() || names(allowed);
-        is_named(self.route) && is_named(self.organisation)
+        let contains =
+            |allowed: &[String]| allowed.iter().any(|name| Some(name.as_str()) == region);
+        let is_allowed = |allowed: &[String]| allowed.is_empty() || contains(allowed);
+        is_allowed(self.route) && is_allowed(self.organisation)
     }
 }
--- a/core/src/serving/cache_namespace.rs
+++ b/core/src/serving/cache_namespace.rs
@@ -21,10 +21,10 @@
 
     /// Parses a cache salt; `None` if it has another format.
     pub fn parse(salt: &str) -> Option<Self> {
-        let mut words = salt.splitn(3, '/');
-        let version = words.next()?.parse().ok()?;
-        let model = words.next()?.to_string();
-        let organisation = words.next()?;
+        let mut fields = salt.splitn(3, '/');
+        let version = fields.next()?.parse().ok()?;
+        let model = fields.next()?.to_string();
+        let organisation = fields.next()?;
         Some(CacheNamespace {
             version,
             model,
--- a/core/src/serving/endpoint_pick.rs
+++ b/core/src/serving/endpoint_pick.rs
@@ -145,22 +145,22 @@
 /// Chooses an endpoint. `availabilities` has one entry for each version of the weights that an
 /// engine has.
 pub fn pick_endpoint(
-    book: &EndpointBook,
+    registry: &EndpointBook,
     request: &PickRequest<'_>,
     availabilities: &[VersionAvailability],
 ) -> Option<EndpointChoice> {
     let is_long = request.prompt.is_some_and(|prompt| {
         f64::from(prompt.tokens_out) > request.estimator.answer_tokens() * SHORT_ANSWER_FRACTION
     });
-    let healthy = pick_best(book, request, availabilities, &|entry| {
-        let drains = entry.stage == SwapStage::Draining;
-        is_healthy(entry, request) && !(is_long && drains)
+    let healthy = pick_best(registry, request, availabilities, &|entry| {
+        let is_draining = entry.stage == SwapStage::Draining;
+        is_healthy(entry, request) && !(is_long && is_draining)
     });
     if healthy.is_some() || request.trial.is_some() {
         return healthy;
     }
     // No endpoint is known to be healthy: one that may be is better than none.
-    pick_best(book, request, availabilities, &|_| true)
+    pick_best(registry, request, availabilities, &|_| true)
 }
 
 fn is_healthy(
@@ -188,7 +188,7 @@
 }
 
 fn pick_best(
-    book: &EndpointBook,
+    registry: &EndpointBook,
     request: &PickRequest<'_>,
     availabilities: &[VersionAvailability],
     is_allowed: &dyn Fn(&EndpointEntry) -> bool,
@@ -198,7 +198,7 @@
     let mut best: Option<(f64, EndpointChoice)> = None;
     let mut best_home: Option<(u64, EndpointKey)> = None;
     let mut eligible = Vec::new();
-    for (key, entry) in book.iter() {
+    for (key, entry) in registry.iter() {
         let serves = entry.service == request.service
             && entry.standing != EndpointStanding::Leaving
             && !entry.is_overtaken;
@@ -222,7 +222,7 @@
             candidates: eligible.len() as u32,
             ..estimate_choice(*key, entry, request, availabilities)
         });
-        return pick_for_trial(book, trial, choices.collect());
+        return pick_for_trial(registry, trial, choices.collect());
     }
     for (key, entry) in &eligible {
         let mut choice = estimate_choice(*key, entry, request, availabilities);
@@ -248,7 +248,7 @@
 
 /// Chooses the endpoint for a suspect request.
 fn pick_for_trial(
-    book: &EndpointBook,
+    registry: &EndpointBook,
     trial: &TrialRequest<'_>,
     mut choices: Vec<EndpointChoice>,
 ) -> Option<EndpointChoice> {
@@ -258,7 +258,7 @@
         choices.retain(|choice| choice.estimate_ms <= lowest + TRIAL_COST_TOLERANCE_MS);
     }
     let score = |choice: &EndpointChoice| {
-        let entry = book.get(choice.key);
+        let entry = registry.get(choice.key);
         entry.map(|entry| hash_with_seed(trial.request_hash, &entry.id))
     };
     choices.into_iter().max_by_key(score)
--- a/core/src/serving/grant_allocator.rs
+++ b/core/src/serving/grant_allocator.rs
@@ -10,7 +10,7 @@
 
 /// A grant that may still be in use.
 #[derive(Debug, Clone, Copy)]
-struct OpenGrant {
+struct ActiveGrant {
     per_second: u32,
     sent_at: Micros,
 }
@@ -23,7 +23,7 @@
     limit: u32,
     /// When this allocator started; grants of its predecessor may be in use for a while.
     started_at: Option<Micros>,
-    open: BTreeMap<B, Vec<OpenGrant>>,
+    active: BTreeMap<B, Vec<ActiveGrant>>,
 }
 
 impl<B> Default for GrantAllocator<B> {
@@ -31,7 +31,7 @@
         GrantAllocator {
             limit: 0,
             started_at: None,
-            open: BTreeMap::new(),
+            active: BTreeMap::new(),
         }
     }
 }
@@ -58,7 +58,7 @@
         }
         self.prune(now);
         let granted: u32 = self
-            .open
+            .active
             .iter()
             .filter(|(other, _)| **other != to)
             .map(|(_, grants)| largest(grants))
@@ -66,7 +66,7 @@
         let boxes = u32::try_from(boxes.max(1)).unwrap_or(u32::MAX);
         let share = (self.limit * SHARED_PERCENT / 100 / boxes).max(1);
         let per_second = share.min(self.limit.saturating_sub(granted));
-        self.open.entry(to).or_default().push(OpenGrant {
+        self.active.entry(to).or_default().push(ActiveGrant {
             per_second,
             sent_at: now,
         });
@@ -78,16 +78,16 @@
         &mut self,
         now: Micros,
     ) {
-        self.open.retain(|_, grants| {
+        self.active.retain(|_, grants| {
             grants.retain(|grant| now.since(grant.sent_at) <= GRANT_RECLAIM_DELAY);
-            let mut later = 0;
+            let mut largest_later = 0;
             let mut index = grants.len();
             while index > 0 {
                 index -= 1;
-                if grants[index].per_second <= later {
+                if grants[index].per_second <= largest_later {
                     grants.remove(index);
                 } else {
-                    later = grants[index].per_second;
+                    largest_later = grants[index].per_second;
                 }
             }
             !grants.is_empty()
@@ -95,7 +95,7 @@
     }
 }
 
-fn largest(grants: &[OpenGrant]) -> u32 {
+fn largest(grants: &[ActiveGrant]) -> u32 {
     let sizes = grants.iter().map(|grant| grant.per_second);
     sizes.max().unwrap_or(0)
 }
--- a/core/src/serving/latency_estimator.rs
+++ b/core/src/serving/latency_estimator.rs
@@ -171,7 +171,7 @@
 
     /// Records that a prompt of `tokens` held its memory for `millis`. Larger prompts have a larger
     /// weight, as others wait for their memory.
-    pub fn record_end(
+    pub fn record_ended(
         &mut self,
         tokens: u32,
         millis: f64,
--- a/core/src/serving/served_route.rs
+++ b/core/src/serving/served_route.rs
@@ -62,13 +62,13 @@
     /// Service for a request, chosen by weight; `spread` is any number.
     pub fn target(
         &self,
-        spread: u64,
+        seed: u64,
     ) -> Option<&str> {
         let total: u64 = self.targets.iter().map(|t| u64::from(t.weight)).sum();
         if total == 0 {
             return None;
         }
-        let mut offset = spread % total;
+        let mut offset = seed % total;
         for target in &self.targets {
             let weight = u64::from(target.weight);
             if offset < weight {
--- a/core/src/serving/slow_start.rs
+++ b/core/src/serving/slow_start.rs
@@ -108,8 +108,8 @@
             return Micros::ZERO;
         }
         let oldest = self.sends.iter().find(|(_, at)| is_in_window(*at, now));
-        let over = oldest.filter(|_| self.granted_rate(now) > 0);
-        let wait = over.map_or(GRANT_RECLAIM_DELAY, |(_, at)| {
+        let leaving = oldest.filter(|_| self.granted_rate(now) > 0);
+        let wait = leaving.map_or(GRANT_RECLAIM_DELAY, |(_, at)| {
             RATE_WINDOW.since(now.since(*at))
         });
         wait.min(self.time_left(now))
@@ -128,8 +128,8 @@
         &self,
         now: Micros,
     ) -> u32 {
-        let holds = |at: Micros| now.since(at) < GRANT_TTL;
-        let grant = self.grant.filter(|(_, sent_at)| holds(*sent_at));
+        let is_valid = |at: Micros| now.since(at) < GRANT_TTL;
+        let grant = self.grant.filter(|(_, sent_at)| is_valid(*sent_at));
         grant.map_or(0, |(grant, _)| grant.per_second)
     }
 
--- a/core/src/serving/version_expiry.rs
+++ b/core/src/serving/version_expiry.rs
@@ -43,8 +43,8 @@
             // Nothing is known of versions older than those it replaced, unless their own
             // publication is known too.
             let after = naming.after.unwrap_or(*version);
-            let is_told = self.namings.contains_key(&(model.to_string(), after));
-            let is_gap = naming.after.is_none() || (after > 0 && !is_told);
+            let is_published = self.namings.contains_key(&(model.to_string(), after));
+            let is_gap = naming.after.is_none() || (after > 0 && !is_published);
             (is_gap && naming.is_untold(limit, now)).then_some(after)
         };
         WeightBounds {
--- a/core/tests/disabled_admission.rs
+++ b/core/tests/disabled_admission.rs
@@ -42,7 +42,7 @@
 }
 
 /// Mechanisms without which the decision on the prompt changes.
-fn deciding(
+fn deciding_mechanisms(
     request: &AdmissionRequest<'_>,
     choice: &EndpointChoice,
 ) -> Vec<ServingMechanism> {
@@ -67,7 +67,7 @@
         queue_ms: 5_000.0,
         ..idle()
     };
-    let found = deciding(&request("large", 2), &late);
+    let found = deciding_mechanisms(&request("large", 2), &late);
     assert_eq!(
         found,
         [ServingMechanism::Admission, ServingMechanism::LateRule]
@@ -76,11 +76,11 @@
 
 #[test]
 fn many_waiting() {
-    let crowded = EndpointChoice {
+    let long_queue = EndpointChoice {
         waiting: 4,
         ..idle()
     };
-    let found = deciding(&request("large", 2), &crowded);
+    let found = deciding_mechanisms(&request("large", 2), &long_queue);
     assert_eq!(
         found,
         [ServingMechanism::Admission, ServingMechanism::WaitingRule]
@@ -93,7 +93,7 @@
         free_tokens: Some(11_000),
         ..idle()
     };
-    let found = deciding(&request("large", 2), &full);
+    let found = deciding_mechanisms(&request("large", 2), &full);
     assert_eq!(
         found,
         [ServingMechanism::Admission, ServingMechanism::MemoryRule]
@@ -107,22 +107,25 @@
         ..idle()
     };
     holder.plan.kept_tokens = 9_000;
-    let found = deciding(&request("large", 2), &holder);
+    let found = deciding_mechanisms(&request("large", 2), &holder);
     assert_eq!(found, [ServingMechanism::KeptMemory]);
 }
 
 #[test]
 fn refused_before() {
-    let behind = EndpointChoice {
+    let queued = EndpointChoice {
         ahead_tokens: 1.0,
         queue_ms: 800.0,
         ..idle()
     };
-    let back = AdmissionRequest {
+    let retry = AdmissionRequest {
         time_left: Micros::from_secs(5),
         ..request("large", 2)
     };
-    assert_eq!(deciding(&back, &behind), [ServingMechanism::ReturnOrder]);
+    assert_eq!(
+        deciding_mechanisms(&retry, &queued),
+        [ServingMechanism::ReturnOrder]
+    );
 }
 
 #[test]
@@ -159,15 +162,15 @@
         queue_ms,
         ..idle()
     };
-    let back = |disabled, queue_ms| {
+    let retry_after = |disabled, queue_ms| {
         controller(disabled).retry_after(&request("large", 2), &estimator(), &choice(queue_ms), 0.0)
     };
     let none = MechanismSet::default();
-    assert!(back(none, 800.0) < back(none, 1_500.0));
+    assert!(retry_after(none, 800.0) < retry_after(none, 1_500.0));
     let without_mechanism = without(ServingMechanism::ComeBack);
     assert_eq!(
-        back(without_mechanism, 800.0),
-        back(without_mechanism, 1_500.0)
+        retry_after(without_mechanism, 800.0),
+        retry_after(without_mechanism, 1_500.0)
     );
 }
 
--- a/core/tests/disabled_mechanisms.rs
+++ b/core/tests/disabled_mechanisms.rs
@@ -42,30 +42,30 @@
 }
 
 struct Fleet {
-    book: EndpointBook,
+    registry: EndpointBook,
 }
 
 impl Fleet {
     fn new() -> Self {
-        let mut book = EndpointBook::default();
-        for (place, id) in IDS.iter().enumerate() {
-            book.take(&EndpointNotice {
+        let mut registry = EndpointBook::default();
+        for (index, id) in IDS.iter().enumerate() {
+            registry.take(&EndpointNotice {
                 id: id.to_string(),
                 service: "llm".to_string(),
-                address: Some(([10, 0, 0, place as u8 + 1], 80).into()),
+                address: Some(([10, 0, 0, index as u8 + 1], 80).into()),
                 domain: "a".to_string(),
                 slots: 128,
                 weights: vec![("m".to_string(), 1)],
                 ..EndpointNotice::default()
             });
-            let entry = book.key(id).and_then(|key| book.get_mut(key));
+            let entry = registry.key(id).and_then(|key| registry.get_mut(key));
             entry.expect("entry").load = Some(EngineLoad {
                 at: NOW,
                 total_tokens: MEMORY,
                 ..EngineLoad::default()
             });
         }
-        Fleet { book }
+        Fleet { registry }
     }
 
     fn pick(
@@ -74,7 +74,7 @@
         tried: &[EndpointKey],
         disabled: MechanismSet,
     ) -> EndpointChoice {
-        let memory = MemoryMap::without(disabled);
+        let stores = MemoryMap::without(disabled);
         let group = EngineGroup {
             slots: 128,
             capacity_tokens: MEMORY,
@@ -85,7 +85,7 @@
         let availabilities = [VersionAvailability {
             version: 1,
             namespace: WALL,
-            parts: memory.outlook(&self.book, &group, WALL, &prompt.parts, NOW),
+            parts: stores.outlook(&self.registry, &group, WALL, &prompt.parts, NOW),
         }];
         let request = PickRequest {
             trial: None,
@@ -101,7 +101,7 @@
             tried,
             now: NOW,
         };
-        pick_endpoint(&self.book, &request, &availabilities).expect("somebody")
+        pick_endpoint(&self.registry, &request, &availabilities).expect("somebody")
     }
 
     fn pick_with_all(
@@ -121,11 +121,11 @@
         self.pick(&prompt(number), &[], without(mechanism)).key
     }
 
-    fn keep(
+    fn cache_parts(
         &mut self,
         key: EndpointKey,
     ) {
-        let entry = self.book.get_mut(key).expect("entry");
+        let entry = self.registry.get_mut(key).expect("entry");
         entry.parts.touch(WALL, &prompt(3).parts, MEMORY);
     }
 }
@@ -134,9 +134,9 @@
 fn kept_parts() {
     let mut fleet = Fleet::new();
     let home = fleet.pick_with_all(3);
-    let other = IDS.iter().filter_map(|id| fleet.book.key(id));
+    let other = IDS.iter().filter_map(|id| fleet.registry.key(id));
     let holder = other.into_iter().find(|key| *key != home).expect("another");
-    fleet.keep(holder);
+    fleet.cache_parts(holder);
     assert_eq!(fleet.pick_with_all(3), holder);
     assert_eq!(fleet.pick_without(3, ServingMechanism::Affinity), home);
 }
@@ -156,7 +156,7 @@
 fn parts_fetched() {
     let mut fleet = Fleet::new();
     let holder = fleet.pick_with_all(3);
-    fleet.keep(holder);
+    fleet.cache_parts(holder);
     let fetched = |disabled| {
         let choice = fleet.pick(&prompt(3), &[holder], disabled);
         (choice.plan.fetched_tokens, choice.prefill_tokens)
@@ -179,13 +179,13 @@
         max_pending_calls: 12,
     };
     let saved = |disabled| {
-        let mut memory = MemoryMap::without(disabled);
-        memory.set_stores(std::slice::from_ref(&store));
+        let mut stores = MemoryMap::without(disabled);
+        stores.set_stores(std::slice::from_ref(&store));
         let later = NOW + SAVE_AFTER + Micros(1);
-        let view = memory.view_mut(store.address).expect("view");
+        let view = stores.view_mut(store.address).expect("view");
         view.answered(1, Some(1), NOW, NOW);
         view.answered(1, Some(1), later, later);
-        let saves = memory.plan_saves(WALL, &prompt(3).parts, &|_| true, later);
+        let saves = stores.plan_saves(WALL, &prompt(3).parts, &|_| true, later);
         saves.into_iter().flatten().count()
     };
     assert_eq!(saved(MechanismSet::default()), 2);
@@ -197,7 +197,7 @@
     let mut fleet = Fleet::new();
     let first = fleet.pick_with_all(3);
     for _ in 0..3 {
-        fleet.book.judged(first, false, NOW);
+        fleet.registry.judged(first, false, NOW);
     }
     assert_ne!(fleet.pick_with_all(3), first);
     assert_eq!(fleet.pick_without(3, ServingMechanism::OutlierGuard), first);
@@ -208,7 +208,7 @@
 fn reports_stopped() {
     let mut fleet = Fleet::new();
     let first = fleet.pick_with_all(3);
-    let entry = fleet.book.get_mut(first).expect("entry");
+    let entry = fleet.registry.get_mut(first).expect("entry");
     entry.load.as_mut().expect("load").at = NOW - Micros::from_millis(900);
     assert_ne!(fleet.pick_with_all(3), first);
     assert_eq!(fleet.pick_without(3, ServingMechanism::Suspicion), first);
--- a/core/tests/endpoint_pick.rs
+++ b/core/tests/endpoint_pick.rs
@@ -17,7 +17,7 @@
 fn holder_preferred() {
     for id in ["e1", "e2", "e3"] {
         let mut fleet = Fleet::new();
-        fleet.keep(id);
+        fleet.cache_parts(id);
         let choice = fleet.pick(&prompt(), &[]).expect("somebody");
         assert_eq!(choice.key, fleet.key(id));
         assert_eq!(choice.plan.kept_tokens, 9_100);
@@ -28,7 +28,7 @@
 #[test]
 fn busy_holder_left() {
     let mut fleet = Fleet::new();
-    fleet.keep("e1");
+    fleet.cache_parts("e1");
     fleet.load("e1", |load| load.unread = 30);
     let choice = fleet.pick(&prompt(), &[]).expect("somebody");
     assert_ne!(choice.key, fleet.key("e1"));
@@ -46,7 +46,7 @@
 fn silent_avoided() {
     let mut fleet = Fleet::new();
     let first = fleet.picked();
-    let id = fleet.book.get(first).expect("entry").id.clone();
+    let id = fleet.registry.get(first).expect("entry").id.clone();
     fleet.load(&id, |load| load.is_silent = true);
     assert_ne!(fleet.picked(), first);
 }
@@ -55,10 +55,10 @@
 fn dark_suspected() {
     let mut fleet = Fleet::new();
     let first = fleet.picked();
-    let entry = fleet.book.get_mut(first).expect("entry");
+    let entry = fleet.registry.get_mut(first).expect("entry");
     entry.load.as_mut().expect("load").at = NOW - Micros::from_millis(900);
     assert_ne!(fleet.picked(), first, "its reports have stopped");
-    let entry = fleet.book.get_mut(first).expect("entry");
+    let entry = fleet.registry.get_mut(first).expect("entry");
     entry.answered_at = Some(NOW - Micros::from_millis(100));
     assert_eq!(fleet.picked(), first, "it answers all the same");
 }
@@ -84,7 +84,7 @@
     };
     assert_eq!(fleet.pick(&prompt(), &[]), None);
     let key = fleet.key("e2");
-    let entry = fleet.book.get_mut(key).expect("entry");
+    let entry = fleet.registry.get_mut(key).expect("entry");
     entry.weights.learn("m", 2);
     let choice = fleet.pick(&prompt(), &[]).expect("one has them");
     assert_eq!((choice.key, choice.version), (key, Some(2)));
@@ -94,7 +94,7 @@
 fn long_answers_drain() {
     let mut fleet = Fleet::new();
     let first = fleet.picked();
-    fleet.book.get_mut(first).expect("entry").stage = SwapStage::Draining;
+    fleet.registry.get_mut(first).expect("entry").stage = SwapStage::Draining;
     assert_ne!(fleet.picked(), first);
     let short = PromptInfo {
         tokens_out: 4,
@@ -104,7 +104,7 @@
         fleet.pick(&short, &[]).map(|choice| choice.key),
         Some(first)
     );
-    fleet.book.get_mut(first).expect("entry").stage = SwapStage::Loading;
+    fleet.registry.get_mut(first).expect("entry").stage = SwapStage::Loading;
     assert_ne!(
         fleet.pick(&short, &[]).map(|choice| choice.key),
         Some(first)
@@ -151,13 +151,13 @@
 fn engine_before_store() {
     let mut fleet = Fleet::new();
     fleet.fill_store();
-    fleet.keep("e1");
+    fleet.cache_parts("e1");
     // The prompt must go to another engine than the one that has it cached.
-    let keeper = fleet.key("e1");
-    let choice = fleet.pick(&prompt(), &[keeper]).expect("somebody");
+    let holder = fleet.key("e1");
+    let choice = fleet.pick(&prompt(), &[holder]).expect("somebody");
     let fetch = choice.plan.parts.iter().find(|f| f.part.tokens == 8_600);
     let (source, _) = fetch.and_then(|f| f.source.as_ref()).expect("a fetch");
-    assert_eq!(source.place, PartPlace::Engine(keeper));
+    assert_eq!(source.place, PartPlace::Engine(holder));
 }
 
 /// Parts that an engine is believed to have cached may have been evicted. The plan names a place to
@@ -166,7 +166,7 @@
 fn kept_parts_spared() {
     let mut fleet = Fleet::new();
     fleet.fill_store();
-    fleet.keep("e1");
+    fleet.cache_parts("e1");
     let choice = fleet.pick(&prompt(), &[]).expect("somebody");
     assert_eq!(choice.key, fleet.key("e1"));
     assert_eq!(choice.plan.kept_tokens, 9_100);
@@ -177,10 +177,10 @@
         assert_eq!(place, Some(PartPlace::Store(0)));
     }
     // Parts that are not expected to be fetched add nothing to the queue of the store.
-    let wait = |memory: &MemoryMap| memory.views()[0].fetch_ms(0, NOW);
-    let before = wait(&fleet.memory);
-    fleet.memory.fetching(&choice.plan, NOW);
-    assert_eq!(wait(&fleet.memory), before);
+    let wait = |stores: &MemoryMap| stores.views()[0].fetch_ms(0, NOW);
+    let before = wait(&fleet.stores);
+    fleet.stores.fetching(&choice.plan, NOW);
+    assert_eq!(wait(&fleet.stores), before);
 }
 
 /// A report does not yet include prompts that were just sent. The memory they will use counts in
@@ -195,7 +195,7 @@
     let key = fleet.key("e1");
     let free = |fleet: &Fleet| {
         fleet
-            .book
+            .registry
             .get(key)
             .and_then(|e| e.free_tokens(NOW, &LatencyEstimator::default()))
     };
@@ -207,9 +207,9 @@
         rank: 2,
         sent_at: NOW,
     };
-    fleet.book.sent(key, work);
+    fleet.registry.sent(key, work);
     assert_eq!(free(&fleet), Some(18_000));
-    fleet.book.begun(key, 1);
+    fleet.registry.begun(key, 1);
     fleet.load("e1", |load| load.used_tokens = 0);
     assert_eq!(free(&fleet), None, "an idle engine takes any prompt");
 }
@@ -217,7 +217,7 @@
 /// Prompts without cached parts prefer an engine with an open connection; cached parts outweigh the
 /// connection.
 #[test]
-fn linked_preferred() {
+fn connected_preferred() {
     let fresh = PromptInfo {
         parts: Vec::new(),
         tokens_in: 900,
@@ -228,7 +228,7 @@
         fleet.connected = Some([fleet.key(id)].into());
         let choice = fleet.pick(&fresh, &[]).expect("somebody");
         assert_eq!(choice.key, fleet.key(id));
-        fleet.keep("e2");
+        fleet.cache_parts("e2");
         assert_eq!(fleet.picked(), fleet.key("e2"));
     }
 }
--- a/core/tests/engine_sim/mod.rs
+++ b/core/tests/engine_sim/mod.rs
@@ -18,11 +18,11 @@
 pub const USABLE_MEMORY: f64 = MEMORY * 0.9;
 /// Time for an answer on an engine that prefills nothing.
 const ANSWER_MS: f64 = 1_300.0;
-const PLAYED_MS: u32 = 30_000;
+const SIMULATED_MS: u32 = 30_000;
 
 #[derive(Debug, Clone, Copy)]
 struct Prompt {
-    came_at: f64,
+    arrived_at: f64,
     tokens: f64,
     prefill_tokens: f64,
 }
@@ -62,10 +62,10 @@
         let runnable = first.filter(|prompt| used + prompt.tokens <= MEMORY);
         // Steps with prefill slow down the answers to a third of their speed.
         let speed = if runnable.is_some() { 0.33 } else { 1.0 };
-        for (_, left) in &mut self.answering {
-            *left -= speed;
+        for (_, remaining) in &mut self.answering {
+            *remaining -= speed;
         }
-        self.answering.retain(|(_, left)| *left > 0.0);
+        self.answering.retain(|(_, remaining)| *remaining > 0.0);
         let Some(prompt) = runnable else {
             return;
         };
@@ -73,11 +73,11 @@
         if prompt.prefill_tokens > 0.0 {
             return;
         }
-        let begun = *prompt;
+        let started = *prompt;
         self.queue.pop_front();
-        self.answering.push((begun.tokens, ANSWER_MS));
-        estimator.record_end(begun.tokens as u32, ANSWER_MS * 2.0);
-        match now - begun.came_at <= TARGET_MS {
+        self.answering.push((started.tokens, ANSWER_MS));
+        estimator.record_ended(started.tokens as u32, ANSWER_MS * 2.0);
+        match now - started.arrived_at <= TARGET_MS {
             true => self.in_time += 1,
             false => self.late += 1,
         }
@@ -89,7 +89,7 @@
     ) -> EndpointChoice {
         let ahead_tokens: f64 = self.queue.iter().map(|prompt| prompt.prefill_tokens).sum();
         let waiting = self.queue.len().saturating_sub(1) as u32;
-        let coming: f64 = self.queue.iter().map(|prompt| prompt.tokens).sum();
+        let queued_memory: f64 = self.queue.iter().map(|prompt| prompt.tokens).sum();
         let ahead_ms = ahead_tokens * estimator.token_ms();
         EndpointChoice {
             estimate_ms: ahead_ms,
@@ -97,7 +97,7 @@
             ahead_ms,
             queue_ms: ahead_ms + estimator.overhead_ms(),
             waiting,
-            free_tokens: Some((USABLE_MEMORY - self.used() - coming).max(0.0) as u64),
+            free_tokens: Some((USABLE_MEMORY - self.used() - queued_memory).max(0.0) as u64),
             used_tokens: self.used() as u64,
             total_tokens: MEMORY as u64,
             ..EndpointChoice::default()
@@ -114,7 +114,7 @@
 }
 
 /// Runs a load with one prompt every `gap_ms`; `is_admitted` decides on each.
-pub fn play(
+pub fn simulate(
     prefill_per_ms: f64,
     gap_ms: u32,
     size: (f64, f64),
@@ -123,17 +123,17 @@
 ) -> Outcome {
     let mut engine = Engine::new(prefill_per_ms);
     let mut refused = 0;
-    let mut learned = VecDeque::new();
-    for now in 0..PLAYED_MS {
+    let mut samples = VecDeque::new();
+    for now in 0..SIMULATED_MS {
         let at = f64::from(now);
         if now % gap_ms == 0 {
             let choice = engine.choice(&estimator);
             if is_admitted(&choice, &estimator) {
                 // The estimator learns from the prompt when its answer starts.
-                let queued_tokens = choice.ahead_tokens + size.1;
-                learned.push_back((at, queued_tokens));
+                let tokens_until_start = choice.ahead_tokens + size.1;
+                samples.push_back((at, tokens_until_start));
                 engine.queue.push_back(Prompt {
-                    came_at: at,
+                    arrived_at: at,
                     tokens: size.0,
                     prefill_tokens: size.1,
                 });
@@ -145,8 +145,8 @@
         let before = engine.in_time + engine.late;
         engine.step(at, &mut estimator);
         if engine.in_time + engine.late > before {
-            if let Some((sent, queued_tokens)) = learned.pop_front() {
-                estimator.record_first_token(queued_tokens, at - sent);
+            if let Some((sent, tokens_until_start)) = samples.pop_front() {
+                estimator.record_first_token(tokens_until_start, at - sent);
             }
         }
     }
@@ -167,14 +167,14 @@
 }
 
 /// Runs the same load with the admission controller.
-pub fn play_admitted(
+pub fn simulate_admission(
     prefill_per_ms: f64,
     gap_ms: u32,
     size: (f64, f64),
     estimator: LatencyEstimator,
 ) -> Outcome {
     let mut controller = AdmissionController::default();
-    play(
+    simulate(
         prefill_per_ms,
         gap_ms,
         size,
--- a/core/tests/fleet_fixture/mod.rs
+++ b/core/tests/fleet_fixture/mod.rs
@@ -16,8 +16,8 @@
 const WALL: WallTag = WallTag(1);
 
 pub struct Fleet {
-    pub book: EndpointBook,
-    pub memory: MemoryMap,
+    pub registry: EndpointBook,
+    pub stores: MemoryMap,
     pub bounds: WeightBounds,
     /// Engines with an open connection; `None` for all.
     pub connected: Option<BTreeSet<EndpointKey>>,
@@ -53,16 +53,16 @@
 impl Fleet {
     pub fn new() -> Self {
         let mut fleet = Fleet {
-            book: EndpointBook::default(),
-            memory: MemoryMap::default(),
+            registry: EndpointBook::default(),
+            stores: MemoryMap::default(),
             bounds: WeightBounds::default(),
             connected: None,
         };
-        for (place, id) in ["e1", "e2", "e3"].iter().enumerate() {
-            fleet.book.take(&EndpointNotice {
+        for (index, id) in ["e1", "e2", "e3"].iter().enumerate() {
+            fleet.registry.take(&EndpointNotice {
                 id: id.to_string(),
                 service: "llm".to_string(),
-                address: Some(([10, 0, 0, place as u8 + 1], 80).into()),
+                address: Some(([10, 0, 0, index as u8 + 1], 80).into()),
                 domain: "a".to_string(),
                 slots: 128,
                 is_leaving: false,
@@ -78,7 +78,7 @@
         &self,
         id: &str,
     ) -> EndpointKey {
-        self.book.key(id).expect("known")
+        self.registry.key(id).expect("known")
     }
 
     pub fn load(
@@ -87,7 +87,7 @@
         change: impl FnOnce(&mut EngineLoad),
     ) {
         let key = self.key(id);
-        let entry = self.book.get_mut(key).expect("entry");
+        let entry = self.registry.get_mut(key).expect("entry");
         let mut load = EngineLoad {
             at: NOW,
             total_tokens: 179_000,
@@ -97,19 +97,19 @@
         entry.load = Some(load);
     }
 
-    pub fn keep(
+    pub fn cache_parts(
         &mut self,
         id: &str,
     ) {
         let key = self.key(id);
-        let entry = self.book.get_mut(key).expect("entry");
+        let entry = self.registry.get_mut(key).expect("entry");
         entry.parts.touch(WALL, &prompt().parts, 179_000);
     }
 
     /// Adds a slow store with the shared parts.
     pub fn fill_store(&mut self) {
         let address = ([10, 9, 0, 1], 80).into();
-        self.memory.set_stores(&[KvStore {
+        self.stores.set_stores(&[KvStore {
             name: "s".to_string(),
             address,
             domain: "a".to_string(),
@@ -119,7 +119,7 @@
             is_managed: true,
             max_pending_calls: 12,
         }]);
-        let view = self.memory.view_mut(address).expect("view");
+        let view = self.stores.view_mut(address).expect("view");
         view.answered(5, Some(1_000), NOW, NOW);
         for shared in &prompt().parts[..2] {
             view.set(WALL, shared.id, shared.tokens);
@@ -135,8 +135,8 @@
             version: 1,
             namespace: WALL,
             parts: self
-                .memory
-                .outlook(&self.book, &group(), WALL, &prompt.parts, NOW),
+                .stores
+                .outlook(&self.registry, &group(), WALL, &prompt.parts, NOW),
         }];
         let request = PickRequest {
             trial: None,
@@ -156,7 +156,7 @@
             tried,
             now: NOW,
         };
-        pick_endpoint(&self.book, &request, &availabilities)
+        pick_endpoint(&self.registry, &request, &availabilities)
     }
 
     pub fn picked(&self) -> EndpointKey {
--- a/core/tests/latency_estimator.rs
+++ b/core/tests/latency_estimator.rs
@@ -11,7 +11,7 @@
 }
 
 /// Estimator after prompts of an engine with this overhead and time per token.
-fn played(
+fn trained(
     start_ms: f64,
     overhead_ms: f64,
     token_ms: f64,
@@ -36,7 +36,7 @@
 fn wrong_start_mended() {
     for token_ms in [1.0 / 24.0, 1.0 / 48.0, 1.0 / 97.0, 1.0 / 190.0] {
         for start in [token_ms / 4.0, token_ms * 4.0] {
-            let estimator = played(start, 30.0, token_ms);
+            let estimator = trained(start, 30.0, token_ms);
             assert!(
                 is_near(estimator.token_ms(), token_ms),
                 "{start}: {estimator:?}"
@@ -64,7 +64,7 @@
 /// prompts of a single size leave the time per token within its bounds.
 #[test]
 fn outliers_bounded() {
-    let mut estimator = played(0.02, 30.0, 0.02);
+    let mut estimator = trained(0.02, 30.0, 0.02);
     for _ in 0..5 {
         estimator.record_first_token(2_000.0, 10_000.0);
     }
@@ -83,7 +83,7 @@
 /// An engine that becomes slower is recognised within some hundred prompts.
 #[test]
 fn change_followed() {
-    let mut estimator = played(0.02, 30.0, 0.01);
+    let mut estimator = trained(0.02, 30.0, 0.01);
     for _ in 0..3 {
         for tokens in sizes() {
             estimator.record_first_token(tokens, 60.0 + tokens * 0.03);
@@ -98,7 +98,7 @@
     let mut estimator = LatencyEstimator::default();
     for _ in 0..200 {
         estimator.record_sent(12_000, 4_000, 60);
-        estimator.record_end(12_000, 2_000.0);
+        estimator.record_ended(12_000, 2_000.0);
     }
     assert!(is_near(
         estimator.ms_per_freed_token(60_000) * 12_000.0,
--- a/core/tests/overload.rs
+++ b/core/tests/overload.rs
@@ -3,7 +3,7 @@
 mod engine_sim;
 
 use {
-    engine_sim::{play, play_admitted, request, Engine, TARGET_MS, USABLE_MEMORY},
+    engine_sim::{request, simulate, simulate_admission, Engine, TARGET_MS, USABLE_MEMORY},
     pitchhitch_core::{
         serving::{
             AdmissionController, AdmissionDecision, AdmissionRequest, EndpointChoice,
@@ -17,19 +17,19 @@
 /// prompts are late; with it, most of those admitted are in time, also if the initial estimate is
 /// wrong.
 #[test]
-fn reading_overloaded() {
+fn prefill_overloaded() {
     let size = (2_400.0, 2_400.0);
-    let all = play(24.0, 50, size, LatencyEstimator::default(), &mut |_, _| {
+    let all = simulate(24.0, 50, size, LatencyEstimator::default(), &mut |_, _| {
         true
     });
     assert!(all.in_time < 60 && all.late > 200, "{all:?}");
-    for wrong in [0.25, 1.0, 4.0] {
-        let estimator = LatencyEstimator::with_token_ms(wrong / 24.0);
-        let admitted = play_admitted(24.0, 50, size, estimator);
-        assert!(admitted.in_time > all.in_time * 3, "{wrong}: {admitted:?}");
+    for factor in [0.25, 1.0, 4.0] {
+        let estimator = LatencyEstimator::with_token_ms(factor / 24.0);
+        let admitted = simulate_admission(24.0, 50, size, estimator);
+        assert!(admitted.in_time > all.in_time * 3, "{factor}: {admitted:?}");
         assert!(
             admitted.late * 4 < admitted.in_time,
-            "{wrong}: {admitted:?}"
+            "{factor}: {admitted:?}"
         );
     }
 }
@@ -39,10 +39,10 @@
 #[test]
 fn memory_overloaded() {
     let size = (12_000.0, 4_000.0);
-    let all = play(48.0, 100, size, LatencyEstimator::default(), &mut |_, _| {
+    let all = simulate(48.0, 100, size, LatencyEstimator::default(), &mut |_, _| {
         true
     });
-    let admitted = play_admitted(48.0, 100, size, LatencyEstimator::default());
+    let admitted = simulate_admission(48.0, 100, size, LatencyEstimator::default());
     assert!(admitted.in_time > all.in_time * 3, "{all:?} {admitted:?}");
     assert!(admitted.late * 4 < admitted.in_time, "{admitted:?}");
 }
@@ -55,7 +55,7 @@
     let mut controller = AdmissionController::default();
     let (mut run, mut longest) = (0, 0);
     let estimator = LatencyEstimator::with_token_ms(1.0 / 24.0);
-    play(24.0, 25, size, estimator, &mut |choice, estimator| {
+    simulate(24.0, 25, size, estimator, &mut |choice, estimator| {
         controller.record(&request(), size.0 as u32, size.1 as u32);
         let is_admitted =
             controller.decide(&request(), estimator, choice) == AdmissionDecision::Admitted;
@@ -70,7 +70,7 @@
 /// At half of the capacity nothing is refused.
 #[test]
 fn light_load_served() {
-    let admitted = play_admitted(48.0, 600, (9_000.0, 3_000.0), LatencyEstimator::default());
+    let admitted = simulate_admission(48.0, 600, (9_000.0, 3_000.0), LatencyEstimator::default());
     assert_eq!((admitted.late, admitted.refused), (0, 0), "{admitted:?}");
 }
 
@@ -160,12 +160,12 @@
         decide(&mut controller, &request(), 13_000),
         AdmissionDecision::NoMemory
     );
-    let back = AdmissionRequest {
+    let retry = AdmissionRequest {
         time_left: Micros::from_secs(11),
         ..request()
     };
     assert_eq!(
-        decide(&mut controller, &back, 13_000),
+        decide(&mut controller, &retry, 13_000),
         AdmissionDecision::Admitted
     );
 }
@@ -173,26 +173,26 @@
 /// Engines are nearly full, and half of the prompts return to an engine that has three quarters of
 /// them cached. These are admitted; prompts without cached parts are not.
 #[test]
-fn kept_parts_let_in() {
+fn cached_parts_admitted() {
     let estimator = LatencyEstimator::default();
     let mut controller = AdmissionController::default();
-    let (mut returning, mut new) = (0, 0);
+    let (mut cached, mut new) = (0, 0);
     for number in 0..40 {
         controller.record(&request(), 12_000, 3_000);
         let mut choice = EndpointChoice {
             free_tokens: Some(8_000),
             ..Engine::new(48.0).choice(&estimator)
         };
-        let is_kept = number % 2 == 0;
-        choice.plan.kept_tokens = if is_kept { 9_000 } else { 0 };
+        let is_cached = number % 2 == 0;
+        choice.plan.kept_tokens = if is_cached { 9_000 } else { 0 };
         let is_admitted =
             controller.decide(&request(), &estimator, &choice) == AdmissionDecision::Admitted;
-        match is_kept {
-            true => returning += u32::from(is_admitted),
+        match is_cached {
+            true => cached += u32::from(is_admitted),
             false => new += u32::from(is_admitted),
         }
     }
-    assert_eq!((returning, new), (20, 0));
+    assert_eq!((cached, new), (20, 0));
 }
 
 /// Refused callers should retry when the backlog will be gone, not earlier and not all at once.
@@ -201,7 +201,7 @@
     let mut estimator = LatencyEstimator::with_token_ms(0.02);
     for _ in 0..200 {
         estimator.record_sent(12_000, 4_000, 60);
-        estimator.record_end(12_000, 2_000.0);
+        estimator.record_ended(12_000, 2_000.0);
     }
     let mut controller = AdmissionController::default();
     controller.record(&request(), 12_000, 4_000);
--- a/core/tests/serving_limits.rs
+++ b/core/tests/serving_limits.rs
@@ -21,7 +21,7 @@
 
 /// In any window the retries of all boxes stay within the configured limit.
 #[test]
-fn repeats_bounded() {
+fn retries_bounded() {
     let mut meters = [RetryWindow::default(), RetryWindow::default()];
     let mut taken: Vec<u64> = Vec::new();
     let mut asked: Vec<u64> = Vec::new();
@@ -57,9 +57,9 @@
 #[test]
 fn restart_within_share() {
     let mut taken = 0;
-    for life in 0..2 {
+    for process in 0..2 {
         let mut meter = RetryWindow::default();
-        let uptime = |millis: u64| at(millis) + Micros(BOUND.window.0 * (1 - life));
+        let uptime = |millis: u64| at(millis) + Micros(BOUND.window.0 * (1 - process));
         for millis in 0..2_000 {
             taken += u32::from(meter.try_acquire(&BOUND, 2, uptime(millis), at(millis)));
         }
@@ -147,13 +147,13 @@
 }
 
 /// A controller that has recorded large prompts of the least urgent priority and small ones.
-fn two_kinds(
+fn two_routes(
     tokens: u32,
-    unread: u32,
+    prefill_tokens: u32,
 ) -> AdmissionController {
     let mut controller = AdmissionController::default();
     for _ in 0..100 {
-        controller.record(&request("large", 2), tokens, unread);
+        controller.record(&request("large", 2), tokens, prefill_tokens);
         controller.record(&request("small", 1), 800, 200);
     }
     controller
@@ -163,7 +163,7 @@
 /// time for twenty seconds (first day of high load).
 #[test]
 fn large_kinds_first() {
-    let mut controller = two_kinds(12_000, 3_000);
+    let mut controller = two_routes(12_000, 3_000);
     let large = request("large", 2);
     let small = request("small", 1);
     assert!(!refuses(&mut controller, &large, &choice(0.0, 1)));
@@ -189,7 +189,7 @@
 /// Engines with full memory preempted 81 prompts in one day and prefilled them again.
 #[test]
 fn memory_kept_free() {
-    let mut controller = two_kinds(12_000, 3_000);
+    let mut controller = two_routes(12_000, 3_000);
     let large = request("large", 2);
     assert!(!refuses(&mut controller, &large, &with_free(12_500)));
     assert!(refuses(&mut controller, &large, &with_free(11_000)));
@@ -237,20 +237,26 @@
 
 #[test]
 fn parts_forgotten_in_order() {
-    let wall = WallTag(1);
+    let namespace = WallTag(1);
     let part = |id: &str, tokens| PromptPart {
         id: PartId::parse(id).expect("hex"),
         tokens,
     };
-    let mut memory = PartMemory::default();
-    memory.touch(wall, &[part("a", 400), part("b", 400)], 1_000);
-    memory.touch(wall, &[part("a", 400), part("c", 400)], 1_000);
-    assert_eq!(memory.reuse(wall, &[part("a", 400), part("c", 400)]), 800);
-    assert_eq!(memory.tokens_of(wall, part("b", 1).id), 0);
-    assert!(memory.tokens() <= 1_000);
-    assert_eq!(memory.reuse(WallTag(2), &[part("a", 400)]), 0, "walls hold");
-    memory.set(wall, part("a", 1).id, 100);
-    assert_eq!(memory.reuse(wall, &[part("a", 400), part("c", 400)]), 100);
+    let mut index = PartMemory::default();
+    index.touch(namespace, &[part("a", 400), part("b", 400)], 1_000);
+    index.touch(namespace, &[part("a", 400), part("c", 400)], 1_000);
+    assert_eq!(
+        index.reuse(namespace, &[part("a", 400), part("c", 400)]),
+        800
+    );
+    assert_eq!(index.tokens_of(namespace, part("b", 1).id), 0);
+    assert!(index.tokens() <= 1_000);
+    assert_eq!(index.reuse(WallTag(2), &[part("a", 400)]), 0, "walls hold");
+    index.set(namespace, part("a", 1).id, 100);
+    assert_eq!(
+        index.reuse(namespace, &[part("a", 400), part("c", 400)]),
+        100
+    );
 }
 
 #[test]
--- a/core/tests/slow_start.rs
+++ b/core/tests/slow_start.rs
@@ -79,8 +79,8 @@
         let mut allocator = GrantAllocator::default();
         allocator.set_limit(LIMIT);
         let mut shares = Vec::new();
-        for turn in 0..40 {
-            let now = ms(turn * 250);
+        for round in 0..40 {
+            let now = ms(round * 250);
             let grants = (0..boxes).map(|to| allocator.grant(to, boxes as usize, now).per_second);
             shares = grants.collect();
         }
@@ -104,23 +104,23 @@
     /// Time passes, in milliseconds.
     Pass(u64),
     /// A box is sent a grant, which arrives after this time in milliseconds, or never.
-    Tell { to: usize, way: Option<u64> },
+    Grant { to: usize, delay: Option<u64> },
     /// A box sends up to this many requests while it may.
-    Send { by: usize, most: usize },
+    Send { by: usize, max: usize },
     /// The process beside the endpoint restarts.
     Restart,
     /// It assumes this number of boxes.
-    Believe(usize),
+    SetBoxes(usize),
 }
 
 fn step() -> impl Strategy<Value = Step> {
     prop_oneof![
         4 => (0..600u64).prop_map(Step::Pass),
         8 => (0..8usize, proptest::option::weighted(0.8, 0..1_400u64))
-            .prop_map(|(to, way)| Step::Tell { to, way }),
-        8 => (0..8usize, 1..40usize).prop_map(|(by, most)| Step::Send { by, most }),
+            .prop_map(|(to, delay)| Step::Grant { to, delay }),
+        8 => (0..8usize, 1..40usize).prop_map(|(by, max)| Step::Send { by, max }),
         1 => Just(Step::Restart),
-        1 => (1..12usize).prop_map(Step::Believe),
+        1 => (1..12usize).prop_map(Step::SetBoxes),
     ]
 }
 
@@ -132,31 +132,31 @@
         let mut now = 0u64;
         let mut allocator = GrantAllocator::default();
         allocator.set_limit(LIMIT);
-        let mut believed = 4;
+        let mut known_boxes = 4;
         let mut boxes: Vec<EndpointSlowStart> = vec![EndpointSlowStart::default(); 8];
         for start in &mut boxes {
             start.begin(Micros::from_secs(100_000), ms(0));
         }
         // Messages in transit: time of arrival, box, grant, and time of sending.
-        let mut under_way: Vec<(u64, usize, SendGrant, u64)> = Vec::new();
+        let mut in_transit: Vec<(u64, usize, SendGrant, u64)> = Vec::new();
         let mut sends: Vec<u64> = Vec::new();
         let mut ticket = 0;
         for step in steps {
             match step {
                 Step::Pass(millis) => now += millis,
-                Step::Believe(count) => believed = count,
+                Step::SetBoxes(count) => known_boxes = count,
                 Step::Restart => {
                     allocator = GrantAllocator::default();
                     allocator.set_limit(LIMIT);
                 }
-                Step::Tell { to, way } => {
-                    let grant = allocator.grant(to, believed, ms(now));
-                    if let Some(way) = way {
-                        under_way.push((now + way, to, grant, now));
+                Step::Grant { to, delay } => {
+                    let grant = allocator.grant(to, known_boxes, ms(now));
+                    if let Some(delay) = delay {
+                        in_transit.push((now + delay, to, grant, now));
                     }
                 }
-                Step::Send { by, most } => {
-                    for _ in 0..most {
+                Step::Send { by, max } => {
+                    for _ in 0..max {
                         if !boxes[by].admits(ms(now)) {
                             break;
                         }
@@ -166,9 +166,9 @@
                     }
                 }
             }
-            let (come, later) = under_way.into_iter().partition(|(at, ..)| *at <= now);
-            under_way = later;
-            for (_, to, grant, sent_at) in come {
+            let (arrived, later) = in_transit.into_iter().partition(|(at, ..)| *at <= now);
+            in_transit = later;
+            for (_, to, grant, sent_at) in arrived {
                 boxes[to].update_grant(grant, ms(sent_at));
             }
         }
--- a/entry/src/front/request_lessons.rs
+++ b/entry/src/front/request_lessons.rs
@@ -53,7 +53,7 @@
             return;
         };
         let held = self.front.now().since(sent_at).as_millis() as f64;
-        state.pace.record_end(prompt.tokens_in, held);
+        state.pace.record_ended(prompt.tokens_in, held);
     }
 
     pub(super) fn learn_version(
--- a/testbed/src/load_model/model_front.rs
+++ b/testbed/src/load_model/model_front.rs
@@ -228,7 +228,7 @@
     ) {
         self.book.ended(send.choice.key, send.ticket);
         if let Some(held) = held {
-            self.pace.record_end(tokens_in, held.as_millis() as f64);
+            self.pace.record_ended(tokens_in, held.as_millis() as f64);
         }
     }
 }
