--- a/core/src/serving/serving_mechanism.rs
+++ b/core/src/serving/serving_mechanism.rs
@@ -86,6 +86,11 @@
     /// Lists the known names if there is no such mechanism.
     pub fn from_name(name: &str) -> Result<Self, String> {
         let found = Self::ALL.into_iter().find(|known| known.name() == name);
-        found.ok_or_else(|| format!("{name}: name one of {}", Self::names()))
+        found.ok_or_else(|| {
+            format!(
+                "{name}: unknown mechanism, expected one of {}",
+                Self::names()
+            )
+        })
     }
 }
--- a/core/tests/allowed_regions.rs
+++ b/core/tests/allowed_regions.rs
@@ -22,7 +22,7 @@
     };
     let allowed = ["a", "b", "c", "d"].map(|region| regions.allows(Some(region)));
     assert_eq!(allowed, [false, true, false, false]);
-    assert!(!regions.allows(None), "an unknown region is nobody's");
+    assert!(!regions.allows(None), "an unknown region is in no list");
     let alone = AllowedRegions {
         route: &route,
         organisation: &[],
--- a/core/tests/disabled_mechanisms.rs
+++ b/core/tests/disabled_mechanisms.rs
@@ -101,7 +101,7 @@
             tried,
             now: NOW,
         };
-        pick_endpoint(&self.registry, &request, &availabilities).expect("somebody")
+        pick_endpoint(&self.registry, &request, &availabilities).expect("an endpoint")
     }
 
     fn pick_with_all(
@@ -135,7 +135,10 @@
     let mut fleet = Fleet::new();
     let home = fleet.pick_with_all(3);
     let other = IDS.iter().filter_map(|id| fleet.registry.key(id));
-    let holder = other.into_iter().find(|key| *key != home).expect("another");
+    let holder = other
+        .into_iter()
+        .find(|key| *key != home)
+        .expect("another engine");
     fleet.cache_parts(holder);
     assert_eq!(fleet.pick_with_all(3), holder);
     assert_eq!(fleet.pick_without(3, ServingMechanism::Affinity), home);
@@ -224,6 +227,6 @@
         let others = ServingMechanism::ALL.into_iter();
         assert_eq!(others.filter(|other| set.contains(*other)).count(), 1);
     }
-    let unknown = ServingMechanism::from_name("no-such").expect_err("none has it");
-    assert!(unknown.contains("no-such: name one of admission, "));
+    let unknown = ServingMechanism::from_name("no-such").expect_err("unknown name");
+    assert!(unknown.contains("no-such: unknown mechanism, expected one of admission, "));
 }
--- a/core/tests/endpoint_pick.rs
+++ b/core/tests/endpoint_pick.rs
@@ -18,7 +18,7 @@
     for id in ["e1", "e2", "e3"] {
         let mut fleet = Fleet::new();
         fleet.cache_parts(id);
-        let choice = fleet.pick(&prompt(), &[]).expect("somebody");
+        let choice = fleet.pick(&prompt(), &[]).expect("an endpoint");
         assert_eq!(choice.key, fleet.key(id));
         assert_eq!(choice.plan.kept_tokens, 9_100);
         assert_eq!(choice.prefill_tokens, 2_900);
@@ -30,7 +30,7 @@
     let mut fleet = Fleet::new();
     fleet.cache_parts("e1");
     fleet.load("e1", |load| load.unread = 30);
-    let choice = fleet.pick(&prompt(), &[]).expect("somebody");
+    let choice = fleet.pick(&prompt(), &[]).expect("an endpoint");
     assert_ne!(choice.key, fleet.key("e1"));
     // The other engine fetches from the busy one instead of prefilling.
     let holder = PartPlace::Engine(fleet.key("e1"));
@@ -60,7 +60,7 @@
     assert_ne!(fleet.picked(), first, "its reports have stopped");
     let entry = fleet.registry.get_mut(first).expect("entry");
     entry.answered_at = Some(NOW - Micros::from_millis(100));
-    assert_eq!(fleet.picked(), first, "it answers all the same");
+    assert_eq!(fleet.picked(), first, "it still answers");
 }
 
 #[test]
@@ -71,7 +71,7 @@
     }
     assert!(
         fleet.pick(&prompt(), &[]).is_some(),
-        "somebody is better than nobody"
+        "an unhealthy endpoint is better than none"
     );
 }
 
@@ -86,7 +86,9 @@
     let key = fleet.key("e2");
     let entry = fleet.registry.get_mut(key).expect("entry");
     entry.weights.learn("m", 2);
-    let choice = fleet.pick(&prompt(), &[]).expect("one has them");
+    let choice = fleet
+        .pick(&prompt(), &[])
+        .expect("an engine with these weights");
     assert_eq!((choice.key, choice.version), (key, Some(2)));
 }
 
@@ -115,7 +117,12 @@
 fn tried_left_out() {
     let fleet = Fleet::new();
     let all = [fleet.key("e1"), fleet.key("e2"), fleet.key("e3")];
-    assert!(!all[..2].contains(&fleet.pick(&prompt(), &all[..2]).expect("third").key));
+    assert!(!all[..2].contains(
+        &fleet
+            .pick(&prompt(), &all[..2])
+            .expect("the third engine")
+            .key
+    ));
     assert_eq!(fleet.pick(&prompt(), &all), None);
 }
 
@@ -123,7 +130,7 @@
 fn store_feeds() {
     let mut fleet = Fleet::new();
     fleet.fill_store();
-    let choice = fleet.pick(&prompt(), &[]).expect("somebody");
+    let choice = fleet.pick(&prompt(), &[]).expect("an endpoint");
     assert_eq!(choice.plan.fetched_tokens, 9_100);
     assert_eq!(choice.shared_prefill_tokens, 0);
 }
@@ -136,13 +143,16 @@
             let mut cold = prompt();
             cold.parts[1] = part(&format!("{:x}", number * 7_919 + 3), 8_600);
             let (one, two) = (Fleet::new(), Fleet::new());
-            let key = one.pick(&cold, &[]).expect("somebody").key;
+            let key = one.pick(&cold, &[]).expect("an endpoint").key;
             assert_eq!(two.pick(&cold, &[]).map(|choice| choice.key), Some(key));
             key
         })
         .collect();
     let first = homes.iter().filter(|key| **key == homes[0]).count();
-    assert!(first < 40, "homes are spread: {first} of 50 at one engine");
+    assert!(
+        first < 40,
+        "{first} of 50 prompts have the same home engine"
+    );
 }
 
 /// Links between engines are many times faster than those of stores. As engines report cached parts
@@ -154,7 +164,7 @@
     fleet.cache_parts("e1");
     // The prompt must go to another engine than the one that has it cached.
     let holder = fleet.key("e1");
-    let choice = fleet.pick(&prompt(), &[holder]).expect("somebody");
+    let choice = fleet.pick(&prompt(), &[holder]).expect("an endpoint");
     let fetch = choice.plan.parts.iter().find(|f| f.part.tokens == 8_600);
     let (source, _) = fetch.and_then(|f| f.source.as_ref()).expect("a fetch");
     assert_eq!(source.place, PartPlace::Engine(holder));
@@ -167,7 +177,7 @@
     let mut fleet = Fleet::new();
     fleet.fill_store();
     fleet.cache_parts("e1");
-    let choice = fleet.pick(&prompt(), &[]).expect("somebody");
+    let choice = fleet.pick(&prompt(), &[]).expect("an endpoint");
     assert_eq!(choice.key, fleet.key("e1"));
     assert_eq!(choice.plan.kept_tokens, 9_100);
     assert_eq!((choice.plan.fetched_tokens, choice.plan.fetch_ms), (0, 0.0));
@@ -199,7 +209,11 @@
             .get(key)
             .and_then(|e| e.free_tokens(NOW, &LatencyEstimator::default()))
     };
-    assert_eq!(free(&fleet), Some(30_000), "a tenth is left for answers");
+    assert_eq!(
+        free(&fleet),
+        Some(30_000),
+        "a tenth is reserved for answers"
+    );
     let work = UnreadWork {
         ticket: 1,
         tokens: 2_900,
@@ -226,7 +240,7 @@
     for id in ["e1", "e2", "e3"] {
         let mut fleet = Fleet::new();
         fleet.connected = Some([fleet.key(id)].into());
-        let choice = fleet.pick(&fresh, &[]).expect("somebody");
+        let choice = fleet.pick(&fresh, &[]).expect("an endpoint");
         assert_eq!(choice.key, fleet.key(id));
         fleet.cache_parts("e2");
         assert_eq!(fleet.picked(), fleet.key("e2"));
--- a/core/tests/fleet_fixture/mod.rs
+++ b/core/tests/fleet_fixture/mod.rs
@@ -78,7 +78,7 @@
         &self,
         id: &str,
     ) -> EndpointKey {
-        self.registry.key(id).expect("known")
+        self.registry.key(id).expect("a known engine")
     }
 
     pub fn load(
@@ -160,6 +160,6 @@
     }
 
     pub fn picked(&self) -> EndpointKey {
-        self.pick(&prompt(), &[]).expect("somebody").key
+        self.pick(&prompt(), &[]).expect("an endpoint").key
     }
 }
--- a/core/tests/overload.rs
+++ b/core/tests/overload.rs
@@ -64,7 +64,7 @@
         is_admitted
     });
     // Forty prompts arrive while an engine prefills ten.
-    assert!((1..40).contains(&longest), "{longest} in a row");
+    assert!((1..40).contains(&longest), "{longest} refusals in a row");
 }
 
 /// At half of the capacity nothing is refused.
--- a/core/tests/path_lookup.rs
+++ b/core/tests/path_lookup.rs
@@ -109,9 +109,9 @@
         resolve("a.example", "/no", Some("key")),
         Err(RefusalKind::UnknownRoute)
     );
-    let keyed = resolve("a.example", "/api/", Some("key")).expect("let in");
+    let keyed = resolve("a.example", "/api/", Some("key")).expect("accepted");
     assert!(keyed.is_authenticated && keyed.organisation == Some(0));
-    let open = resolve("b.example", "/open/x", None).expect("let in");
+    let open = resolve("b.example", "/open/x", None).expect("accepted");
     assert!(!open.is_authenticated && open.organisation.is_none());
 }
 
--- a/core/tests/serving_limits.rs
+++ b/core/tests/serving_limits.rs
@@ -47,7 +47,7 @@
     }
     assert!(
         taken.len() > 200,
-        "the budget is of some use: {}",
+        "the budget is used: {} retries",
         taken.len()
     );
 }
@@ -251,7 +251,11 @@
     );
     assert_eq!(index.tokens_of(namespace, part("b", 1).id), 0);
     assert!(index.tokens() <= 1_000);
-    assert_eq!(index.reuse(WallTag(2), &[part("a", 400)]), 0, "walls hold");
+    assert_eq!(
+        index.reuse(WallTag(2), &[part("a", 400)]),
+        0,
+        "namespaces are separate"
+    );
     index.set(namespace, part("a", 1).id, 100);
     assert_eq!(
         index.reuse(namespace, &[part("a", 400), part("c", 400)]),
--- a/core/tests/slow_start.rs
+++ b/core/tests/slow_start.rs
@@ -38,8 +38,11 @@
         start.record_sent(ticket, ms(5));
     }
     start.begin(ms(500), ms(10));
-    assert!(!start.admits(ms(10)), "no grant, and many were sent");
-    assert!(start.admits(ms(510)), "it is over");
+    assert!(
+        !start.admits(ms(10)),
+        "no grant, and many requests in the window"
+    );
+    assert!(start.admits(ms(510)), "slow start has ended");
 }
 
 #[test]
@@ -68,7 +71,10 @@
     assert!(start.admits(ms(100)));
     assert!(!start.admits(ms(100) + GRANT_TTL));
     start.update_grant(SendGrant { per_second: 9 }, ms(50));
-    assert!(!start.admits(ms(100) + GRANT_TTL), "it came out of order");
+    assert!(
+        !start.admits(ms(100) + GRANT_TTL),
+        "the grant is out of order"
+    );
 }
 
 /// Once all boxes have repeatedly got grants, each has its share, and a new box gets a grant at
@@ -188,11 +194,15 @@
     assert_eq!(
         start.admits_after(ms(0)),
         GRANT_RECLAIM_DELAY,
-        "whoever shares it out may not yet"
+        "a grant may not be sent earlier"
     );
     start.update_grant(SendGrant { per_second: 1 }, ms(100));
     assert_eq!(start.admits_after(ms(100)), Micros::ZERO);
     start.record_sent(1, ms(100));
     assert_eq!(start.admits_after(ms(400)), ms(700));
-    assert_eq!(start.admits_after(ms(4_990)), ms(10), "it is warm then");
+    assert_eq!(
+        start.admits_after(ms(4_990)),
+        ms(10),
+        "slow start ends then"
+    );
 }
