--- a/core/tests/disabled_mechanisms.rs
+++ b/core/tests/disabled_mechanisms.rs
@@ -15,7 +15,7 @@
 };
 
 const NOW: Micros = Micros::from_secs(100);
-const WALL: WallTag = WallTag(1);
+const NAMESPACE: WallTag = WallTag(1);
 const IDS: [&str; 3] = ["e1", "e2", "e3"];
 const MEMORY: u64 = 179_000;
 
@@ -84,8 +84,8 @@
         };
         let availabilities = [VersionAvailability {
             version: 1,
-            namespace: WALL,
-            parts: stores.outlook(&self.registry, &group, WALL, &prompt.parts, NOW),
+            namespace: NAMESPACE,
+            parts: stores.outlook(&self.registry, &group, NAMESPACE, &prompt.parts, NOW),
         }];
         let request = PickRequest {
             trial: None,
@@ -126,7 +126,7 @@
         key: EndpointKey,
     ) {
         let entry = self.registry.get_mut(key).expect("entry");
-        entry.parts.touch(WALL, &prompt(3).parts, MEMORY);
+        entry.parts.touch(NAMESPACE, &prompt(3).parts, MEMORY);
     }
 }
 
@@ -188,7 +188,7 @@
         let view = stores.view_mut(store.address).expect("view");
         view.answered(1, Some(1), NOW, NOW);
         view.answered(1, Some(1), later, later);
-        let saves = stores.plan_saves(WALL, &prompt(3).parts, &|_| true, later);
+        let saves = stores.plan_saves(NAMESPACE, &prompt(3).parts, &|_| true, later);
         saves.into_iter().flatten().count()
     };
     assert_eq!(saved(MechanismSet::default()), 2);
--- a/core/tests/fleet_fixture/mod.rs
+++ b/core/tests/fleet_fixture/mod.rs
@@ -13,7 +13,7 @@
 };
 
 pub const NOW: Micros = Micros::from_secs(100);
-const WALL: WallTag = WallTag(1);
+const NAMESPACE: WallTag = WallTag(1);
 
 pub struct Fleet {
     pub registry: EndpointBook,
@@ -103,7 +103,7 @@
     ) {
         let key = self.key(id);
         let entry = self.registry.get_mut(key).expect("entry");
-        entry.parts.touch(WALL, &prompt().parts, 179_000);
+        entry.parts.touch(NAMESPACE, &prompt().parts, 179_000);
     }
 
     /// Adds a slow store with the shared parts.
@@ -122,7 +122,7 @@
         let view = self.stores.view_mut(address).expect("view");
         view.answered(5, Some(1_000), NOW, NOW);
         for shared in &prompt().parts[..2] {
-            view.set(WALL, shared.id, shared.tokens);
+            view.set(NAMESPACE, shared.id, shared.tokens);
         }
     }
 
@@ -133,10 +133,10 @@
     ) -> Option<EndpointChoice> {
         let availabilities = [VersionAvailability {
             version: 1,
-            namespace: WALL,
+            namespace: NAMESPACE,
             parts: self
                 .stores
-                .outlook(&self.registry, &group(), WALL, &prompt.parts, NOW),
+                .outlook(&self.registry, &group(), NAMESPACE, &prompt.parts, NOW),
         }];
         let request = PickRequest {
             trial: None,
