--- a/core/src/serving/kv_store.rs
+++ b/core/src/serving/kv_store.rs
@@ -5,8 +5,8 @@
 /// Pause between two polls. Each call has a price, and each answer proves for two seconds that the
 /// store has not restarted.
 const POLL_PAUSE: Micros = Micros::from_millis(400);
-/// The same as `POLL_WAIT` with many clients; the platform charges for calls that are held for
-/// less.
+/// The same as `POLL_WAIT` with many clients; the platform charges for calls that are held for a
+/// shorter time.
 const BUSY_POLL_WAIT: Micros = Micros::from_millis(200);
 /// Maximum pause: an answer is valid for two seconds, and one answer may be late.
 const MAX_POLL_PAUSE: Micros = Micros::from_millis(800);
--- a/core/src/serving/served_route.rs
+++ b/core/src/serving/served_route.rs
@@ -59,7 +59,7 @@
 }
 
 impl ServedRoute {
-    /// Service for a request, chosen by weight; `spread` is any number.
+    /// Service for a request, chosen by weight; `seed` is any number.
     pub fn target(
         &self,
         seed: u64,
