--- a/core/src/serving/grant_allocator.rs
+++ b/core/src/serving/grant_allocator.rs
@@ -4,26 +4,26 @@
     std::collections::BTreeMap,
 };
 
-/// Part of the limit that is shared out among the boxes that are known, in hundredths; the rest
-/// is there for one that comes.
+/// Percentage of the limit that is divided among the known boxes. The rest is left for a box that
+/// joins.
 const SHARED_PERCENT: u32 = 90;
 
-/// A grant that may still be used.
+/// A grant that may still be in use.
 #[derive(Debug, Clone, Copy)]
-struct OpenGrant {
+struct ActiveGrant {
     per_second: u32,
     sent_at: Micros,
 }
 
-/// Shares the limit of one endpoint that starts slowly out among boxes, without their agreement:
-/// the sum of all grants that may still be used is never above the limit, whichever of them were
-/// lost, came late or are out of date.
+/// Divides the rate limit of one endpoint in slow start among boxes that do not coordinate. The
+/// grants that may be in use never add up to more than the limit, even if some were lost, delayed
+/// or are out of date.
 #[derive(Debug, Clone)]
 pub struct GrantAllocator<B> {
     limit: u32,
-    /// When this book began: grants of the one before may be used for a while.
+    /// When this allocator started; grants of its predecessor may be in use for a while.
     started_at: Option<Micros>,
-    open: BTreeMap<B, Vec<OpenGrant>>,
+    active: BTreeMap<B, Vec<ActiveGrant>>,
 }
 
 impl<B> Default for GrantAllocator<B> {
@@ -31,13 +31,13 @@
         GrantAllocator {
             limit: 0,
             started_at: None,
-            open: BTreeMap::new(),
+            active: BTreeMap::new(),
         }
     }
 }
 
 impl<B: Ord + Copy> GrantAllocator<B> {
-    /// Sets the limit, in requests a second.
+    /// Sets the limit, in requests per second.
     pub fn set_limit(
         &mut self,
         limit: u32,
@@ -45,7 +45,7 @@
         self.limit = limit;
     }
 
-    /// The grant of a box that is told now, one of so many that are known.
+    /// Grants box `to` its share, given the number of known boxes.
     pub fn grant(
         &mut self,
         to: B,
@@ -58,7 +58,7 @@
         }
         self.prune(now);
         let granted: u32 = self
-            .open
+            .active
             .iter()
             .filter(|(other, _)| **other != to)
             .map(|(_, grants)| largest(grants))
@@ -66,28 +66,28 @@
         let boxes = u32::try_from(boxes.max(1)).unwrap_or(u32::MAX);
         let share = (self.limit * SHARED_PERCENT / 100 / boxes).max(1);
         let per_second = share.min(self.limit.saturating_sub(granted));
-        self.open.entry(to).or_default().push(OpenGrant {
+        self.active.entry(to).or_default().push(ActiveGrant {
             per_second,
             sent_at: now,
         });
         SendGrant { per_second }
     }
 
-    /// Forgets grants that are over, and those behind which a larger one was sent.
+    /// Removes expired grants, and grants that a later one at least as large supersedes.
     fn prune(
         &mut self,
         now: Micros,
     ) {
-        self.open.retain(|_, grants| {
+        self.active.retain(|_, grants| {
             grants.retain(|grant| now.since(grant.sent_at) <= GRANT_RECLAIM_DELAY);
-            let mut later = 0;
+            let mut largest_later = 0;
             let mut index = grants.len();
             while index > 0 {
                 index -= 1;
-                if grants[index].per_second <= later {
+                if grants[index].per_second <= largest_later {
                     grants.remove(index);
                 } else {
-                    later = grants[index].per_second;
+                    largest_later = grants[index].per_second;
                 }
             }
             !grants.is_empty()
@@ -95,7 +95,7 @@
     }
 }
 
-fn largest(grants: &[OpenGrant]) -> u32 {
+fn largest(grants: &[ActiveGrant]) -> u32 {
     let sizes = grants.iter().map(|grant| grant.per_second);
     sizes.max().unwrap_or(0)
 }
--- a/core/tests/disabled_mechanisms.rs
+++ b/core/tests/disabled_mechanisms.rs
@@ -1,13 +1,13 @@
-//! Mechanisms of choice and moves that are left out: each changes the decision that it
-//! names.
+//! Each disabled mechanism of endpoint choice and transfers changes the decision that it is named
+//! for.
 
 use {
     pitchhitch_core::{
         serving::{
-            pick_endpoint, EndpointChoice, EndpointKey, EndpointNotice, EndpointRegistry,
-            EngineGroup, EngineLoad, LatencyEstimator, KvStore, MechanismSet, NamespaceTag, PartId,
-            PickRequest, PromptInfo, PromptPart, ServingMechanism, StoreDirectory, VersionAvailability,
-            WeightBounds, SAVE_AFTER,
+            pick_endpoint, EndpointRegistry, EndpointChoice, EndpointKey, EndpointNotice, EngineGroup,
+            EngineLoad, KvStore, LatencyEstimator, MechanismSet, StoreDirectory, PartId, PickRequest,
+            PromptInfo, PromptPart, ServingMechanism, VersionAvailability, NamespaceTag, WeightBounds,
+            SAVE_AFTER,
         },
         time::Micros,
     },
@@ -15,7 +15,7 @@
 };
 
 const NOW: Micros = Micros::from_secs(100);
-const WALL: NamespaceTag = NamespaceTag(1);
+const NAMESPACE: NamespaceTag = NamespaceTag(1);
 const IDS: [&str; 3] = ["e1", "e2", "e3"];
 const MEMORY: u64 = 179_000;
 
@@ -31,7 +31,7 @@
     PromptPart { id, tokens }
 }
 
-/// A prompt whose largest shared part has this number.
+/// A prompt with this id of its largest shared part.
 fn prompt(number: u64) -> PromptInfo {
     PromptInfo {
         model: "m".to_string(),
@@ -42,30 +42,30 @@
 }
 
 struct Fleet {
-    book: EndpointRegistry,
+    registry: EndpointRegistry,
 }
 
 impl Fleet {
     fn new() -> Self {
-        let mut book = EndpointRegistry::default();
-        for (place, id) in IDS.iter().enumerate() {
-            book.apply(&EndpointNotice {
+        let mut registry = EndpointRegistry::default();
+        for (index, id) in IDS.iter().enumerate() {
+            registry.apply(&EndpointNotice {
                 id: id.to_string(),
                 service: "llm".to_string(),
-                address: Some(([10, 0, 0, place as u8 + 1], 80).into()),
+                address: Some(([10, 0, 0, index as u8 + 1], 80).into()),
                 domain: "a".to_string(),
                 slots: 128,
                 weights: vec![("m".to_string(), 1)],
                 ..EndpointNotice::default()
             });
-            let entry = book.key(id).and_then(|key| book.get_mut(key));
+            let entry = registry.key(id).and_then(|key| registry.get_mut(key));
             entry.expect("entry").load = Some(EngineLoad {
                 at: NOW,
                 total_tokens: MEMORY,
                 ..EngineLoad::default()
             });
         }
-        Fleet { book }
+        Fleet { registry }
     }
 
     fn pick(
@@ -74,7 +74,7 @@
         tried: &[EndpointKey],
         disabled: MechanismSet,
     ) -> EndpointChoice {
-        let memory = StoreDirectory::without(disabled);
+        let stores = StoreDirectory::without(disabled);
         let group = EngineGroup {
             slots: 128,
             capacity_tokens: MEMORY,
@@ -84,8 +84,8 @@
         };
         let availabilities = [VersionAvailability {
             version: 1,
-            namespace: WALL,
-            parts: memory.locate_parts(&self.book, &group, WALL, &prompt.parts, NOW),
+            namespace: NAMESPACE,
+            parts: stores.locate_parts(&self.registry, &group, NAMESPACE, &prompt.parts, NOW),
         }];
         let request = PickRequest {
             trial: None,
@@ -101,7 +101,7 @@
             tried,
             now: NOW,
         };
-        pick_endpoint(&self.book, &request, &availabilities).expect("somebody")
+        pick_endpoint(&self.registry, &request, &availabilities).expect("an endpoint")
     }
 
     fn pick_with_all(
@@ -112,7 +112,7 @@
         self.pick(&prompt(number), &[], none).key
     }
 
-    /// The engine that takes a prompt without a mechanism.
+    /// The engine that takes a prompt if a mechanism is disabled.
     fn pick_without(
         &self,
         number: u64,
@@ -121,12 +121,12 @@
         self.pick(&prompt(number), &[], without(mechanism)).key
     }
 
-    fn keep(
+    fn cache_parts(
         &mut self,
         key: EndpointKey,
     ) {
-        let entry = self.book.get_mut(key).expect("entry");
-        entry.parts.touch(WALL, &prompt(3).parts, MEMORY);
+        let entry = self.registry.get_mut(key).expect("entry");
+        entry.parts.touch(NAMESPACE, &prompt(3).parts, MEMORY);
     }
 }
 
@@ -134,9 +134,12 @@
 fn kept_parts() {
     let mut fleet = Fleet::new();
     let home = fleet.pick_with_all(3);
-    let other = IDS.iter().filter_map(|id| fleet.book.key(id));
-    let holder = other.into_iter().find(|key| *key != home).expect("another");
-    fleet.keep(holder);
+    let other = IDS.iter().filter_map(|id| fleet.registry.key(id));
+    let holder = other
+        .into_iter()
+        .find(|key| *key != home)
+        .expect("another engine");
+    fleet.cache_parts(holder);
     assert_eq!(fleet.pick_with_all(3), holder);
     assert_eq!(fleet.pick_without(3, ServingMechanism::Affinity), home);
 }
@@ -156,7 +159,7 @@
 fn parts_fetched() {
     let mut fleet = Fleet::new();
     let holder = fleet.pick_with_all(3);
-    fleet.keep(holder);
+    fleet.cache_parts(holder);
     let fetched = |disabled| {
         let choice = fleet.pick(&prompt(3), &[holder], disabled);
         (choice.plan.fetched_tokens, choice.prefill_tokens)
@@ -179,13 +182,13 @@
         max_pending_calls: 12,
     };
     let saved = |disabled| {
-        let mut memory = StoreDirectory::without(disabled);
-        memory.set_stores(std::slice::from_ref(&store));
+        let mut stores = StoreDirectory::without(disabled);
+        stores.set_stores(std::slice::from_ref(&store));
         let later = NOW + SAVE_AFTER + Micros(1);
-        let view = memory.view_mut(store.address).expect("view");
+        let view = stores.view_mut(store.address).expect("view");
         view.answered(1, Some(1), NOW, NOW);
         view.answered(1, Some(1), later, later);
-        let saves = memory.plan_saves(WALL, &prompt(3).parts, &|_| true, later);
+        let saves = stores.plan_saves(NAMESPACE, &prompt(3).parts, &|_| true, later);
         saves.into_iter().flatten().count()
     };
     assert_eq!(saved(MechanismSet::default()), 2);
@@ -197,7 +200,7 @@
     let mut fleet = Fleet::new();
     let first = fleet.pick_with_all(3);
     for _ in 0..3 {
-        fleet.book.record_outcome(first, false, NOW);
+        fleet.registry.record_outcome(first, false, NOW);
     }
     assert_ne!(fleet.pick_with_all(3), first);
     assert_eq!(fleet.pick_without(3, ServingMechanism::OutlierGuard), first);
@@ -208,7 +211,7 @@
 fn reports_stopped() {
     let mut fleet = Fleet::new();
     let first = fleet.pick_with_all(3);
-    let entry = fleet.book.get_mut(first).expect("entry");
+    let entry = fleet.registry.get_mut(first).expect("entry");
     entry.load.as_mut().expect("load").at = NOW - Micros::from_millis(900);
     assert_ne!(fleet.pick_with_all(3), first);
     assert_eq!(fleet.pick_without(3, ServingMechanism::Suspicion), first);
@@ -224,6 +227,6 @@
         let others = ServingMechanism::ALL.into_iter();
         assert_eq!(others.filter(|other| set.contains(*other)).count(), 1);
     }
-    let unknown = ServingMechanism::from_name("no-such").expect_err("none has it");
-    assert!(unknown.contains("no-such: name one of admission, "));
+    let unknown = ServingMechanism::from_name("no-such").expect_err("unknown name");
+    assert!(unknown.contains("no-such: unknown mechanism, expected one of admission, "));
 }
--- a/core/tests/endpoint_pick.rs
+++ b/core/tests/endpoint_pick.rs
@@ -1,4 +1,4 @@
-//! Which engine takes a prompt.
+//! Choice of the engine for a prompt.
 
 mod fleet_fixture;
 
@@ -6,8 +6,8 @@
     fleet_fixture::{part, prompt, Fleet, NOW},
     pitchhitch_core::{
         serving::{
-            EndpointKey, LatencyEstimator, PartLocation, PendingPrefill, PromptInfo, StoreDirectory,
-            SwapStage, WeightBounds,
+            EndpointKey, LatencyEstimator, StoreDirectory, PartLocation, PromptInfo, SwapStage, PendingPrefill,
+            WeightBounds,
         },
         time::Micros,
     },
@@ -17,8 +17,8 @@
 fn holder_preferred() {
     for id in ["e1", "e2", "e3"] {
         let mut fleet = Fleet::new();
-        fleet.keep(id);
-        let choice = fleet.pick(&prompt(), &[]).expect("somebody");
+        fleet.cache_parts(id);
+        let choice = fleet.pick(&prompt(), &[]).expect("an endpoint");
         assert_eq!(choice.key, fleet.key(id));
         assert_eq!(choice.plan.cached_tokens, 9_100);
         assert_eq!(choice.prefill_tokens, 2_900);
@@ -28,11 +28,11 @@
 #[test]
 fn busy_holder_left() {
     let mut fleet = Fleet::new();
-    fleet.keep("e1");
+    fleet.cache_parts("e1");
     fleet.load("e1", |load| load.unread = 30);
-    let choice = fleet.pick(&prompt(), &[]).expect("somebody");
+    let choice = fleet.pick(&prompt(), &[]).expect("an endpoint");
     assert_ne!(choice.key, fleet.key("e1"));
-    // The other one fetches from the busy one instead of reading.
+    // The other engine fetches from the busy one instead of prefilling.
     let holder = PartLocation::Engine(fleet.key("e1"));
     let sources = choice
         .plan
@@ -46,7 +46,7 @@
 fn silent_avoided() {
     let mut fleet = Fleet::new();
     let first = fleet.picked();
-    let id = fleet.book.get(first).expect("entry").id.clone();
+    let id = fleet.registry.get(first).expect("entry").id.clone();
     fleet.load(&id, |load| load.is_silent = true);
     assert_ne!(fleet.picked(), first);
 }
@@ -55,12 +55,12 @@
 fn dark_suspected() {
     let mut fleet = Fleet::new();
     let first = fleet.picked();
-    let entry = fleet.book.get_mut(first).expect("entry");
+    let entry = fleet.registry.get_mut(first).expect("entry");
     entry.load.as_mut().expect("load").at = NOW - Micros::from_millis(900);
     assert_ne!(fleet.picked(), first, "its reports have stopped");
-    let entry = fleet.book.get_mut(first).expect("entry");
+    let entry = fleet.registry.get_mut(first).expect("entry");
     entry.answered_at = Some(NOW - Micros::from_millis(100));
-    assert_eq!(fleet.picked(), first, "it answers all the same");
+    assert_eq!(fleet.picked(), first, "it still answers");
 }
 
 #[test]
@@ -71,7 +71,7 @@
     }
     assert!(
         fleet.pick(&prompt(), &[]).is_some(),
-        "somebody is better than nobody"
+        "an unhealthy endpoint is better than none"
     );
 }
 
@@ -84,9 +84,11 @@
     };
     assert_eq!(fleet.pick(&prompt(), &[]), None);
     let key = fleet.key("e2");
-    let entry = fleet.book.get_mut(key).expect("entry");
+    let entry = fleet.registry.get_mut(key).expect("entry");
     entry.weights.learn("m", 2);
-    let choice = fleet.pick(&prompt(), &[]).expect("one has them");
+    let choice = fleet
+        .pick(&prompt(), &[])
+        .expect("an engine with these weights");
     assert_eq!((choice.key, choice.version), (key, Some(2)));
 }
 
@@ -94,7 +96,7 @@
 fn long_answers_drain() {
     let mut fleet = Fleet::new();
     let first = fleet.picked();
-    fleet.book.get_mut(first).expect("entry").stage = SwapStage::Draining;
+    fleet.registry.get_mut(first).expect("entry").stage = SwapStage::Draining;
     assert_ne!(fleet.picked(), first);
     let short = PromptInfo {
         tokens_out: 4,
@@ -104,7 +106,7 @@
         fleet.pick(&short, &[]).map(|choice| choice.key),
         Some(first)
     );
-    fleet.book.get_mut(first).expect("entry").stage = SwapStage::Loading;
+    fleet.registry.get_mut(first).expect("entry").stage = SwapStage::Loading;
     assert_ne!(
         fleet.pick(&short, &[]).map(|choice| choice.key),
         Some(first)
@@ -115,7 +117,12 @@
 fn tried_left_out() {
     let fleet = Fleet::new();
     let all = [fleet.key("e1"), fleet.key("e2"), fleet.key("e3")];
-    assert!(!all[..2].contains(&fleet.pick(&prompt(), &all[..2]).expect("third").key));
+    assert!(!all[..2].contains(
+        &fleet
+            .pick(&prompt(), &all[..2])
+            .expect("the third engine")
+            .key
+    ));
     assert_eq!(fleet.pick(&prompt(), &all), None);
 }
 
@@ -123,51 +130,54 @@
 fn store_feeds() {
     let mut fleet = Fleet::new();
     fleet.fill_store();
-    let choice = fleet.pick(&prompt(), &[]).expect("somebody");
+    let choice = fleet.pick(&prompt(), &[]).expect("an endpoint");
     assert_eq!(choice.plan.fetched_tokens, 9_100);
     assert_eq!(choice.shared_prefill_tokens, 0);
 }
 
 #[test]
 fn home_agrees() {
-    // Fronts that know nothing of each other send the same cold prompt to the same engine.
+    // Fronts without knowledge of each other send the same uncached prompt to the same engine.
     let homes: Vec<EndpointKey> = (0..50u64)
         .map(|number| {
             let mut cold = prompt();
             cold.parts[1] = part(&format!("{:x}", number * 7_919 + 3), 8_600);
             let (one, two) = (Fleet::new(), Fleet::new());
-            let key = one.pick(&cold, &[]).expect("somebody").key;
+            let key = one.pick(&cold, &[]).expect("an endpoint").key;
             assert_eq!(two.pick(&cold, &[]).map(|choice| choice.key), Some(key));
             key
         })
         .collect();
     let first = homes.iter().filter(|key| **key == homes[0]).count();
-    assert!(first < 40, "homes are spread: {first} of 50 at one engine");
+    assert!(
+        first < 40,
+        "{first} of 50 prompts have the same home engine"
+    );
 }
 
-/// Links between engines are many times faster than those of stores: with what
-/// engines keep told at once, they go before a store that others fetch from too.
+/// Links between engines are many times faster than those of stores. As engines report cached parts
+/// at once, they are preferred to a store that others fetch from too.
 #[test]
 fn engine_before_store() {
     let mut fleet = Fleet::new();
     fleet.fill_store();
-    fleet.keep("e1");
-    // Somebody else than the engine that keeps it must take the prompt.
-    let keeper = fleet.key("e1");
-    let choice = fleet.pick(&prompt(), &[keeper]).expect("somebody");
+    fleet.cache_parts("e1");
+    // The prompt must go to another engine than the one that has it cached.
+    let holder = fleet.key("e1");
+    let choice = fleet.pick(&prompt(), &[holder]).expect("an endpoint");
     let fetch = choice.plan.parts.iter().find(|f| f.part.tokens == 8_600);
     let (source, _) = fetch.and_then(|f| f.source.as_ref()).expect("a fetch");
-    assert_eq!(source.location, PartLocation::Engine(keeper));
+    assert_eq!(source.location, PartLocation::Engine(holder));
 }
 
-/// What an engine is believed to keep may have given way: a place that has it is
-/// named all the same, at no cost where nothing is missing.
+/// Parts that an engine is believed to have cached may have been evicted. The plan names a place to
+/// fetch them from all the same, at no cost if nothing is missing.
 #[test]
 fn kept_parts_spared() {
     let mut fleet = Fleet::new();
     fleet.fill_store();
-    fleet.keep("e1");
-    let choice = fleet.pick(&prompt(), &[]).expect("somebody");
+    fleet.cache_parts("e1");
+    let choice = fleet.pick(&prompt(), &[]).expect("an endpoint");
     assert_eq!(choice.key, fleet.key("e1"));
     assert_eq!(choice.plan.cached_tokens, 9_100);
     assert_eq!((choice.plan.fetched_tokens, choice.plan.fetch_ms), (0, 0.0));
@@ -176,15 +186,15 @@
         let place = fetch.source.as_ref().map(|(source, _)| source.location);
         assert_eq!(place, Some(PartLocation::Store(0)));
     }
-    // Nothing is queued at the store for what is not expected to be fetched.
-    let wait = |memory: &StoreDirectory| memory.views()[0].fetch_ms(0, NOW);
-    let before = wait(&fleet.memory);
-    fleet.memory.record_fetches(&choice.plan, NOW);
-    assert_eq!(wait(&fleet.memory), before);
+    // Parts that are not expected to be fetched add nothing to the queue of the store.
+    let wait = |stores: &StoreDirectory| stores.views()[0].fetch_ms(0, NOW);
+    let before = wait(&fleet.stores);
+    fleet.stores.record_fetches(&choice.plan, NOW);
+    assert_eq!(wait(&fleet.stores), before);
 }
 
-/// A report does not show yet what was just sent: the memory that it will take
-/// counts whole, also where little of it has to be read.
+/// A report does not yet include prompts that were just sent. The memory they will use counts in
+/// full, even if few of their tokens need prefill.
 #[test]
 fn coming_prompts_take_memory() {
     let mut fleet = Fleet::new();
@@ -195,11 +205,15 @@
     let key = fleet.key("e1");
     let free = |fleet: &Fleet| {
         fleet
-            .book
+            .registry
             .get(key)
             .and_then(|e| e.free_tokens(NOW, &LatencyEstimator::default()))
     };
-    assert_eq!(free(&fleet), Some(30_000), "a tenth is left for answers");
+    assert_eq!(
+        free(&fleet),
+        Some(30_000),
+        "a tenth is reserved for answers"
+    );
     let work = PendingPrefill {
         ticket: 1,
         tokens: 2_900,
@@ -207,17 +221,17 @@
         priority: 2,
         sent_at: NOW,
     };
-    fleet.book.record_sent(key, work);
+    fleet.registry.record_sent(key, work);
     assert_eq!(free(&fleet), Some(18_000));
-    fleet.book.record_first_token(key, 1);
+    fleet.registry.record_first_token(key, 1);
     fleet.load("e1", |load| load.used_tokens = 0);
     assert_eq!(free(&fleet), None, "an idle engine takes any prompt");
 }
 
-/// Plain prompts of which nobody keeps anything go where a connection is open; one whose parts
-/// are kept goes there all the same.
+/// Prompts without cached parts prefer an engine with an open connection; cached parts outweigh the
+/// connection.
 #[test]
-fn linked_preferred() {
+fn connected_preferred() {
     let fresh = PromptInfo {
         parts: Vec::new(),
         tokens_in: 900,
@@ -226,9 +240,9 @@
     for id in ["e1", "e2", "e3"] {
         let mut fleet = Fleet::new();
         fleet.connected = Some([fleet.key(id)].into());
-        let choice = fleet.pick(&fresh, &[]).expect("somebody");
+        let choice = fleet.pick(&fresh, &[]).expect("an endpoint");
         assert_eq!(choice.key, fleet.key(id));
-        fleet.keep("e2");
+        fleet.cache_parts("e2");
         assert_eq!(fleet.picked(), fleet.key("e2"));
     }
 }
--- a/core/tests/overload.rs
+++ b/core/tests/overload.rs
@@ -1,69 +1,80 @@
-//! Loads that engines cannot serve, replayed on a small model of one engine.
+//! Loads beyond the capacity of an engine, on a small model of one engine.
 
 mod engine_sim;
 
 use {
+    engine_sim::{request, simulate, simulate_admission, Engine, TARGET_MS, USABLE_MEMORY},
     pitchhitch_core::{
-        serving::{AdmissionRequest, AdmissionController, AdmissionDecision, EndpointChoice, LatencyEstimator},
+        serving::{
+            AdmissionController, AdmissionDecision, AdmissionRequest, EndpointChoice,
+            LatencyEstimator,
+        },
         time::Micros,
     },
-    engine_sim::{request, play, play_admitted, Engine, TARGET_MS, USABLE_MEMORY},
 };
 
-/// Twice as much to read as an engine can: without a rule all but the first are
-/// late; by what prompts of late have taken, most of those let in are in time.
+/// Twice as much to prefill as an engine can handle. Without admission control all but the first
+/// prompts are late; with it, most of those admitted are in time, also if the initial estimate is
+/// wrong.
 #[test]
-fn reading_overloaded() {
+fn prefill_overloaded() {
     let size = (2_400.0, 2_400.0);
-    let all = play(24.0, 50, size, LatencyEstimator::default(), &mut |_, _| true);
+    let all = simulate(24.0, 50, size, LatencyEstimator::default(), &mut |_, _| {
+        true
+    });
     assert!(all.in_time < 60 && all.late > 200, "{all:?}");
-    for wrong in [0.25, 1.0, 4.0] {
-        let estimator = LatencyEstimator::with_token_ms(wrong / 24.0);
-        let admitted = play_admitted(24.0, 50, size, estimator);
-        assert!(admitted.in_time > all.in_time * 3, "{wrong}: {admitted:?}");
-        assert!(admitted.late * 4 < admitted.in_time, "{wrong}: {admitted:?}");
+    for factor in [0.25, 1.0, 4.0] {
+        let estimator = LatencyEstimator::with_token_ms(factor / 24.0);
+        let admitted = simulate_admission(24.0, 50, size, estimator);
+        assert!(admitted.in_time > all.in_time * 3, "{factor}: {admitted:?}");
+        assert!(
+            admitted.late * 4 < admitted.in_time,
+            "{factor}: {admitted:?}"
+        );
     }
 }
 
-/// Four times the memory that an engine has: what is let in begins in time, and
-/// nothing waits for seconds.
+/// Four times the memory of an engine: prompts that are admitted start in time, and none waits for
+/// seconds.
 #[test]
 fn memory_overloaded() {
     let size = (12_000.0, 4_000.0);
-    let all = play(48.0, 100, size, LatencyEstimator::default(), &mut |_, _| true);
-    let admitted = play_admitted(48.0, 100, size, LatencyEstimator::default());
+    let all = simulate(48.0, 100, size, LatencyEstimator::default(), &mut |_, _| {
+        true
+    });
+    let admitted = simulate_admission(48.0, 100, size, LatencyEstimator::default());
     assert!(admitted.in_time > all.in_time * 3, "{all:?} {admitted:?}");
     assert!(admitted.late * 4 < admitted.in_time, "{admitted:?}");
 }
 
-/// Four times what an engine can read: some are let in all the time, and no run of
-/// callers gets nothing for as long as an engine could have read ten prompts.
+/// Four times what an engine can prefill: some prompts are admitted all the time, and a series of
+/// refusals is shorter than the time in which an engine prefills ten prompts.
 #[test]
 fn refused_in_short_runs() {
     let size = (2_400.0, 2_400.0);
     let mut controller = AdmissionController::default();
     let (mut run, mut longest) = (0, 0);
     let estimator = LatencyEstimator::with_token_ms(1.0 / 24.0);
-    play(24.0, 25, size, estimator, &mut |choice, estimator| {
+    simulate(24.0, 25, size, estimator, &mut |choice, estimator| {
         controller.record(&request(), size.0 as u32, size.1 as u32);
-        let is_admitted = controller.decide(&request(), estimator, choice) == AdmissionDecision::Admitted;
+        let is_admitted =
+            controller.decide(&request(), estimator, choice) == AdmissionDecision::Admitted;
         run = if is_admitted { 0 } else { run + 1 };
         longest = longest.max(run);
         is_admitted
     });
-    // Forty prompts come while an engine reads ten.
-    assert!((1..40).contains(&longest), "{longest} in a row");
+    // Forty prompts arrive while an engine prefills ten.
+    assert!((1..40).contains(&longest), "{longest} refusals in a row");
 }
 
-/// Half of what the engine can do: nobody is refused.
+/// At half of the capacity nothing is refused.
 #[test]
 fn light_load_served() {
-    let admitted = play_admitted(48.0, 600, (9_000.0, 3_000.0), LatencyEstimator::default());
+    let admitted = simulate_admission(48.0, 600, (9_000.0, 3_000.0), LatencyEstimator::default());
     assert_eq!((admitted.late, admitted.refused), (0, 0), "{admitted:?}");
 }
 
-/// Some load of both kinds, as much of it as an engine has room for and more: the
-/// urgent kind is refused only where the other one is.
+/// With varying free memory and queues, the urgent prompt is refused only if the other one is too.
 #[test]
 fn least_urgent_pay_first() {
     let estimator = LatencyEstimator::default();
@@ -90,7 +101,10 @@
             let refuses = |controller: &mut AdmissionController, request: &AdmissionRequest<'_>| {
                 controller.decide(request, &estimator, &choice) != AdmissionDecision::Admitted
             };
-            let (other, first) = (refuses(&mut controller, &request()), refuses(&mut controller, &urgent));
+            let (other, first) = (
+                refuses(&mut controller, &request()),
+                refuses(&mut controller, &urgent),
+            );
             assert!(other || !first, "{choice:?}");
             refused_other += u32::from(other);
             refused_urgent += u32::from(first);
@@ -102,8 +116,8 @@
     );
 }
 
-/// After a crowd has passed, the engine takes prompts again at once, whatever was
-/// learned in it: nothing stays shut by an old lesson.
+/// After an overload the engine takes prompts again at once, whatever the estimator has learned
+/// during it.
 #[test]
 fn idle_engine_takes_any() {
     let mut estimator = LatencyEstimator::default();
@@ -118,8 +132,8 @@
     assert_eq!(decision, AdmissionDecision::Admitted);
 }
 
-/// Where most large prompts find no memory, some of it is kept back; a caller that
-/// was refused before gets it, and goes before who comes first now.
+/// If most large prompts find no memory, some of it is reserved. A caller that was refused before
+/// may use it, and so goes before new callers.
 #[test]
 fn memory_kept_back() {
     let estimator = LatencyEstimator::default();
@@ -132,50 +146,62 @@
     let decide = |controller: &mut AdmissionController, request: &AdmissionRequest<'_>, free| {
         controller.decide(request, &estimator, &with_free(free))
     };
-    assert_eq!(decide(&mut controller, &request(), 13_000), AdmissionDecision::Admitted);
+    assert_eq!(
+        decide(&mut controller, &request(), 13_000),
+        AdmissionDecision::Admitted
+    );
     for _ in 0..200 {
-        assert_eq!(decide(&mut controller, &request(), 100), AdmissionDecision::NoMemory);
+        assert_eq!(
+            decide(&mut controller, &request(), 100),
+            AdmissionDecision::NoMemory
+        );
     }
-    assert_eq!(decide(&mut controller, &request(), 13_000), AdmissionDecision::NoMemory);
-    let back = AdmissionRequest {
+    assert_eq!(
+        decide(&mut controller, &request(), 13_000),
+        AdmissionDecision::NoMemory
+    );
+    let retry = AdmissionRequest {
         time_left: Micros::from_secs(11),
         ..request()
     };
-    assert_eq!(decide(&mut controller, &back, 13_000), AdmissionDecision::Admitted);
+    assert_eq!(
+        decide(&mut controller, &retry, 13_000),
+        AdmissionDecision::Admitted
+    );
 }
 
-/// Engines are nearly full, and half of the prompts come back to one that keeps three
-/// quarters of them: these are let in, those that would be read whole are not.
+/// Engines are nearly full, and half of the prompts return to an engine that has three quarters of
+/// them cached. These are admitted; prompts without cached parts are not.
 #[test]
-fn kept_parts_let_in() {
+fn cached_parts_admitted() {
     let estimator = LatencyEstimator::default();
     let mut controller = AdmissionController::default();
-    let (mut returning, mut new) = (0, 0);
+    let (mut cached, mut new) = (0, 0);
     for number in 0..40 {
         controller.record(&request(), 12_000, 3_000);
         let mut choice = EndpointChoice {
             free_tokens: Some(8_000),
             ..Engine::new(48.0).choice(&estimator)
         };
-        let is_kept = number % 2 == 0;
-        choice.plan.cached_tokens = if is_kept { 9_000 } else { 0 };
-        let is_admitted = controller.decide(&request(), &estimator, &choice) == AdmissionDecision::Admitted;
-        match is_kept {
-            true => returning += u32::from(is_admitted),
+        let is_cached = number % 2 == 0;
+        choice.plan.cached_tokens = if is_cached { 9_000 } else { 0 };
+        let is_admitted =
+            controller.decide(&request(), &estimator, &choice) == AdmissionDecision::Admitted;
+        match is_cached {
+            true => cached += u32::from(is_admitted),
             false => new += u32::from(is_admitted),
         }
     }
-    assert_eq!((returning, new), (20, 0));
+    assert_eq!((cached, new), (20, 0));
 }
 
-/// Refused callers are asked back when the backlog will have gone, not before and
-/// not all at once.
+/// Refused callers should retry when the backlog will be gone, not earlier and not all at once.
 #[test]
 fn return_by_backlog() {
     let mut estimator = LatencyEstimator::with_token_ms(0.02);
     for _ in 0..200 {
         estimator.record_sent(12_000, 4_000, 60);
-        estimator.record_end(12_000, 2_000.0);
+        estimator.record_ended(12_000, 2_000.0);
     }
     let mut controller = AdmissionController::default();
     controller.record(&request(), 12_000, 4_000);
@@ -186,9 +212,11 @@
             used_tokens: 60_000,
             ..Engine::new(48.0).choice(&estimator)
         };
-        controller.retry_after(&request(), &estimator, &choice, jitter).as_millis()
+        controller
+            .retry_after(&request(), &estimator, &choice, jitter)
+            .as_millis()
     };
-    // 12,000 tokens at 30 a millisecond.
+    // 12,000 tokens at 30 per millisecond.
     assert!((350..=450).contains(&retry_after(0, 0.0, 0.0)));
     assert!(retry_after(6_000, 0.0, 0.0) < retry_after(0, 0.0, 0.0));
     assert!(retry_after(0, 1_500.0, 0.0) > 800);
--- a/core/tests/serving_limits.rs
+++ b/core/tests/serving_limits.rs
@@ -1,10 +1,10 @@
-//! What may be sent again, how old keys may be, and what is refused early.
+//! Limits on retries, age of keys, and admission.
 
 use pitchhitch_core::{
     serving::{
-        AdmissionRequest, AdmissionController, AdmissionDecision, EndpointChoice, LatencyEstimator, KeyPolicy,
-        KeyTrust, NamespaceTag, PartId, PartIndex, PromptPart, RefusalKind, RetryLimit,
-        RetryWindow,
+        AdmissionController, AdmissionDecision, AdmissionRequest, EndpointChoice, KeyPolicy,
+        KeyTrust, LatencyEstimator, PartId, PartIndex, PromptPart, RefusalKind, RetryLimit,
+        RetryWindow, NamespaceTag,
     },
     time::Micros,
 };
@@ -19,9 +19,9 @@
     slack: 50.0,
 };
 
-/// Over any window the repeats of all boxes stay within the bound of the pages.
+/// In any window the retries of all boxes stay within the configured limit.
 #[test]
-fn repeats_bounded() {
+fn retries_bounded() {
     let mut meters = [RetryWindow::default(), RetryWindow::default()];
     let mut taken: Vec<u64> = Vec::new();
     let mut asked: Vec<u64> = Vec::new();
@@ -47,19 +47,19 @@
     }
     assert!(
         taken.len() > 200,
-        "the budget is of some use: {}",
+        "the budget is used: {} retries",
         taken.len()
     );
 }
 
-/// A box that is killed and comes back has forgotten what it sent again: both
-/// lives together stay within the box's share.
+/// A process that is killed and restarted has lost its count of retries; both processes together
+/// stay within the share of the box.
 #[test]
 fn restart_within_share() {
     let mut taken = 0;
-    for life in 0..2 {
+    for process in 0..2 {
         let mut meter = RetryWindow::default();
-        let uptime = |millis: u64| at(millis) + Micros(BOUND.window.0 * (1 - life));
+        let uptime = |millis: u64| at(millis) + Micros(BOUND.window.0 * (1 - process));
         for millis in 0..2_000 {
             taken += u32::from(meter.try_acquire(&BOUND, 2, uptime(millis), at(millis)));
         }
@@ -74,13 +74,13 @@
     trust.proven(at(1_000));
     assert!(trust.lets_in(at(4_999)) && !trust.lets_in(at(5_000)));
     assert!(trust.is_sound(at(3_000)) && !trust.is_sound(at(3_300)));
-    // An answer to an older question proves nothing newer.
+    // An answer to an earlier request proves nothing newer.
     trust.proven(at(500));
     assert_eq!(trust.proven_at(), Some(at(1_000)));
 }
 
-/// Where keys serve on, age turns nobody away, but nobody is told that a key is
-/// wrong by old knowledge; without any knowledge nobody is let in.
+/// With the fail-open policy, old keys still let callers in, but no caller is told that its key is
+/// wrong on the basis of old keys. Without any keys nobody is let in.
 #[test]
 fn old_keys_open() {
     let mut trust = KeyTrust::new(at(4_000), KeyPolicy::ServeOn);
@@ -90,8 +90,8 @@
     assert!(trust.may_deny(at(4_999)) && !trust.may_deny(at(5_000)));
 }
 
-/// What another box handed on keeps its age, also one from before this process
-/// started; it lets callers in, but tells nobody that a key is wrong.
+/// Keys forwarded by another box keep their age, even if they are older than this process. They let
+/// callers in, but no caller is told that its key is wrong.
 #[test]
 fn handed_keys_aged() {
     let mut trust = KeyTrust::new(at(4_000), KeyPolicy::FailClosed);
@@ -99,7 +99,7 @@
     assert_eq!(trust.age(at(600)), Some(at(3_500)));
     assert!(trust.lets_in(at(1_000)) && !trust.lets_in(at(1_100)));
     assert!(!trust.may_deny(at(200)) && trust.proven_at().is_none());
-    // An older one changes nothing, a younger one does.
+    // Older keys change nothing, newer ones do.
     trust.handed_on(at(9_000), at(200));
     assert_eq!(trust.age(at(600)), Some(at(3_500)));
     trust.handed_on(at(500), at(200));
@@ -146,24 +146,24 @@
     controller.decide(request, &estimator, choice) != AdmissionDecision::Admitted
 }
 
-/// A rule that has seen a large kind of the least urgent rank and a small one.
-fn two_kinds(
+/// A controller that has recorded large prompts of the least urgent priority and small ones.
+fn two_routes(
     tokens: u32,
-    unread: u32,
+    prefill_tokens: u32,
 ) -> AdmissionController {
     let mut controller = AdmissionController::default();
     for _ in 0..100 {
-        controller.record(&request("large", 2), tokens, unread);
+        controller.record(&request("large", 2), tokens, prefill_tokens);
         controller.record(&request("small", 1), 800, 200);
     }
     controller
 }
 
-/// With two of nine engines dark, memory was full of running prompts and nothing
-/// was in time for twenty seconds (first day of high load).
+/// With two of nine engines unreachable, running prompts filled the memory and no answer was in
+/// time for twenty seconds (first day of high load).
 #[test]
 fn large_kinds_first() {
-    let mut controller = two_kinds(12_000, 3_000);
+    let mut controller = two_routes(12_000, 3_000);
     let large = request("large", 2);
     let small = request("small", 1);
     assert!(!refuses(&mut controller, &large, &choice(0.0, 1)));
@@ -171,8 +171,12 @@
     assert!(!refuses(&mut controller, &small, &choice(0.0, 4)));
     assert!(refuses(&mut controller, &small, &choice(0.0, 60)));
     assert!(refuses(&mut controller, &small, &choice(400.0, 0)));
-    // A route that is not known yet is not refused for its size.
-    assert!(!refuses(&mut controller, &request("new", 2), &choice(0.0, 4)));
+    // A prompt of an unknown route is not refused for its size.
+    assert!(!refuses(
+        &mut controller,
+        &request("new", 2),
+        &choice(0.0, 4)
+    ));
 }
 
 fn with_free(free: u64) -> EndpointChoice {
@@ -182,21 +186,29 @@
     }
 }
 
-/// Engines whose memory was full put 81 prompts of a day back and read them anew.
+/// Engines with full memory preempted 81 prompts in one day and prefilled them again.
 #[test]
 fn memory_kept_free() {
-    let mut controller = two_kinds(12_000, 3_000);
+    let mut controller = two_routes(12_000, 3_000);
     let large = request("large", 2);
     assert!(!refuses(&mut controller, &large, &with_free(12_500)));
     assert!(refuses(&mut controller, &large, &with_free(11_000)));
-    // A more urgent one is let in first.
-    assert!(!refuses(&mut controller, &request("large", 1), &with_free(11_000)));
-    // A small one fits in, or waits for a moment only.
-    assert!(!refuses(&mut controller, &request("small", 1), &with_free(0)));
+    // A more urgent prompt is admitted without free memory.
+    assert!(!refuses(
+        &mut controller,
+        &request("large", 1),
+        &with_free(11_000)
+    ));
+    // A small prompt fits in or waits briefly.
+    assert!(!refuses(
+        &mut controller,
+        &request("small", 1),
+        &with_free(0)
+    ));
 }
 
-/// Prompts of late began far too late: an engine with memory free and nothing to read
-/// is not shut for that, one that reads and has others waiting is.
+/// Recent prompts started far too late. An engine with free memory and nothing to prefill still
+/// takes prompts; one with a queue does not.
 #[test]
 fn free_engines_taken() {
     let mut estimator = LatencyEstimator::with_token_ms(1.0 / 97.0);
@@ -225,28 +237,28 @@
 
 #[test]
 fn parts_forgotten_in_order() {
-    let wall = NamespaceTag(1);
+    let namespace = NamespaceTag(1);
     let part = |id: &str, tokens| PromptPart {
         id: PartId::parse(id).expect("hex"),
         tokens,
     };
-    let mut memory = PartIndex::default();
-    memory.touch(wall, &[part("a", 400), part("b", 400)], 1_000);
-    memory.touch(wall, &[part("a", 400), part("c", 400)], 1_000);
+    let mut index = PartIndex::default();
+    index.touch(namespace, &[part("a", 400), part("b", 400)], 1_000);
+    index.touch(namespace, &[part("a", 400), part("c", 400)], 1_000);
     assert_eq!(
-        memory.cached_prefix_tokens(wall, &[part("a", 400), part("c", 400)]),
+        index.cached_prefix_tokens(namespace, &[part("a", 400), part("c", 400)]),
         800
     );
-    assert_eq!(memory.cached_tokens(wall, part("b", 1).id), 0);
-    assert!(memory.tokens() <= 1_000);
+    assert_eq!(index.cached_tokens(namespace, part("b", 1).id), 0);
+    assert!(index.tokens() <= 1_000);
     assert_eq!(
-        memory.cached_prefix_tokens(NamespaceTag(2), &[part("a", 400)]),
+        index.cached_prefix_tokens(NamespaceTag(2), &[part("a", 400)]),
         0,
-        "walls hold"
+        "namespaces are separate"
     );
-    memory.set(wall, part("a", 1).id, 100);
+    index.set(namespace, part("a", 1).id, 100);
     assert_eq!(
-        memory.cached_prefix_tokens(wall, &[part("a", 400), part("c", 400)]),
+        index.cached_prefix_tokens(namespace, &[part("a", 400), part("c", 400)]),
         100
     );
 }
@@ -264,8 +276,8 @@
     }
 }
 
-/// "Has not run" is promised only by kinds that are used before anything is sent,
-/// or on the endpoint's own word.
+/// Only kinds that are used before anything is sent, or if the endpoint itself says so, promise
+/// that a request has not run.
 #[test]
 fn promises_by_kind() {
     let unknown = [
--- a/core/tests/slow_start.rs
+++ b/core/tests/slow_start.rs
@@ -1,4 +1,4 @@
-//! Requests to endpoints that start slowly: all boxes together stay within their limit.
+//! Requests to endpoints in slow start: all boxes together stay within the limit.
 
 use {
     pitchhitch_core::{
@@ -38,8 +38,11 @@
         start.record_sent(ticket, ms(5));
     }
     start.begin(ms(500), ms(10));
-    assert!(!start.admits(ms(10)), "no grant, and many were sent");
-    assert!(start.admits(ms(510)), "it is over");
+    assert!(
+        !start.admits(ms(10)),
+        "no grant, and many requests in the window"
+    );
+    assert!(start.admits(ms(510)), "slow start has ended");
 }
 
 #[test]
@@ -68,18 +71,22 @@
     assert!(start.admits(ms(100)));
     assert!(!start.admits(ms(100) + GRANT_TTL));
     start.update_grant(SendGrant { per_second: 9 }, ms(50));
-    assert!(!start.admits(ms(100) + GRANT_TTL), "it came out of order");
+    assert!(
+        !start.admits(ms(100) + GRANT_TTL),
+        "the grant is out of order"
+    );
 }
 
-/// Once all have been told for a while each has its share, and a further one gets some at once.
+/// Once all boxes have repeatedly got grants, each has its share, and a new box gets a grant at
+/// once.
 #[test]
 fn shares_settle() {
     for boxes in [1u32, 3, 25, 34, 35, 103] {
         let mut allocator = GrantAllocator::default();
         allocator.set_limit(LIMIT);
         let mut shares = Vec::new();
-        for turn in 0..40 {
-            let now = ms(turn * 250);
+        for round in 0..40 {
+            let now = ms(round * 250);
             let grants = (0..boxes).map(|to| allocator.grant(to, boxes as usize, now).per_second);
             shares = grants.collect();
         }
@@ -97,65 +104,65 @@
     }
 }
 
-/// What the one at the endpoint and the boxes do.
+/// An event at the process beside the endpoint or at a box.
 #[derive(Debug, Clone)]
 enum Step {
-    /// Time goes on, in milliseconds.
+    /// Time passes, in milliseconds.
     Pass(u64),
-    /// A box is told; the message comes after so many milliseconds, or never.
-    Tell { to: usize, way: Option<u64> },
-    /// A box that has been told as many as it takes sends while it may.
-    Send { by: usize, most: usize },
-    /// The one at the endpoint starts anew.
+    /// A box is sent a grant, which arrives after this time in milliseconds, or never.
+    Grant { to: usize, delay: Option<u64> },
+    /// A box sends up to this many requests while it may.
+    Send { by: usize, max: usize },
+    /// The process beside the endpoint restarts.
     Restart,
-    /// So many boxes are believed to be there.
-    Believe(usize),
+    /// It assumes this number of boxes.
+    SetBoxes(usize),
 }
 
 fn step() -> impl Strategy<Value = Step> {
     prop_oneof![
         4 => (0..600u64).prop_map(Step::Pass),
         8 => (0..8usize, proptest::option::weighted(0.8, 0..1_400u64))
-            .prop_map(|(to, way)| Step::Tell { to, way }),
-        8 => (0..8usize, 1..40usize).prop_map(|(by, most)| Step::Send { by, most }),
+            .prop_map(|(to, delay)| Step::Grant { to, delay }),
+        8 => (0..8usize, 1..40usize).prop_map(|(by, max)| Step::Send { by, max }),
         1 => Just(Step::Restart),
-        1 => (1..12usize).prop_map(Step::Believe),
+        1 => (1..12usize).prop_map(Step::SetBoxes),
     ]
 }
 
 proptest! {
-    /// Whatever is lost, late, out of order or out of date, and however many boxes are believed to
-    /// be there: in no second does the endpoint get more than its limit.
+    /// Whatever is lost, late, out of order or out of date, and whatever number of boxes is
+    /// assumed: the endpoint never gets more than its limit within a second.
     #[test]
     fn never_above_limit(steps in proptest::collection::vec(step(), 1..200)) {
         let mut now = 0u64;
         let mut allocator = GrantAllocator::default();
         allocator.set_limit(LIMIT);
-        let mut believed = 4;
+        let mut known_boxes = 4;
         let mut boxes: Vec<EndpointSlowStart> = vec![EndpointSlowStart::default(); 8];
         for start in &mut boxes {
             start.begin(Micros::from_secs(100_000), ms(0));
         }
-        // Messages under way: when they come, to whom, what they say, and when they were sent.
-        let mut under_way: Vec<(u64, usize, SendGrant, u64)> = Vec::new();
+        // Messages in transit: time of arrival, box, grant, and time of sending.
+        let mut in_transit: Vec<(u64, usize, SendGrant, u64)> = Vec::new();
         let mut sends: Vec<u64> = Vec::new();
         let mut ticket = 0;
         for step in steps {
             match step {
                 Step::Pass(millis) => now += millis,
-                Step::Believe(count) => believed = count,
+                Step::SetBoxes(count) => known_boxes = count,
                 Step::Restart => {
                     allocator = GrantAllocator::default();
                     allocator.set_limit(LIMIT);
                 }
-                Step::Tell { to, way } => {
-                    let grant = allocator.grant(to, believed, ms(now));
-                    if let Some(way) = way {
-                        under_way.push((now + way, to, grant, now));
+                Step::Grant { to, delay } => {
+                    let grant = allocator.grant(to, known_boxes, ms(now));
+                    if let Some(delay) = delay {
+                        in_transit.push((now + delay, to, grant, now));
                     }
                 }
-                Step::Send { by, most } => {
-                    for _ in 0..most {
+                Step::Send { by, max } => {
+                    for _ in 0..max {
                         if !boxes[by].admits(ms(now)) {
                             break;
                         }
@@ -165,9 +172,9 @@
                     }
                 }
             }
-            let (come, later) = under_way.into_iter().partition(|(at, ..)| *at <= now);
-            under_way = later;
-            for (_, to, grant, sent_at) in come {
+            let (arrived, later) = in_transit.into_iter().partition(|(at, ..)| *at <= now);
+            in_transit = later;
+            for (_, to, grant, sent_at) in arrived {
                 boxes[to].update_grant(grant, ms(sent_at));
             }
         }
@@ -187,11 +194,15 @@
     assert_eq!(
         start.admits_after(ms(0)),
         GRANT_RECLAIM_DELAY,
-        "whoever shares it out may not yet"
+        "a grant may not be sent earlier"
     );
     start.update_grant(SendGrant { per_second: 1 }, ms(100));
     assert_eq!(start.admits_after(ms(100)), Micros::ZERO);
     start.record_sent(1, ms(100));
     assert_eq!(start.admits_after(ms(400)), ms(700));
-    assert_eq!(start.admits_after(ms(4_990)), ms(10), "it is warm then");
+    assert_eq!(
+        start.admits_after(ms(4_990)),
+        ms(10),
+        "slow start ends then"
+    );
 }
