--- a/core/src/serving/era_watch.rs
+++ b/core/src/serving/era_watch.rs
@@ -1,38 +1,38 @@
 use {super::StoreEra, crate::time::Micros};
 
-/// Time after the return of the platform's store in which those who write there have written
-/// again what it lost.
+/// Time after a restore of the platform store within which its writers have rewritten what the
+/// restore lost.
 pub const WRITE_AGAIN: Micros = Micros::from_millis(2_200);
 
-/// What an answer of the platform's store says of its era.
+/// How the era of a platform store's answer relates to the known era.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum EraNews {
-    /// It is the first one, or of the same era as the others.
+    /// The first era seen, or the known one.
     Known,
-    /// The store has come back from a copy since.
+    /// The store has been restored from a snapshot since.
     Later {
-        /// Era that was known.
+        /// Era known until then.
         before: StoreEra,
     },
-    /// It is a late one, of an era that is over.
+    /// A late answer from an era that has ended.
     Earlier,
 }
 
-/// Which era of the platform's store is known, and from when on a reading proves what is in
-/// force. A copy lacks what was written, and acknowledged, between it and the return.
+/// Tracks the era of the platform store, and from when on a read proves the current content. A
+/// restored snapshot lacks writes that were acknowledged between the snapshot and the restore.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct EraWatch {
     known: Option<StoreEra>,
-    /// When the first answer of that came.
+    /// When the first answer of the known era arrived.
     seen_at: Option<Micros>,
-    /// When the era was first seen, where what was written before it may be missing.
+    /// When the known era was first seen, if writes from before it may be missing.
     doubted_since: Option<Micros>,
-    /// Newest era in which another process has proven what is in force.
+    /// Newest era in which another process has proven the current content.
     vouched: Option<StoreEra>,
 }
 
 impl EraWatch {
-    /// Takes the era of an answer.
+    /// Records the era of an answer.
     pub fn note(
         &mut self,
         era: StoreEra,
@@ -59,9 +59,9 @@
         EraNews::Later { before: known }
     }
 
-    /// Takes that another process has proven in this era what is in force. True where that was
-    /// an era before the one that is known here: the store has come back since, and what was
-    /// read here before says nothing.
+    /// Records that another process has proven the current content in this era. Returns true if
+    /// that era precedes the one known here: the store has been restored since, and earlier reads
+    /// of this process prove nothing.
     pub fn vouch(
         &mut self,
         era: StoreEra,
@@ -76,7 +76,7 @@
         false
     }
 
-    /// Whether a reading that was sent then proves what is in force.
+    /// Whether a read sent at `sent_at` proves the current content.
     pub fn proves(
         &self,
         sent_at: Micros,
@@ -85,8 +85,8 @@
         self.is_vouched() || doubted_since.is_none_or(|since| is_rewritten(since, sent_at))
     }
 
-    /// Whether a reading that was sent then also proves to others what is in force. Who has just
-    /// started cannot tell a copy from what was there before.
+    /// Whether a read sent at `sent_at` also proves the current content to other processes. A
+    /// process that has just started cannot tell a restored snapshot from the content before it.
     pub fn may_vouch(
         &self,
         sent_at: Micros,
@@ -99,18 +99,18 @@
         self.known.is_some() && self.vouched == self.known
     }
 
-    /// When the era was first seen, where what was written before it may be missing.
+    /// When the known era was first seen, if writes from before it may be missing.
     pub fn doubted_since(&self) -> Option<Micros> {
         self.doubted_since
     }
 
-    /// The era that is known.
+    /// Known era.
     pub fn known(&self) -> Option<StoreEra> {
         self.known
     }
 }
 
-/// Whether those who write at the store had the time to, since its return was seen.
+/// Whether the store's writers have had time to rewrite their rows since its restore was seen.
 fn is_rewritten(
     since: Micros,
     sent_at: Micros,
--- a/core/src/serving/key_policy.rs
+++ b/core/src/serving/key_policy.rs
@@ -1,10 +1,10 @@
-/// What becomes of callers with keys at a box that has lost the platform's store.
+/// How a box that has lost the platform store treats callers with API keys.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub enum KeyPolicy {
-    /// Past the limit nobody is let in: a key that was taken away opens nothing.
+    /// No caller is admitted past the age limit, so that revoked keys stop working.
     #[default]
     FailClosed,
-    /// The keys that are known let callers in at any age: an outage of the store
-    /// turns nobody away, but a key that was taken away meanwhile still opens.
+    /// Known keys are accepted at any age: an outage of the store rejects nobody, but a key
+    /// revoked during the outage still works.
     ServeOn,
 }
--- a/core/src/serving/key_trust.rs
+++ b/core/src/serving/key_trust.rs
@@ -3,27 +3,26 @@
     crate::time::Micros,
 };
 
-/// Part of the limit up to which a box calls itself ready, in hundredths: the
-/// balancer needs two seconds to look elsewhere.
+/// Share of the age limit up to which a box reports itself ready, in percent: the load balancer
+/// takes two seconds to route elsewhere.
 const SOUND_PART: u64 = 55;
 
-/// How old the knowledge of keys may be, and how old it is.
+/// Tracks the age of the known key configuration against its limit.
 ///
-/// Knowledge counts from when the store gave an answer, as far as that is proven, and not from
-/// when it came: what the store took in between may be missing from the answer.
+/// Age counts from when the store is proven to have answered, not from when the answer arrived:
+/// changes that the store accepted in between may be missing from it.
 #[derive(Debug, Clone, Copy)]
 pub struct KeyTrust {
     limit: Micros,
     policy: KeyPolicy,
     read_at: Option<Micros>,
-    /// When a question was sent of which two others say what it showed.
+    /// Send time of a request whose result two other boxes have confirmed.
     witnessed_at: Option<Micros>,
     handed: Option<ToldAge>,
 }
 
 impl KeyTrust {
-    /// Nothing is known yet; `limit` is the age up to which knowledge counts as
-    /// fresh.
+    /// Starts without any knowledge; `limit` is the age up to which knowledge counts as fresh.
     pub fn new(
         limit: Micros,
         policy: KeyPolicy,
@@ -37,7 +36,7 @@
         }
     }
 
-    /// Notes a whole read of the configuration as of `proven_at`.
+    /// Records a complete read of the configuration that was current at `proven_at`.
     pub fn proven(
         &mut self,
         proven_at: Micros,
@@ -45,8 +44,8 @@
         self.read_at = self.read_at.max(Some(proven_at));
     }
 
-    /// Takes that two other boxes have found what is known here to be the newest, by questions
-    /// that were sent at `sent_at` or later.
+    /// Records that two other boxes found the configuration known here to be the newest, with
+    /// requests sent at `sent_at` or later.
     pub fn witnessed(
         &mut self,
         sent_at: Micros,
@@ -54,14 +53,13 @@
         self.witnessed_at = self.witnessed_at.max(Some(sent_at));
     }
 
-    /// The platform's store had come back from a copy: no reading of this process has proven
-    /// anything.
+    /// Discards this process's proofs after the platform store was restored from a snapshot.
     pub fn unprove(&mut self) {
         self.read_at = None;
         self.witnessed_at = None;
     }
 
-    /// Notes knowledge that another box handed on; it keeps its age.
+    /// Records a configuration forwarded by another box; it keeps its age.
     pub fn handed_on(
         &mut self,
         age: Micros,
@@ -73,14 +71,14 @@
         }
     }
 
-    /// When the newest question was sent that showed what is known to be the newest, by an own
-    /// reading or those of two others.
+    /// Send time of the newest request that showed the known configuration to be the newest, from
+    /// an own read or from two other boxes.
     pub fn proven_at(&self) -> Option<Micros> {
         self.read_at.max(self.witnessed_at)
     }
 
-    /// Whether no reading has proven anything for longer than two questions take that are held
-    /// for so long each.
+    /// Whether no read has proven anything for longer than two requests take that the store holds
+    /// for `held_for` each.
     pub fn is_behind(
         &self,
         held_for: Micros,
@@ -90,7 +88,7 @@
         self.proven_at().is_some_and(|at| now.since(at) > limit)
     }
 
-    /// Age of the knowledge, if there is any.
+    /// Age of the known configuration, if there is one.
     pub fn age(
         &self,
         now: Micros,
@@ -98,8 +96,8 @@
         ToldAge::least(self.proven_at(), self.handed, now)
     }
 
-    /// Whether somebody may be told that a key or a route does not exist: only by what this
-    /// process has read itself or two others have, as a single one may have been behind.
+    /// Whether a caller may be told that a key or a route does not exist. This needs an own read
+    /// or the reads of two other boxes, as a single box may have been out of date.
     pub fn may_deny(
         &self,
         now: Micros,
@@ -108,7 +106,7 @@
             .is_some_and(|at| now.since(at) < self.limit)
     }
 
-    /// Whether callers may be let in by their keys.
+    /// Whether callers may be admitted by their keys.
     pub fn lets_in(
         &self,
         now: Micros,
@@ -119,8 +117,8 @@
         }
     }
 
-    /// Whether further callers may be asked for. Where keys fail closed, the
-    /// knowledge is then at most [`SOUND_PART`] of the limit old.
+    /// Whether the box may report itself ready for more callers. Where keys fail closed, the
+    /// configuration is then younger than [`SOUND_PART`] percent of the limit.
     pub fn is_sound(
         &self,
         now: Micros,
--- a/core/src/serving/order_right.rs
+++ b/core/src/serving/order_right.rs
@@ -1,28 +1,28 @@
 use {super::StorePosition, crate::time::Micros};
 
-/// Time for which a look at the row allows an order, from when the question was sent: who takes
-/// the right over waits for longer.
+/// Time for which a check of the row permits orders, from when the request was sent. A process
+/// that takes over waits for longer.
 const CHECK_LIFE: Micros = Micros::from_millis(400);
-/// Time that an order may be on its way, beyond that.
+/// Time that an order may be in transit after the check expires.
 const ORDER_WAY: Micros = Micros::from_millis(300);
-/// Bits of a number that versions take: ten years of 3,000 changes a second.
+/// Bits of a fencing token used for the version: ten years at 3,000 changes a second.
 const ERA_SHIFT: u32 = 40;
 
-/// The row that says who gives one engine its orders.
+/// Row that names the box which gives orders to one engine.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct OrderRow {
-    /// Position of its last change.
+    /// Position of the row's last change.
     pub position: StorePosition,
     /// Box that holds the right.
     pub holder: String,
 }
 
-/// One process's side of the right to give one engine orders, without I/O.
+/// State machine, without I/O, of one process's exclusive right to give orders to one engine.
 ///
-/// Who replaces the row has the right, and its number is the row's position, so that it rises
-/// with each holder. Whoever had it finds that out at the look that goes before each order; the
-/// new holder waits for as long as such a look holds, and for the gap that engines are owed
-/// between two givers.
+/// A process takes the right by replacing the row; the row's position is its fencing token, which
+/// increases with each holder. The previous holder notices at the check that precedes each order.
+/// The new holder first waits until such a check has expired and for the gap that engines require
+/// between orders of two boxes.
 #[derive(Debug, Clone)]
 pub struct OrderRight {
     own_box: String,
@@ -34,7 +34,7 @@
 }
 
 impl OrderRight {
-    /// Holds nothing yet. Orders of two boxes are to be `gap` apart.
+    /// Starts without the right. Orders of two boxes must be `gap` apart.
     pub fn new(
         own_box: impl Into<String>,
         gap: Micros,
@@ -49,7 +49,7 @@
         }
     }
 
-    /// Takes the row as a question showed it that was sent at `asked_at`.
+    /// Records the row as returned by a request sent at `asked_at`.
     pub fn row_read(
         &mut self,
         row: Option<OrderRow>,
@@ -59,8 +59,8 @@
         let is_own = row.as_ref().is_some_and(|row| row.holder == self.own_box);
         let position = row.as_ref().filter(|_| is_own).map(|row| row.position);
         if position.is_some() && position != self.held {
-            // A write of ours whose answer got lost, or that the store lost: somebody else may
-            // have had the right since.
+            // An own write whose answer was lost, or a write that the store lost: another process
+            // may have held the right since.
             self.wait_from(now);
         }
         self.held = position;
@@ -68,14 +68,15 @@
         self.seen = Some(row);
     }
 
-    /// Takes that the row was replaced as it had been read, by a write sent at `sent_at`.
+    /// Records that the row was replaced, unchanged since it was read, by a write sent at
+    /// `sent_at`.
     pub fn row_written(
         &mut self,
         position: StorePosition,
         sent_at: Micros,
         now: Micros,
     ) {
-        // Also where there was no row: a store that came back from a copy may have lost it.
+        // Wait also if there was no row: a store restored from a snapshot may have lost it.
         self.wait_from(now);
         self.held = Some(position);
         self.checked_at = Some(sent_at);
@@ -85,25 +86,24 @@
         }));
     }
 
-    /// Takes that the row is not known any more: a write was refused, or nobody knows whether it
-    /// was done.
+    /// Discards the known row: a write was refused, or its outcome is unknown.
     pub fn row_unknown(&mut self) {
         self.seen = None;
         self.held = None;
         self.checked_at = None;
     }
 
-    /// The row as it was last read, where that is known.
+    /// Row as last read, if known.
     pub fn seen(&self) -> Option<Option<&OrderRow>> {
         self.seen.as_ref().map(Option::as_ref)
     }
 
-    /// Whether the right is held, as far as is known.
+    /// Whether this process holds the right as far as it knows.
     pub fn is_held(&self) -> bool {
         self.held.is_some()
     }
 
-    /// Whether orders may not be given yet, whatever the row says.
+    /// Whether orders are not allowed yet, whatever the row says.
     pub fn is_waiting(
         &self,
         now: Micros,
@@ -111,7 +111,8 @@
         now < self.quiet_until
     }
 
-    /// The number under which an order may be given now. It is checked again before each.
+    /// Fencing token for an order given now. Requires a recent check of the row, repeated before
+    /// each order.
     pub fn number(
         &self,
         now: Micros,
@@ -122,8 +123,8 @@
             .map(order_number)
     }
 
-    /// The number under which an order may be given while the row cannot be read: nobody can
-    /// take the right over then.
+    /// Fencing token for an order given while the row cannot be read: no other process can take
+    /// over then.
     pub fn unread_number(
         &self,
         now: Micros,
@@ -141,8 +142,8 @@
     }
 }
 
-/// A position as a number that rises also where versions go back: with each era it is beyond all
-/// of the one before.
+/// Fencing token of a position. It also increases where versions go back: the tokens of an era
+/// exceed all those of earlier eras.
 pub fn order_number(position: StorePosition) -> u64 {
     (position.era.0 << ERA_SHIFT) | position.version
 }
--- a/core/src/serving/read_proofs.rs
+++ b/core/src/serving/read_proofs.rs
@@ -4,25 +4,25 @@
     std::{collections::BTreeMap, net::SocketAddr},
 };
 
-/// Time between two reports up to which an engine counts as awake all the while:
-/// three times that of reports of an engine that has no news.
+/// Longest time between two reports during which an engine counts as running without a pause:
+/// three times the report interval of an engine without changes.
 pub const AWAKE_GAP: Micros = Micros::from_millis(800);
 
-/// Time for which a part is held, once nobody is told to fetch it, where some engine
-/// does not prove that its fetches are over: it may stand still, or be gone for good,
-/// and stores that are full of such parts take nothing else. By judgement: several
-/// times the longest standstill that was seen (9 s).
+/// Longest time for which a part is kept after boxes have stopped telling engines to fetch it, if
+/// some engine does not prove that its fetches are over. The engine may be paused or gone for
+/// good, and stores full of such parts accept nothing else. Several times the longest pause seen
+/// (9 s).
 pub const HOLD_LIMIT: Micros = Micros::from_secs(60);
 
-/// Time that an engine must have been awake: the longest fetch that was under way
-/// when it woke, and a standstill that reports do not show.
+/// Time that an engine must have run without a pause: the longest fetch that was in progress when
+/// it resumed, plus a pause that reports do not show.
 const AWAKE_FOR: Micros = Micros(VIEW_LIFE.0 + AWAKE_GAP.0);
 
-/// Time after which an engine that nobody lists or hears of is not waited for: parts
-/// are held no longer for any engine.
+/// Time after which an engine that is neither listed nor reporting is no longer waited for: no
+/// part is held for longer for any engine.
 const FORGET_AFTER: Micros = HOLD_LIMIT;
 
-/// What shows that fetches of one engine are over.
+/// Evidence that the fetches of one engine are over.
 #[derive(Debug, Clone, Default)]
 struct AwakeSpan {
     weights: WeightBelief,
@@ -37,7 +37,7 @@
         &mut self,
         clock_ms: u64,
     ) {
-        // Reports may overtake each other.
+        // Reports may arrive out of order.
         if clock_ms <= self.seen_ms {
             return;
         }
@@ -50,8 +50,8 @@
         }
     }
 
-    /// Whether it may have been told to fetch parts of a version: who has newer
-    /// weights refuses what it had not begun.
+    /// Whether the engine may have been told to fetch parts of a version: an engine with newer
+    /// weights refuses fetches that it had not begun.
     fn may_fetch(
         &self,
         model: &str,
@@ -64,22 +64,22 @@
     }
 }
 
-/// Until when fetches of parts are proven to be over, engine by engine.
+/// Tracks for each engine until when its fetches of parts are proven to be over.
 ///
-/// An engine throws a fetch away that begins too late. It does not throw away one that
-/// was under way when it stood still: that ends when it wakes, at any later time. So the
-/// time that a fetch was given proves nothing; reports of an engine that was awake since do.
+/// An engine discards a fetch that begins too late, but not one that was in progress when it was
+/// paused: that one ends at any time after the engine resumes. The deadline of a fetch therefore
+/// proves nothing; reports of an engine that has since run without a pause do.
 ///
-/// All times are on the engines' clock. Engines are told by address, which no two have
-/// at a time: a report from there is one of the engine that is meant, or of one after it.
+/// All times are on the engines' clock. Engines are identified by address, which only one engine
+/// has at a time: a report from an address comes from the engine meant or from its successor.
 #[derive(Debug, Clone, Default)]
 pub struct ReadProofs {
     engines: BTreeMap<SocketAddr, AwakeSpan>,
 }
 
 impl ReadProofs {
-    /// Takes which engines there are, and what weights each is believed to have. Two
-    /// that follow each other at an address count as one with the older weights.
+    /// Updates the set of engines and the weights that each is believed to have. Two engines that
+    /// follow each other at an address count as one with the older weights.
     pub fn know<'a>(
         &mut self,
         engines: impl Iterator<Item = (SocketAddr, &'a WeightBelief)>,
@@ -99,7 +99,7 @@
         }
     }
 
-    /// Takes a report of an engine, made at `clock_ms`.
+    /// Records a report that an engine made at `clock_ms`.
     pub fn heard(
         &mut self,
         address: SocketAddr,
@@ -113,7 +113,7 @@
         }
     }
 
-    /// Forgets engines that nothing is known of any more.
+    /// Removes engines that have been neither listed nor heard for [`FORGET_AFTER`].
     pub fn prune(
         &mut self,
         now: Micros,
@@ -122,8 +122,8 @@
             .retain(|_, span| now.since(span.known_at) <= FORGET_AFTER);
     }
 
-    /// Takes that an engine has started again: it may have older weights than before,
-    /// and has proven nothing since.
+    /// Records that an engine has restarted: it may have older weights than before, and has proven
+    /// nothing since.
     pub fn restarted(
         &mut self,
         address: SocketAddr,
@@ -137,7 +137,7 @@
         }
     }
 
-    /// Takes that something else than an engine answers at an address now.
+    /// Removes an address that no longer belongs to an engine.
     pub fn forget(
         &mut self,
         address: SocketAddr,
@@ -145,9 +145,8 @@
         self.engines.remove(&address);
     }
 
-    /// The time for which this holds: what was told to fetch parts of a version and
-    /// should have ended by then has ended. Nobody is left to wait for where it is
-    /// the end of all times.
+    /// Time before which all fetches of a version's parts that should have ended are proven to
+    /// have ended. `u64::MAX` if there is no engine to wait for.
     pub fn over_until_ms(
         &self,
         model: &str,
@@ -158,7 +157,7 @@
         told.map(|span| span.proven_ms).min().unwrap_or(u64::MAX)
     }
 
-    /// Engines that have not proven it for longer than the others, for the log.
+    /// Engines with the oldest proof for a version, for the log.
     pub fn last_proven(
         &self,
         model: &str,
--- a/core/src/serving/reader_tier.rs
+++ b/core/src/serving/reader_tier.rs
@@ -1,27 +1,27 @@
 use super::{even_draw, ProvenTable};
 
-/// Fronts that read a table of the platform's store all the time, about: two must, and any may
-/// end.
+/// Approximate number of fronts that read a table of the platform store continuously: two are
+/// required, and any of them may stop.
 const FIRST_READERS: f64 = 3.0;
-/// Those that read it where the first ones do not.
+/// Number of fronts, including the first ones, that read it if the first ones do not.
 const SECOND_READERS: f64 = 12.0;
 
-/// How soon a front reads a table of the platform's store itself, where others read it too.
+/// How soon a front reads a table of the platform store itself when other fronts read it too.
 ///
-/// Each draws by its own number, so nobody has to be chosen, and nobody is missed. Few fronts all
-/// read.
+/// Each front derives its tier from its own number, so no election is needed and no failed front
+/// has to be detected. In a small fleet all fronts read.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum ReaderTier {
-    /// All the time.
+    /// Reads continuously.
     First,
-    /// Where what it is told is a little old.
+    /// Reads when the reports it receives are slightly old.
     Second,
-    /// Where what it is told is old.
+    /// Reads when the reports it receives are old.
     Last,
 }
 
 impl ReaderTier {
-    /// The tier of a front of so many; `draw`, from 0 to 1, is its own number.
+    /// Tier of a front in a fleet of `fronts`; `draw`, from 0 to 1, is the front's own number.
     pub fn of(
         draw: f64,
         fronts: u32,
@@ -34,8 +34,8 @@
         }
     }
 
-    /// Age at which it reads itself, in hundredths of the time between two readings of the
-    /// first ones.
+    /// Age of the reports at which the front reads the table itself, in percent of the time
+    /// between two reads of the first tier.
     pub fn patience(self) -> u64 {
         match self {
             ReaderTier::First => 0,
@@ -45,7 +45,8 @@
     }
 }
 
-/// The number by which a front draws its tier for a table: tables have readers of their own.
+/// Number from which a front derives its tier for a table. It depends on the table, so that each
+/// table has its own readers.
 pub fn reader_draw(
     box_id: &str,
     table: ProvenTable,
--- a/core/src/serving/store_clock.rs
+++ b/core/src/serving/store_clock.rs
@@ -1,27 +1,29 @@
 use crate::time::Micros;
 
-/// Time for which a bound counts: two steady clocks drift apart by some milliseconds in it.
+/// Validity of a bound: two monotonic clocks drift apart by some milliseconds in this time.
 const BOUND_LIFE: Micros = Micros::from_secs(30);
-/// The store tells whole milliseconds.
+/// Resolution of the store's clock, which reports whole milliseconds.
 const TELL_STEP_US: i64 = 1_000;
 
-/// Maps the steady clock of the platform's store to the local one.
+/// Maps the monotonic clock of the platform store to the local one.
 ///
-/// An answer proves what was in force when the store gave it, not only when the question was
-/// sent, which matters for questions that are held there. The local time of that is bounded from
-/// below by earlier answers: the store's clock showed their time after they had been asked for.
+/// An answer proves the content at the time the store gave it, not only at the time the request
+/// was sent, which matters for requests that the store holds. Earlier answers give a lower bound
+/// for the local time of the answer: the store's clock showed their time only after they had been
+/// requested.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct StoreClock {
-    /// Greatest lower bound of the local time at which the store's clock showed zero, in
-    /// microseconds, and since when it is collected.
+    /// Greatest lower bound, in microseconds, of the local time at which the store's clock showed
+    /// zero, and the start of the interval over which it is collected.
     current: Option<(i64, Micros)>,
-    /// The same of the span before.
+    /// The bound of the previous interval.
     before: Option<i64>,
 }
 
 impl StoreClock {
-    /// The local time from which an answer proves what was in force: not before its question was
-    /// sent, and not after it came.
+    /// Earliest local time at which the store can have given an answer, and whose content it
+    /// therefore proves: no earlier than the request was sent and no later than the answer
+    /// arrived.
     pub fn proof_time(
         &mut self,
         sent_at: Micros,
@@ -38,7 +40,7 @@
         given.max(sent_at).min(now)
     }
 
-    /// Forgets all: the store's clock may have begun anew.
+    /// Discards all bounds, as the store's clock may have restarted.
     pub fn reset(&mut self) {
         *self = StoreClock::default();
     }
--- a/core/src/serving/store_position.rs
+++ b/core/src/serving/store_position.rs
@@ -4,19 +4,20 @@
     thiserror::Error,
 };
 
-/// How often the platform's store has come back from a copy, as it tells; 0 where it does not.
+/// Number of times the platform store has been restored from a snapshot, as it reports; 0 where it
+/// does not report it.
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct StoreEra(pub u64);
 
-/// A version of the platform's store. Where that comes back from a copy, versions go back and
-/// are given out again, so those of two eras have no order.
+/// A version of the platform store. A restore from a snapshot sets versions back and reuses them,
+/// so versions of two eras have no order.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct StorePosition {
-    /// Era in which the store gave it out.
+    /// Era in which the store assigned the version.
     pub era: StoreEra,
-    /// Version in that era.
+    /// Version within that era.
     pub version: u64,
 }
 
@@ -26,10 +27,11 @@
 pub struct EraMismatch(pub u64, pub u64);
 
 impl StorePosition {
-    /// The order of two versions of one era.
+    /// Compares two versions of the same era.
     ///
     /// # Errors
-    /// [`EraMismatch`] where they are of two eras.
+    ///
+    /// Returns [`EraMismatch`] if they belong to different eras.
     pub fn compare(
         self,
         other: StorePosition,
@@ -40,8 +42,8 @@
         }
     }
 
-    /// Whether it was told later: in one era by its version, else in the later era. What the
-    /// later one shows may be from before, until its writer has written it again.
+    /// Whether this position was reported later than `other`: by version within one era, otherwise
+    /// by era. What a later era shows may be older content until its writer has rewritten it.
     pub fn is_told_after(
         self,
         other: StorePosition,
--- a/core/src/serving/store_proof.rs
+++ b/core/src/serving/store_proof.rs
@@ -3,61 +3,61 @@
     serde::{Deserialize, Serialize},
 };
 
-/// A table of the platform's store that few fronts read for all.
+/// A table of the platform store that a few fronts read on behalf of all.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum ProvenTable {
-    /// Configuration and named weights.
+    /// Configuration and published weights.
     Operator,
     /// Endpoints.
     Endpoints,
 }
 
-/// What a front has read: that the content of a table was the newest so long ago.
+/// Result of a front's read: the content of a table was the newest at a time `age` ago.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StoreProof {
-    /// Table.
+    /// Table that was read.
     pub table: ProvenTable,
-    /// A number that differs where the content does.
+    /// Checksum of the content.
     pub mark: u32,
-    /// A number of the front that has read it.
+    /// Number of the front that read it.
     pub source: u32,
-    /// Time since its question was sent.
+    /// Time since the read request was sent.
     pub age: Micros,
 }
 
-/// A proof as it is known here.
+/// A proof as received by this process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 struct HeardProof {
     mark: u32,
     source: u32,
-    /// Who told it.
+    /// Process that reported the proof.
     teller: u32,
-    /// When the question had been sent, or before.
+    /// When the read request was sent, or earlier.
     sent_at: Micros,
 }
 
-/// Proofs of one table that are remembered: two of each front that reads, and some more.
+/// Maximum number of proofs kept for one table: two for each reading front, and some more.
 const PROOFS_LIMIT: usize = 16;
-/// Tellers of one front's proof that are remembered.
+/// Reporting processes kept for one front's proofs.
 const TELLERS_KEPT: usize = 2;
-/// Fronts whose proofs are told on.
+/// Fronts whose proofs are forwarded.
 const TOLD_PROOFS: usize = 2;
 
-/// Proofs of one table, the latest one of each front that has read it and each process that
-/// tells it.
+/// Proofs of one table: the latest for each pair of the front that read it and the process that
+/// reported it.
 #[derive(Debug, Clone, Default)]
 pub struct ProofBook {
     proofs: Vec<HeardProof>,
 }
 
 impl ProofBook {
-    /// When the newest question had been sent of which anybody tells, whatever it showed.
+    /// Send time of the newest reported read, whatever its result.
     pub fn newest(&self) -> Option<Micros> {
         self.proofs.iter().map(|proof| proof.sent_at).max()
     }
 
-    /// Takes a proof that `teller` told; its question had been sent at `sent_at`, or before.
-    /// True where that is news.
+    /// Records a proof reported by `teller`, whose read was sent at `sent_at` or earlier. Returns
+    /// true if it is new.
     pub fn hear(
         &mut self,
         proof: &StoreProof,
@@ -86,7 +86,7 @@
         true
     }
 
-    /// Of one front the latest words of two tellers are kept.
+    /// Keeps the latest proofs of two reporting processes for each front.
     fn drop_third(
         &mut self,
         source: u32,
@@ -100,8 +100,8 @@
         }
     }
 
-    /// When the newest question was sent of which two fronts, by two tellers, say that this
-    /// content was the newest: one alone may lie, stand still or be behind.
+    /// Send time of the newest read for which two fronts, reported by two processes, confirm that
+    /// this content was the newest. A single one may be wrong, paused or out of date.
     pub fn witnessed(
         &self,
         mark: u32,
@@ -117,7 +117,7 @@
         })
     }
 
-    /// Another content that was read later than `than`, if anybody tells of one.
+    /// Checksum of different content that was read later than `than`, if reported.
     pub fn other_since(
         &self,
         mark: u32,
@@ -128,7 +128,7 @@
         other.map(|proof| proof.mark)
     }
 
-    /// The latest proofs of two fronts, to tell them on; ages as of now.
+    /// Latest proofs of two fronts, to be forwarded, with their ages as of now.
     pub fn told(
         &self,
         table: ProvenTable,
--- a/core/src/serving/store_view.rs
+++ b/core/src/serving/store_view.rs
@@ -4,32 +4,33 @@
     std::collections::HashMap,
 };
 
-/// Age up to which what is known of a store may be gone by, from when the
-/// question was sent until a fetch must have ended. A store that restarts is
-/// empty, and a part that is being written anew must not be taken for whole.
+/// Age up to which a view of a store may be used, from when the request was sent until a fetch
+/// must have ended. A store that restarts is empty, and a part that is being rewritten must not be
+/// taken for complete.
 pub const VIEW_LIFE: Micros = Micros::from_millis(2_000);
-/// Time that a life of a store must have lasted before anything is saved there: by then
-/// no view of the life before is gone by any more.
+/// Time that an incarnation of a store must have lasted before anything is saved there: by then no
+/// view of the previous incarnation is in use any more.
 pub const SAVE_AFTER: Micros = Micros::from_millis(2_400);
-/// Time in which a save that we asked for shows up.
+/// Time within which a requested save appears in the store.
 const SAVE_SHOWS: Micros = Micros::from_secs(3);
-/// Part of a store's room that is filled, in hundredths; blocks are rounded up.
+/// Share of a store's capacity that is filled, in percent; the store rounds blocks up.
 const FILL_PART: u64 = 96;
 
-/// What is known of one store's content.
+/// View of one store's content.
 #[derive(Debug, Clone)]
 pub struct StoreView {
-    /// The store.
+    /// Store that is described.
     pub store: KvStore,
-    /// Parts that are whole.
+    /// Complete parts.
     pub parts: PartMemory,
-    /// Number of the change up to which they are known; nothing where all is to be read anew.
+    /// Change number up to which the parts are known; `None` if the whole list has to be read
+    /// again.
     pub next: Option<u64>,
-    /// When another process last told what it had read there.
+    /// When another process last reported its reads of the store.
     pub told_at: Option<Micros>,
     epoch: Option<u64>,
     epoch_seen_at: Micros,
-    /// What another box told of a life, and when that had come here.
+    /// Incarnation reported by another box, and when the report arrived.
     told: Option<(ToldLife, Micros)>,
     proven_at: Option<Micros>,
     clock: Option<(u64, Micros)>,
@@ -40,7 +41,7 @@
 }
 
 impl StoreView {
-    /// Nothing is known yet.
+    /// Starts with no knowledge of the store's content.
     pub fn new(store: KvStore) -> Self {
         StoreView {
             store,
@@ -59,13 +60,13 @@
         }
     }
 
-    /// Life of the store that is known.
+    /// Known incarnation of the store.
     pub fn epoch(&self) -> Option<u64> {
         self.epoch
     }
 
-    /// The life that is known, and for how long at least it has lasted: since an answer
-    /// showed it here, or as another box has told.
+    /// Known incarnation and the least time it has lasted: since an answer showed it here, or as
+    /// reported by another box.
     pub fn life(
         &self,
         now: Micros,
@@ -81,13 +82,13 @@
         })
     }
 
-    /// Takes what another box told of a life; it had come here at `at`.
+    /// Records an incarnation reported by another box; the report arrived at `at`.
     ///
-    /// A front that starts sees every life for the first time and saves nothing for
-    /// [`SAVE_AFTER`]; with this it saves from its first request on where a box that it
-    /// asked has watched the same life for that long. A least age counts from when it came:
-    /// counted from the question, as greatest ages are, it would be too high by however long
-    /// the other box stood still before it answered.
+    /// A front that starts sees every incarnation for the first time and would save nothing for
+    /// [`SAVE_AFTER`]. With such a report it saves from its first request on, if a box that it
+    /// asked has observed the same incarnation for that long. A minimum age counts from when the
+    /// report arrived: counted from the request, as maximum ages are, it would be too high by any
+    /// pause of the other box before its answer.
     pub fn tell_life(
         &mut self,
         told: &ToldLife,
@@ -98,7 +99,7 @@
             Some((known, known_at)) if known.epoch == told.epoch => {
                 known.lasted + at.since(known_at) < told.lasted
             }
-            // A box that is behind knows an earlier life.
+            // A box that is out of date reports an earlier incarnation.
             Some((known, _)) => self.epoch != Some(known.epoch),
         };
         if is_better {
@@ -106,8 +107,8 @@
         }
     }
 
-    /// Notes an answer of the store to a question sent at `sent_at`; true where
-    /// it shows a new life, of which nothing is known.
+    /// Records an answer to a request sent at `sent_at`. Returns true if it shows a new
+    /// incarnation, whose content is unknown.
     pub fn answered(
         &mut self,
         epoch: u64,
@@ -130,8 +131,8 @@
         is_new
     }
 
-    /// Takes that another process asked the store at `sent_at` or later, in the life that is
-    /// known; `clock_ms` is the time on the engines' clock now, or earlier.
+    /// Records that another process sent a request to the store at `sent_at` or later, in the
+    /// known incarnation; `clock_ms` is the time on the engines' clock now, or earlier.
     pub fn told(
         &mut self,
         clock_ms: Option<u64>,
@@ -149,12 +150,12 @@
         }
     }
 
-    /// The store did not answer: what is known of it is not gone by.
+    /// Records that the store did not answer: the view may not be used.
     pub fn lost(&mut self) {
         self.proven_at = None;
     }
 
-    /// Takes that a part is whole now, or gone.
+    /// Records that a part is complete, or gone if `tokens` is 0.
     pub fn set(
         &mut self,
         wall: WallTag,
@@ -167,7 +168,7 @@
         }
     }
 
-    /// Time on the engines' clock, as far as this store has told it.
+    /// Time on the engines' clock, as last reported by this store.
     pub fn clock_ms(
         &self,
         now: Micros,
@@ -176,8 +177,8 @@
         Some(clock + now.since(at).as_millis())
     }
 
-    /// Time on the engines' clock that is not over yet: had the store answered at
-    /// once, it would be so late.
+    /// Latest possible time on the engines' clock, which would be right if the store had answered
+    /// at once.
     pub fn latest_clock_ms(
         &self,
         now: Micros,
@@ -186,8 +187,7 @@
         Some(clock + now.since(at).as_millis() + 1)
     }
 
-    /// Time on the engines' clock by which a fetch must have ended, and whether
-    /// there is time for one at all.
+    /// Deadline of a fetch on the engines' clock; `None` if there is no time for one.
     pub fn fetch_until_ms(
         &self,
         now: Micros,
@@ -197,8 +197,8 @@
         (left > Micros::ZERO).then(|| clock_ms + left.as_millis())
     }
 
-    /// Whether the store answered last time, but too long ago to be gone by: the
-    /// next answer is about to come.
+    /// Whether the store answered last time, but too long ago for the view to be used: the next
+    /// answer is due.
     pub fn is_stale(
         &self,
         now: Micros,
@@ -206,8 +206,8 @@
         self.proven_at.is_some_and(|at| now.since(at) >= VIEW_LIFE)
     }
 
-    /// Time to fetch so many bytes from within the store's domain, with the
-    /// wait for what we have asked for before, in milliseconds.
+    /// Time in milliseconds to fetch `bytes` from within the store's failure domain, including the
+    /// wait for transfers requested before.
     pub fn fetch_ms(
         &self,
         bytes: u64,
@@ -217,7 +217,7 @@
         wait + self.store.first_ms + move_ms(bytes, self.store.link_mbps)
     }
 
-    /// Notes a fetch or save that we ask for.
+    /// Adds a requested fetch or save to the store's queue of transfers.
     pub fn occupy(
         &mut self,
         millis: f64,
@@ -239,7 +239,7 @@
         is_settled && is_known && used * 100 <= self.store.capacity_tokens * FILL_PART
     }
 
-    /// Whether a part is kept here, or on its way.
+    /// Whether the store has a part, or a save of it is pending.
     pub fn has_or_gets(
         &self,
         wall: WallTag,
@@ -249,7 +249,7 @@
         self.parts.tokens_of(wall, id) >= tokens || self.pending.contains_key(&(wall, id))
     }
 
-    /// Notes that we ask for a save.
+    /// Records a requested save.
     pub fn saving(
         &mut self,
         wall: WallTag,
@@ -271,7 +271,7 @@
     }
 }
 
-/// Time that a move of so many bytes takes on a link, in milliseconds.
+/// Time to transfer `bytes` over a link, in milliseconds.
 pub fn move_ms(
     bytes: u64,
     link_mbps: f64,
--- a/core/src/serving/swap_planner.rs
+++ b/core/src/serving/swap_planner.rs
@@ -4,68 +4,68 @@
     std::collections::BTreeMap,
 };
 
-/// Engines of a group that load at once, at least: more slow each other down (the
-/// sites' sheets: two of nine, ten of fifty-four).
+/// Minimum number of engines of a group that may load at once; more slow each other down (the site
+/// specifications give two of nine and ten of fifty-four).
 const LOADS_AT_ONCE: usize = 2;
-/// Engines of a group for each that loads at once.
+/// Engines of a group per concurrent load.
 const ENGINES_A_LOAD: usize = 5;
-/// Loads at once for each of those where the weights' time is over: such engines serve
-/// nothing, so their loads only slow each other down, and none waits for word that another
-/// has ended. 40 engines that woke together with old weights had all newer ones 5.5 s later
-/// in place of 5.8 s.
+/// Factor on the concurrent loads once the old weights have expired: such engines serve nothing,
+/// so their loads only slow each other down, and none has to wait for the report that another has
+/// finished. With it, 40 engines that resumed together with old weights all had newer ones after
+/// 5.5 s instead of 5.8 s.
 const OVERDUE_LOADS: usize = 2;
-/// Engines that end their long runs meanwhile, at least, and for how many that
-/// load one does: an engine that is told to load takes nothing until they ended.
+/// Minimum number of engines that finish their long runs in the meantime, and the number of loads
+/// per such engine: an engine that is told to load accepts nothing until its runs have ended.
 const DRAINS_AT_ONCE: usize = 2;
 const LOADS_A_DRAIN: usize = 3;
-/// Time that an engine is given to end its long runs before it loads.
+/// Time given to an engine to finish its long runs before it loads.
 const DRAIN_LIMIT: Micros = Micros::from_millis(1_600);
 /// Requests that an engine may still run when it is told to load.
 const QUIET_RUNNING: u32 = 2;
 /// Time after which an engine that was told to load and did not loses its turn.
 const TURN_LIMIT: Micros = Micros::from_secs(7);
 
-/// New weights that are named, and which engines load them now.
+/// Published weights, and the engines whose turn it is to load them.
 #[derive(Debug, Clone, Default)]
 pub struct SwapPlanner {
     pub(super) named: BTreeMap<String, u64>,
     pub(super) namings: BTreeMap<(String, u64), Naming>,
-    /// Weights that engines had before this box read that they are named.
+    /// Weights that engines had before this box read of their publication, and since when.
     pub(super) ahead: BTreeMap<(String, u64), Micros>,
     turns: BTreeMap<EndpointKey, SwapTurn>,
     missed: BTreeMap<EndpointKey, u32>,
 }
 
-/// One engine's turn.
+/// An engine's turn to load weights.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct SwapTurn {
     /// Model.
     pub model: String,
     /// Version to load.
     pub version: u64,
-    /// Since when it is the engine's turn, or since when it is told to load.
+    /// Start of the turn, or of the load once the engine has been told to load.
     pub since: Micros,
-    /// Whether it is told to load now.
+    /// Whether the engine is told to load now.
     pub loads: bool,
 }
 
-/// Turns missed, whether it is on no list, version, id.
+/// Turns missed, whether it is unlisted, version, id.
 type TurnRank = (u32, bool, u64, String);
 
-/// Where an engine stands with named weights.
+/// Stage of an engine on its way to the published weights.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub enum SwapStage {
     /// It has them, or its turn has not come.
     #[default]
     Idle,
-    /// It gets no long requests any more.
+    /// It gets no more long requests.
     Draining,
-    /// It loads, and takes nothing.
+    /// It loads, and accepts nothing.
     Loading,
 }
 
 impl SwapPlanner {
-    /// The turn of an engine, if it has one.
+    /// Turn of an engine, if it has one.
     pub fn turn(
         &self,
         key: EndpointKey,
@@ -73,7 +73,7 @@
         self.turns.get(&key)
     }
 
-    /// The stage of an engine.
+    /// Stage of an engine.
     pub fn stage(
         &self,
         key: EndpointKey,
@@ -85,8 +85,8 @@
         }
     }
 
-    /// Gives turns anew; returns those of engines that are told to load now. `limit` is for how
-    /// long requests begin on weights after newer ones are named.
+    /// Updates the turns and returns those of engines that are told to load now. `limit` is the
+    /// time for which requests may begin on weights after newer ones are published.
     pub fn plan(
         &mut self,
         book: &EndpointBook,
@@ -94,7 +94,7 @@
         now: Micros,
     ) -> Vec<(EndpointKey, SwapTurn)> {
         for turn in self.turns.values_mut() {
-            // Newer weights overtake those that the turn was given for.
+            // Newer weights replace those that the turn was given for.
             turn.version = self.named.get(&turn.model).copied().unwrap_or(turn.version);
         }
         self.end_turns(book, now);
@@ -106,7 +106,7 @@
         begun
     }
 
-    /// How many engines of its group may load together with one.
+    /// Number of engines of the group of `entry` that may load at the same time as it.
     fn loads_at_once(
         &self,
         book: &EndpointBook,
@@ -123,7 +123,7 @@
         }
     }
 
-    /// Tells engines to load that are quiet, or have had time to become so.
+    /// Tells engines to load that run few requests or have had [`DRAIN_LIMIT`] to finish them.
     fn begin_loads(
         &mut self,
         book: &EndpointBook,
@@ -165,8 +165,8 @@
         }
     }
 
-    /// Order of turns, the same at all boxes: those that missed one go last, those that get
-    /// no requests after the others, and the oldest weights first, as their time runs out first.
+    /// Order of turns, the same at all boxes: engines that missed a turn come last, unlisted ones
+    /// after listed ones, and those with the oldest weights first, as these expire first.
     fn rank(
         &self,
         key: EndpointKey,
@@ -216,15 +216,15 @@
         missed.retain(|key, _| book.get(*key).is_some());
     }
 
-    /// The next engine that gets a turn.
+    /// Next engine that gets a turn.
     fn next_turn(
         &self,
         book: &EndpointBook,
         limit: Micros,
         now: Micros,
     ) -> Option<(EndpointKey, SwapTurn)> {
-        // One that is heard loads also where its entry only went: an engine whose box had
-        // stood still kept replaced weights for as long as the list did not show it again.
+        // An engine that reports may also load if only its entry is gone: an engine whose box had
+        // been paused otherwise kept replaced weights until it was listed again.
         let waits = |(key, entry): &(EndpointKey, &EndpointEntry)| {
             is_heard(entry, now) && entry.may_be_there() && !self.turns.contains_key(key)
         };
@@ -267,8 +267,8 @@
     LOADS_AT_ONCE.max(engines / ENGINES_A_LOAD)
 }
 
-/// Whether an endpoint counts: one that is on no list only where it is heard, as it may have
-/// ended: its turn would keep others from theirs.
+/// Whether an endpoint counts. An unlisted one counts only if it reports: it may have ended, and
+/// its turn would then keep other engines from theirs.
 fn is_there(
     entry: &EndpointEntry,
     now: Micros,
--- a/core/src/serving/table_mark.rs
+++ b/core/src/serving/table_mark.rs
@@ -1,7 +1,6 @@
 use std::collections::BTreeMap;
 
-/// A number for the content of a table: it differs where any row does, and is kept up row by
-/// row.
+/// Checksum of a table's content, updated row by row. It differs if any row does.
 #[derive(Debug, Clone, Default)]
 pub struct TableMark {
     rows: BTreeMap<String, u32>,
@@ -9,7 +8,7 @@
 }
 
 impl TableMark {
-    /// Takes what a row says.
+    /// Sets the content of a row.
     pub fn set(
         &mut self,
         key: &str,
@@ -21,7 +20,7 @@
         self.sum = self.sum.wrapping_add(number);
     }
 
-    /// Takes that a row is gone.
+    /// Removes a row.
     pub fn remove(
         &mut self,
         key: &str,
@@ -31,12 +30,12 @@
         }
     }
 
-    /// All rows are read anew.
+    /// Removes all rows before the table is read again.
     pub fn clear(&mut self) {
         *self = TableMark::default();
     }
 
-    /// The number.
+    /// The checksum.
     pub fn number(&self) -> u32 {
         self.sum
     }
--- a/core/src/serving/told_age.rs
+++ b/core/src/serving/told_age.rs
@@ -1,18 +1,18 @@
 use crate::time::Micros;
 
-/// An age that another box told, and when it was right. It may reach back to before this
-/// process started, which no time of its own clock does.
+/// An age reported by another box, and when it was valid. It may reach back to before this process
+/// started, which no time of its own clock does.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) struct ToldAge {
-    /// Age at that time.
+    /// Age at the time `at`.
     pub age: Micros,
-    /// When that was.
+    /// When the age was valid.
     pub at: Micros,
 }
 
 impl ToldAge {
-    /// The age now: the lesser one of what this box knows since `known_at` and what it was
-    /// told, as each bounds it.
+    /// Age now: the smaller of the time since `known_at` and the reported age, as both are upper
+    /// bounds.
     pub fn least(
         known_at: Option<Micros>,
         told: Option<ToldAge>,
--- a/core/src/serving/told_naming.rs
+++ b/core/src/serving/told_naming.rs
@@ -3,15 +3,15 @@
     serde::{Deserialize, Serialize},
 };
 
-/// Named weights, as one box tells another.
+/// A published version of a model's weights, as reported to another box.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ToldNaming {
     /// Model.
     pub model: String,
-    /// Version that was named.
+    /// Published version.
     pub version: u64,
-    /// Newest version until then, where that is known; 0 where none was named.
+    /// Newest version before it, if known; 0 if there was none.
     pub after: Option<u64>,
-    /// For how long at most it has been named, where that is known.
+    /// Longest time for which it can have been published, if known.
     pub age: Option<Micros>,
 }
--- a/core/src/serving/weight_belief.rs
+++ b/core/src/serving/weight_belief.rs
@@ -1,13 +1,13 @@
 use std::collections::BTreeMap;
 
-/// Which version of each model's weights an engine has, as far as is known.
+/// Version of each model's weights that an engine is believed to have.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct WeightBelief {
     versions: BTreeMap<String, u64>,
 }
 
 impl WeightBelief {
-    /// The version of a model.
+    /// Version of a model, if known.
     pub fn version(
         &self,
         model: &str,
@@ -15,7 +15,7 @@
         self.versions.get(model).copied()
     }
 
-    /// Notes what an engine has; true where that is news.
+    /// Records the version that an engine has. Returns true if it is new.
     pub fn learn(
         &mut self,
         model: &str,
@@ -28,8 +28,8 @@
         true
     }
 
-    /// Takes what is known of another engine that may be meant as well: of each model
-    /// the older version, and nothing where nothing is known of one of them.
+    /// Merges the knowledge of another engine that may be meant instead: the older version of each
+    /// model, or nothing if nothing is known of either engine.
     pub fn lower(
         &mut self,
         other: &WeightBelief,
@@ -46,7 +46,7 @@
         }
     }
 
-    /// Whether anything is known of the engine's weights.
+    /// Whether any of the engine's weights are known.
     pub fn is_known(&self) -> bool {
         !self.versions.is_empty()
     }
--- a/core/src/serving/weight_bounds.rs
+++ b/core/src/serving/weight_bounds.rs
@@ -1,26 +1,27 @@
-/// Which versions of a model's weights a request may begin on.
+/// Versions of a model's weights on which a request may begin.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct WeightBounds {
-    /// Newest version that is named.
+    /// Newest published version.
     pub newest: Option<u64>,
-    /// Oldest version on which a request may still begin; `None` where any may do.
+    /// Oldest version on which a request may still begin; `None` if there is no limit.
     pub oldest: Option<u64>,
 }
 
 impl WeightBounds {
-    /// Whether a request may be sent to an engine that is believed to have a version.
+    /// Whether a request may be sent to an engine that is believed to have `version`.
     pub fn allows(
         &self,
         version: Option<u64>,
     ) -> bool {
         match (version, self.oldest) {
             (Some(version), Some(oldest)) => version >= oldest,
-            // An engine of unknown weights begins only on what is expected of it.
+            // An engine whose weights are unknown begins only on the version that the request
+            // expects.
             _ => true,
         }
     }
 
-    /// Whether newer weights than a version are named.
+    /// Whether weights newer than `version` are published.
     pub fn is_behind(
         &self,
         version: Option<u64>,
@@ -28,9 +29,8 @@
         version < self.newest && version.is_some()
     }
 
-    /// The version that a request expects of an engine; the engine proves that it did
-    /// not begin where it has another. Nothing is expected where nothing is known and
-    /// any version may do.
+    /// Version that a request expects of an engine; an engine with another version proves that it
+    /// did not begin. `None` if the engine's version is unknown and any version is allowed.
     pub fn expected(
         &self,
         version: Option<u64>,
--- a/core/src/serving/weight_namings.rs
+++ b/core/src/serving/weight_namings.rs
@@ -1,4 +1,4 @@
-//! Which weights are named, and until when parts of older ones are fetched.
+//! Publications of weights, and until when parts of older versions are fetched.
 
 use {
     super::{
@@ -9,38 +9,37 @@
     std::ops::RangeInclusive,
 };
 
-/// Time for which every part of a version is fetched from stores, from the last
-/// reading that showed no newer one: by then the first engines have that.
+/// Time for which every part of a version is fetched from stores, counted from the last read that
+/// showed no newer version: by then the first engines have the newer one.
 const FETCH_ALL: Micros = Micros::from_secs(6);
-/// Time over which the fetches of its parts end, one after the other, as engines
-/// go over and stores need room for parts of the newer version. Together the
-/// platform's limit for older weights (10 to 15 s) and a little more. By judgement, a
-/// compromise: longer is better right after a naming, shorter some seconds later.
+/// Time over which the fetches of its parts then end one after the other, while engines change
+/// over and stores need room for parts of the newer version. With [`FETCH_ALL`] it is slightly
+/// more than the platform's limit for older weights (10 to 15 s). A compromise: a longer time is
+/// better right after a publication, a shorter one some seconds later.
 const FETCH_FADE: Micros = Micros::from_secs(10);
-/// Time from the end of the fetches until a part is freed, on another box: the
-/// longest fetch ([`VIEW_LIFE`]) and a standstill that reports do not show.
+/// Time from the end of the fetches until another box frees a part: the longest fetch
+/// ([`VIEW_LIFE`]) plus a pause that reports do not show.
 const FREE_MARGIN: Micros = Micros(VIEW_LIFE.0 + AWAKE_GAP.0);
 
-/// Time after which a reading must show a naming that came before. By judgement:
-/// several times what the store takes.
+/// Time after which a read must show an earlier publication: several times the delay of the store.
 const ROW_LAG: Micros = Micros::from_millis(500);
 
 /// Spreads numbers evenly (an odd number near 2^64 over the golden ratio).
 const SPREAD_FACTOR: u64 = 0x9e37_79b9_7f4a_7c15;
 
-/// Time in which others tell a box of namings from before it started. What nobody tells
-/// counts as named for too long then: a front that counts from its own start lets
-/// requests begin on replaced weights for a whole limit more.
+/// Time within which other boxes report publications from before this box started. A version that
+/// nobody reports then counts as expired: if a front counted from its own start, requests could
+/// begin on replaced weights for a whole limit longer.
 pub const TELL_LIMIT: Micros = Micros::from_secs(2);
 
-/// Namings of a model that are handed on: weights are named some seconds apart at the
-/// quickest, and an engine that has older ones than these gets nothing.
+/// Publications reported per model: versions are published at least some seconds apart, and an
+/// engine with weights older than these gets no requests.
 const TOLD_NAMINGS: usize = 6;
 
-/// When this box learned of named weights.
+/// What this box knows of a publication.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) struct Naming {
-    /// Newest version until then, where that is known; 0 where none was named.
+    /// Newest version before it, if known; 0 if there was none.
     pub(super) after: Option<u64>,
     not_yet: Option<Micros>,
     pub(super) learned_at: Micros,
@@ -48,7 +47,7 @@
 }
 
 impl Naming {
-    /// For how long at most the weights have been named, where that is known.
+    /// Longest time for which the weights can have been published, if known.
     pub(super) fn age(
         &self,
         now: Micros,
@@ -56,7 +55,7 @@
         ToldAge::least(self.not_yet, self.told, now)
     }
 
-    /// Whether the weights may have been named for longer than `limit`.
+    /// Whether the weights may have been published for longer than `limit`.
     pub(super) fn is_over(
         &self,
         limit: Micros,
@@ -68,7 +67,7 @@
         }
     }
 
-    /// Whether others had the time to tell what this box does not know.
+    /// Whether other boxes have had time to report what this box does not know.
     pub(super) fn is_untold(
         &self,
         limit: Micros,
@@ -78,18 +77,18 @@
     }
 }
 
-/// For how long a part is fetched after newer weights may have been named; all
-/// boxes know it from the part alone.
+/// Time for which a part is fetched after newer weights may have been published. All boxes derive
+/// it from the part alone.
 fn fetch_life(part: PartId) -> Micros {
-    // Ids may be counted up: neighbours must not end together.
+    // Ids may be consecutive: the fetches of neighbours must not end together.
     let spread = part.number().wrapping_mul(SPREAD_FACTOR).rotate_left(32);
     FETCH_ALL + Micros(spread % FETCH_FADE.0)
 }
 
 impl SwapPlanner {
-    /// Takes that weights are named; true where that is news.
+    /// Records that weights are published. Returns true if that is new.
     ///
-    /// `not_yet` is when the last reading was sent that did not show them.
+    /// `not_yet` is the send time of the last read that did not show them.
     pub fn name(
         &mut self,
         model: &str,
@@ -103,7 +102,7 @@
         }
         self.named.insert(model.to_string(), version);
         let naming = Naming {
-            // A reading that showed no naming proves that there was none.
+            // A read that showed no publication proves that there was none.
             after: Some(before).filter(|before| *before > 0 || not_yet.is_some()),
             not_yet,
             learned_at: now,
@@ -113,7 +112,7 @@
         true
     }
 
-    /// Takes that a version had been named for `age` at most at the time `at`.
+    /// Records that a version had been published for at most `age` at the time `at`.
     pub fn tell_age(
         &mut self,
         model: &str,
@@ -127,8 +126,8 @@
         }
     }
 
-    /// Takes a naming that another box knew at the time `at`; also one from before the
-    /// newest one, as engines may have the weights from before that.
+    /// Records a publication that another box knew at the time `at`, including one older than the
+    /// newest, as engines may have weights from before it.
     pub fn tell(
         &mut self,
         told: &ToldNaming,
@@ -147,8 +146,8 @@
             learned_at: now,
             told: None,
         });
-        // An age holds for the weights from `after` on only: before those, another version
-        // may have been named that this box, or the other one, has not heard of.
+        // An age holds only for the weights from `after` on: before those, another version may
+        // have been published that this box, or the other one, does not know.
         match (naming.after, told.after) {
             (Some(_), None) => return,
             (None, Some(_)) => naming.told = None,
@@ -160,7 +159,7 @@
         }
     }
 
-    /// The newest namings of each model, [`TOLD_NAMINGS`] at most, as this box knows them.
+    /// Newest publications of each model known to this box, at most [`TOLD_NAMINGS`].
     pub fn told_namings(
         &self,
         now: Micros,
@@ -179,8 +178,8 @@
         told
     }
 
-    /// Whether it is known of all newest weights for how long at most they have been
-    /// named, and which were the newest before.
+    /// Whether the age limit and the previous version of the newest publication of every model are
+    /// known.
     pub fn knows_ages(
         &self,
         now: Micros,
@@ -192,12 +191,12 @@
         self.named.iter().all(newest)
     }
 
-    /// Takes that an engine has some weights; true where they count as named from
-    /// now on. Engines load only what was named, but the row that names it may have
-    /// gone back: an older naming can be carried out after a newer one.
+    /// Records that an engine has some weights. Returns true if they count as published from now
+    /// on. Engines load only published weights, but the row may have been set back: an older
+    /// publication can be carried out after a newer one.
     ///
-    /// `proven_at` is when the last reading of the rows was sent. When it was named
-    /// is not known then, so no parts of older versions are fetched any more.
+    /// `proven_at` is the send time of the last read of the rows. The time of the publication is
+    /// unknown in this case, so no parts of older versions are fetched any more.
     pub fn engine_has(
         &mut self,
         model: &str,
@@ -216,8 +215,9 @@
 
     /// Whether a part made under a version may still be fetched from stores.
     ///
-    /// They are freed some time after newer weights are named, whatever this box
-    /// has heard of it, so what counts is when it last knew of none.
+    /// Other boxes free parts some time after newer weights are published, whether or not this box
+    /// has read of it. The time therefore counts from when this box last knew that there were
+    /// none.
     pub fn may_fetch(
         &self,
         model: &str,
@@ -233,11 +233,13 @@
         known.is_some_and(|at| now.since(at) < fetch_life(part))
     }
 
-    /// What becomes of a part made under a version. It may be freed once no box tells an
-    /// engine to fetch it, and those that were told have proven that they are done.
+    /// Whether a part made under a version is still fetched, held or over. It may be freed once no
+    /// box tells an engine to fetch it, and the engines that were told have proven that their
+    /// fetches are over.
     ///
-    /// `reads_over_ms` tells for what time they have ([`super::ReadProofs::over_until_ms`]),
-    /// `clock_ms` is a time on the engines' clock that is not over at `now`.
+    /// `reads_over_ms` is the time for which they have proven it
+    /// ([`super::ReadProofs::over_until_ms`]); `clock_ms` is an upper bound of the engines' clock
+    /// at `now`.
     pub fn fate(
         &self,
         model: &str,
@@ -255,7 +257,8 @@
             return PartFate::Fetched;
         }
         let past = now.since(over_at);
-        // A box that knows nothing of the time before does not know who was told.
+        // A box that does not know the time before the publication does not know which engines
+        // were told to fetch.
         let knows_told = naming.not_yet.is_some();
         let over_ms = clock_ms.map(|clock| clock.saturating_sub(past.as_millis()));
         let is_proven = over_ms.is_some_and(|over| reads_over_ms > over);
@@ -274,7 +277,7 @@
         self.namings.range(later).next().map(|(_, naming)| naming)
     }
 
-    /// The newest version named of a model.
+    /// Newest published version of a model.
     pub fn named(
         &self,
         model: &str,
@@ -282,8 +285,7 @@
         self.named.get(model).copied()
     }
 
-    /// Longest time for which the newest weights of a model may have been named, where
-    /// that is known.
+    /// Longest time for which the newest weights of a model can have been published, if known.
     pub fn named_age(
         &self,
         model: &str,
@@ -294,7 +296,7 @@
         naming.age(now)
     }
 
-    /// All named weights.
+    /// All published weights.
     pub fn all_named(&self) -> impl Iterator<Item = (&str, u64)> {
         self.named
             .iter()
