--- a/core/src/serving/store_position.rs
+++ b/core/src/serving/store_position.rs
@@ -23,7 +23,7 @@
 
 /// Positions of two eras were compared.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
-#[error("versions of eras {0} and {1} of the platform's store say nothing of each other")]
+#[error("cannot compare store versions of different eras ({0} and {1})")]
 pub struct EraMismatch(pub u64, pub u64);
 
 impl StorePosition {
--- a/core/tests/order_rights.rs
+++ b/core/tests/order_rights.rs
@@ -1,7 +1,9 @@
-//! Who gives one engine its orders: the process beside it, and fronts where nobody stands there.
+//! Exclusive right to give orders to one engine, held by the process beside it or, if there is
+//! none, by a front.
 //!
-//! Generated orders of looks, writes with lost answers, late writes, standstills, restarts and
-//! copies of the store are played with the very decisions; engines note what reaches them.
+//! Generated sequences of checks, writes with lost answers, delayed writes, pauses, restarts and
+//! restores of the store are run against the production state machine; the simulated engine
+//! records the orders that it receives.
 
 use {
     pitchhitch_core::{
@@ -11,51 +13,51 @@
     proptest::{prelude::*, strategy::ValueTree},
 };
 
-/// Gap that engines are owed between orders of two boxes.
+/// Gap that engines require between orders of two boxes.
 const GAP: Micros = Micros::from_millis(3_000);
-/// Time between two steps of the play.
+/// Time between two steps of the simulation.
 const STEP: Micros = Micros::from_millis(100);
-/// Longest way of an order.
+/// Longest time that an order is in transit.
 const WAY: Micros = Micros::from_millis(200);
 
-/// What one process does in a step.
+/// Action of one process in a step.
 #[derive(Debug, Clone, Copy)]
 enum Deed {
-    /// Reads the row, and gives an order where it may.
+    /// Reads the row, and gives an order if allowed.
     Order,
-    /// Reads the row, and takes the right where somebody else has it.
+    /// Reads the row, and takes the right if another process holds it.
     Take,
-    /// The same, and the answer to the write gets lost.
+    /// Like `Take`, but the answer to the write is lost.
     TakeUnanswered,
-    /// The same, and the write is done later.
+    /// Like `Take`, but the write is carried out later.
     TakeLate,
-    /// Reads the row, and stands still before it acts by that.
+    /// Reads the row, and is paused before it acts on it.
     Freeze,
-    /// Starts anew.
+    /// Restarts without state.
     Restart,
-    /// Nothing.
+    /// Does nothing.
     Rest,
 }
 
-/// What happens in a step.
+/// Event of a step.
 #[derive(Debug, Clone, Copy)]
 enum Event {
     Does(usize, Deed),
-    /// The store keeps a copy.
+    /// The store takes a snapshot.
     Copy,
-    /// The store comes back from it.
+    /// The store is restored from the snapshot.
     ComeBack,
     /// Some time passes.
     Pass(u64),
 }
 
-/// A variant of the rules, to show that the play sees what breaks them.
+/// Variant of the rules, to show that the simulation detects violations.
 #[derive(Debug, Clone, Copy, PartialEq)]
 enum Variant {
     Sound,
-    /// A process goes on without a look at the row.
+    /// A process gives orders without checking the row.
     Unchecked,
-    /// Numbers are versions alone.
+    /// Fencing tokens are versions without the era.
     EraIgnored,
 }
 
@@ -85,7 +87,7 @@
         }
     }
 
-    /// Replaces the row where it has this version still; its new position.
+    /// Replaces the row if it still has the expected version; returns its new position.
     fn replace(
         &mut self,
         expected: u64,
@@ -103,11 +105,11 @@
 struct Process {
     name: String,
     right: OrderRight,
-    /// A right that is acted on after a standstill.
+    /// State that a paused process acts on when it resumes.
     frozen: Option<OrderRight>,
 }
 
-/// An order as the engine got it.
+/// An order as received by the engine.
 #[derive(Debug, Clone, PartialEq)]
 struct Got {
     at: Micros,
@@ -201,7 +203,7 @@
         let now = self.now;
         let name = self.processes[process].name.clone();
         if let Some(frozen) = self.processes[process].frozen.take() {
-            // It wakes and goes by what it had read.
+            // The process resumes and acts on the row that it had read.
             self.give(process, &frozen);
         }
         match deed {
@@ -263,17 +265,17 @@
         });
     }
 
-    /// What an engine is owed of those that give it orders.
+    /// Checks the guarantees that an engine has; returns the first violation.
     fn broken(&self) -> Option<String> {
         for (one, next) in self.got.iter().zip(self.got.iter().skip(1)) {
             if next.number < one.number {
-                return Some(format!("numbers fall: {one:?}, {next:?}"));
+                return Some(format!("fencing tokens decrease: {one:?}, {next:?}"));
             }
             if one.holder != next.holder && one.number == next.number {
-                return Some(format!("two share a number: {one:?}, {next:?}"));
+                return Some(format!("two boxes share a token: {one:?}, {next:?}"));
             }
             if one.holder != next.holder && next.at.since(one.at) < GAP {
-                return Some(format!("turns inside the gap: {one:?}, {next:?}"));
+                return Some(format!("orders within the gap: {one:?}, {next:?}"));
             }
         }
         None
@@ -321,7 +323,8 @@
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(2_000))]
 
-    /// Numbers never fall and are never shared, and two boxes are never closer than the gap.
+    /// Fencing tokens never decrease and are never shared, and orders of two boxes are at least
+    /// the gap apart.
     #[test]
     fn one_giver(events in events()) {
         let mut play = Play::new(Variant::Sound);
@@ -330,15 +333,17 @@
     }
 }
 
-/// The play sees a process that does not look before it acts, and numbers without eras.
+/// The simulation detects a process that does not check the row before it acts, and tokens without
+/// the era.
 #[test]
 fn variants_fail() {
     assert!(is_seen(Variant::Unchecked, 2_000), "unchecked");
     assert!(is_seen(Variant::EraIgnored, 2_000), "era ignored");
-    assert!(!is_seen(Variant::Sound, 2_000), "sound");
+    assert!(!is_seen(Variant::Sound, 2_000), "correct");
 }
 
-/// Each holder waits, also the first one: a copy may have lost who had the right before.
+/// Each new holder waits, also the first one: a restored snapshot may lack the row of the previous
+/// holder.
 #[test]
 fn takes_over_late() {
     let mut play = Play::new(Variant::Sound);
@@ -352,7 +357,7 @@
     assert_eq!(
         play.got.len(),
         1,
-        "the old one has lost it, the new one waits"
+        "the old holder has lost it, the new one waits"
     );
     play.play(&[Event::Pass(40), front(Deed::Order)]);
     assert_eq!(play.got.len(), 2);
--- a/core/tests/read_proofs.rs
+++ b/core/tests/read_proofs.rs
@@ -1,4 +1,4 @@
-//! Parts are freed only once no engine that was told of them can still read them.
+//! Parts are freed only once no engine that was told to fetch them can still read them.
 
 use {
     pitchhitch_core::{
@@ -22,7 +22,7 @@
     belief
 }
 
-/// Reports of an engine from one time on the engines' clock to another.
+/// Records reports of an engine between two times on the engines' clock.
 fn hear(
     reads: &mut ReadProofs,
     place: usize,
@@ -37,17 +37,17 @@
 #[test]
 fn awake_engines_prove() {
     let mut reads = ReadProofs::default();
-    assert_eq!(reads.over_until_ms("m", 1), u64::MAX, "there is nobody");
+    assert_eq!(reads.over_until_ms("m", 1), u64::MAX, "there is no engine");
     hear(&mut reads, 0, 10_000, 12_500);
-    assert_eq!(reads.over_until_ms("m", 1), 0, "it may just have woken");
+    assert_eq!(reads.over_until_ms("m", 1), 0, "it may just have resumed");
     hear(&mut reads, 0, 12_750, 13_000);
     assert_eq!(reads.over_until_ms("m", 1), 13_000);
     hear(&mut reads, 1, 10_000, 11_000);
-    assert_eq!(reads.over_until_ms("m", 1), 0, "each must prove it");
+    assert_eq!(reads.over_until_ms("m", 1), 0, "every engine must prove it");
     assert_eq!(reads.last_proven("m", 1), vec![engine(1)]);
 }
 
-/// An engine that starts again may have older weights, and fetch for them.
+/// A restarted engine may have older weights and fetch parts for them.
 #[test]
 fn restart_proves_nothing() {
     let mut reads = ReadProofs::default();
@@ -62,7 +62,7 @@
     assert_eq!(
         reads.over_until_ms("m", 1),
         13_000,
-        "the first has newer ones"
+        "the first has newer weights"
     );
     reads.restarted(engine(0), at(13_000));
     assert_eq!(reads.over_until_ms("m", 1), 0);
@@ -70,7 +70,7 @@
     assert_eq!(
         reads.over_until_ms("m", 1),
         0,
-        "it has not been awake for long"
+        "it has not run for long enough"
     );
     hear(&mut reads, 0, 15_250, 16_000);
     assert_eq!(
@@ -80,7 +80,7 @@
     );
 }
 
-/// A fetch that was under way when the engine stood still goes on when it wakes.
+/// A fetch that was in progress when the engine was paused continues after it resumes.
 #[test]
 fn gap_begins_anew() {
     let mut reads = ReadProofs::default();
@@ -90,7 +90,7 @@
     assert_eq!(reads.over_until_ms("m", 1), 13_000);
     hear(&mut reads, 0, woken + 3_000, woken + 3_000);
     assert_eq!(reads.over_until_ms("m", 1), woken + 3_000);
-    // What lay on the way while the box stood still comes late and proves nothing.
+    // Reports that were delayed by a pause of the box arrive late and prove nothing.
     hear(&mut reads, 0, 11_000, 12_000);
     reads.heard(engine(0), None, at(1));
     assert_eq!(reads.over_until_ms("m", 1), woken + 3_000);
@@ -108,18 +108,18 @@
     assert_eq!(
         know(std::slice::from_ref(&unknown), 1),
         0,
-        "told who knows what"
+        "it may have been told to fetch"
     );
     assert_eq!(know(&[belief(2)], 1), u64::MAX);
     assert_eq!(know(&[belief(2)], 2), 0);
-    // Two follow each other at an address: the one before may still fetch.
+    // Two engines follow each other at an address: the earlier one may still fetch.
     assert_eq!(know(&[belief(2), belief(1)], 1), 0);
     assert_eq!(know(&[belief(2), unknown], 1), 0);
     reads.forget(engine(0));
     assert_eq!(reads.over_until_ms("m", 2), u64::MAX);
 }
 
-/// Engines that ended long ago must not hold parts up at each naming.
+/// Engines that ended long ago must not delay the freeing of parts at each publication.
 #[test]
 fn ended_engines_forgotten() {
     let mut reads = ReadProofs::default();
@@ -130,8 +130,8 @@
     assert_eq!(reads.over_until_ms("m", 1), u64::MAX);
 }
 
-/// Who is silent for good must not fill the stores for good; who does not know what
-/// was told before its own time waits as long.
+/// An engine that never reports again must not keep the stores full for good; a box that does not
+/// know what engines were told before it started waits for as long.
 #[test]
 fn held_a_minute() {
     let part = PartId::parse("aa").expect("hex");
--- a/core/tests/store_clock.rs
+++ b/core/tests/store_clock.rs
@@ -1,4 +1,4 @@
-//! From when on an answer of the platform's store proves what was in force.
+//! Earliest time for which an answer of the platform store proves the content.
 
 use {
     pitchhitch_core::{serving::StoreClock, time::Micros},
@@ -13,7 +13,7 @@
 fn held_answer_dated() {
     let mut clock = StoreClock::default();
     assert_eq!(clock.proof_time(ms(100), Some(7_002), ms(104)), ms(100));
-    // Held for a second: it proves what was in force a moment before it came.
+    // Held for a second: the answer proves the content a moment before it arrived.
     let proven = clock.proof_time(ms(105), Some(8_007), ms(1_109));
     assert!(proven >= ms(1_100) && proven <= ms(1_107), "{proven:?}");
 }
@@ -33,15 +33,14 @@
     assert_eq!(clock.proof_time(ms(105), Some(8_007), ms(1_109)), ms(105));
 }
 
-/// One question: pause before it, the way to the store, the hold there, the way back, in
-/// milliseconds.
+/// One request, in milliseconds: pause before it, time to the store, hold there, time back.
 fn question() -> impl Strategy<Value = (u64, u64, u64, u64)> {
     (0..40_000u64, 0..400u64, 0..2_000u64, 0..3_000u64)
 }
 
 proptest! {
-    /// Whatever the ways, holds and standstills: never later than the store gave the answer, by
-    /// more than its clock may have drifted, and never before the question.
+    /// For any transit times, holds and pauses: the result is never later than the answer by more
+    /// than the drift of the store's clock, and never before the request.
     #[test]
     fn never_too_late(
         questions in proptest::collection::vec(question(), 1..60),
--- a/core/tests/store_eras.rs
+++ b/core/tests/store_eras.rs
@@ -1,9 +1,10 @@
-//! What fronts believe of a configuration while the platform's store comes back from copies.
+//! What fronts know of a configuration while the platform store is restored from snapshots.
 //!
-//! Generated orders of readings, late answers, changes, copies, restarts and questions to each
-//! other are played with the very decisions. Three rules are checked: within one life no
-//! configuration goes back; nobody is let in by keys that were taken away longer ago than the
-//! limit; and all know the newest configuration soon after the last trouble.
+//! Generated sequences of reads, late answers, changes, snapshots, restores, restarts and requests
+//! between fronts are run against the production state machines. Three rules are checked: a
+//! configuration never goes back within one incarnation of a front; no caller is admitted by keys
+//! that were revoked longer ago than the limit; and all fronts know the newest configuration soon
+//! after the last disturbance.
 
 use {
     pitchhitch_core::{
@@ -13,43 +14,43 @@
     proptest::{prelude::*, strategy::ValueTree, test_runner::TestRunner},
 };
 
-/// Age up to which knowledge of keys counts.
+/// Age up to which the known keys are accepted.
 const LIMIT: Micros = Micros::from_millis(5_000);
-/// Time from the store's return until the operator has written again what it lost, at most.
+/// Longest time from the restore of the store until the operator has rewritten what was lost.
 const OPERATOR_AGAIN: Micros = Micros::from_millis(2_000);
 const STEP: Micros = Micros::from_millis(100);
 const FRONTS: usize = 3;
 
-/// What happens in a step.
+/// Event of a step.
 #[derive(Debug, Clone, Copy)]
 enum Event {
-    /// A front sends a question; the store answers as of now.
+    /// A front sends a request; the store answers with its current content.
     Ask(usize),
     /// The answer arrives.
     Hear(usize),
-    /// A front asks another one what it knows.
+    /// A front asks another one for its configuration.
     Peer(usize, usize),
     Restart(usize),
-    /// The operator takes a key away.
+    /// The operator revokes a key.
     Revoke,
-    /// Other writers make changes.
+    /// Other writers change rows.
     Others(u64),
     Copy,
     ComeBack,
     Pass(u64),
 }
 
-/// A variant of the rules, to show that the play sees what breaks them.
+/// Variant of the rules, to show that the simulation detects violations.
 #[derive(Debug, Clone, Copy, PartialEq)]
 enum Variant {
     Sound,
-    /// Positions are versions alone.
+    /// Positions are versions without the era.
     EraIgnored,
-    /// A reading proves what is in force right after the store's return.
+    /// A read proves the current content right after a restore.
     Undoubted,
-    /// Who has just started vouches for what it read.
+    /// A front that has just started confirms what it read.
     AllVouch,
-    /// Who has just started renews what others know.
+    /// A front that has just started refreshes what others know.
     AllRenew,
 }
 
@@ -61,13 +62,13 @@
     config: (u64, u64),
 }
 
-/// An answer of the store: its position, and the configuration where it tells one.
+/// Answer of the store: its position, and the configuration if it is included.
 #[derive(Debug, Clone, Copy)]
 struct Answer {
     position: StorePosition,
     config: Option<u64>,
     is_refused: bool,
-    /// Whether the operator had not written again yet what the store lost.
+    /// Whether the operator had not yet rewritten what the store lost.
     is_lacking: bool,
     sent_at: Micros,
 }
@@ -103,8 +104,8 @@
     config: Option<u64>,
     proven_era: Option<StoreEra>,
     under_way: Option<Answer>,
-    /// Whether what it knows comes from a copy that the operator had not written to again, and
-    /// that nobody could tell from what was there before.
+    /// Whether the known configuration comes from a restored snapshot that the operator had not
+    /// yet rewritten, and that no front could tell from the content before it.
     is_blind: bool,
 }
 
@@ -127,10 +128,10 @@
     now: Micros,
     store: Store,
     copy: Store,
-    /// Newest configuration that the operator has written, and when.
+    /// Newest configuration that the operator has written.
     newest: u64,
     revoked_at: Vec<Micros>,
-    /// When the operator writes again, after a return; when it last did.
+    /// When the operator rewrites after a restore, and when it last did.
     writes_at: Option<Micros>,
     written_at: Micros,
     fronts: Vec<Front>,
@@ -260,14 +261,14 @@
         front.config = front.config.max(Some(config));
     }
 
-    /// The first rule that does not hold, if any.
+    /// First violated rule, if any.
     fn broken(
         &self,
         before: &[Option<u64>],
     ) -> Option<&'static str> {
         for (front, before) in self.fronts.iter().zip(before) {
             if front.config < *before {
-                return Some("a configuration went back within one life");
+                return Some("a configuration went back within one incarnation");
             }
             let Some(config) = front.config.filter(|_| front.trust.lets_in(self.now)) else {
                 continue;
@@ -281,13 +282,13 @@
                 false => *revoked_at,
             };
             if self.now.since(since) >= LIMIT {
-                return Some("a key that was taken away was served for too long");
+                return Some("a revoked key was accepted for too long");
             }
         }
         None
     }
 
-    /// The first rule that does not hold in a play.
+    /// Runs the events; returns the first violated rule.
     fn run(
         mut self,
         events: &[Event],
@@ -314,7 +315,7 @@
         };
         match self.fronts.iter().all(is_settled) {
             true => None,
-            false => Some("not all know the newest configuration in the end"),
+            false => Some("not all fronts know the newest configuration in the end"),
         }
     }
 }
@@ -335,7 +336,7 @@
     prop::collection::vec(event, 1..160)
 }
 
-/// Cases until a broken variant is found.
+/// Runs up to `cases` generated cases; returns the first violation found.
 fn found_within(
     variant: Variant,
     cases: usize,
--- a/core/tests/store_proofs.rs
+++ b/core/tests/store_proofs.rs
@@ -1,4 +1,4 @@
-//! What several fronts have read at the platform's store, as one of them hears it.
+//! Reads of the platform store by several fronts, as reported to one of them.
 
 use {
     pitchhitch_core::{
@@ -41,17 +41,17 @@
     }
 }
 
-/// One front alone, or one that tells alone, may lie, stand still or be behind.
+/// A single front, or a single reporting process, may be wrong, paused or out of date.
 #[test]
 fn two_witnesses() {
     let mut book = ProofBook::default();
     book.hear(&proof(1, MARK), 10, at(500));
     book.hear(&proof(1, MARK), 11, at(600));
-    assert_eq!(book.witnessed(MARK), None, "one front, two tellers");
+    assert_eq!(book.witnessed(MARK), None, "one front, two reporters");
     let mut book = ProofBook::default();
     book.hear(&proof(1, MARK), 10, at(500));
     book.hear(&proof(2, MARK), 10, at(600));
-    assert_eq!(book.witnessed(MARK), None, "two fronts, one teller");
+    assert_eq!(book.witnessed(MARK), None, "two fronts, one reporter");
     book.hear(&proof(2, MARK), 11, at(400));
     assert_eq!(book.witnessed(MARK), Some(at(400)), "the older one counts");
     book.hear(&proof(3, MARK + 1), 12, at(700));
@@ -60,7 +60,7 @@
     assert_eq!(book.other_since(MARK, at(700)), None);
 }
 
-/// However often one front or one teller speaks, the others' words stay.
+/// Proofs of other fronts are kept however often one front or one process reports.
 #[test]
 fn talkers_push_nobody_out() {
     let mut book = ProofBook::default();
@@ -77,7 +77,8 @@
 }
 
 proptest! {
-    /// Whatever is told in whatever order: two different fronts and tellers stand behind it.
+    /// For any reports in any order: two different fronts and two different reporting processes
+    /// stand behind a confirmed read.
     #[test]
     fn witnesses_differ(
         words in proptest::collection::vec((0u32..4, 0u32..4, 0u32..2, 0u64..1_000), 0..30),
@@ -97,7 +98,7 @@
     }
 }
 
-/// Few fronts all read; of many some do, whoever they are.
+/// All fronts of a small fleet read; in a large one a few do, whichever they are.
 #[test]
 fn readers_drawn() {
     for fronts in 1..=3 {
@@ -114,7 +115,8 @@
     assert!(ReaderTier::Second.patience() < ReaderTier::Last.patience());
 }
 
-/// What one process pays a second stays bounded, up to where reports would be too old.
+/// The reports that one process sends per second stay bounded, up to the fleet size at which they
+/// would be too old.
 #[test]
 fn telling_paced() {
     assert_eq!(digest_pause(3), at(45));
@@ -150,7 +152,7 @@
     assert_ne!(one.number(), other.number());
 }
 
-/// Versions of two eras have no order, and those of one do.
+/// Versions of one era are ordered, those of two eras are not.
 #[test]
 fn eras_apart() {
     assert_eq!(position(1, 2).compare(position(1, 3)), Ok(Ordering::Less));
@@ -160,8 +162,8 @@
     assert!(!position(1, 5).is_told_after(position(1, 5)));
 }
 
-/// A reading of a copy proves nothing until those who write there had their time, unless
-/// somebody else has proven it in this era.
+/// A read of a restored snapshot proves nothing until the writers have had time to rewrite, unless
+/// another process has proven the content in this era.
 #[test]
 fn copy_doubted() {
     let mut eras = EraWatch::default();
@@ -183,8 +185,8 @@
     assert!(eras.proves(at(1_300)));
 }
 
-/// A process that starts goes by the first answer, unless another process knew an earlier era,
-/// before it or after.
+/// A process that starts accepts the first answer, unless another process knew an earlier era,
+/// reported before the answer or after it.
 #[test]
 fn start_on_copy() {
     let mut eras = EraWatch::default();
@@ -194,11 +196,11 @@
     let mut eras = EraWatch::default();
     eras.note(StoreEra(2), at(500));
     assert!(eras.proves(at(500)));
-    assert!(eras.vouch(StoreEra(1), at(600)), "read before it was told");
+    assert!(eras.vouch(StoreEra(1), at(600)), "read before the report");
     assert!(!eras.proves(at(600)));
 }
 
-/// What two others have read counts for keys as an own reading does.
+/// The reads of two other boxes count for keys as an own read does.
 #[test]
 fn witnessed_keys() {
     let mut trust = KeyTrust::new(at(4_000), KeyPolicy::FailClosed);
--- a/core/tests/store_view.rs
+++ b/core/tests/store_view.rs
@@ -1,4 +1,4 @@
-//! What is known of stores of kept parts, and how long it may be gone by.
+//! Views of the stores of cached parts, and how long they may be used.
 
 use pitchhitch_core::{
     serving::{
@@ -45,8 +45,8 @@
     assert_eq!(view.fetch_until_ms(START + VIEW_LIFE), None);
 }
 
-/// A view is stale where the last answer is too old, not where the store has told
-/// no clock: whoever asks at once for that would never stop.
+/// A view is stale if the last answer is too old, not if the store has reported no clock: a box
+/// that polls at once for a missing clock would never stop.
 #[test]
 fn age_makes_stale() {
     let mut view = StoreView::new(store(1, 1_000));
@@ -79,8 +79,8 @@
     assert_eq!(view.parts.tokens_of(WALL, id), 0);
 }
 
-/// Between a restart and the end of every older view nothing is saved: a part
-/// that is being written must not be fetched by a box that takes it for whole.
+/// Nothing is saved between a restart and the expiry of every older view: a part that is being
+/// written must not be fetched by a box that takes it for complete.
 #[test]
 fn saves_wait_out_views() {
     assert!(SAVE_AFTER > VIEW_LIFE);
@@ -103,7 +103,7 @@
     view.set(WALL, part("aa", 1).id, 900);
     assert!(view.takes(60, later) && !view.takes(61, later));
     view.saving(WALL, part("bb", 1).id, 50, later);
-    assert!(!view.takes(60, later), "what is on its way counts");
+    assert!(!view.takes(60, later), "pending saves count");
     view.set(WALL, part("bb", 1).id, 50);
     assert!(view.takes(10, later) && !view.takes(11, later));
 }
@@ -125,15 +125,15 @@
     }
     let parts = [part("aa", 500), part("bb", 8_000), part("cc", 900)];
     let saves = map.plan_saves(WALL, &parts, &|_| true, later);
-    assert_eq!(saves.len(), 2, "the last part never comes back");
+    assert_eq!(saves.len(), 2, "the last part is never reused");
     assert!(saves.iter().all(Option::is_some));
     let again = map.plan_saves(WALL, &parts, &|_| true, later);
-    assert!(again.iter().all(Option::is_none), "it is on its way");
+    assert!(again.iter().all(Option::is_none), "the save is pending");
 }
 
-/// Parts return all the time, and links, not room, end what stores can give: most go
-/// to the quick store while it has room. Of the time that the links take for one
-/// fetch of each, the slow one has less than two thirds.
+/// Parts are reused all the time, and links rather than capacity limit what stores can deliver:
+/// most parts go to the fast store while it has space. Of the link time for one fetch of each
+/// part, the slow store takes less than two thirds.
 #[test]
 fn quick_links_first() {
     let quick = KvStore {
@@ -158,12 +158,12 @@
     for number in 0..90 {
         let parts = [part(&format!("{number:x}"), 9_000), part("ffff", 100)];
         let saves = map.plan_saves(WALL, &parts, &|_| true, later);
-        let address = saves[0].expect("there is room");
+        let address = saves[0].expect("there is space");
         let place = usize::from(address == slow.address);
         saved_quick += 1 - place;
         link_ms[place] += move_ms(9_000 * 18_432, [&quick, &slow][place].link_mbps);
     }
-    assert!(saved_quick > 50, "{saved_quick} of 90 at the quick store");
+    assert!(saved_quick > 50, "{saved_quick} of 90 at the fast store");
     assert!(link_ms[1] < 2.0 * link_ms[0], "{link_ms:?}");
 }
 
@@ -207,8 +207,8 @@
     assert_eq!(WallName::parse("9c41d07be2a35f68"), None);
 }
 
-/// Few fronts are told of changes at once. Many take half of the calls that a
-/// store holds, and still ask often enough for what they know to live.
+/// A few fronts learn of changes at once. Many use half of the calls that a store holds, and still
+/// poll often enough for their views to stay valid.
 #[test]
 fn held_calls_suffice() {
     for fronts in 1..400 {
--- a/core/tests/swap_planner.rs
+++ b/core/tests/swap_planner.rs
@@ -1,4 +1,4 @@
-//! New weights: whose turn it is to load, what may be fetched and freed.
+//! New weights: which engines load them when, and which parts may be fetched and freed.
 
 use {
     pitchhitch_core::{
@@ -11,7 +11,7 @@
     proptest::prelude::*,
 };
 
-/// For how long requests begin on weights that are replaced.
+/// Time for which requests may begin on replaced weights.
 const LIMIT: Micros = Micros::from_millis(9_500);
 
 fn at(millis: u64) -> Micros {
@@ -78,8 +78,8 @@
         .learn("m", version);
 }
 
-/// Whose entry only went may load once it is heard, with the others as many at once as
-/// ever; one that said that it leaves, or that nobody hears, may not.
+/// An unlisted engine may load once it reports, with as many concurrent loads as before; one that
+/// announced that it leaves, or that does not report, may not.
 #[test]
 fn away_engines_load() {
     let mut book = book(4, 0, at(0));
@@ -100,8 +100,8 @@
     assert_eq!(loading(&book, &planner), told);
 }
 
-/// Engines that may serve nothing until they have newer weights load twice as many at
-/// once; those that still serve go over few at a time.
+/// Engines that may serve nothing until they have newer weights load twice as many at once;
+/// engines that still serve change over a few at a time.
 #[test]
 fn overdue_load_together() {
     let mut book = book(40, 0, at(0));
@@ -110,7 +110,7 @@
     assert_eq!(
         planner.plan(&book, LIMIT, at(9_000)).len(),
         0,
-        "not heard lately"
+        "no recent report"
     );
     hear(&mut book, at(9_000));
     assert_eq!(planner.plan(&book, LIMIT, at(9_000)).len(), 8);
@@ -146,8 +146,8 @@
     assert_eq!(rounds, 5);
 }
 
-/// Two at once took too long for fifty-four: half of them were past their time
-/// when twelve seconds were over (first run of the grown site).
+/// With two loads at once in a group of 54 engines, half of the engines still had expired weights
+/// after 12 s.
 #[test]
 fn loads_grow_with_group() {
     for (engines, at_once) in [(3, 2), (9, 2), (15, 3), (54, 10)] {
@@ -172,12 +172,12 @@
     assert_eq!(
         planner.plan(&book, LIMIT, at(1_700)).len(),
         2,
-        "but not for ever"
+        "but not without limit"
     );
 }
 
-/// Turns given for version 2 blocked version 3 until they ran out: no order was
-/// given for seconds (quiet day, second 25.6 to 28.3).
+/// Turns given for version 2 blocked version 3 until they timed out, so that no order was given
+/// for 2.7 s.
 #[test]
 fn newer_naming_overtakes() {
     let book = book(4, 0, at(0));
@@ -240,8 +240,8 @@
     assert_eq!(planner.stage(key), SwapStage::Loading);
 }
 
-/// A request began on version 1 more than 12 s after version 2 was acknowledged:
-/// it had waited at its engine.
+/// A request that had waited at its engine began on version 1 more than 12 s after version 2 was
+/// acknowledged.
 #[test]
 fn old_weights_expire() {
     let mut planner = SwapPlanner::default();
@@ -251,7 +251,7 @@
     assert!(!allows(10_401));
 }
 
-/// What becomes of a part of version 1 where engines prove all that they can.
+/// Reclaim state of a part of version 1 if engines prove all that they can.
 fn fate(
     planner: &SwapPlanner,
     part: PartId,
@@ -260,8 +260,8 @@
     planner.fate("m", 1, part, u64::MAX, Some(time), at(time))
 }
 
-/// While engines go over to newer weights, parts of the older ones are fetched
-/// less and less, and freed as room is needed.
+/// While engines change over to newer weights, fewer and fewer parts of the older ones are
+/// fetched, and parts are freed as space is needed.
 #[test]
 fn old_parts_fetched_on() {
     let mut planner = SwapPlanner::default();
@@ -277,24 +277,24 @@
     assert_eq!((fetched(16_000), freed(19_400)), (0, 300));
 }
 
-/// Engines have weights that the store's row no longer names, as an older naming
-/// was carried out after the newer one; a box that starts sees only the older.
+/// Engines have weights that the store's row no longer names, as an older publication was carried
+/// out after the newer one; a box that starts sees only the older version.
 #[test]
 fn engines_outlive_row() {
     let mut planner = SwapPlanner::default();
     planner.name("m", 3, None, at(0));
     assert!(!planner.engine_has("m", 4, None, at(100)));
-    // A reading from before the engine was seen proves nothing.
+    // A read sent before the engine was seen proves nothing.
     assert!(!planner.engine_has("m", 4, Some(at(90)), at(2_000)));
     assert_eq!(planner.named("m"), Some(3));
     assert!(planner.engine_has("m", 4, Some(at(1_700)), at(2_000)));
     assert_eq!(planner.named("m"), Some(4));
-    // Nobody knows since when others free parts of the older ones.
+    // It is unknown when other boxes began to free parts of the older versions.
     let part = PartId::parse("a1").expect("hex");
     assert!(!planner.may_fetch("m", 3, part, Some(at(1_900)), at(2_000)));
 }
 
-/// An engine that is quicker than this box's reading of the row changes nothing.
+/// An engine that loads new weights before this box reads the row changes nothing.
 #[test]
 fn row_is_waited_for() {
     let mut planner = SwapPlanner::default();
@@ -309,8 +309,8 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 2_000, ..ProptestConfig::default() })]
 
-    /// Whatever two boxes know of a naming and when, what one still fetches the
-    /// other does not free before the fetch is over.
+    /// Whatever two boxes know of a publication and when, one does not free a part before a fetch
+    /// by the other is over.
     #[test]
     fn fetch_and_free_apart(
         named_at in 1_000u64..20_000,
--- a/core/tests/told_store/mod.rs
+++ b/core/tests/told_store/mod.rs
@@ -1,4 +1,4 @@
-//! One store whose lives are told.
+//! A store whose incarnation is reported by other boxes.
 
 #![allow(dead_code)]
 
--- a/core/tests/weight_bounds.rs
+++ b/core/tests/weight_bounds.rs
@@ -1,4 +1,5 @@
-//! Which weights a request may begin on, whatever a box knows of namings and engines.
+//! Versions of weights on which a request may begin, for any knowledge of publications and
+//! engines.
 
 use {
     pitchhitch_core::{
@@ -9,7 +10,7 @@
 };
 
 const LIMIT: Micros = Micros::from_secs(9);
-/// Time that a box without knowledge takes to ask others.
+/// Time in milliseconds that a box without knowledge takes to ask others.
 const ASKS_FOR: u64 = TELL_LIMIT.0 / 1_000;
 
 fn at(millis: u64) -> Micros {
@@ -36,8 +37,8 @@
     planner.bounds("m", LIMIT, at(time)).oldest
 }
 
-/// Nobody knows for how long weights have been named that were named before this box
-/// started: they count as named for too long once others had the time to tell.
+/// The age of weights published before this box started is unknown: they count as expired once
+/// other boxes have had time to report it.
 #[test]
 fn untold_counts_old() {
     let mut planner = SwapPlanner::default();
@@ -52,7 +53,7 @@
     assert_eq!(oldest(&planner, 5_201), Some(2));
 }
 
-/// Each that tells knows an upper bound, so the least one holds.
+/// Every reported age is an upper bound, so the smallest one holds.
 #[test]
 fn least_age_holds() {
     let mut planner = SwapPlanner::default();
@@ -65,13 +66,13 @@
     assert_eq!(planner.named_age("other", at(2_500)), None);
 }
 
-/// An engine may have weights from before the naming before the newest one.
+/// An engine may have weights from before the second newest publication.
 #[test]
 fn older_namings_told() {
     let mut planner = SwapPlanner::default();
     planner.name("m", 3, None, at(100));
     planner.tell(&told(3, Some(2), Some(at(600))), at(200), at(200));
-    // Nobody tells when 2 was named: what is older counts as too old.
+    // No box reports when 2 was published: older versions count as expired.
     assert_eq!(oldest(&planner, 101 + ASKS_FOR), Some(2));
     planner.tell(&told(2, Some(1), Some(at(3_000))), at(200), at(200));
     planner.tell(&told(1, None, None), at(200), at(200));
@@ -83,7 +84,7 @@
     assert_eq!(handed[1], told(2, Some(1), Some(at(3_000))));
 }
 
-/// Who does not know what was the newest before knows an age for the last step only.
+/// A box that does not know the version before the newest knows an age for the last step only.
 #[test]
 fn gap_keeps_age() {
     let mut planner = SwapPlanner::default();
@@ -96,8 +97,8 @@
     assert_eq!(oldest(&planner, 5_001 + ASKS_FOR), Some(2));
 }
 
-/// A stream that waits at an engine has until the first of the newer weights were named for
-/// the limit.
+/// A stream that waits at an engine may begin until the first newer weights have been published
+/// for the limit.
 #[test]
 fn time_to_begin() {
     let mut planner = SwapPlanner::default();
@@ -109,10 +110,10 @@
     assert_eq!(left(2, 5_000), Some(at(8_000)));
     assert_eq!(left(1, 5_000), Some(at(5_000)));
     assert_eq!(left(1, 20_000), Some(at(0)));
-    assert_eq!(left(0, 5_000), Some(at(4_000)), "as long as it is known");
+    assert_eq!(left(0, 5_000), Some(at(4_000)), "counts from when it was learned");
 }
 
-/// No naming is older than one that this box has read the absence of.
+/// A publication is at most as old as the last read of this box that did not show it.
 #[test]
 fn first_naming_seen() {
     let mut planner = SwapPlanner::default();
@@ -144,11 +145,10 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 4_000, ..ProptestConfig::default() })]
 
-    /// Versions are named one after the other. A box that has lived all the time reads the
-    /// rows, one that starts later reads them too and is told by the first at some times,
-    /// with answers that are looked at late. Once it had the time to ask, no request may
-    /// begin on a version that its readings show to have been replaced for longer than the
-    /// limit.
+    /// Versions are published one after the other. One box reads the rows from the beginning;
+    /// another starts later, reads them too, and receives reports of the first one, some of which
+    /// are processed late. Once it has had time to ask, no request may begin on a version that its
+    /// reads show to have been replaced for longer than the limit.
     #[test]
     fn never_too_old(
         gaps in proptest::collection::vec(1u64..12_000, 1..5),
@@ -161,7 +161,8 @@
         let named_at = |version: u64| gaps.iter().take(version as usize - 1).sum::<u64>();
         let versions = gaps.len() as u64 + 1;
         let newest_at = |time: u64| (1..=versions).rev().find(|v| named_at(*v) <= time).unwrap_or(1);
-        // What happens, in true time: the elder reads, the box reads, is told, is asked.
+        // Events in true time: the first box reads; the later box reads, requests a report, is
+        // queried.
         let mut steps: Vec<(u64, u8, u64)> = vec![(0, 0, 0)];
         steps.extend(elder_reads.iter().map(|time| (*time, 0, 0)));
         steps.extend(reads.iter().map(|time| (started + time, 1, 0)));
@@ -204,13 +205,13 @@
                             prop_assert!(!bounds.allows(Some(old)), "{} at {}", old, now);
                         }
                     }
-                    prop_assert!(bounds.allows(planner.named("m")), "the newest one");
+                    prop_assert!(bounds.allows(planner.named("m")), "the newest version");
                 }
             }
         }
     }
 
-    /// A box that reads often forbids nothing early.
+    /// A box that reads often does not reject versions too early.
     #[test]
     fn never_too_early(
         gaps in proptest::collection::vec(1u64..12_000, 1..5),
