--- a/agent/src/beside/beside_context.rs
+++ b/agent/src/beside/beside_context.rs
@@ -2,7 +2,7 @@
     super::{BesideMetrics, BesideSettings, FrontContacts, SentDigests, StateKeeper, StoreReads},
     pitchhitch_core::{
         serving::{
-            EndpointNotice, EngineLoad, LifeOrder, LifeWatch, ListedLife, PartId, ProofBook,
+            EndpointNotice, EngineLoad, LifeOrder, LifeWatch, ListedLife, PartId, ProofTracker,
             ProvenTable, SuspectBook, WallTag,
         },
         time::Micros,
@@ -87,7 +87,7 @@
     /// Pause between two digests, by how many fronts there are.
     pub digest_pause: Micros,
     /// What fronts have read at the platform's store, by table.
-    pub proofs: BTreeMap<ProvenTable, ProofBook>,
+    pub proofs: BTreeMap<ProvenTable, ProofTracker>,
     /// Whether one of them has come since the last digest.
     pub has_fresh_proofs: bool,
     /// Stores of kept parts that are read for all fronts.
--- a/agent/src/beside/digest_sender.rs
+++ b/agent/src/beside/digest_sender.rs
@@ -85,7 +85,7 @@
     for proof in &hello.proofs {
         let sent_at = now.since(age + proof.age);
         let book = state.proofs.entry(proof.table).or_default();
-        let is_news = book.hear(proof, proof.source, sent_at);
+        let is_news = book.record(proof, proof.source, sent_at);
         state.has_fresh_proofs |= is_news;
     }
 }
@@ -194,7 +194,7 @@
     let state = beside.state();
     let books = state.proofs.iter();
     books
-        .flat_map(|(table, book)| book.told(*table, PROOF_LIFE, now))
+        .flat_map(|(table, book)| book.to_forward(*table, PROOF_LIFE, now))
         .collect()
 }
 
--- a/agent/src/beside/order_giver.rs
+++ b/agent/src/beside/order_giver.rs
@@ -1,7 +1,7 @@
 use {
     super::{pause, BesideContext},
     pitchhitch_core::{
-        serving::{order_number, OrderRight, StorePosition},
+        serving::{fencing_token, OrderRight, StorePosition},
         time::Micros,
     },
     pitchhitch_http1::HttpClient,
@@ -54,7 +54,7 @@
         let outcome = send_order(&mut client, &engine_id, &order).await;
         note_order(&beside, &engine_id, &order, &outcome);
         if outcome.is_fenced_off() {
-            right.row_unknown();
+            right.on_row_unknown();
             continue;
         }
         pause(AFTER_ORDER).await;
@@ -94,7 +94,7 @@
             Ok(position) => {
                 log::info!(
                     event = "fence",
-                    number = order_number(position),
+                    number = fencing_token(position),
                     era = position.era.0,
                     version = position.version;
                     ""
@@ -102,7 +102,7 @@
                 return;
             }
             Err(error) => {
-                right.row_unknown();
+                right.on_row_unknown();
                 log_store(&error);
             }
         }
@@ -121,7 +121,7 @@
     let row = read_order_row(store, settings.engine).await?;
     let sent_at = beside.now();
     let taken = take_order_row(store, settings.engine, row.as_ref(), &settings.box_id).await?;
-    right.row_written(taken, sent_at, beside.now());
+    right.on_row_written(taken, sent_at, beside.now());
     Ok(taken)
 }
 
@@ -139,15 +139,15 @@
         Ok(row) => row,
         Err(error) => {
             log_store(&error);
-            return right.unread_number(now);
+            return right.unchecked_fencing_token(now);
         }
     };
     let holder = row.as_ref().map_or(String::new(), |row| row.holder.clone());
-    right.row_read(row, asked_at, now);
+    right.on_row_read(row, asked_at, now);
     if !right.is_held() {
         log::warn!(event = "order-right", outcome = "lost", holder = holder.as_str(); "");
     }
-    right.number(now)
+    right.fencing_token(now)
 }
 
 fn log_store(error: &StoreError) {
--- a/core/src/serving/begin_limits.rs
+++ b/core/src/serving/begin_limits.rs
@@ -2,7 +2,7 @@
 
 use {
     super::{
-        weight_namings::{versions_of, Naming},
+        weight_namings::{version_range, PublicationRecord},
         SwapPlanner, WeightBounds,
     },
     crate::time::Micros,
@@ -34,20 +34,20 @@
         limit: Micros,
         now: Micros,
     ) -> WeightBounds {
-        let namings = self.namings.range(versions_of(model));
-        let too_old = |((_, version), naming): (&(String, u64), &Naming)| {
-            if naming.is_over(limit, now) {
+        let namings = self.publications.range(version_range(model));
+        let too_old = |((_, version), naming): (&(String, u64), &PublicationRecord)| {
+            if naming.is_expired(limit, now) {
                 return Some(*version);
             }
             // Of versions before those that it replaced nothing is known, unless their
             // naming is known as well.
-            let after = naming.after.unwrap_or(*version);
-            let is_told = self.namings.contains_key(&(model.to_string(), after));
-            let is_gap = naming.after.is_none() || (after > 0 && !is_told);
-            (is_gap && naming.is_untold(limit, now)).then_some(after)
+            let after = naming.previous.unwrap_or(*version);
+            let is_told = self.publications.contains_key(&(model.to_string(), after));
+            let is_gap = naming.previous.is_none() || (after > 0 && !is_told);
+            (is_gap && naming.is_report_overdue(limit, now)).then_some(after)
         };
         WeightBounds {
-            newest: self.named(model),
+            newest: self.published_version(model),
             oldest: namings.filter_map(too_old).max(),
         }
     }
--- a/core/src/serving/endpoint_book.rs
+++ b/core/src/serving/endpoint_book.rs
@@ -1,8 +1,8 @@
 use {
     super::{
         EndpointEntry, EndpointLife, EndpointNotice, EndpointReturn, EndpointSlowStart,
-        EndpointStanding, PartMemory, StorePosition, SwapPlanner, SwapStage, UnreadWork,
-        WeightBelief,
+        EndpointStanding, KnownWeights, PartMemory, StorePosition, SwapPlanner, SwapStage,
+        UnreadWork,
     },
     crate::{retry::OutlierGuard, time::Micros},
     slotmap::{new_key_type, SlotMap},
@@ -122,9 +122,9 @@
             }
             return entry.take_notice(notice, wanted);
         }
-        let mut weights = WeightBelief::default();
+        let mut weights = KnownWeights::default();
         for (model, version) in &notice.weights {
-            weights.learn(model, *version);
+            weights.set_version(model, *version);
         }
         let key = self.entries.insert(EndpointEntry {
             id: notice.id.clone(),
--- a/core/src/serving/endpoint_entry.rs
+++ b/core/src/serving/endpoint_entry.rs
@@ -1,7 +1,7 @@
 use {
     super::{
-        EndpointLife, EndpointReturn, EndpointSlowStart, EnginePace, PartMemory, StorePosition,
-        SwapStage, WeightBelief,
+        EndpointLife, EndpointReturn, EndpointSlowStart, EnginePace, KnownWeights, PartMemory,
+        StorePosition, SwapStage,
     },
     crate::{retry::OutlierGuard, time::Micros},
     serde::{Deserialize, Serialize},
@@ -124,7 +124,7 @@
     /// Which of its lives is known.
     pub life: EndpointLife,
     /// Versions of its weights.
-    pub weights: WeightBelief,
+    pub weights: KnownWeights,
     /// Last report from beside it.
     pub load: Option<EngineLoad>,
     /// Parts that it is believed to keep.
--- a/core/src/serving/endpoint_life.rs
+++ b/core/src/serving/endpoint_life.rs
@@ -1,8 +1,8 @@
 use {
     super::{
         change, BookChange, EndpointBook, EndpointEntry, EndpointKey, EndpointNotice,
-        EndpointReturn, EndpointStanding, LifeWatch, ListedLife, PartMemory, StorePosition,
-        SwapStage, WeightBelief,
+        EndpointReturn, EndpointStanding, KnownWeights, LifeWatch, ListedLife, PartMemory,
+        StorePosition, SwapStage,
     },
     crate::{retry::OutlierGuard, time::Micros},
     std::{collections::BTreeMap, net::SocketAddr},
@@ -135,7 +135,7 @@
         let is_first_word = LifeOrder::of(self.life.listed, notice.born) == LifeOrder::Later;
         self.life.born = notice.born.or(self.life.born);
         self.life.listed = notice.born.or(self.life.listed);
-        if notice.row.is_told_after(self.life.row) {
+        if notice.row.is_newer_than(self.life.row) {
             self.life.row = notice.row;
         }
         for (model, version) in &notice.weights {
@@ -145,7 +145,7 @@
                 .version(model)
                 .is_none_or(|known| known < *version)
             {
-                self.weights.learn(model, *version);
+                self.weights.set_version(model, *version);
             }
         }
         if is_first_word {
@@ -201,7 +201,7 @@
         &mut self,
         born: Option<u64>,
     ) {
-        self.weights = WeightBelief::default();
+        self.weights = KnownWeights::default();
         self.load = None;
         self.parts = PartMemory::default();
         self.is_mirrored = false;
--- a/core/src/serving/key_policy.rs
+++ b/core/src/serving/key_policy.rs
@@ -6,5 +6,5 @@
     FailClosed,
     /// Known keys are accepted at any age: an outage of the store rejects nobody, but a key
     /// revoked during the outage still works.
-    ServeOn,
+    FailOpen,
 }
--- a/core/src/serving/key_trust.rs
+++ b/core/src/serving/key_trust.rs
@@ -1,43 +1,43 @@
 use {
-    super::{told_age::ToldAge, KeyPolicy},
+    super::{told_age::ReportedAge, KeyPolicy},
     crate::time::Micros,
 };
 
 /// Share of the age limit up to which a box reports itself ready, in percent: the load balancer
 /// takes two seconds to route elsewhere.
-const SOUND_PART: u64 = 55;
+const READY_AGE_PERCENT: u64 = 55;
 
 /// Tracks the age of the known key configuration against its limit.
 ///
 /// Age counts from when the store is proven to have answered, not from when the answer arrived:
 /// changes that the store accepted in between may be missing from it.
 #[derive(Debug, Clone, Copy)]
-pub struct KeyTrust {
+pub struct KeyFreshness {
     limit: Micros,
     policy: KeyPolicy,
     read_at: Option<Micros>,
     /// Send time of a request whose result two other boxes have confirmed.
-    witnessed_at: Option<Micros>,
-    handed: Option<ToldAge>,
+    confirmed_at: Option<Micros>,
+    reported: Option<ReportedAge>,
 }
 
-impl KeyTrust {
+impl KeyFreshness {
     /// Starts without any knowledge; `limit` is the age up to which knowledge counts as fresh.
     pub fn new(
         limit: Micros,
         policy: KeyPolicy,
     ) -> Self {
-        KeyTrust {
+        KeyFreshness {
             limit,
             policy,
             read_at: None,
-            witnessed_at: None,
-            handed: None,
+            confirmed_at: None,
+            reported: None,
         }
     }
 
     /// Records a complete read of the configuration that was current at `proven_at`.
-    pub fn proven(
+    pub fn record_read(
         &mut self,
         proven_at: Micros,
     ) {
@@ -46,40 +46,40 @@
 
     /// Records that two other boxes found the configuration known here to be the newest, with
     /// requests sent at `sent_at` or later.
-    pub fn witnessed(
+    pub fn record_confirmed_read(
         &mut self,
         sent_at: Micros,
     ) {
-        self.witnessed_at = self.witnessed_at.max(Some(sent_at));
+        self.confirmed_at = self.confirmed_at.max(Some(sent_at));
     }
 
     /// Discards this process's proofs after the platform store was restored from a snapshot.
-    pub fn unprove(&mut self) {
+    pub fn invalidate(&mut self) {
         self.read_at = None;
-        self.witnessed_at = None;
+        self.confirmed_at = None;
     }
 
     /// Records a configuration forwarded by another box; it keeps its age.
-    pub fn handed_on(
+    pub fn record_report(
         &mut self,
         age: Micros,
         now: Micros,
     ) {
         let is_younger = self.age(now).is_none_or(|known| age < known);
         if is_younger {
-            self.handed = Some(ToldAge { age, at: now });
+            self.reported = Some(ReportedAge { age, at: now });
         }
     }
 
     /// Send time of the newest request that showed the known configuration to be the newest, from
     /// an own read or from two other boxes.
     pub fn proven_at(&self) -> Option<Micros> {
-        self.read_at.max(self.witnessed_at)
+        self.read_at.max(self.confirmed_at)
     }
 
     /// Whether no read has proven anything for longer than two requests take that the store holds
     /// for `held_for` each.
-    pub fn is_behind(
+    pub fn is_overdue(
         &self,
         held_for: Micros,
         now: Micros,
@@ -93,7 +93,7 @@
         &self,
         now: Micros,
     ) -> Option<Micros> {
-        ToldAge::least(self.proven_at(), self.handed, now)
+        ReportedAge::min_age(self.proven_at(), self.reported, now)
     }
 
     /// Whether a caller may be told that a key or a route does not exist. This needs an own read
@@ -107,25 +107,27 @@
     }
 
     /// Whether callers may be admitted by their keys.
-    pub fn lets_in(
+    pub fn admits_keys(
         &self,
         now: Micros,
     ) -> bool {
         match self.policy {
             KeyPolicy::FailClosed => self.is_younger(self.limit, now),
-            KeyPolicy::ServeOn => self.age(now).is_some(),
+            KeyPolicy::FailOpen => self.age(now).is_some(),
         }
     }
 
     /// Whether the box may report itself ready for more callers. Where keys fail closed, the
-    /// configuration is then younger than [`SOUND_PART`] percent of the limit.
-    pub fn is_sound(
+    /// configuration is then younger than [`READY_AGE_PERCENT`] percent of the limit.
+    pub fn is_ready(
         &self,
         now: Micros,
     ) -> bool {
         match self.policy {
-            KeyPolicy::FailClosed => self.is_younger(Micros(self.limit.0 * SOUND_PART / 100), now),
-            KeyPolicy::ServeOn => self.age(now).is_some(),
+            KeyPolicy::FailClosed => {
+                self.is_younger(Micros(self.limit.0 * READY_AGE_PERCENT / 100), now)
+            }
+            KeyPolicy::FailOpen => self.age(now).is_some(),
         }
     }
 
--- a/core/src/serving/listed_life.rs
+++ b/core/src/serving/listed_life.rs
@@ -16,7 +16,7 @@
         other: &ListedLife,
     ) -> bool {
         match self.born == other.born {
-            true => self.row.is_told_after(other.row),
+            true => self.row.is_newer_than(other.row),
             false => self.born > other.born,
         }
     }
--- a/core/src/serving/memory_map.rs
+++ b/core/src/serving/memory_map.rs
@@ -1,6 +1,6 @@
 use {
     super::{
-        even_part, move_ms, spread_bits, EndpointBook, EndpointEntry, EndpointKey,
+        even_part, spread_bits, transfer_ms, EndpointBook, EndpointEntry, EndpointKey,
         EndpointStanding, EngineGroup, KvStore, MechanismSet, PromptPart, ServingMechanism,
         StoreView, WallTag,
     },
@@ -196,7 +196,7 @@
             }
         }
         let risk_ms = f64::from(part.tokens) * ENGINE_RISK_MS;
-        let engine_ms = ENGINE_FIRST_MS + move_ms(bytes, group.link_mbps) + risk_ms;
+        let engine_ms = ENGINE_FIRST_MS + transfer_ms(bytes, group.link_mbps) + risk_ms;
         for (key, entry) in book.iter() {
             let keeps = entry.parts.tokens_of(wall, part.id) >= part.tokens;
             if keeps && is_source(entry, now) {
@@ -224,7 +224,7 @@
             if let PartPlace::Store(place) = source.place {
                 if let Some(view) = self.views.get_mut(place) {
                     let wait = view.fetch_ms(0, now) - view.store.first_ms;
-                    view.occupy(millis - wait, now);
+                    view.reserve_link(millis - wait, now);
                 }
             }
         }
@@ -253,13 +253,13 @@
         may_keep: &dyn Fn(&KvStore) -> bool,
         now: Micros,
     ) -> Option<SocketAddr> {
-        let has = |view: &StoreView| view.has_or_gets(wall, part.id, part.tokens);
+        let has = |view: &StoreView| view.has_or_expects(wall, part.id, part.tokens);
         if self.left_out.has(ServingMechanism::Stores) || self.views.iter().any(has) {
             return None;
         }
         let mut best: Option<(f64, &mut StoreView)> = None;
         for view in &mut self.views {
-            if !may_keep(&view.store) || !view.takes(part.tokens, now) {
+            if !may_keep(&view.store) || !view.can_save(part.tokens, now) {
                 continue;
             }
             // Boxes that know nothing of each other choose the same home, in
@@ -275,7 +275,7 @@
             }
         }
         let (_, view) = best?;
-        view.saving(wall, part.id, part.tokens, now);
+        view.record_save(wall, part.id, part.tokens, now);
         Some(view.store.address)
     }
 }
--- a/core/src/serving/order_right.rs
+++ b/core/src/serving/order_right.rs
@@ -2,11 +2,11 @@
 
 /// Time for which a check of the row permits orders, from when the request was sent. A process
 /// that takes over waits for longer.
-const CHECK_LIFE: Micros = Micros::from_millis(400);
+const CHECK_TTL: Micros = Micros::from_millis(400);
 /// Time that an order may be in transit after the check expires.
-const ORDER_WAY: Micros = Micros::from_millis(300);
+const ORDER_TRANSIT_LIMIT: Micros = Micros::from_millis(300);
 /// Bits of a fencing token used for the version: ten years at 3,000 changes a second.
-const ERA_SHIFT: u32 = 40;
+const VERSION_BITS: u32 = 40;
 
 /// Row that names the box which gives orders to one engine.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -30,7 +30,7 @@
     seen: Option<Option<OrderRow>>,
     held: Option<StorePosition>,
     checked_at: Option<Micros>,
-    quiet_until: Micros,
+    wait_until: Micros,
 }
 
 impl OrderRight {
@@ -45,12 +45,12 @@
             seen: None,
             held: None,
             checked_at: None,
-            quiet_until: Micros::ZERO,
+            wait_until: Micros::ZERO,
         }
     }
 
     /// Records the row as returned by a request sent at `asked_at`.
-    pub fn row_read(
+    pub fn on_row_read(
         &mut self,
         row: Option<OrderRow>,
         asked_at: Micros,
@@ -61,7 +61,7 @@
         if position.is_some() && position != self.held {
             // An own write whose answer was lost, or a write that the store lost: another process
             // may have held the right since.
-            self.wait_from(now);
+            self.start_wait(now);
         }
         self.held = position;
         self.checked_at = Some(asked_at);
@@ -70,14 +70,14 @@
 
     /// Records that the row was replaced, unchanged since it was read, by a write sent at
     /// `sent_at`.
-    pub fn row_written(
+    pub fn on_row_written(
         &mut self,
         position: StorePosition,
         sent_at: Micros,
         now: Micros,
     ) {
         // Wait also if there was no row: a store restored from a snapshot may have lost it.
-        self.wait_from(now);
+        self.start_wait(now);
         self.held = Some(position);
         self.checked_at = Some(sent_at);
         self.seen = Some(Some(OrderRow {
@@ -87,7 +87,7 @@
     }
 
     /// Discards the known row: a write was refused, or its outcome is unknown.
-    pub fn row_unknown(&mut self) {
+    pub fn on_row_unknown(&mut self) {
         self.seen = None;
         self.held = None;
         self.checked_at = None;
@@ -108,42 +108,42 @@
         &self,
         now: Micros,
     ) -> bool {
-        now < self.quiet_until
+        now < self.wait_until
     }
 
     /// Fencing token for an order given now. Requires a recent check of the row, repeated before
     /// each order.
-    pub fn number(
+    pub fn fencing_token(
         &self,
         now: Micros,
     ) -> Option<u64> {
-        let is_checked = self.checked_at.is_some_and(|at| now.since(at) < CHECK_LIFE);
+        let is_checked = self.checked_at.is_some_and(|at| now.since(at) < CHECK_TTL);
         self.held
-            .filter(|_| is_checked && now >= self.quiet_until)
-            .map(order_number)
+            .filter(|_| is_checked && now >= self.wait_until)
+            .map(fencing_token)
     }
 
     /// Fencing token for an order given while the row cannot be read: no other process can take
     /// over then.
-    pub fn unread_number(
+    pub fn unchecked_fencing_token(
         &self,
         now: Micros,
     ) -> Option<u64> {
         self.held
-            .filter(|_| now >= self.quiet_until)
-            .map(order_number)
+            .filter(|_| now >= self.wait_until)
+            .map(fencing_token)
     }
 
-    fn wait_from(
+    fn start_wait(
         &mut self,
         now: Micros,
     ) {
-        self.quiet_until = now + self.gap + CHECK_LIFE + ORDER_WAY;
+        self.wait_until = now + self.gap + CHECK_TTL + ORDER_TRANSIT_LIMIT;
     }
 }
 
 /// Fencing token of a position. It also increases where versions go back: the tokens of an era
 /// exceed all those of earlier eras.
-pub fn order_number(position: StorePosition) -> u64 {
-    (position.era.0 << ERA_SHIFT) | position.version
+pub fn fencing_token(position: StorePosition) -> u64 {
+    (position.era.0 << VERSION_BITS) | position.version
 }
--- a/core/src/serving/read_proofs.rs
+++ b/core/src/serving/read_proofs.rs
@@ -1,51 +1,51 @@
 use {
-    super::{WeightBelief, VIEW_LIFE},
+    super::{KnownWeights, VIEW_TTL},
     crate::time::Micros,
     std::{collections::BTreeMap, net::SocketAddr},
 };
 
 /// Longest time between two reports during which an engine counts as running without a pause:
 /// three times the report interval of an engine without changes.
-pub const AWAKE_GAP: Micros = Micros::from_millis(800);
+pub const MAX_REPORT_GAP: Micros = Micros::from_millis(800);
 
 /// Longest time for which a part is kept after boxes have stopped telling engines to fetch it, if
 /// some engine does not prove that its fetches are over. The engine may be paused or gone for
 /// good, and stores full of such parts accept nothing else. Several times the longest pause seen
 /// (9 s).
-pub const HOLD_LIMIT: Micros = Micros::from_secs(60);
+pub const RECLAIM_TIMEOUT: Micros = Micros::from_secs(60);
 
 /// Time that an engine must have run without a pause: the longest fetch that was in progress when
 /// it resumed, plus a pause that reports do not show.
-const AWAKE_FOR: Micros = Micros(VIEW_LIFE.0 + AWAKE_GAP.0);
+const MIN_RUN_TIME: Micros = Micros(VIEW_TTL.0 + MAX_REPORT_GAP.0);
 
 /// Time after which an engine that is neither listed nor reporting is no longer waited for: no
 /// part is held for longer for any engine.
-const FORGET_AFTER: Micros = HOLD_LIMIT;
+const FORGET_AFTER: Micros = RECLAIM_TIMEOUT;
 
 /// Evidence that the fetches of one engine are over.
 #[derive(Debug, Clone, Default)]
-struct AwakeSpan {
-    weights: WeightBelief,
+struct RunPeriod {
+    weights: KnownWeights,
     known_at: Micros,
-    from_ms: u64,
-    seen_ms: u64,
+    started_ms: u64,
+    reported_ms: u64,
     proven_ms: u64,
 }
 
-impl AwakeSpan {
-    fn heard(
+impl RunPeriod {
+    fn record_report(
         &mut self,
         clock_ms: u64,
     ) {
         // Reports may arrive out of order.
-        if clock_ms <= self.seen_ms {
+        if clock_ms <= self.reported_ms {
             return;
         }
-        if clock_ms - self.seen_ms > AWAKE_GAP.as_millis() {
-            self.from_ms = clock_ms;
+        if clock_ms - self.reported_ms > MAX_REPORT_GAP.as_millis() {
+            self.started_ms = clock_ms;
         }
-        self.seen_ms = clock_ms;
-        if clock_ms - self.from_ms >= AWAKE_FOR.as_millis() {
+        self.reported_ms = clock_ms;
+        if clock_ms - self.started_ms >= MIN_RUN_TIME.as_millis() {
             self.proven_ms = clock_ms;
         }
     }
@@ -73,43 +73,43 @@
 /// All times are on the engines' clock. Engines are identified by address, which only one engine
 /// has at a time: a report from an address comes from the engine meant or from its successor.
 #[derive(Debug, Clone, Default)]
-pub struct ReadProofs {
-    engines: BTreeMap<SocketAddr, AwakeSpan>,
+pub struct FetchCompletion {
+    engines: BTreeMap<SocketAddr, RunPeriod>,
 }
 
-impl ReadProofs {
+impl FetchCompletion {
     /// Updates the set of engines and the weights that each is believed to have. Two engines that
     /// follow each other at an address count as one with the older weights.
-    pub fn know<'a>(
+    pub fn update_engines<'a>(
         &mut self,
-        engines: impl Iterator<Item = (SocketAddr, &'a WeightBelief)>,
+        engines: impl Iterator<Item = (SocketAddr, &'a KnownWeights)>,
         now: Micros,
     ) {
-        let mut known: BTreeMap<SocketAddr, WeightBelief> = BTreeMap::new();
+        let mut known: BTreeMap<SocketAddr, KnownWeights> = BTreeMap::new();
         for (address, weights) in engines {
             match known.get_mut(&address) {
-                Some(before) => before.lower(weights),
+                Some(before) => before.merge_oldest(weights),
                 None => drop(known.insert(address, weights.clone())),
             }
         }
         for (address, weights) in known {
-            let span = self.engines.entry(address).or_default();
-            span.weights = weights;
-            span.known_at = now;
+            let period = self.engines.entry(address).or_default();
+            period.weights = weights;
+            period.known_at = now;
         }
     }
 
     /// Records a report that an engine made at `clock_ms`.
-    pub fn heard(
+    pub fn record_report(
         &mut self,
         address: SocketAddr,
         clock_ms: Option<u64>,
         now: Micros,
     ) {
-        let span = self.engines.entry(address).or_default();
-        span.known_at = now;
+        let period = self.engines.entry(address).or_default();
+        period.known_at = now;
         if let Some(clock_ms) = clock_ms {
-            span.heard(clock_ms);
+            period.record_report(clock_ms);
         }
     }
 
@@ -119,20 +119,20 @@
         now: Micros,
     ) {
         self.engines
-            .retain(|_, span| now.since(span.known_at) <= FORGET_AFTER);
+            .retain(|_, period| now.since(period.known_at) <= FORGET_AFTER);
     }
 
     /// Records that an engine has restarted: it may have older weights than before, and has proven
     /// nothing since.
-    pub fn restarted(
+    pub fn record_restart(
         &mut self,
         address: SocketAddr,
         now: Micros,
     ) {
-        if let Some(span) = self.engines.get_mut(&address) {
-            *span = AwakeSpan {
+        if let Some(period) = self.engines.get_mut(&address) {
+            *period = RunPeriod {
                 known_at: now,
-                ..AwakeSpan::default()
+                ..RunPeriod::default()
             };
         }
     }
@@ -147,26 +147,29 @@
 
     /// Time before which all fetches of a version's parts that should have ended are proven to
     /// have ended. `u64::MAX` if there is no engine to wait for.
-    pub fn over_until_ms(
+    pub fn completed_until_ms(
         &self,
         model: &str,
         version: u64,
     ) -> u64 {
-        let spans = self.engines.values();
-        let told = spans.filter(|span| span.may_fetch(model, version));
-        told.map(|span| span.proven_ms).min().unwrap_or(u64::MAX)
+        let periods = self.engines.values();
+        let fetching = periods.filter(|period| period.may_fetch(model, version));
+        fetching
+            .map(|period| period.proven_ms)
+            .min()
+            .unwrap_or(u64::MAX)
     }
 
     /// Engines with the oldest proof for a version, for the log.
-    pub fn last_proven(
+    pub fn oldest_proven(
         &self,
         model: &str,
         version: u64,
     ) -> Vec<SocketAddr> {
-        let until_ms = self.over_until_ms(model, version);
+        let until_ms = self.completed_until_ms(model, version);
         let engines = self.engines.iter();
         let last = engines
-            .filter(|(_, span)| span.may_fetch(model, version) && span.proven_ms == until_ms);
+            .filter(|(_, period)| period.may_fetch(model, version) && period.proven_ms == until_ms);
         last.map(|(address, _)| *address).collect()
     }
 }
--- a/core/src/serving/reader_tier.rs
+++ b/core/src/serving/reader_tier.rs
@@ -22,7 +22,7 @@
 
 impl ReaderTier {
     /// Tier of a front in a fleet of `fronts`; `draw`, from 0 to 1, is the front's own number.
-    pub fn of(
+    pub fn from_draw(
         draw: f64,
         fronts: u32,
     ) -> Self {
@@ -36,7 +36,7 @@
 
     /// Age of the reports at which the front reads the table itself, in percent of the time
     /// between two reads of the first tier.
-    pub fn patience(self) -> u64 {
+    pub fn max_age_percent(self) -> u64 {
         match self {
             ReaderTier::First => 0,
             ReaderTier::Second => 180,
--- a/core/src/serving/store_clock.rs
+++ b/core/src/serving/store_clock.rs
@@ -1,9 +1,9 @@
 use crate::time::Micros;
 
 /// Validity of a bound: two monotonic clocks drift apart by some milliseconds in this time.
-const BOUND_LIFE: Micros = Micros::from_secs(30);
+const BOUND_TTL: Micros = Micros::from_secs(30);
 /// Resolution of the store's clock, which reports whole milliseconds.
-const TELL_STEP_US: i64 = 1_000;
+const CLOCK_RESOLUTION_US: i64 = 1_000;
 
 /// Maps the monotonic clock of the platform store to the local one.
 ///
@@ -24,7 +24,7 @@
     /// Earliest local time at which the store can have given an answer, and whose content it
     /// therefore proves: no earlier than the request was sent and no later than the answer
     /// arrived.
-    pub fn proof_time(
+    pub fn earliest_answer_time(
         &mut self,
         sent_at: Micros,
         store_ms: Option<u64>,
@@ -35,7 +35,7 @@
             return sent_at;
         };
         let told = self.bound(now).map(|zero| zero.saturating_add(store_us));
-        self.note(sent_at.0 as i64 - store_us - TELL_STEP_US, now);
+        self.note(sent_at.0 as i64 - store_us - CLOCK_RESOLUTION_US, now);
         let given = Micros(u64::try_from(told.unwrap_or(0)).unwrap_or(0));
         given.max(sent_at).min(now)
     }
@@ -49,9 +49,9 @@
         &self,
         now: Micros,
     ) -> Option<i64> {
-        let fresh = |at: Micros| now.since(at) <= BOUND_LIFE + BOUND_LIFE;
+        let fresh = |at: Micros| now.since(at) <= BOUND_TTL + BOUND_TTL;
         let (current, since) = self.current.filter(|(_, since)| fresh(*since))?;
-        let before = self.before.filter(|_| now.since(since) <= BOUND_LIFE);
+        let before = self.before.filter(|_| now.since(since) <= BOUND_TTL);
         Some(before.map_or(current, |before| before.max(current)))
     }
 
@@ -61,12 +61,9 @@
         now: Micros,
     ) {
         self.current = match self.current {
-            Some((known, since)) if now.since(since) <= BOUND_LIFE => {
-                Some((known.max(zero), since))
-            }
+            Some((known, since)) if now.since(since) <= BOUND_TTL => Some((known.max(zero), since)),
             known => {
-                let recent =
-                    known.filter(|(_, since)| now.since(*since) <= BOUND_LIFE + BOUND_LIFE);
+                let recent = known.filter(|(_, since)| now.since(*since) <= BOUND_TTL + BOUND_TTL);
                 self.before = recent.map(|(zero, _)| zero);
                 Some((zero, now))
             }
--- a/core/src/serving/store_position.rs
+++ b/core/src/serving/store_position.rs
@@ -44,7 +44,7 @@
 
     /// Whether this position was reported later than `other`: by version within one era, otherwise
     /// by era. What a later era shows may be older content until its writer has rewritten it.
-    pub fn is_told_after(
+    pub fn is_newer_than(
         self,
         other: StorePosition,
     ) -> bool {
--- a/core/src/serving/store_view.rs
+++ b/core/src/serving/store_view.rs
@@ -7,14 +7,14 @@
 /// Age up to which a view of a store may be used, from when the request was sent until a fetch
 /// must have ended. A store that restarts is empty, and a part that is being rewritten must not be
 /// taken for complete.
-pub const VIEW_LIFE: Micros = Micros::from_millis(2_000);
+pub const VIEW_TTL: Micros = Micros::from_millis(2_000);
 /// Time that an incarnation of a store must have lasted before anything is saved there: by then no
 /// view of the previous incarnation is in use any more.
-pub const SAVE_AFTER: Micros = Micros::from_millis(2_400);
+pub const SAVE_DELAY: Micros = Micros::from_millis(2_400);
 /// Time within which a requested save appears in the store.
-const SAVE_SHOWS: Micros = Micros::from_secs(3);
+const SAVE_VISIBLE_LIMIT: Micros = Micros::from_secs(3);
 /// Share of a store's capacity that is filled, in percent; the store rounds blocks up.
-const FILL_PART: u64 = 96;
+const FILL_PERCENT: u64 = 96;
 
 /// View of one store's content.
 #[derive(Debug, Clone)]
@@ -25,13 +25,13 @@
     pub parts: PartMemory,
     /// Change number up to which the parts are known; `None` if the whole list has to be read
     /// again.
-    pub next: Option<u64>,
+    pub next_change: Option<u64>,
     /// When another process last reported its reads of the store.
-    pub told_at: Option<Micros>,
+    pub reported_at: Option<Micros>,
     epoch: Option<u64>,
     epoch_seen_at: Micros,
     /// Incarnation reported by another box, and when the report arrived.
-    told: Option<(ToldLife, Micros)>,
+    uptime_report: Option<(ToldLife, Micros)>,
     proven_at: Option<Micros>,
     clock: Option<(u64, Micros)>,
     latest_clock: Option<(u64, Micros)>,
@@ -46,11 +46,11 @@
         StoreView {
             store,
             parts: PartMemory::default(),
-            next: None,
-            told_at: None,
+            next_change: None,
+            reported_at: None,
             epoch: None,
             epoch_seen_at: Micros::ZERO,
-            told: None,
+            uptime_report: None,
             proven_at: None,
             clock: None,
             latest_clock: None,
@@ -67,49 +67,51 @@
 
     /// Known incarnation and the least time it has lasted: since an answer showed it here, or as
     /// reported by another box.
-    pub fn life(
+    pub fn uptime(
         &self,
         now: Micros,
     ) -> Option<ToldLife> {
         let epoch = self.epoch?;
         let seen_for = now.since(self.epoch_seen_at);
-        let told = self.told.filter(|(told, _)| told.epoch == epoch);
-        let told_for = told.map(|(told, at)| told.lasted + now.since(at));
+        let reported = self
+            .uptime_report
+            .filter(|(reported, _)| reported.epoch == epoch);
+        let reported_for = reported.map(|(reported, at)| reported.lasted + now.since(at));
         Some(ToldLife {
             address: self.store.address,
             epoch,
-            lasted: told_for.map_or(seen_for, |told| told.max(seen_for)),
+            lasted: reported_for.map_or(seen_for, |reported| reported.max(seen_for)),
         })
     }
 
     /// Records an incarnation reported by another box; the report arrived at `at`.
     ///
     /// A front that starts sees every incarnation for the first time and would save nothing for
-    /// [`SAVE_AFTER`]. With such a report it saves from its first request on, if a box that it
+    /// [`SAVE_DELAY`]. With such a report it saves from its first request on, if a box that it
     /// asked has observed the same incarnation for that long. A minimum age counts from when the
     /// report arrived: counted from the request, as maximum ages are, it would be too high by any
     /// pause of the other box before its answer.
-    pub fn tell_life(
+    pub fn record_uptime(
         &mut self,
-        told: &ToldLife,
+        reported: &ToldLife,
         at: Micros,
     ) {
-        let is_better = match self.told {
+        let is_better = match self.uptime_report {
             None => true,
-            Some((known, known_at)) if known.epoch == told.epoch => {
-                known.lasted + at.since(known_at) < told.lasted
+            Some((known, known_at)) if known.epoch == reported.epoch => {
+                known.lasted + at.since(known_at) < reported.lasted
             }
             // A box that is out of date reports an earlier incarnation.
             Some((known, _)) => self.epoch != Some(known.epoch),
         };
         if is_better {
-            self.told = Some((*told, at));
+            self.uptime_report = Some((*reported, at));
         }
     }
 
     /// Records an answer to a request sent at `sent_at`. Returns true if it shows a new
     /// incarnation, whose content is unknown.
-    pub fn answered(
+    pub fn record_answer(
         &mut self,
         epoch: u64,
         clock_ms: Option<u64>,
@@ -133,13 +135,13 @@
 
     /// Records that another process sent a request to the store at `sent_at` or later, in the
     /// known incarnation; `clock_ms` is the time on the engines' clock now, or earlier.
-    pub fn told(
+    pub fn record_poll_report(
         &mut self,
         clock_ms: Option<u64>,
         sent_at: Micros,
         now: Micros,
     ) {
-        self.told_at = Some(now);
+        self.reported_at = Some(now);
         if self.proven_at.is_some_and(|at| at >= sent_at) {
             return;
         }
@@ -151,19 +153,19 @@
     }
 
     /// Records that the store did not answer: the view may not be used.
-    pub fn lost(&mut self) {
+    pub fn mark_unreachable(&mut self) {
         self.proven_at = None;
     }
 
     /// Records that a part is complete, or gone if `tokens` is 0.
-    pub fn set(
+    pub fn set_part(
         &mut self,
-        wall: WallTag,
+        namespace: WallTag,
         id: PartId,
         tokens: u32,
     ) {
-        self.parts.set(wall, id, tokens);
-        if let Some((tokens, _)) = self.pending.remove(&(wall, id)) {
+        self.parts.set(namespace, id, tokens);
+        if let Some((tokens, _)) = self.pending.remove(&(namespace, id)) {
             self.pending_tokens -= u64::from(tokens);
         }
     }
@@ -192,7 +194,7 @@
         &self,
         now: Micros,
     ) -> Option<u64> {
-        let left = (self.proven_at? + VIEW_LIFE).since(now);
+        let left = (self.proven_at? + VIEW_TTL).since(now);
         let clock_ms = self.clock_ms(now)?;
         (left > Micros::ZERO).then(|| clock_ms + left.as_millis())
     }
@@ -203,7 +205,7 @@
         &self,
         now: Micros,
     ) -> bool {
-        self.proven_at.is_some_and(|at| now.since(at) >= VIEW_LIFE)
+        self.proven_at.is_some_and(|at| now.since(at) >= VIEW_TTL)
     }
 
     /// Time in milliseconds to fetch `bytes` from within the store's failure domain, including the
@@ -214,11 +216,11 @@
         now: Micros,
     ) -> f64 {
         let wait = self.busy_until.since(now).0 as f64 / 1e3;
-        wait + self.store.first_ms + move_ms(bytes, self.store.link_mbps)
+        wait + self.store.first_ms + transfer_ms(bytes, self.store.link_mbps)
     }
 
     /// Adds a requested fetch or save to the store's queue of transfers.
-    pub fn occupy(
+    pub fn reserve_link(
         &mut self,
         millis: f64,
         now: Micros,
@@ -228,51 +230,57 @@
     }
 
     /// Whether a part may be saved here now.
-    pub fn takes(
+    pub fn can_save(
         &self,
         tokens: u32,
         now: Micros,
     ) -> bool {
-        let is_settled = self.life(now).is_some_and(|life| life.lasted > SAVE_AFTER);
-        let is_known = self.proven_at.is_some_and(|at| now.since(at) < VIEW_LIFE);
+        let is_settled = self
+            .uptime(now)
+            .is_some_and(|uptime| uptime.lasted > SAVE_DELAY);
+        let is_known = self.proven_at.is_some_and(|at| now.since(at) < VIEW_TTL);
         let used = self.parts.tokens() + self.pending_tokens + u64::from(tokens);
-        is_settled && is_known && used * 100 <= self.store.capacity_tokens * FILL_PART
+        is_settled && is_known && used * 100 <= self.store.capacity_tokens * FILL_PERCENT
     }
 
     /// Whether the store has a part, or a save of it is pending.
-    pub fn has_or_gets(
+    pub fn has_or_expects(
         &self,
-        wall: WallTag,
+        namespace: WallTag,
         id: PartId,
         tokens: u32,
     ) -> bool {
-        self.parts.tokens_of(wall, id) >= tokens || self.pending.contains_key(&(wall, id))
+        self.parts.tokens_of(namespace, id) >= tokens || self.pending.contains_key(&(namespace, id))
     }
 
     /// Records a requested save.
-    pub fn saving(
+    pub fn record_save(
         &mut self,
-        wall: WallTag,
+        namespace: WallTag,
         id: PartId,
         tokens: u32,
         now: Micros,
     ) {
-        let gone = &mut self.pending_tokens;
+        let pending_tokens = &mut self.pending_tokens;
         self.pending.retain(|_, (tokens, at)| {
-            let waits = now.since(*at) < SAVE_SHOWS;
-            if !waits {
-                *gone -= u64::from(*tokens);
+            let is_pending = now.since(*at) < SAVE_VISIBLE_LIMIT;
+            if !is_pending {
+                *pending_tokens -= u64::from(*tokens);
             }
-            waits
+            is_pending
         });
-        if self.pending.insert((wall, id), (tokens, now)).is_none() {
+        if self
+            .pending
+            .insert((namespace, id), (tokens, now))
+            .is_none()
+        {
             self.pending_tokens += u64::from(tokens);
         }
     }
 }
 
 /// Time to transfer `bytes` over a link, in milliseconds.
-pub fn move_ms(
+pub fn transfer_ms(
     bytes: u64,
     link_mbps: f64,
 ) -> f64 {
--- a/core/src/serving/swap_planner.rs
+++ b/core/src/serving/swap_planner.rs
@@ -1,39 +1,39 @@
 use {
-    super::{weight_namings::Naming, EndpointBook, EndpointEntry, EndpointKey},
+    super::{weight_namings::PublicationRecord, EndpointBook, EndpointEntry, EndpointKey},
     crate::time::Micros,
     std::collections::BTreeMap,
 };
 
 /// Minimum number of engines of a group that may load at once; more slow each other down (the site
 /// specifications give two of nine and ten of fifty-four).
-const LOADS_AT_ONCE: usize = 2;
+const MIN_CONCURRENT_LOADS: usize = 2;
 /// Engines of a group per concurrent load.
-const ENGINES_A_LOAD: usize = 5;
+const ENGINES_PER_LOAD: usize = 5;
 /// Factor on the concurrent loads once the old weights have expired: such engines serve nothing,
 /// so their loads only slow each other down, and none has to wait for the report that another has
 /// finished. With it, 40 engines that resumed together with old weights all had newer ones after
 /// 5.5 s instead of 5.8 s.
-const OVERDUE_LOADS: usize = 2;
+const OVERDUE_LOAD_FACTOR: usize = 2;
 /// Minimum number of engines that finish their long runs in the meantime, and the number of loads
 /// per such engine: an engine that is told to load accepts nothing until its runs have ended.
-const DRAINS_AT_ONCE: usize = 2;
-const LOADS_A_DRAIN: usize = 3;
+const MIN_CONCURRENT_DRAINS: usize = 2;
+const LOADS_PER_DRAIN: usize = 3;
 /// Time given to an engine to finish its long runs before it loads.
 const DRAIN_LIMIT: Micros = Micros::from_millis(1_600);
 /// Requests that an engine may still run when it is told to load.
-const QUIET_RUNNING: u32 = 2;
+const MAX_RUNNING_AT_LOAD: u32 = 2;
 /// Time after which an engine that was told to load and did not loses its turn.
 const TURN_LIMIT: Micros = Micros::from_secs(7);
 
 /// Published weights, and the engines whose turn it is to load them.
 #[derive(Debug, Clone, Default)]
 pub struct SwapPlanner {
-    pub(super) named: BTreeMap<String, u64>,
-    pub(super) namings: BTreeMap<(String, u64), Naming>,
+    pub(super) published: BTreeMap<String, u64>,
+    pub(super) publications: BTreeMap<(String, u64), PublicationRecord>,
     /// Weights that engines had before this box read of their publication, and since when.
-    pub(super) ahead: BTreeMap<(String, u64), Micros>,
+    pub(super) unpublished: BTreeMap<(String, u64), Micros>,
     turns: BTreeMap<EndpointKey, SwapTurn>,
-    missed: BTreeMap<EndpointKey, u32>,
+    missed_turns: BTreeMap<EndpointKey, u32>,
 }
 
 /// An engine's turn to load weights.
@@ -46,7 +46,7 @@
     /// Start of the turn, or of the load once the engine has been told to load.
     pub since: Micros,
     /// Whether the engine is told to load now.
-    pub loads: bool,
+    pub is_loading: bool,
 }
 
 /// Turns missed, whether it is unlisted, version, id.
@@ -80,7 +80,7 @@
     ) -> SwapStage {
         match self.turns.get(&key) {
             None => SwapStage::Idle,
-            Some(turn) if turn.loads => SwapStage::Loading,
+            Some(turn) if turn.is_loading => SwapStage::Loading,
             Some(_) => SwapStage::Draining,
         }
     }
@@ -89,53 +89,57 @@
     /// time for which requests may begin on weights after newer ones are published.
     pub fn plan(
         &mut self,
-        book: &EndpointBook,
+        registry: &EndpointBook,
         limit: Micros,
         now: Micros,
     ) -> Vec<(EndpointKey, SwapTurn)> {
         for turn in self.turns.values_mut() {
             // Newer weights replace those that the turn was given for.
-            turn.version = self.named.get(&turn.model).copied().unwrap_or(turn.version);
+            turn.version = self
+                .published
+                .get(&turn.model)
+                .copied()
+                .unwrap_or(turn.version);
         }
-        self.end_turns(book, now);
-        let mut begun = Vec::new();
-        while let Some((key, turn)) = self.next_turn(book, limit, now) {
+        self.end_turns(registry, now);
+        let mut started = Vec::new();
+        while let Some((key, turn)) = self.next_turn(registry, limit, now) {
             self.turns.insert(key, turn);
         }
-        self.begin_loads(book, limit, now, &mut begun);
-        begun
+        self.start_loads(registry, limit, now, &mut started);
+        started
     }
 
     /// Number of engines of the group of `entry` that may load at the same time as it.
-    fn loads_at_once(
+    fn load_limit(
         &self,
-        book: &EndpointBook,
+        registry: &EndpointBook,
         entry: &EndpointEntry,
         model: &str,
         limit: Micros,
         now: Micros,
     ) -> usize {
-        let loads = loads_at_once(book, &entry.service, now);
+        let loads = group_load_limit(registry, &entry.service, now);
         let bounds = self.bounds(model, limit, now);
         match bounds.allows(entry.weights.version(model)) {
             true => loads,
-            false => loads * OVERDUE_LOADS,
+            false => loads * OVERDUE_LOAD_FACTOR,
         }
     }
 
     /// Tells engines to load that run few requests or have had [`DRAIN_LIMIT`] to finish them.
-    fn begin_loads(
+    fn start_loads(
         &mut self,
-        book: &EndpointBook,
+        registry: &EndpointBook,
         limit: Micros,
         now: Micros,
-        begun: &mut Vec<(EndpointKey, SwapTurn)>,
+        started: &mut Vec<(EndpointKey, SwapTurn)>,
     ) {
-        let service = |key: EndpointKey| book.get(key).map(|entry| entry.service.as_str());
+        let service = |key: EndpointKey| registry.get(key).map(|entry| entry.service.as_str());
         let mut loading: Vec<EndpointKey> = Vec::new();
         let mut waiting: Vec<(TurnRank, EndpointKey)> = Vec::new();
         for (key, turn) in &self.turns {
-            match (turn.loads, book.get(*key)) {
+            match (turn.is_loading, registry.get(*key)) {
                 (true, _) => loading.push(*key),
                 (false, Some(entry)) => waiting.push((self.rank(*key, entry, turn), *key)),
                 (false, None) => {}
@@ -146,21 +150,21 @@
             let others = loading
                 .iter()
                 .filter(|other| service(**other) == service(key));
-            let running = book.get(key).map_or(0, |entry| entry.occupied(now));
+            let running = registry.get(key).map_or(0, |entry| entry.occupied(now));
             let count = others.count();
-            let (Some(entry), Some(turn)) = (book.get(key), self.turns.get(&key)) else {
+            let (Some(entry), Some(turn)) = (registry.get(key), self.turns.get(&key)) else {
                 continue;
             };
-            let most = self.loads_at_once(book, entry, &turn.model, limit, now);
+            let max_loads = self.load_limit(registry, entry, &turn.model, limit, now);
             let Some(turn) = self.turns.get_mut(&key) else {
                 continue;
             };
-            let is_quiet = running <= QUIET_RUNNING || now.since(turn.since) >= DRAIN_LIMIT;
-            if count < most && is_quiet {
-                turn.loads = true;
+            let is_quiet = running <= MAX_RUNNING_AT_LOAD || now.since(turn.since) >= DRAIN_LIMIT;
+            if count < max_loads && is_quiet {
+                turn.is_loading = true;
                 turn.since = now;
                 loading.push(key);
-                begun.push((key, turn.clone()));
+                started.push((key, turn.clone()));
             }
         }
     }
@@ -173,80 +177,81 @@
         entry: &EndpointEntry,
         turn: &SwapTurn,
     ) -> TurnRank {
-        let missed = self.missed.get(&key).copied().unwrap_or(0);
+        let missed_turns = self.missed_turns.get(&key).copied().unwrap_or(0);
         let version = entry.weights.version(&turn.model).unwrap_or(0);
-        (missed, !entry.is_listed(), version, entry.id.clone())
+        (missed_turns, !entry.is_listed(), version, entry.id.clone())
     }
 
-    fn lack(
+    fn outdated_model(
         &self,
         entry: &EndpointEntry,
     ) -> Option<(String, u64)> {
-        let mut named = self.named.iter();
-        let lacking = named.find(|(model, version)| {
+        let mut published = self.published.iter();
+        let outdated = published.find(|(model, version)| {
             entry
                 .weights
                 .version(model)
                 .is_some_and(|known| known < **version)
         });
-        lacking.map(|(model, version)| (model.clone(), *version))
+        outdated.map(|(model, version)| (model.clone(), *version))
     }
 
     fn end_turns(
         &mut self,
-        book: &EndpointBook,
+        registry: &EndpointBook,
         now: Micros,
     ) {
-        let missed = &mut self.missed;
+        let missed_turns = &mut self.missed_turns;
         self.turns.retain(|key, turn| {
-            let Some(entry) = book.get(*key).filter(|e| is_there(e, now)) else {
+            let Some(entry) = registry.get(*key).filter(|e| counts_for_swap(e, now)) else {
                 return false;
             };
             let has = entry.weights.version(&turn.model);
             if has.is_some_and(|has| has >= turn.version) {
-                missed.remove(key);
+                missed_turns.remove(key);
                 return false;
             }
-            let is_over = turn.loads && now.since(turn.since) > TURN_LIMIT;
+            let is_over = turn.is_loading && now.since(turn.since) > TURN_LIMIT;
             if is_over {
-                *missed.entry(*key).or_default() += 1;
+                *missed_turns.entry(*key).or_default() += 1;
             }
             !is_over
         });
-        missed.retain(|key, _| book.get(*key).is_some());
+        missed_turns.retain(|key, _| registry.get(*key).is_some());
     }
 
     /// Next engine that gets a turn.
     fn next_turn(
         &self,
-        book: &EndpointBook,
+        registry: &EndpointBook,
         limit: Micros,
         now: Micros,
     ) -> Option<(EndpointKey, SwapTurn)> {
         // An engine that reports may also load if only its entry is gone: an engine whose box had
         // been paused otherwise kept replaced weights until it was listed again.
         let waits = |(key, entry): &(EndpointKey, &EndpointEntry)| {
-            is_heard(entry, now) && entry.may_be_there() && !self.turns.contains_key(key)
+            has_fresh_report(entry, now) && entry.may_be_there() && !self.turns.contains_key(key)
         };
         let mut next: Option<(TurnRank, EndpointKey, SwapTurn)> = None;
-        for (key, entry) in book.iter().filter(waits) {
-            let Some((model, version)) = self.lack(entry) else {
+        for (key, entry) in registry.iter().filter(waits) {
+            let Some((model, version)) = self.outdated_model(entry) else {
                 continue;
             };
             let in_group = |other: &&EndpointKey| {
-                book.get(**other)
+                registry
+                    .get(**other)
                     .is_some_and(|other| other.service == entry.service)
             };
-            let loads = self.loads_at_once(book, entry, &model, limit, now);
-            let most = loads + DRAINS_AT_ONCE.max(loads / LOADS_A_DRAIN);
-            if self.turns.keys().filter(in_group).count() >= most {
+            let loads = self.load_limit(registry, entry, &model, limit, now);
+            let max_turns = loads + MIN_CONCURRENT_DRAINS.max(loads / LOADS_PER_DRAIN);
+            if self.turns.keys().filter(in_group).count() >= max_turns {
                 continue;
             }
             let turn = SwapTurn {
                 model,
                 version,
                 since: now,
-                loads: false,
+                is_loading: false,
             };
             let rank = self.rank(key, entry, &turn);
             if next.as_ref().is_none_or(|(least, ..)| rank < *least) {
@@ -257,26 +262,30 @@
     }
 }
 
-fn loads_at_once(
-    book: &EndpointBook,
+fn group_load_limit(
+    registry: &EndpointBook,
     service: &str,
     now: Micros,
 ) -> usize {
-    let serves = |entry: &&EndpointEntry| entry.service == service && is_there(entry, now);
-    let engines = book.iter().map(|(_, entry)| entry).filter(serves).count();
-    LOADS_AT_ONCE.max(engines / ENGINES_A_LOAD)
+    let serves = |entry: &&EndpointEntry| entry.service == service && counts_for_swap(entry, now);
+    let engines = registry
+        .iter()
+        .map(|(_, entry)| entry)
+        .filter(serves)
+        .count();
+    MIN_CONCURRENT_LOADS.max(engines / ENGINES_PER_LOAD)
 }
 
 /// Whether an endpoint counts. An unlisted one counts only if it reports: it may have ended, and
 /// its turn would then keep other engines from theirs.
-fn is_there(
+fn counts_for_swap(
     entry: &EndpointEntry,
     now: Micros,
 ) -> bool {
-    entry.is_listed() || (entry.may_be_there() && is_heard(entry, now))
+    entry.is_listed() || (entry.may_be_there() && has_fresh_report(entry, now))
 }
 
-fn is_heard(
+fn has_fresh_report(
     entry: &EndpointEntry,
     now: Micros,
 ) -> bool {
--- a/core/src/serving/table_mark.rs
+++ b/core/src/serving/table_mark.rs
@@ -2,22 +2,22 @@
 
 /// Checksum of a table's content, updated row by row. It differs if any row does.
 #[derive(Debug, Clone, Default)]
-pub struct TableMark {
+pub struct TableChecksum {
     rows: BTreeMap<String, u32>,
     sum: u32,
 }
 
-impl TableMark {
+impl TableChecksum {
     /// Sets the content of a row.
     pub fn set(
         &mut self,
         key: &str,
         content: &[u8],
     ) {
-        let number = row_number(key, content);
-        let before = self.rows.insert(key.to_string(), number);
+        let hash = row_hash(key, content);
+        let before = self.rows.insert(key.to_string(), hash);
         self.sum = self.sum.wrapping_sub(before.unwrap_or(0));
-        self.sum = self.sum.wrapping_add(number);
+        self.sum = self.sum.wrapping_add(hash);
     }
 
     /// Removes a row.
@@ -25,23 +25,23 @@
         &mut self,
         key: &str,
     ) {
-        if let Some(number) = self.rows.remove(key) {
-            self.sum = self.sum.wrapping_sub(number);
+        if let Some(hash) = self.rows.remove(key) {
+            self.sum = self.sum.wrapping_sub(hash);
         }
     }
 
     /// Removes all rows before the table is read again.
     pub fn clear(&mut self) {
-        *self = TableMark::default();
+        *self = TableChecksum::default();
     }
 
     /// The checksum.
-    pub fn number(&self) -> u32 {
+    pub fn value(&self) -> u32 {
         self.sum
     }
 }
 
-fn row_number(
+fn row_hash(
     key: &str,
     content: &[u8],
 ) -> u32 {
--- a/core/src/serving/told_life.rs
+++ b/core/src/serving/told_life.rs
@@ -22,7 +22,7 @@
         &self,
         now: Micros,
     ) -> Vec<ToldLife> {
-        let lives = self.views().iter().filter_map(|view| view.life(now));
+        let lives = self.views().iter().filter_map(|view| view.uptime(now));
         lives.collect()
     }
 
@@ -33,7 +33,7 @@
         at: Micros,
     ) {
         if let Some(view) = self.view_mut(told.address) {
-            view.tell_life(told, at);
+            view.record_uptime(told, at);
         }
     }
 }
--- a/core/src/serving/told_naming.rs
+++ b/core/src/serving/told_naming.rs
@@ -5,13 +5,14 @@
 
 /// A published version of a model's weights, as reported to another box.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ToldNaming {
+pub struct WeightPublication {
     /// Model.
     pub model: String,
     /// Published version.
     pub version: u64,
     /// Newest version before it, if known; 0 if there was none.
-    pub after: Option<u64>,
+    #[serde(rename = "after")]
+    pub previous: Option<u64>,
     /// Longest time for which it can have been published, if known.
     pub age: Option<Micros>,
 }
--- a/core/src/serving/weight_belief.rs
+++ b/core/src/serving/weight_belief.rs
@@ -2,11 +2,11 @@
 
 /// Version of each model's weights that an engine is believed to have.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct WeightBelief {
+pub struct KnownWeights {
     versions: BTreeMap<String, u64>,
 }
 
-impl WeightBelief {
+impl KnownWeights {
     /// Version of a model, if known.
     pub fn version(
         &self,
@@ -16,7 +16,7 @@
     }
 
     /// Records the version that an engine has. Returns true if it is new.
-    pub fn learn(
+    pub fn set_version(
         &mut self,
         model: &str,
         version: u64,
@@ -30,9 +30,9 @@
 
     /// Merges the knowledge of another engine that may be meant instead: the older version of each
     /// model, or nothing if nothing is known of either engine.
-    pub fn lower(
+    pub fn merge_oldest(
         &mut self,
-        other: &WeightBelief,
+        other: &KnownWeights,
     ) {
         if !other.is_known() {
             self.versions.clear();
--- a/core/src/serving/weight_namings.rs
+++ b/core/src/serving/weight_namings.rs
@@ -2,8 +2,8 @@
 
 use {
     super::{
-        told_age::ToldAge, PartFate, PartId, SwapPlanner, ToldNaming, AWAKE_GAP, HOLD_LIMIT,
-        VIEW_LIFE,
+        told_age::ReportedAge, PartFate, PartId, SwapPlanner, WeightPublication, MAX_REPORT_GAP,
+        RECLAIM_TIMEOUT, VIEW_TTL,
     },
     crate::time::Micros,
     std::ops::RangeInclusive,
@@ -18,11 +18,11 @@
 /// better right after a publication, a shorter one some seconds later.
 const FETCH_FADE: Micros = Micros::from_secs(10);
 /// Time from the end of the fetches until another box frees a part: the longest fetch
-/// ([`VIEW_LIFE`]) plus a pause that reports do not show.
-const FREE_MARGIN: Micros = Micros(VIEW_LIFE.0 + AWAKE_GAP.0);
+/// ([`VIEW_TTL`]) plus a pause that reports do not show.
+const FREE_MARGIN: Micros = Micros(VIEW_TTL.0 + MAX_REPORT_GAP.0);
 
 /// Time after which a read must show an earlier publication: several times the delay of the store.
-const ROW_LAG: Micros = Micros::from_millis(500);
+const ROW_READ_LAG: Micros = Micros::from_millis(500);
 
 /// Spreads numbers evenly (an odd number near 2^64 over the golden ratio).
 const SPREAD_FACTOR: u64 = 0x9e37_79b9_7f4a_7c15;
@@ -30,56 +30,56 @@
 /// Time within which other boxes report publications from before this box started. A version that
 /// nobody reports then counts as expired: if a front counted from its own start, requests could
 /// begin on replaced weights for a whole limit longer.
-pub const TELL_LIMIT: Micros = Micros::from_secs(2);
+pub const REPORT_TIMEOUT: Micros = Micros::from_secs(2);
 
 /// Publications reported per model: versions are published at least some seconds apart, and an
 /// engine with weights older than these gets no requests.
-const TOLD_NAMINGS: usize = 6;
+const MAX_REPORTED_PUBLICATIONS: usize = 6;
 
 /// What this box knows of a publication.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) struct Naming {
+pub(super) struct PublicationRecord {
     /// Newest version before it, if known; 0 if there was none.
-    pub(super) after: Option<u64>,
-    not_yet: Option<Micros>,
+    pub(super) previous: Option<u64>,
+    last_absent_at: Option<Micros>,
     pub(super) learned_at: Micros,
-    told: Option<ToldAge>,
+    reported: Option<ReportedAge>,
 }
 
-impl Naming {
+impl PublicationRecord {
     /// Longest time for which the weights can have been published, if known.
     pub(super) fn age(
         &self,
         now: Micros,
     ) -> Option<Micros> {
-        ToldAge::least(self.not_yet, self.told, now)
+        ReportedAge::min_age(self.last_absent_at, self.reported, now)
     }
 
     /// Whether the weights may have been published for longer than `limit`.
-    pub(super) fn is_over(
+    pub(super) fn is_expired(
         &self,
         limit: Micros,
         now: Micros,
     ) -> bool {
         match self.age(now) {
             Some(age) => age > limit,
-            None => self.is_untold(limit, now),
+            None => self.is_report_overdue(limit, now),
         }
     }
 
     /// Whether other boxes have had time to report what this box does not know.
-    pub(super) fn is_untold(
+    pub(super) fn is_report_overdue(
         &self,
         limit: Micros,
         now: Micros,
     ) -> bool {
-        now.since(self.learned_at) > TELL_LIMIT.min(limit)
+        now.since(self.learned_at) > REPORT_TIMEOUT.min(limit)
     }
 }
 
 /// Time for which a part is fetched after newer weights may have been published. All boxes derive
 /// it from the part alone.
-fn fetch_life(part: PartId) -> Micros {
+fn fetch_period(part: PartId) -> Micros {
     // Ids may be consecutive: the fetches of neighbours must not end together.
     let spread = part.number().wrapping_mul(SPREAD_FACTOR).rotate_left(32);
     FETCH_ALL + Micros(spread % FETCH_FADE.0)
@@ -88,94 +88,103 @@
 impl SwapPlanner {
     /// Records that weights are published. Returns true if that is new.
     ///
-    /// `not_yet` is the send time of the last read that did not show them.
-    pub fn name(
+    /// `last_absent_at` is the send time of the last read that did not show them.
+    pub fn publish(
         &mut self,
         model: &str,
         version: u64,
-        not_yet: Option<Micros>,
+        last_absent_at: Option<Micros>,
         now: Micros,
     ) -> bool {
-        let before = self.named(model).unwrap_or(0);
+        let before = self.published_version(model).unwrap_or(0);
         if version <= before {
             return false;
         }
-        self.named.insert(model.to_string(), version);
-        let naming = Naming {
+        self.published.insert(model.to_string(), version);
+        let publication = PublicationRecord {
             // A read that showed no publication proves that there was none.
-            after: Some(before).filter(|before| *before > 0 || not_yet.is_some()),
-            not_yet,
+            previous: Some(before).filter(|before| *before > 0 || last_absent_at.is_some()),
+            last_absent_at,
             learned_at: now,
-            told: None,
+            reported: None,
         };
-        self.namings.insert((model.to_string(), version), naming);
+        self.publications
+            .insert((model.to_string(), version), publication);
         true
     }
 
     /// Records that a version had been published for at most `age` at the time `at`.
-    pub fn tell_age(
+    pub fn record_age(
         &mut self,
         model: &str,
         version: u64,
         age: Micros,
         at: Micros,
     ) {
-        let naming = self.namings.get_mut(&(model.to_string(), version));
-        if let Some(naming) = naming.filter(|naming| naming.age(at).is_none_or(|a| age < a)) {
-            naming.told = Some(ToldAge { age, at });
+        let publication = self.publications.get_mut(&(model.to_string(), version));
+        if let Some(publication) =
+            publication.filter(|publication| publication.age(at).is_none_or(|a| age < a))
+        {
+            publication.reported = Some(ReportedAge { age, at });
         }
     }
 
     /// Records a publication that another box knew at the time `at`, including one older than the
     /// newest, as engines may have weights from before it.
-    pub fn tell(
+    pub fn record_publication(
         &mut self,
-        told: &ToldNaming,
+        reported: &WeightPublication,
         at: Micros,
         now: Micros,
     ) {
-        let model = told.model.as_str();
-        let is_newest = self.named(model).is_none_or(|named| told.version > named);
+        let model = reported.model.as_str();
+        let is_newest = self
+            .published_version(model)
+            .is_none_or(|published| reported.version > published);
         if is_newest {
-            self.named.insert(model.to_string(), told.version);
+            self.published.insert(model.to_string(), reported.version);
         }
-        let naming = self.namings.entry((model.to_string(), told.version));
-        let naming = naming.or_insert(Naming {
-            after: None,
-            not_yet: None,
+        let publication = self
+            .publications
+            .entry((model.to_string(), reported.version));
+        let publication = publication.or_insert(PublicationRecord {
+            previous: None,
+            last_absent_at: None,
             learned_at: now,
-            told: None,
+            reported: None,
         });
-        // An age holds only for the weights from `after` on: before those, another version may
+        // An age holds only for the weights from `previous` on: before those, another version may
         // have been published that this box, or the other one, does not know.
-        match (naming.after, told.after) {
+        match (publication.previous, reported.previous) {
             (Some(_), None) => return,
-            (None, Some(_)) => naming.told = None,
+            (None, Some(_)) => publication.reported = None,
             _ => {}
         }
-        naming.after = naming.after.max(told.after);
-        if let Some(age) = told.age {
-            self.tell_age(model, told.version, age, at);
+        publication.previous = publication.previous.max(reported.previous);
+        if let Some(age) = reported.age {
+            self.record_age(model, reported.version, age, at);
         }
     }
 
-    /// Newest publications of each model known to this box, at most [`TOLD_NAMINGS`].
-    pub fn told_namings(
+    /// Newest publications of each model known to this box, at most [`MAX_REPORTED_PUBLICATIONS`].
+    pub fn recent_publications(
         &self,
         now: Micros,
-    ) -> Vec<ToldNaming> {
-        let mut told = Vec::new();
-        for model in self.named.keys() {
-            let namings = self.namings.range(versions_of(model)).rev();
-            let tell = |((model, version), naming): (&(String, u64), &Naming)| ToldNaming {
-                model: model.clone(),
-                version: *version,
-                after: naming.after,
-                age: naming.age(now),
+    ) -> Vec<WeightPublication> {
+        let mut recent = Vec::new();
+        for model in self.published.keys() {
+            let publications = self.publications.range(version_range(model)).rev();
+            let report = |((model, version), publication): (&(String, u64), &PublicationRecord)| {
+                WeightPublication {
+                    model: model.clone(),
+                    version: *version,
+                    previous: publication.previous,
+                    age: publication.age(now),
+                }
             };
-            told.extend(namings.take(TOLD_NAMINGS).map(tell));
+            recent.extend(publications.take(MAX_REPORTED_PUBLICATIONS).map(report));
         }
-        told
+        recent
     }
 
     /// Whether the age limit and the previous version of the newest publication of every model are
@@ -185,10 +194,12 @@
         now: Micros,
     ) -> bool {
         let newest = |(model, version): (&String, &u64)| {
-            let naming = self.namings.get(&(model.clone(), *version));
-            naming.is_some_and(|naming| naming.age(now).is_some() && naming.after.is_some())
+            let publication = self.publications.get(&(model.clone(), *version));
+            publication.is_some_and(|publication| {
+                publication.age(now).is_some() && publication.previous.is_some()
+            })
         };
-        self.named.iter().all(newest)
+        self.published.iter().all(newest)
     }
 
     /// Records that an engine has some weights. Returns true if they count as published from now
@@ -197,20 +208,23 @@
     ///
     /// `proven_at` is the send time of the last read of the rows. The time of the publication is
     /// unknown in this case, so no parts of older versions are fetched any more.
-    pub fn engine_has(
+    pub fn record_engine_version(
         &mut self,
         model: &str,
         version: u64,
         proven_at: Option<Micros>,
         now: Micros,
     ) -> bool {
-        if self.named(model).is_some_and(|named| version <= named) {
+        if self
+            .published_version(model)
+            .is_some_and(|published| version <= published)
+        {
             return false;
         }
-        let seen = self.ahead.entry((model.to_string(), version));
+        let seen = self.unpublished.entry((model.to_string(), version));
         let seen_at = *seen.or_insert(now);
-        let row_lacks_it = proven_at.is_some_and(|at| at > seen_at + ROW_LAG);
-        row_lacks_it && self.name(model, version, None, now)
+        let row_lacks_it = proven_at.is_some_and(|at| at > seen_at + ROW_READ_LAG);
+        row_lacks_it && self.publish(model, version, None, now)
     }
 
     /// Whether a part made under a version may still be fetched from stores.
@@ -227,10 +241,10 @@
         now: Micros,
     ) -> bool {
         let known = match self.replaced_by(model, version) {
-            Some(naming) => naming.not_yet,
+            Some(publication) => publication.last_absent_at,
             None => proven_at,
         };
-        known.is_some_and(|at| now.since(at) < fetch_life(part))
+        known.is_some_and(|at| now.since(at) < fetch_period(part))
     }
 
     /// Whether a part made under a version is still fetched, held or over. It may be freed once no
@@ -238,9 +252,9 @@
     /// fetches are over.
     ///
     /// `reads_over_ms` is the time for which they have proven it
-    /// ([`super::ReadProofs::over_until_ms`]); `clock_ms` is an upper bound of the engines' clock
+    /// ([`super::FetchCompletion::completed_until_ms`]); `clock_ms` is an upper bound of the engines' clock
     /// at `now`.
-    pub fn fate(
+    pub fn reclaim_state(
         &self,
         model: &str,
         version: u64,
@@ -249,20 +263,20 @@
         clock_ms: Option<u64>,
         now: Micros,
     ) -> PartFate {
-        let Some(naming) = self.replaced_by(model, version) else {
+        let Some(publication) = self.replaced_by(model, version) else {
             return PartFate::Fetched;
         };
-        let over_at = naming.learned_at + fetch_life(part) + FREE_MARGIN;
+        let over_at = publication.learned_at + fetch_period(part) + FREE_MARGIN;
         if now <= over_at {
             return PartFate::Fetched;
         }
         let past = now.since(over_at);
         // A box that does not know the time before the publication does not know which engines
         // were told to fetch.
-        let knows_told = naming.not_yet.is_some();
+        let knows_fetchers = publication.last_absent_at.is_some();
         let over_ms = clock_ms.map(|clock| clock.saturating_sub(past.as_millis()));
         let is_proven = over_ms.is_some_and(|over| reads_over_ms > over);
-        match past > HOLD_LIMIT || (knows_told && is_proven) {
+        match past > RECLAIM_TIMEOUT || (knows_fetchers && is_proven) {
             true => PartFate::Over,
             false => PartFate::Held,
         }
@@ -272,38 +286,41 @@
         &self,
         model: &str,
         version: u64,
-    ) -> Option<&Naming> {
+    ) -> Option<&PublicationRecord> {
         let later = (model.to_string(), version + 1)..=(model.to_string(), u64::MAX);
-        self.namings.range(later).next().map(|(_, naming)| naming)
+        self.publications
+            .range(later)
+            .next()
+            .map(|(_, publication)| publication)
     }
 
     /// Newest published version of a model.
-    pub fn named(
+    pub fn published_version(
         &self,
         model: &str,
     ) -> Option<u64> {
-        self.named.get(model).copied()
+        self.published.get(model).copied()
     }
 
     /// Longest time for which the newest weights of a model can have been published, if known.
-    pub fn named_age(
+    pub fn published_age(
         &self,
         model: &str,
         now: Micros,
     ) -> Option<Micros> {
-        let newest = (model.to_string(), self.named(model)?);
-        let naming = self.namings.get(&newest)?;
-        naming.age(now)
+        let newest = (model.to_string(), self.published_version(model)?);
+        let publication = self.publications.get(&newest)?;
+        publication.age(now)
     }
 
     /// All published weights.
-    pub fn all_named(&self) -> impl Iterator<Item = (&str, u64)> {
-        self.named
+    pub fn published_versions(&self) -> impl Iterator<Item = (&str, u64)> {
+        self.published
             .iter()
             .map(|(model, version)| (model.as_str(), *version))
     }
 }
 
-pub(super) fn versions_of(model: &str) -> RangeInclusive<(String, u64)> {
+pub(super) fn version_range(model: &str) -> RangeInclusive<(String, u64)> {
     (model.to_string(), 0)..=(model.to_string(), u64::MAX)
 }
--- a/core/tests/away_endpoints.rs
+++ b/core/tests/away_endpoints.rs
@@ -55,7 +55,7 @@
 
 fn planner() -> SwapPlanner {
     let mut planner = SwapPlanner::default();
-    planner.name("m", 2, Some(at(0)), at(0));
+    planner.publish("m", 2, Some(at(0)), at(0));
     planner
 }
 
--- a/core/tests/early_saves.rs
+++ b/core/tests/early_saves.rs
@@ -5,7 +5,7 @@
 
 use {
     pitchhitch_core::{
-        serving::{MemoryMap, StoreView, ToldLife, SAVE_AFTER, VIEW_LIFE},
+        serving::{MemoryMap, StoreView, ToldLife, SAVE_DELAY, VIEW_TTL},
         time::Micros,
     },
     proptest::prelude::*,
@@ -101,7 +101,7 @@
     letters: Vec<(usize, Letter)>,
     epoch: u64,
     restarted_at: Micros,
-    /// Saves that a front could ask for in the first [`SAVE_AFTER`] of its own life.
+    /// Saves that a front could ask for in the first [`SAVE_DELAY`] of its own life.
     early: usize,
 }
 
@@ -188,7 +188,7 @@
             } => {
                 let front = &mut self.fronts[to];
                 if front.life == life {
-                    front.view().answered(epoch, Some(1), sent_at, now);
+                    front.view().record_answer(epoch, Some(1), sent_at, now);
                 }
             }
             Letter::Question {
@@ -221,9 +221,9 @@
             let started = START + at(front.life * STEP_MS);
             let view = front.view();
             let is_current = view.epoch() == Some(self.epoch);
-            if is_current && view.takes(10, now) {
-                assert!(lasted > VIEW_LIFE, "saved after {lasted:?}");
-                self.early += usize::from(now.since(started) <= SAVE_AFTER);
+            if is_current && view.can_save(10, now) {
+                assert!(lasted > VIEW_TTL, "saved after {lasted:?}");
+                self.early += usize::from(now.since(started) <= SAVE_DELAY);
             }
         }
     }
--- a/core/tests/endpoint_book.rs
+++ b/core/tests/endpoint_book.rs
@@ -207,7 +207,10 @@
     let mut book = EndpointBook::default();
     book.take(&notice("e", 1, false));
     let key = book.key("e").expect("known");
-    book.get_mut(key).expect("entry").weights.learn("m", 3);
+    book.get_mut(key)
+        .expect("entry")
+        .weights
+        .set_version("m", 3);
     book.take(&notice("e", 1, false));
     assert_eq!(book.get(key).and_then(|e| e.weights.version("m")), Some(3));
 }
--- a/core/tests/endpoint_lives.rs
+++ b/core/tests/endpoint_lives.rs
@@ -51,7 +51,7 @@
     book.take(&notice("e", born, false));
     let key = book.key("e").expect("known");
     let entry = book.get_mut(key).expect("entry");
-    entry.weights.learn("m", 4);
+    entry.weights.set_version("m", 4);
     entry.parts.set(WALL, part(), 10);
     entry.is_mirrored = true;
     entry.load = Some(EngineLoad::default());
--- a/core/tests/endpoint_pick.rs
+++ b/core/tests/endpoint_pick.rs
@@ -85,7 +85,7 @@
     assert_eq!(fleet.pick(&prompt(), &[]), None);
     let key = fleet.key("e2");
     let entry = fleet.book.get_mut(key).expect("entry");
-    entry.weights.learn("m", 2);
+    entry.weights.set_version("m", 2);
     let choice = fleet.pick(&prompt(), &[]).expect("one has them");
     assert_eq!((choice.key, choice.version), (key, Some(2)));
 }
--- a/core/tests/left_out.rs
+++ b/core/tests/left_out.rs
@@ -6,7 +6,7 @@
         serving::{
             pick_endpoint, EndpointBook, EndpointChoice, EndpointKey, EndpointNotice, EngineGroup,
             EngineLoad, EnginePace, KvStore, MechanismSet, MemoryMap, PartId, PickAsk, PromptAsk,
-            PromptPart, ServingMechanism, VersionOutlook, WallTag, WeightBounds, SAVE_AFTER,
+            PromptPart, ServingMechanism, VersionOutlook, WallTag, WeightBounds, SAVE_DELAY,
         },
         time::Micros,
     },
@@ -180,10 +180,10 @@
     let saved = |left_out| {
         let mut memory = MemoryMap::without(left_out);
         memory.set_stores(std::slice::from_ref(&store));
-        let later = NOW + SAVE_AFTER + Micros(1);
+        let later = NOW + SAVE_DELAY + Micros(1);
         let view = memory.view_mut(store.address).expect("view");
-        view.answered(1, Some(1), NOW, NOW);
-        view.answered(1, Some(1), later, later);
+        view.record_answer(1, Some(1), NOW, NOW);
+        view.record_answer(1, Some(1), later, later);
         let saves = memory.plan_saves(WALL, &prompt(3).parts, &|_| true, later);
         saves.into_iter().flatten().count()
     };
--- a/core/tests/order_rights.rs
+++ b/core/tests/order_rights.rs
@@ -1,5 +1,5 @@
-//! Exclusive right to give orders to one engine, held by the process beside it or, if there is
-//! none, by a front.
+//! Exclusive right to give orders to one engine, held by its agent process or, if there is none,
+//! by a front.
 //!
 //! Generated sequences of checks, writes with lost answers, delayed writes, pauses, restarts and
 //! restores of the store are run against the production state machine; the simulated engine
@@ -18,11 +18,11 @@
 /// Time between two steps of the simulation.
 const STEP: Micros = Micros::from_millis(100);
 /// Longest time that an order is in transit.
-const WAY: Micros = Micros::from_millis(200);
+const TRANSIT: Micros = Micros::from_millis(200);
 
 /// Action of one process in a step.
 #[derive(Debug, Clone, Copy)]
-enum Deed {
+enum Action {
     /// Reads the row, and gives an order if allowed.
     Order,
     /// Reads the row, and takes the right if another process holds it.
@@ -32,21 +32,21 @@
     /// Like `Take`, but the write is carried out later.
     TakeLate,
     /// Reads the row, and is paused before it acts on it.
-    Freeze,
+    Pause,
     /// Restarts without state.
     Restart,
     /// Does nothing.
-    Rest,
+    Idle,
 }
 
 /// Event of a step.
 #[derive(Debug, Clone, Copy)]
 enum Event {
-    Does(usize, Deed),
+    Act(usize, Action),
     /// The store takes a snapshot.
-    Copy,
+    Snapshot,
     /// The store is restored from the snapshot.
-    ComeBack,
+    Restore,
     /// Some time passes.
     Pass(u64),
 }
@@ -54,7 +54,7 @@
 /// Variant of the rules, to show that the simulation detects violations.
 #[derive(Debug, Clone, Copy, PartialEq)]
 enum Variant {
-    Sound,
+    Correct,
     /// A process gives orders without checking the row.
     Unchecked,
     /// Fencing tokens are versions without the era.
@@ -106,168 +106,171 @@
     name: String,
     right: OrderRight,
     /// State that a paused process acts on when it resumes.
-    frozen: Option<OrderRight>,
+    paused: Option<OrderRight>,
 }
 
 /// An order as received by the engine.
 #[derive(Debug, Clone, PartialEq)]
-struct Got {
+struct ReceivedOrder {
     at: Micros,
     holder: String,
     number: u64,
 }
 
-struct Play {
+struct Simulation {
     now: Micros,
     store: Store,
-    copy: Store,
+    snapshot: Store,
     processes: Vec<Process>,
-    late: Vec<(u64, String, Micros)>,
-    got: Vec<Got>,
+    late_writes: Vec<(u64, String, Micros)>,
+    received: Vec<ReceivedOrder>,
     variant: Variant,
 }
 
-impl Play {
+impl Simulation {
     fn new(variant: Variant) -> Self {
         let process = |name: &str| Process {
             name: name.to_string(),
             right: OrderRight::new(name, GAP),
-            frozen: None,
+            paused: None,
         };
-        Play {
+        Simulation {
             now: Micros::from_secs(1),
             store: Store {
                 era: 1,
                 ..Store::default()
             },
-            copy: Store::default(),
+            snapshot: Store::default(),
             processes: ["beside", "front-1", "front-2"].map(process).into(),
-            late: Vec::new(),
-            got: Vec::new(),
+            late_writes: Vec::new(),
+            received: Vec::new(),
             variant,
         }
     }
 
-    fn play(
+    fn run(
         &mut self,
         events: &[Event],
     ) {
         for event in events {
             self.now = self.now + STEP;
-            self.do_late();
+            self.apply_late_writes();
             match *event {
-                Event::Does(process, deed) => self.act(process, deed),
-                Event::Copy => self.copy = self.store.clone(),
-                Event::ComeBack if self.copy.era > 0 => {
+                Event::Act(process, action) => self.act(process, action),
+                Event::Snapshot => self.snapshot = self.store.clone(),
+                Event::Restore if self.snapshot.era > 0 => {
                     let era = self.store.era + 1;
                     self.store = Store {
                         era,
-                        ..self.copy.clone()
+                        ..self.snapshot.clone()
                     };
-                    self.copy = Store::default();
+                    self.snapshot = Store::default();
                 }
-                Event::ComeBack => {}
+                Event::Restore => {}
                 Event::Pass(steps) => self.now = self.now + Micros(STEP.0 * steps),
             }
         }
     }
 
-    fn do_late(&mut self) {
+    fn apply_late_writes(&mut self) {
         let now = self.now;
         let due: Vec<_> = self
-            .late
+            .late_writes
             .iter()
-            .filter(|late| late.2 <= now)
+            .filter(|late_writes| late_writes.2 <= now)
             .cloned()
             .collect();
-        self.late.retain(|late| late.2 > now);
+        self.late_writes.retain(|late_writes| late_writes.2 > now);
         for (expected, holder, _) in due {
             self.store.replace(expected, &holder);
         }
     }
 
-    fn look(
+    fn read_row(
         &mut self,
         process: usize,
     ) {
         let row = self.store.read();
         let (asked_at, now) = (self.now, self.now);
-        self.processes[process].right.row_read(row, asked_at, now);
+        self.processes[process]
+            .right
+            .on_row_read(row, asked_at, now);
     }
 
     fn act(
         &mut self,
         process: usize,
-        deed: Deed,
+        action: Action,
     ) {
         let now = self.now;
         let name = self.processes[process].name.clone();
-        if let Some(frozen) = self.processes[process].frozen.take() {
+        if let Some(paused) = self.processes[process].paused.take() {
             // The process resumes and acts on the row that it had read.
-            self.give(process, &frozen);
+            self.give_order(process, &paused);
         }
-        match deed {
-            Deed::Order => {
+        match action {
+            Action::Order => {
                 if self.variant != Variant::Unchecked {
-                    self.look(process);
+                    self.read_row(process);
                 }
                 let right = self.processes[process].right.clone();
-                self.give(process, &right);
+                self.give_order(process, &right);
             }
-            Deed::Freeze => {
-                self.look(process);
+            Action::Pause => {
+                self.read_row(process);
                 let right = self.processes[process].right.clone();
-                self.processes[process].frozen = Some(right);
+                self.processes[process].paused = Some(right);
             }
-            Deed::Restart => self.processes[process].right = OrderRight::new(name, GAP),
-            Deed::Rest => {}
-            Deed::Take | Deed::TakeUnanswered | Deed::TakeLate => {
-                self.look(process);
+            Action::Restart => self.processes[process].right = OrderRight::new(name, GAP),
+            Action::Idle => {}
+            Action::Take | Action::TakeUnanswered | Action::TakeLate => {
+                self.read_row(process);
                 if self.processes[process].right.is_held() {
                     return;
                 }
                 let expected = self.store.row.as_ref().map_or(0, |(version, _)| *version);
-                if matches!(deed, Deed::TakeLate) {
-                    self.late.push((expected, name, now + Micros(STEP.0 * 15)));
-                    self.processes[process].right.row_unknown();
+                if matches!(action, Action::TakeLate) {
+                    self.late_writes
+                        .push((expected, name, now + Micros(STEP.0 * 15)));
+                    self.processes[process].right.on_row_unknown();
                     return;
                 }
                 let written = self.store.replace(expected, &name);
                 let right = &mut self.processes[process].right;
-                match (written, deed) {
-                    (Some(position), Deed::Take) => right.row_written(position, now, now),
-                    _ => right.row_unknown(),
+                match (written, action) {
+                    (Some(position), Action::Take) => right.on_row_written(position, now, now),
+                    _ => right.on_row_unknown(),
                 }
             }
         }
     }
 
-    fn give(
+    fn give_order(
         &mut self,
         process: usize,
         right: &OrderRight,
     ) {
         let number = match self.variant {
-            Variant::Unchecked => right.unread_number(self.now),
-            Variant::Sound | Variant::EraIgnored => right.number(self.now),
+            Variant::Unchecked => right.unchecked_fencing_token(self.now),
+            Variant::Correct | Variant::EraIgnored => right.fencing_token(self.now),
         };
         let Some(number) = number else {
             return;
         };
         let number = match self.variant {
             Variant::EraIgnored => number & ((1 << 40) - 1),
-            Variant::Sound | Variant::Unchecked => number,
+            Variant::Correct | Variant::Unchecked => number,
         };
-        self.got.push(Got {
-            at: self.now + WAY,
+        self.received.push(ReceivedOrder {
+            at: self.now + TRANSIT,
             holder: self.processes[process].name.clone(),
             number,
         });
     }
 
     /// Checks the guarantees that an engine has; returns the first violation.
-    fn broken(&self) -> Option<String> {
-        for (one, next) in self.got.iter().zip(self.got.iter().skip(1)) {
+    fn violation(&self) -> Option<String> {
+        for (one, next) in self.received.iter().zip(self.received.iter().skip(1)) {
             if next.number < one.number {
                 return Some(format!("fencing tokens decrease: {one:?}, {next:?}"));
             }
@@ -282,23 +285,23 @@
     }
 }
 
-fn deed() -> impl Strategy<Value = Deed> {
+fn action() -> impl Strategy<Value = Action> {
     prop_oneof![
-        4 => Just(Deed::Order),
-        3 => Just(Deed::Take),
-        1 => Just(Deed::TakeUnanswered),
-        1 => Just(Deed::TakeLate),
-        1 => Just(Deed::Freeze),
-        1 => Just(Deed::Restart),
-        1 => Just(Deed::Rest),
+        4 => Just(Action::Order),
+        3 => Just(Action::Take),
+        1 => Just(Action::TakeUnanswered),
+        1 => Just(Action::TakeLate),
+        1 => Just(Action::Pause),
+        1 => Just(Action::Restart),
+        1 => Just(Action::Idle),
     ]
 }
 
 fn event() -> impl Strategy<Value = Event> {
     prop_oneof![
-        12 => (0..3_usize, deed()).prop_map(|(process, deed)| Event::Does(process, deed)),
-        1 => Just(Event::Copy),
-        1 => Just(Event::ComeBack),
+        12 => (0..3_usize, action()).prop_map(|(process, action)| Event::Act(process, action)),
+        1 => Just(Event::Snapshot),
+        1 => Just(Event::Restore),
         3 => (1..50_u64).prop_map(Event::Pass),
     ]
 }
@@ -307,16 +310,16 @@
     proptest::collection::vec(event(), 0..60)
 }
 
-fn is_seen(
+fn is_detected(
     variant: Variant,
     count: u32,
 ) -> bool {
     let mut runner = proptest::test_runner::TestRunner::deterministic();
     (0..count).any(|_| {
         let events = events().new_tree(&mut runner).expect("generated").current();
-        let mut play = Play::new(variant);
-        play.play(&events);
-        play.broken().is_some()
+        let mut simulation = Simulation::new(variant);
+        simulation.run(&events);
+        simulation.violation().is_some()
     })
 }
 
@@ -327,9 +330,9 @@
     /// the gap apart.
     #[test]
     fn one_giver(events in events()) {
-        let mut play = Play::new(Variant::Sound);
-        play.play(&events);
-        prop_assert_eq!(play.broken(), None);
+        let mut simulation = Simulation::new(Variant::Correct);
+        simulation.run(&events);
+        prop_assert_eq!(simulation.violation(), None);
     }
 }
 
@@ -337,36 +340,44 @@
 /// the era.
 #[test]
 fn variants_fail() {
-    assert!(is_seen(Variant::Unchecked, 2_000), "unchecked");
-    assert!(is_seen(Variant::EraIgnored, 2_000), "era ignored");
-    assert!(!is_seen(Variant::Sound, 2_000), "correct");
+    assert!(is_detected(Variant::Unchecked, 2_000), "unchecked");
+    assert!(is_detected(Variant::EraIgnored, 2_000), "era ignored");
+    assert!(!is_detected(Variant::Correct, 2_000), "correct");
 }
 
 /// Each new holder waits, also the first one: a restored snapshot may lack the row of the previous
 /// holder.
 #[test]
 fn takes_over_late() {
-    let mut play = Play::new(Variant::Sound);
-    let beside = |deed| Event::Does(0, deed);
-    let front = |deed| Event::Does(1, deed);
-    play.play(&[beside(Deed::Take), beside(Deed::Order)]);
-    assert_eq!(play.got.len(), 0);
-    play.play(&[Event::Pass(40), beside(Deed::Order)]);
-    assert_eq!(play.got.len(), 1);
-    play.play(&[front(Deed::Take), front(Deed::Order), beside(Deed::Order)]);
+    let mut simulation = Simulation::new(Variant::Correct);
+    let beside = |action| Event::Act(0, action);
+    let front = |action| Event::Act(1, action);
+    simulation.run(&[beside(Action::Take), beside(Action::Order)]);
+    assert_eq!(simulation.received.len(), 0);
+    simulation.run(&[Event::Pass(40), beside(Action::Order)]);
+    assert_eq!(simulation.received.len(), 1);
+    simulation.run(&[
+        front(Action::Take),
+        front(Action::Order),
+        beside(Action::Order),
+    ]);
     assert_eq!(
-        play.got.len(),
+        simulation.received.len(),
         1,
         "the old holder has lost it, the new one waits"
     );
-    play.play(&[Event::Pass(40), front(Deed::Order)]);
-    assert_eq!(play.got.len(), 2);
-    play.play(&[
-        beside(Deed::Take),
+    simulation.run(&[Event::Pass(40), front(Action::Order)]);
+    assert_eq!(simulation.received.len(), 2);
+    simulation.run(&[
+        beside(Action::Take),
         Event::Pass(40),
-        front(Deed::Order),
-        beside(Deed::Order),
+        front(Action::Order),
+        beside(Action::Order),
     ]);
-    let holders: Vec<&str> = play.got.iter().map(|got| got.holder.as_str()).collect();
+    let holders: Vec<&str> = simulation
+        .received
+        .iter()
+        .map(|received| received.holder.as_str())
+        .collect();
     assert_eq!(holders, ["beside", "front-1", "beside"]);
 }
--- a/core/tests/pick_fleet/mod.rs
+++ b/core/tests/pick_fleet/mod.rs
@@ -120,9 +120,9 @@
             held_calls: 12,
         }]);
         let view = self.memory.view_mut(address).expect("view");
-        view.answered(5, Some(1_000), NOW, NOW);
+        view.record_answer(5, Some(1_000), NOW, NOW);
         for shared in &prompt().parts[..2] {
-            view.set(WALL, shared.id, shared.tokens);
+            view.set_part(WALL, shared.id, shared.tokens);
         }
     }
 
--- a/core/tests/serving_limits.rs
+++ b/core/tests/serving_limits.rs
@@ -2,8 +2,8 @@
 
 use pitchhitch_core::{
     serving::{
-        AdmissionAsk, AdmissionRule, AdmissionVerdict, EndpointChoice, EnginePace, KeyPolicy,
-        KeyTrust, PartId, PartMemory, PromptPart, RefusalKind, RepeatBound, RepeatMeter, WallTag,
+        AdmissionAsk, AdmissionRule, AdmissionVerdict, EndpointChoice, EnginePace, KeyFreshness,
+        KeyPolicy, PartId, PartMemory, PromptPart, RefusalKind, RepeatBound, RepeatMeter, WallTag,
     },
     time::Micros,
 };
@@ -68,13 +68,13 @@
 
 #[test]
 fn old_keys_closed() {
-    let mut trust = KeyTrust::new(at(4_000), KeyPolicy::FailClosed);
-    assert!(!trust.lets_in(at(0)));
-    trust.proven(at(1_000));
-    assert!(trust.lets_in(at(4_999)) && !trust.lets_in(at(5_000)));
-    assert!(trust.is_sound(at(3_000)) && !trust.is_sound(at(3_300)));
+    let mut trust = KeyFreshness::new(at(4_000), KeyPolicy::FailClosed);
+    assert!(!trust.admits_keys(at(0)));
+    trust.record_read(at(1_000));
+    assert!(trust.admits_keys(at(4_999)) && !trust.admits_keys(at(5_000)));
+    assert!(trust.is_ready(at(3_000)) && !trust.is_ready(at(3_300)));
     // An answer to an older question proves nothing newer.
-    trust.proven(at(500));
+    trust.record_read(at(500));
     assert_eq!(trust.proven_at(), Some(at(1_000)));
 }
 
@@ -82,10 +82,10 @@
 /// wrong by old knowledge; without any knowledge nobody is let in.
 #[test]
 fn old_keys_open() {
-    let mut trust = KeyTrust::new(at(4_000), KeyPolicy::ServeOn);
-    assert!(!trust.lets_in(at(0)) && !trust.is_sound(at(0)));
-    trust.proven(at(1_000));
-    assert!(trust.lets_in(at(90_000)) && trust.is_sound(at(90_000)));
+    let mut trust = KeyFreshness::new(at(4_000), KeyPolicy::FailOpen);
+    assert!(!trust.admits_keys(at(0)) && !trust.is_ready(at(0)));
+    trust.record_read(at(1_000));
+    assert!(trust.admits_keys(at(90_000)) && trust.is_ready(at(90_000)));
     assert!(trust.may_deny(at(4_999)) && !trust.may_deny(at(5_000)));
 }
 
@@ -93,17 +93,17 @@
 /// started; it lets callers in, but tells nobody that a key is wrong.
 #[test]
 fn handed_keys_aged() {
-    let mut trust = KeyTrust::new(at(4_000), KeyPolicy::FailClosed);
-    trust.handed_on(at(3_000), at(100));
+    let mut trust = KeyFreshness::new(at(4_000), KeyPolicy::FailClosed);
+    trust.record_report(at(3_000), at(100));
     assert_eq!(trust.age(at(600)), Some(at(3_500)));
-    assert!(trust.lets_in(at(1_000)) && !trust.lets_in(at(1_100)));
+    assert!(trust.admits_keys(at(1_000)) && !trust.admits_keys(at(1_100)));
     assert!(!trust.may_deny(at(200)) && trust.proven_at().is_none());
     // An older one changes nothing, a younger one does.
-    trust.handed_on(at(9_000), at(200));
+    trust.record_report(at(9_000), at(200));
     assert_eq!(trust.age(at(600)), Some(at(3_500)));
-    trust.handed_on(at(500), at(200));
+    trust.record_report(at(500), at(200));
     assert_eq!(trust.age(at(600)), Some(at(900)));
-    trust.proven(at(600));
+    trust.record_read(at(600));
     assert_eq!(trust.age(at(700)), Some(at(100)));
     assert!(trust.may_deny(at(700)));
 }
--- a/core/tests/small_world/mod.rs
+++ b/core/tests/small_world/mod.rs
@@ -2,7 +2,9 @@
 
 use {
     pitchhitch_core::{
-        serving::{KvStore, PartFate, PartId, ReadProofs, StoreView, SwapPlanner, WeightBelief},
+        serving::{
+            FetchCompletion, KnownWeights, KvStore, PartFate, PartId, StoreView, SwapPlanner,
+        },
         time::Micros,
     },
     std::net::SocketAddr,
@@ -16,9 +18,9 @@
     ([10, 0, 0, 1], place as u16 + 1).into()
 }
 
-fn belief(version: u64) -> WeightBelief {
-    let mut belief = WeightBelief::default();
-    belief.learn("m", version);
+fn belief(version: u64) -> KnownWeights {
+    let mut belief = KnownWeights::default();
+    belief.set_version("m", version);
     belief
 }
 
@@ -118,8 +120,8 @@
 
 struct SmallFront {
     planner: SwapPlanner,
-    reads: ReadProofs,
-    beliefs: Vec<WeightBelief>,
+    reads: FetchCompletion,
+    beliefs: Vec<KnownWeights>,
     view: StoreView,
     proven_at: Option<Micros>,
     /// Reports on the way to it: engine, weights, clock.
@@ -131,7 +133,7 @@
     fn new(engines: &[SmallEngine]) -> Self {
         SmallFront {
             planner: SwapPlanner::default(),
-            reads: ReadProofs::default(),
+            reads: FetchCompletion::default(),
             beliefs: engines.iter().map(|small| belief(small.version)).collect(),
             view: StoreView::new(KvStore {
                 name: "s".to_string(),
@@ -155,16 +157,16 @@
         now: u64,
     ) {
         if named > 0 {
-            self.planner.name("m", named, self.proven_at, at(now));
+            self.planner.publish("m", named, self.proven_at, at(now));
         }
         self.proven_at = Some(at(now));
         let beliefs = self.beliefs.iter().enumerate();
         let engines = beliefs.map(|(place, belief)| (engine(place), belief));
-        self.reads.know(engines, at(now));
+        self.reads.update_engines(engines, at(now));
         // The answer lay on the way for one look.
         let sent_at = at(now.saturating_sub(LOOK_MS));
         self.view
-            .answered(1, Some(CLOCK_MS + now - STEP_MS), sent_at, at(now));
+            .record_answer(1, Some(CLOCK_MS + now - STEP_MS), sent_at, at(now));
     }
 }
 
@@ -277,8 +279,10 @@
                 continue;
             }
             for (place, version, clock_ms) in front.inbox.drain(..) {
-                front.beliefs[place].learn("m", version);
-                front.reads.heard(engine(place), Some(clock_ms), at(now));
+                front.beliefs[place].set_version("m", version);
+                front
+                    .reads
+                    .record_report(engine(place), Some(clock_ms), at(now));
             }
             if now % LOOK_MS == 0 {
                 front.look(named, now);
@@ -311,11 +315,11 @@
     let clock_ms = front.view.latest_clock_ms(at(now));
     let mut freed = Vec::new();
     for version in 1..named {
-        let over_ms = front.reads.over_until_ms("m", version);
+        let over_ms = front.reads.completed_until_ms("m", version);
         for (place, part) in PARTS.iter().enumerate() {
             let id = PartId::parse(part).expect("hex");
             let planner = &front.planner;
-            let fate = planner.fate("m", version, id, over_ms, clock_ms, at(now));
+            let fate = planner.reclaim_state("m", version, id, over_ms, clock_ms, at(now));
             if fate == PartFate::Over {
                 freed.push((version, place));
             }
--- a/core/tests/store_eras.rs
+++ b/core/tests/store_eras.rs
@@ -8,7 +8,7 @@
 
 use {
     pitchhitch_core::{
-        serving::{EraNews, EraWatch, KeyPolicy, KeyTrust, StoreEra, StorePosition},
+        serving::{EraTracker, EraUpdate, KeyFreshness, KeyPolicy, StoreEra, StorePosition},
         time::Micros,
     },
     proptest::{prelude::*, strategy::ValueTree, test_runner::TestRunner},
@@ -17,7 +17,7 @@
 /// Age up to which the known keys are accepted.
 const LIMIT: Micros = Micros::from_millis(5_000);
 /// Longest time from the restore of the store until the operator has rewritten what was lost.
-const OPERATOR_AGAIN: Micros = Micros::from_millis(2_000);
+const OPERATOR_REWRITE_DELAY: Micros = Micros::from_millis(2_000);
 const STEP: Micros = Micros::from_millis(100);
 const FRONTS: usize = 3;
 
@@ -27,7 +27,7 @@
     /// A front sends a request; the store answers with its current content.
     Ask(usize),
     /// The answer arrives.
-    Hear(usize),
+    Receive(usize),
     /// A front asks another one for its configuration.
     Peer(usize, usize),
     Restart(usize),
@@ -35,23 +35,23 @@
     Revoke,
     /// Other writers change rows.
     Others(u64),
-    Copy,
-    ComeBack,
+    Snapshot,
+    Restore,
     Pass(u64),
 }
 
 /// Variant of the rules, to show that the simulation detects violations.
 #[derive(Debug, Clone, Copy, PartialEq)]
 enum Variant {
-    Sound,
+    Correct,
     /// Positions are versions without the era.
     EraIgnored,
     /// A read proves the current content right after a restore.
-    Undoubted,
+    AlwaysCertain,
     /// A front that has just started confirms what it read.
-    AllVouch,
+    AllConfirm,
     /// A front that has just started refreshes what others know.
-    AllRenew,
+    AllRefresh,
 }
 
 #[derive(Debug, Clone, Copy, Default)]
@@ -69,7 +69,7 @@
     config: Option<u64>,
     is_refused: bool,
     /// Whether the operator had not yet rewritten what the store lost.
-    is_lacking: bool,
+    is_incomplete: bool,
     sent_at: Micros,
 }
 
@@ -91,43 +91,43 @@
             position,
             config: is_news.then_some(self.config.0),
             is_refused: is_gone || (is_other && variant != Variant::EraIgnored),
-            is_lacking: false,
+            is_incomplete: false,
             sent_at,
         }
     }
 }
 
 struct Front {
-    eras: EraWatch,
-    trust: KeyTrust,
+    eras: EraTracker,
+    freshness: KeyFreshness,
     seen: Option<StorePosition>,
     config: Option<u64>,
     proven_era: Option<StoreEra>,
-    under_way: Option<Answer>,
+    pending: Option<Answer>,
     /// Whether the known configuration comes from a restored snapshot that the operator had not
     /// yet rewritten, and that no front could tell from the content before it.
-    is_blind: bool,
+    is_unaware: bool,
 }
 
 impl Front {
     fn new() -> Self {
         Front {
-            eras: EraWatch::default(),
-            trust: KeyTrust::new(LIMIT, KeyPolicy::FailClosed),
+            eras: EraTracker::default(),
+            freshness: KeyFreshness::new(LIMIT, KeyPolicy::FailClosed),
             seen: None,
             config: None,
             proven_era: None,
-            under_way: None,
-            is_blind: false,
+            pending: None,
+            is_unaware: false,
         }
     }
 }
 
-struct Play {
+struct Simulation {
     variant: Variant,
     now: Micros,
     store: Store,
-    copy: Store,
+    snapshot: Store,
     /// Newest configuration that the operator has written.
     newest: u64,
     revoked_at: Vec<Micros>,
@@ -137,13 +137,13 @@
     fronts: Vec<Front>,
 }
 
-impl Play {
+impl Simulation {
     fn new(variant: Variant) -> Self {
-        Play {
+        Simulation {
             variant,
             now: Micros::from_secs(100),
             store: Store::default(),
-            copy: Store::default(),
+            snapshot: Store::default(),
             newest: 0,
             revoked_at: vec![Micros::ZERO],
             writes_at: None,
@@ -162,22 +162,25 @@
         event: Event,
     ) {
         match event {
-            Event::Ask(place) => self.ask(place),
-            Event::Hear(place) => self.hear(place),
-            Event::Peer(place, other) => self.peer(place, other),
-            Event::Restart(place) => self.fronts[place] = Front::new(),
+            Event::Ask(index) => self.ask(index),
+            Event::Receive(index) => self.receive(index),
+            Event::Peer(index, other) => self.peer(index, other),
+            Event::Restart(index) => self.fronts[index] = Front::new(),
             Event::Revoke => {
                 self.newest += 1;
                 self.revoked_at.push(self.now);
                 self.write();
             }
             Event::Others(count) => self.store.version += count,
-            Event::Copy => self.copy = self.store,
-            Event::ComeBack => {
+            Event::Snapshot => self.snapshot = self.store,
+            Event::Restore => {
                 let era = self.store.era + 1;
-                self.store = Store { era, ..self.copy };
-                self.copy = self.store;
-                self.writes_at = Some(self.now + OPERATOR_AGAIN);
+                self.store = Store {
+                    era,
+                    ..self.snapshot
+                };
+                self.snapshot = self.store;
+                self.writes_at = Some(self.now + OPERATOR_REWRITE_DELAY);
             }
             Event::Pass(steps) => self.now = self.now + Micros(STEP.0 * steps),
         }
@@ -189,29 +192,29 @@
 
     fn ask(
         &mut self,
-        place: usize,
+        index: usize,
     ) {
         let (now, variant) = (self.now, self.variant);
-        let front = &mut self.fronts[place];
+        let front = &mut self.fronts[index];
         let mut answer = self.store.answer(front.seen, now, variant);
-        answer.is_lacking = self.store.config.0 < self.newest;
-        front.under_way = Some(answer);
+        answer.is_incomplete = self.store.config.0 < self.newest;
+        front.pending = Some(answer);
     }
 
-    fn hear(
+    fn receive(
         &mut self,
-        place: usize,
+        index: usize,
     ) {
         let (now, variant) = (self.now, self.variant);
-        let front = &mut self.fronts[place];
-        let Some(answer) = front.under_way.take() else {
+        let front = &mut self.fronts[index];
+        let Some(answer) = front.pending.take() else {
             return;
         };
         if answer.is_refused {
             front.seen = None;
         }
         let is_first = front.eras.known().is_none();
-        if front.eras.note(answer.position.era, now) == EraNews::Earlier
+        if front.eras.observe(answer.position.era, now) == EraUpdate::Outdated
             && variant != Variant::EraIgnored
         {
             return;
@@ -219,18 +222,18 @@
         if answer.is_refused {
             return;
         }
-        front.is_blind |= is_first && answer.is_lacking;
+        front.is_unaware |= is_first && answer.is_incomplete;
         front.seen = Some(answer.position);
         front.config = front.config.max(answer.config);
         let proves = match variant {
-            Variant::EraIgnored | Variant::Undoubted => true,
-            Variant::Sound | Variant::AllVouch | Variant::AllRenew => {
+            Variant::EraIgnored | Variant::AlwaysCertain => true,
+            Variant::Correct | Variant::AllConfirm | Variant::AllRefresh => {
                 front.eras.proves(answer.sent_at)
             }
         };
         if proves {
-            front.trust.proven(answer.sent_at);
-            if variant == Variant::AllVouch || front.eras.may_vouch(answer.sent_at) {
+            front.freshness.record_read(answer.sent_at);
+            if variant == Variant::AllConfirm || front.eras.can_confirm(answer.sent_at) {
                 front.proven_era = front.eras.known();
             }
         }
@@ -238,31 +241,31 @@
 
     fn peer(
         &mut self,
-        place: usize,
+        index: usize,
         other: usize,
     ) {
         let now = self.now;
-        let told = &self.fronts[other];
-        let (Some(config), Some(age)) = (told.config, told.trust.age(now)) else {
+        let source = &self.fronts[other];
+        let (Some(config), Some(age)) = (source.config, source.freshness.age(now)) else {
             return;
         };
-        let (era, is_blind) = (told.proven_era, told.is_blind);
-        let front = &mut self.fronts[place];
-        if era.is_some_and(|era| front.eras.vouch(era, now)) {
-            front.trust.unprove();
+        let (era, is_unaware) = (source.proven_era, source.is_unaware);
+        let front = &mut self.fronts[index];
+        if era.is_some_and(|era| front.eras.confirm(era, now)) {
+            front.freshness.invalidate();
         }
-        if front.trust.proven_at().is_none() {
-            front.is_blind |= is_blind;
+        if front.freshness.proven_at().is_none() {
+            front.is_unaware |= is_unaware;
         }
-        let renews = era.is_some() || self.variant == Variant::AllRenew;
-        if renews || front.trust.proven_at().is_none() {
-            front.trust.handed_on(age, now);
+        let renews = era.is_some() || self.variant == Variant::AllRefresh;
+        if renews || front.freshness.proven_at().is_none() {
+            front.freshness.record_report(age, now);
         }
         front.config = front.config.max(Some(config));
     }
 
     /// First violated rule, if any.
-    fn broken(
+    fn violation(
         &self,
         before: &[Option<u64>],
     ) -> Option<&'static str> {
@@ -270,13 +273,16 @@
             if front.config < *before {
                 return Some("a configuration went back within one incarnation");
             }
-            let Some(config) = front.config.filter(|_| front.trust.lets_in(self.now)) else {
+            let Some(config) = front
+                .config
+                .filter(|_| front.freshness.admits_keys(self.now))
+            else {
                 continue;
             };
             let Some(revoked_at) = self.revoked_at.get(config as usize + 1) else {
                 continue;
             };
-            let since = match front.is_blind {
+            let since = match front.is_unaware {
                 true if self.writes_at.is_some() => self.now,
                 true => self.written_at.max(*revoked_at),
                 false => *revoked_at,
@@ -295,23 +301,23 @@
     ) -> Option<&'static str> {
         for event in events {
             let mut before: Vec<Option<u64>> = self.fronts.iter().map(|f| f.config).collect();
-            if let Event::Restart(place) = event {
-                before[*place] = None;
+            if let Event::Restart(index) = event {
+                before[*index] = None;
             }
             self.step(*event);
-            if let Some(rule) = self.broken(&before) {
+            if let Some(rule) = self.violation(&before) {
                 return Some(rule);
             }
         }
         for _ in 0..40 {
-            for place in 0..FRONTS {
-                self.step(Event::Ask(place));
-                self.step(Event::Hear(place));
+            for index in 0..FRONTS {
+                self.step(Event::Ask(index));
+                self.step(Event::Receive(index));
             }
             self.step(Event::Pass(1));
         }
         let is_settled = |front: &Front| {
-            front.config == Some(self.newest) && front.trust.age(self.now) <= Some(STEP)
+            front.config == Some(self.newest) && front.freshness.age(self.now) <= Some(STEP)
         };
         match self.fronts.iter().all(is_settled) {
             true => None,
@@ -324,20 +330,20 @@
     let front = 0..FRONTS;
     let event = prop_oneof![
         6 => front.clone().prop_map(Event::Ask),
-        6 => front.clone().prop_map(Event::Hear),
+        6 => front.clone().prop_map(Event::Receive),
         2 => (front.clone(), front.clone()).prop_map(|(a, b)| Event::Peer(a, b)),
         1 => front.prop_map(Event::Restart),
         2 => Just(Event::Revoke),
         2 => (1u64..4).prop_map(Event::Others),
-        1 => Just(Event::Copy),
-        1 => Just(Event::ComeBack),
+        1 => Just(Event::Snapshot),
+        1 => Just(Event::Restore),
         5 => (1u64..12).prop_map(Event::Pass),
     ];
     prop::collection::vec(event, 1..160)
 }
 
 /// Runs up to `cases` generated cases; returns the first violation found.
-fn found_within(
+fn first_violation(
     variant: Variant,
     cases: usize,
 ) -> Option<&'static str> {
@@ -345,7 +351,7 @@
     let events = events();
     (0..cases).find_map(|_| {
         let tree = events.new_tree(&mut runner).expect("events");
-        Play::new(variant).run(&tree.current())
+        Simulation::new(variant).run(&tree.current())
     })
 }
 
@@ -354,19 +360,19 @@
 
     #[test]
     fn rules_hold(events in events()) {
-        prop_assert_eq!(Play::new(Variant::Sound).run(&events), None);
+        prop_assert_eq!(Simulation::new(Variant::Correct).run(&events), None);
     }
 }
 
 #[test]
 fn broken_found() {
-    let broken = [
+    let violation = [
         Variant::EraIgnored,
-        Variant::Undoubted,
-        Variant::AllVouch,
-        Variant::AllRenew,
+        Variant::AlwaysCertain,
+        Variant::AllConfirm,
+        Variant::AllRefresh,
     ];
-    for variant in broken {
-        assert!(found_within(variant, 20_000).is_some(), "{variant:?}");
+    for variant in violation {
+        assert!(first_violation(variant, 20_000).is_some(), "{variant:?}");
     }
 }
--- a/core/tests/store_proofs.rs
+++ b/core/tests/store_proofs.rs
@@ -3,9 +3,9 @@
 use {
     pitchhitch_core::{
         serving::{
-            digest_pause, even_mix, even_number, greeting_pause, EraNews, EraWatch, KeyPolicy,
-            KeyTrust, ProofBook, ProvenTable, ReaderTier, StoreEra, StorePosition, StoreProof,
-            TableMark, WRITE_AGAIN,
+            digest_pause, even_mix, even_number, greeting_pause, EraTracker, EraUpdate,
+            KeyFreshness, KeyPolicy, ProofTracker, ProvenTable, ReaderTier, StoreEra,
+            StorePosition, StoreProof, TableChecksum, REWRITE_DELAY,
         },
         time::Micros,
     },
@@ -13,7 +13,7 @@
     std::cmp::Ordering,
 };
 
-const MARK: u32 = 7;
+const CHECKSUM: u32 = 7;
 
 fn at(millis: u64) -> Micros {
     Micros::from_millis(millis)
@@ -21,11 +21,11 @@
 
 fn proof(
     source: u32,
-    mark: u32,
+    checksum: u32,
 ) -> StoreProof {
     StoreProof {
         table: ProvenTable::Operator,
-        mark,
+        checksum,
         source,
         age: Micros::ZERO,
     }
@@ -43,35 +43,47 @@
 
 /// A single front, or a single reporting process, may be wrong, paused or out of date.
 #[test]
-fn two_witnesses() {
-    let mut book = ProofBook::default();
-    book.hear(&proof(1, MARK), 10, at(500));
-    book.hear(&proof(1, MARK), 11, at(600));
-    assert_eq!(book.witnessed(MARK), None, "one front, two reporters");
-    let mut book = ProofBook::default();
-    book.hear(&proof(1, MARK), 10, at(500));
-    book.hear(&proof(2, MARK), 10, at(600));
-    assert_eq!(book.witnessed(MARK), None, "two fronts, one reporter");
-    book.hear(&proof(2, MARK), 11, at(400));
-    assert_eq!(book.witnessed(MARK), Some(at(400)), "the older one counts");
-    book.hear(&proof(3, MARK + 1), 12, at(700));
-    assert_eq!(book.witnessed(MARK), Some(at(400)));
-    assert_eq!(book.other_since(MARK, at(600)), Some(MARK + 1));
-    assert_eq!(book.other_since(MARK, at(700)), None);
+fn two_fronts_confirm() {
+    let mut tracker = ProofTracker::default();
+    tracker.record(&proof(1, CHECKSUM), 10, at(500));
+    tracker.record(&proof(1, CHECKSUM), 11, at(600));
+    assert_eq!(
+        tracker.confirmed_at(CHECKSUM),
+        None,
+        "one front, two reporters"
+    );
+    let mut tracker = ProofTracker::default();
+    tracker.record(&proof(1, CHECKSUM), 10, at(500));
+    tracker.record(&proof(2, CHECKSUM), 10, at(600));
+    assert_eq!(
+        tracker.confirmed_at(CHECKSUM),
+        None,
+        "two fronts, one reporter"
+    );
+    tracker.record(&proof(2, CHECKSUM), 11, at(400));
+    assert_eq!(
+        tracker.confirmed_at(CHECKSUM),
+        Some(at(400)),
+        "the older one counts"
+    );
+    tracker.record(&proof(3, CHECKSUM + 1), 12, at(700));
+    assert_eq!(tracker.confirmed_at(CHECKSUM), Some(at(400)));
+    assert_eq!(tracker.newer_other(CHECKSUM, at(600)), Some(CHECKSUM + 1));
+    assert_eq!(tracker.newer_other(CHECKSUM, at(700)), None);
 }
 
 /// Proofs of other fronts are kept however often one front or one process reports.
 #[test]
-fn talkers_push_nobody_out() {
-    let mut book = ProofBook::default();
-    book.hear(&proof(1, MARK), 1, at(100));
-    book.hear(&proof(2, MARK), 2, at(100));
-    for teller in 3..200 {
-        book.hear(&proof(9, MARK), teller, at(u64::from(teller)));
+fn frequent_reports_evict_nothing() {
+    let mut tracker = ProofTracker::default();
+    tracker.record(&proof(1, CHECKSUM), 1, at(100));
+    tracker.record(&proof(2, CHECKSUM), 2, at(100));
+    for reporter in 3..200 {
+        tracker.record(&proof(9, CHECKSUM), reporter, at(u64::from(reporter)));
     }
-    assert!(book.witnessed(MARK) >= Some(at(100)));
-    let told = book.told(ProvenTable::Operator, at(10_000), at(1_000));
-    let sources: Vec<u32> = told.iter().map(|proof| proof.source).collect();
+    assert!(tracker.confirmed_at(CHECKSUM) >= Some(at(100)));
+    let reported = tracker.to_forward(ProvenTable::Operator, at(10_000), at(1_000));
+    let sources: Vec<u32> = reported.iter().map(|proof| proof.source).collect();
     assert_eq!(sources.len(), 2);
     assert_ne!(sources[0], sources[1]);
 }
@@ -80,18 +92,18 @@
     /// For any reports in any order: two different fronts and two different reporting processes
     /// stand behind a confirmed read.
     #[test]
-    fn witnesses_differ(
-        words in proptest::collection::vec((0u32..4, 0u32..4, 0u32..2, 0u64..1_000), 0..30),
+    fn confirming_fronts_differ(
+        reports in proptest::collection::vec((0u32..4, 0u32..4, 0u32..2, 0u64..1_000), 0..30),
     ) {
-        let mut book = ProofBook::default();
-        for (source, teller, mark, sent) in &words {
-            book.hear(&proof(*source, *mark), *teller, at(*sent));
+        let mut tracker = ProofTracker::default();
+        for (source, reporter, checksum, sent) in &reports {
+            tracker.record(&proof(*source, *checksum), *reporter, at(*sent));
         }
-        if let Some(witnessed) = book.witnessed(0) {
-            let fitting = |word: &&(u32, u32, u32, u64)| word.2 == 0 && at(word.3) >= witnessed;
-            let fitting: Vec<_> = words.iter().filter(fitting).collect();
-            let is_pair = fitting.iter().any(|one| {
-                fitting.iter().any(|other| one.0 != other.0 && one.1 != other.1)
+        if let Some(confirmed) = tracker.confirmed_at(0) {
+            let matching = |report: &&(u32, u32, u32, u64)| report.2 == 0 && at(report.3) >= confirmed;
+            let matching: Vec<_> = reports.iter().filter(matching).collect();
+            let is_pair = matching.iter().any(|one| {
+                matching.iter().any(|other| one.0 != other.0 && one.1 != other.1)
             });
             prop_assert!(is_pair);
         }
@@ -103,16 +115,16 @@
 fn readers_drawn() {
     for fronts in 1..=3 {
         for draw in 0..100 {
-            let tier = ReaderTier::of(f64::from(draw) / 100.0, fronts);
+            let tier = ReaderTier::from_draw(f64::from(draw) / 100.0, fronts);
             assert_eq!(tier, ReaderTier::First);
         }
     }
     for fronts in [30, 103, 2_100] {
         let draws = (0..fronts).map(|n| (f64::from(n) + 0.5) / f64::from(fronts));
-        let first = draws.filter(|draw| ReaderTier::of(*draw, fronts) == ReaderTier::First);
+        let first = draws.filter(|draw| ReaderTier::from_draw(*draw, fronts) == ReaderTier::First);
         assert_eq!(first.count(), 3, "of {fronts}");
     }
-    assert!(ReaderTier::Second.patience() < ReaderTier::Last.patience());
+    assert!(ReaderTier::Second.max_age_percent() < ReaderTier::Last.max_age_percent());
 }
 
 /// The reports that one process sends per second stay bounded, up to the fleet size at which they
@@ -135,21 +147,21 @@
 
 #[test]
 fn marks_follow_rows() {
-    let mut one = TableMark::default();
-    let mut other = TableMark::default();
+    let mut one = TableChecksum::default();
+    let mut other = TableChecksum::default();
     for (key, content) in [("a", "1"), ("b", "2"), ("c", "3")] {
         one.set(key, content.as_bytes());
     }
     for (key, content) in [("c", "3"), ("b", "0"), ("d", "4"), ("a", "1")] {
         other.set(key, content.as_bytes());
     }
-    assert_ne!(one.number(), other.number());
+    assert_ne!(one.value(), other.value());
     other.set("b", b"2");
     other.remove("d");
-    assert_eq!(one.number(), other.number());
+    assert_eq!(one.value(), other.value());
     one.set("ab", b"");
     other.set("a", b"b");
-    assert_ne!(one.number(), other.number());
+    assert_ne!(one.value(), other.value());
 }
 
 /// Versions of one era are ordered, those of two eras are not.
@@ -157,31 +169,31 @@
 fn eras_apart() {
     assert_eq!(position(1, 2).compare(position(1, 3)), Ok(Ordering::Less));
     assert!(position(1, 2).compare(position(2, 2)).is_err());
-    assert!(position(2, 1).is_told_after(position(1, 900)));
-    assert!(!position(1, 900).is_told_after(position(2, 1)));
-    assert!(!position(1, 5).is_told_after(position(1, 5)));
+    assert!(position(2, 1).is_newer_than(position(1, 900)));
+    assert!(!position(1, 900).is_newer_than(position(2, 1)));
+    assert!(!position(1, 5).is_newer_than(position(1, 5)));
 }
 
 /// A read of a restored snapshot proves nothing until the writers have had time to rewrite, unless
 /// another process has proven the content in this era.
 #[test]
 fn copy_doubted() {
-    let mut eras = EraWatch::default();
-    assert_eq!(eras.note(StoreEra(1), at(0)), EraNews::Known);
+    let mut eras = EraTracker::default();
+    assert_eq!(eras.observe(StoreEra(1), at(0)), EraUpdate::Current);
     assert!(eras.proves(at(0)));
-    let later = eras.note(StoreEra(2), at(1_000));
+    let later = eras.observe(StoreEra(2), at(1_000));
     assert_eq!(
         later,
-        EraNews::Later {
-            before: StoreEra(1)
+        EraUpdate::Advanced {
+            previous: StoreEra(1)
         }
     );
-    assert_eq!(eras.note(StoreEra(1), at(1_001)), EraNews::Earlier);
-    assert!(!eras.proves(at(1_000) + WRITE_AGAIN - Micros(1)));
-    assert!(eras.proves(at(1_000) + WRITE_AGAIN));
-    eras.vouch(StoreEra(1), at(1_100));
+    assert_eq!(eras.observe(StoreEra(1), at(1_001)), EraUpdate::Outdated);
+    assert!(!eras.proves(at(1_000) + REWRITE_DELAY - Micros(1)));
+    assert!(eras.proves(at(1_000) + REWRITE_DELAY));
+    eras.confirm(StoreEra(1), at(1_100));
     assert!(!eras.proves(at(1_200)));
-    eras.vouch(StoreEra(2), at(1_300));
+    eras.confirm(StoreEra(2), at(1_300));
     assert!(eras.proves(at(1_300)));
 }
 
@@ -189,28 +201,28 @@
 /// reported before the answer or after it.
 #[test]
 fn start_on_copy() {
-    let mut eras = EraWatch::default();
-    eras.vouch(StoreEra(1), at(400));
-    eras.note(StoreEra(2), at(500));
+    let mut eras = EraTracker::default();
+    eras.confirm(StoreEra(1), at(400));
+    eras.observe(StoreEra(2), at(500));
     assert!(!eras.proves(at(500)));
-    let mut eras = EraWatch::default();
-    eras.note(StoreEra(2), at(500));
+    let mut eras = EraTracker::default();
+    eras.observe(StoreEra(2), at(500));
     assert!(eras.proves(at(500)));
-    assert!(eras.vouch(StoreEra(1), at(600)), "read before the report");
+    assert!(eras.confirm(StoreEra(1), at(600)), "read before the report");
     assert!(!eras.proves(at(600)));
 }
 
 /// The reads of two other boxes count for keys as an own read does.
 #[test]
-fn witnessed_keys() {
-    let mut trust = KeyTrust::new(at(4_000), KeyPolicy::FailClosed);
-    trust.proven(at(1_000));
-    assert!(!trust.lets_in(at(5_000)) && !trust.may_deny(at(5_000)));
-    trust.witnessed(at(3_000));
-    assert!(trust.lets_in(at(5_000)) && trust.may_deny(at(5_000)));
-    assert_eq!(trust.age(at(5_000)), Some(at(2_000)));
-    trust.unprove();
-    assert!(!trust.lets_in(at(5_000)));
+fn confirmed_read_counts() {
+    let mut freshness = KeyFreshness::new(at(4_000), KeyPolicy::FailClosed);
+    freshness.record_read(at(1_000));
+    assert!(!freshness.admits_keys(at(5_000)) && !freshness.may_deny(at(5_000)));
+    freshness.record_confirmed_read(at(3_000));
+    assert!(freshness.admits_keys(at(5_000)) && freshness.may_deny(at(5_000)));
+    assert_eq!(freshness.age(at(5_000)), Some(at(2_000)));
+    freshness.invalidate();
+    assert!(!freshness.admits_keys(at(5_000)));
 }
 
 /// Ranks of pairs are spread evenly: each engine is among the two highest of some stores, and of
--- a/core/tests/store_view.rs
+++ b/core/tests/store_view.rs
@@ -2,13 +2,13 @@
 
 use pitchhitch_core::{
     serving::{
-        move_ms, KvStore, MemoryMap, PartId, PromptPart, StoreView, WallName, WallTag, SAVE_AFTER,
-        VIEW_LIFE,
+        transfer_ms, KvStore, MemoryMap, PartId, PromptPart, StoreView, WallName, WallTag,
+        SAVE_DELAY, VIEW_TTL,
     },
     time::Micros,
 };
 
-const WALL: WallTag = WallTag(1);
+const NAMESPACE: WallTag = WallTag(1);
 const START: Micros = Micros::from_secs(10);
 
 fn store(
@@ -39,10 +39,10 @@
 fn old_view_unused() {
     let mut view = StoreView::new(store(1, 1_000));
     assert_eq!(view.fetch_until_ms(START), None);
-    view.answered(1, Some(50_000), START, START);
+    view.record_answer(1, Some(50_000), START, START);
     let until = view.fetch_until_ms(START + Micros::from_millis(500));
-    assert_eq!(until, Some(50_000 + VIEW_LIFE.as_millis()));
-    assert_eq!(view.fetch_until_ms(START + VIEW_LIFE), None);
+    assert_eq!(until, Some(50_000 + VIEW_TTL.as_millis()));
+    assert_eq!(view.fetch_until_ms(START + VIEW_TTL), None);
 }
 
 /// A view is stale if the last answer is too old, not if the store has reported no clock: a box
@@ -51,61 +51,61 @@
 fn age_makes_stale() {
     let mut view = StoreView::new(store(1, 1_000));
     assert!(!view.is_stale(START), "nothing is known yet");
-    view.answered(1, None, START, START);
+    view.record_answer(1, None, START, START);
     assert_eq!(view.fetch_until_ms(START), None);
     assert!(!view.is_stale(START + Micros::from_millis(100)));
-    assert!(view.is_stale(START + VIEW_LIFE));
-    view.lost();
-    assert!(!view.is_stale(START + VIEW_LIFE), "it does not answer");
+    assert!(view.is_stale(START + VIEW_TTL));
+    view.mark_unreachable();
+    assert!(!view.is_stale(START + VIEW_TTL), "it does not answer");
 }
 
 #[test]
 fn lost_store_unused() {
     let mut view = StoreView::new(store(1, 1_000));
-    view.answered(1, Some(50_000), START, START);
-    view.lost();
+    view.record_answer(1, Some(50_000), START, START);
+    view.mark_unreachable();
     assert_eq!(view.fetch_until_ms(START), None);
 }
 
 #[test]
 fn restart_empties() {
     let mut view = StoreView::new(store(1, 1_000));
-    assert!(view.answered(1, Some(1), START, START));
+    assert!(view.record_answer(1, Some(1), START, START));
     let id = part("aa", 100).id;
-    view.set(WALL, id, 100);
-    assert!(!view.answered(1, Some(2), START, START));
-    assert_eq!(view.parts.tokens_of(WALL, id), 100);
-    assert!(view.answered(2, Some(3), START, START));
-    assert_eq!(view.parts.tokens_of(WALL, id), 0);
+    view.set_part(NAMESPACE, id, 100);
+    assert!(!view.record_answer(1, Some(2), START, START));
+    assert_eq!(view.parts.tokens_of(NAMESPACE, id), 100);
+    assert!(view.record_answer(2, Some(3), START, START));
+    assert_eq!(view.parts.tokens_of(NAMESPACE, id), 0);
 }
 
 /// Nothing is saved between a restart and the expiry of every older view: a part that is being
 /// written must not be fetched by a box that takes it for complete.
 #[test]
 fn saves_wait_out_views() {
-    assert!(SAVE_AFTER > VIEW_LIFE);
+    assert!(SAVE_DELAY > VIEW_TTL);
     let mut view = StoreView::new(store(1, 1_000));
-    view.answered(1, Some(1), START, START);
-    assert!(!view.takes(10, START + VIEW_LIFE));
-    let later = START + SAVE_AFTER + Micros(1);
-    view.answered(1, Some(1), later, later);
-    assert!(view.takes(10, later));
-    view.answered(2, Some(1), later, later);
-    assert!(!view.takes(10, later));
+    view.record_answer(1, Some(1), START, START);
+    assert!(!view.can_save(10, START + VIEW_TTL));
+    let later = START + SAVE_DELAY + Micros(1);
+    view.record_answer(1, Some(1), later, later);
+    assert!(view.can_save(10, later));
+    view.record_answer(2, Some(1), later, later);
+    assert!(!view.can_save(10, later));
 }
 
 #[test]
 fn full_store_refuses() {
     let mut view = StoreView::new(store(1, 1_000));
-    view.answered(1, Some(1), START, START);
-    let later = START + SAVE_AFTER + Micros(1);
-    view.answered(1, Some(1), later, later);
-    view.set(WALL, part("aa", 1).id, 900);
-    assert!(view.takes(60, later) && !view.takes(61, later));
-    view.saving(WALL, part("bb", 1).id, 50, later);
-    assert!(!view.takes(60, later), "pending saves count");
-    view.set(WALL, part("bb", 1).id, 50);
-    assert!(view.takes(10, later) && !view.takes(11, later));
+    view.record_answer(1, Some(1), START, START);
+    let later = START + SAVE_DELAY + Micros(1);
+    view.record_answer(1, Some(1), later, later);
+    view.set_part(NAMESPACE, part("aa", 1).id, 900);
+    assert!(view.can_save(60, later) && !view.can_save(61, later));
+    view.record_save(NAMESPACE, part("bb", 1).id, 50, later);
+    assert!(!view.can_save(60, later), "pending saves count");
+    view.set_part(NAMESPACE, part("bb", 1).id, 50);
+    assert!(view.can_save(10, later) && !view.can_save(11, later));
 }
 
 #[test]
@@ -115,19 +115,19 @@
     for address in [store(1, 0).address, store(2, 0).address] {
         map.view_mut(address)
             .expect("view")
-            .answered(1, Some(1), START, START);
+            .record_answer(1, Some(1), START, START);
     }
-    let later = START + SAVE_AFTER + Micros(1);
+    let later = START + SAVE_DELAY + Micros(1);
     for address in [store(1, 0).address, store(2, 0).address] {
         map.view_mut(address)
             .expect("view")
-            .answered(1, Some(1), later, later);
+            .record_answer(1, Some(1), later, later);
     }
     let parts = [part("aa", 500), part("bb", 8_000), part("cc", 900)];
-    let saves = map.plan_saves(WALL, &parts, &|_| true, later);
+    let saves = map.plan_saves(NAMESPACE, &parts, &|_| true, later);
     assert_eq!(saves.len(), 2, "the last part is never reused");
     assert!(saves.iter().all(Option::is_some));
-    let again = map.plan_saves(WALL, &parts, &|_| true, later);
+    let again = map.plan_saves(NAMESPACE, &parts, &|_| true, later);
     assert!(again.iter().all(Option::is_none), "the save is pending");
 }
 
@@ -146,22 +146,22 @@
     };
     let mut map = MemoryMap::default();
     map.set_stores(&[quick.clone(), slow.clone()]);
-    let later = START + SAVE_AFTER + Micros(1);
+    let later = START + SAVE_DELAY + Micros(1);
     for at in [START, later] {
         for store in [&quick, &slow] {
             let view = map.view_mut(store.address).expect("view");
-            view.answered(1, Some(1), at, at);
+            view.record_answer(1, Some(1), at, at);
         }
     }
     let mut link_ms = [0.0, 0.0];
     let mut saved_quick = 0;
     for number in 0..90 {
         let parts = [part(&format!("{number:x}"), 9_000), part("ffff", 100)];
-        let saves = map.plan_saves(WALL, &parts, &|_| true, later);
+        let saves = map.plan_saves(NAMESPACE, &parts, &|_| true, later);
         let address = saves[0].expect("there is space");
         let place = usize::from(address == slow.address);
         saved_quick += 1 - place;
-        link_ms[place] += move_ms(9_000 * 18_432, [&quick, &slow][place].link_mbps);
+        link_ms[place] += transfer_ms(9_000 * 18_432, [&quick, &slow][place].link_mbps);
     }
     assert!(saved_quick > 50, "{saved_quick} of 90 at the fast store");
     assert!(link_ms[1] < 2.0 * link_ms[0], "{link_ms:?}");
@@ -174,10 +174,10 @@
     let id = part("aa", 1).id;
     map.view_mut(store(1, 0).address)
         .expect("view")
-        .set(WALL, id, 9);
+        .set_part(NAMESPACE, id, 9);
     map.set_stores(&[store(2, 1_000), store(1, 2_000)]);
     let view = map.view_mut(store(1, 0).address).expect("view");
-    assert_eq!(view.parts.tokens_of(WALL, id), 9);
+    assert_eq!(view.parts.tokens_of(NAMESPACE, id), 9);
     assert_eq!(view.store.capacity_tokens, 2_000);
 }
 
@@ -218,7 +218,7 @@
         let held = f64::from(fronts) * plan.hold.0 as f64 / cycle.0 as f64;
         let half = f64::from(store.held_calls) / 2.0;
         assert!(fronts > 30 || held <= half, "{fronts}: {held}");
-        assert!(cycle.0 * 2 <= VIEW_LIFE.0, "{fronts}: {cycle:?}");
+        assert!(cycle.0 * 2 <= VIEW_TTL.0, "{fronts}: {cycle:?}");
     }
 }
 
--- a/core/tests/swap_planner.rs
+++ b/core/tests/swap_planner.rs
@@ -4,7 +4,7 @@
     pitchhitch_core::{
         serving::{
             EndpointBook, EndpointKey, EndpointNotice, EngineLoad, PartFate, PartId, SwapPlanner,
-            SwapStage, VIEW_LIFE,
+            SwapStage, VIEW_TTL,
         },
         time::Micros,
     },
@@ -18,128 +18,135 @@
     Micros::from_millis(millis)
 }
 
-fn book(
+fn registry(
     count: usize,
     running: u32,
     now: Micros,
 ) -> EndpointBook {
-    let mut book = EndpointBook::default();
-    for place in 0..count {
-        let id = format!("e{place}");
-        book.take(&EndpointNotice {
+    let mut registry = EndpointBook::default();
+    for index in 0..count {
+        let id = format!("e{index}");
+        registry.take(&EndpointNotice {
             id: id.clone(),
             service: "llm".to_string(),
-            address: Some(([10, 0, 0, 1], place as u16 + 1).into()),
+            address: Some(([10, 0, 0, 1], index as u16 + 1).into()),
             domain: "a".to_string(),
             slots: 128,
             is_leaving: false,
             weights: vec![("m".to_string(), 1)],
             ..EndpointNotice::default()
         });
-        let key = book.key(&id).expect("known");
-        book.get_mut(key).expect("entry").load = Some(EngineLoad {
+        let key = registry.key(&id).expect("known");
+        registry.get_mut(key).expect("entry").load = Some(EngineLoad {
             at: now,
             running,
             ..EngineLoad::default()
         });
     }
-    book
+    registry
 }
 
-fn hear(
-    book: &mut EndpointBook,
+fn refresh_reports(
+    registry: &mut EndpointBook,
     now: Micros,
 ) {
-    let keys: Vec<EndpointKey> = book.iter().map(|(key, _)| key).collect();
+    let keys: Vec<EndpointKey> = registry.iter().map(|(key, _)| key).collect();
     for key in keys {
-        if let Some(load) = book.get_mut(key).and_then(|entry| entry.load.as_mut()) {
+        if let Some(load) = registry.get_mut(key).and_then(|entry| entry.load.as_mut()) {
             load.at = now;
         }
     }
 }
 
 fn loading(
-    book: &EndpointBook,
+    registry: &EndpointBook,
     planner: &SwapPlanner,
 ) -> Vec<EndpointKey> {
-    let keys = book.iter().map(|(key, _)| key);
+    let keys = registry.iter().map(|(key, _)| key);
     keys.filter(|key| planner.stage(*key) == SwapStage::Loading)
         .collect()
 }
 
 fn load(
-    book: &mut EndpointBook,
+    registry: &mut EndpointBook,
     key: EndpointKey,
     version: u64,
 ) {
-    book.get_mut(key)
+    registry
+        .get_mut(key)
         .expect("entry")
         .weights
-        .learn("m", version);
+        .set_version("m", version);
 }
 
 /// An unlisted engine may load once it reports, with as many concurrent loads as before; one that
 /// announced that it leaves, or that does not report, may not.
 #[test]
 fn away_engines_load() {
-    let mut book = book(4, 0, at(0));
+    let mut registry = registry(4, 0, at(0));
     for id in ["e0", "e1", "e2"] {
-        book.gone(id, true);
+        registry.gone(id, true);
     }
-    let listed = book.notices().into_iter().find(|told| told.id == "e3");
-    book.take(&EndpointNotice {
+    let listed = registry
+        .notices()
+        .into_iter()
+        .find(|notice| notice.id == "e3");
+    registry.take(&EndpointNotice {
         is_leaving: true,
-        ..listed.expect("told")
+        ..listed.expect("listed")
     });
-    let silent = book.key("e2").and_then(|key| book.get_mut(key));
+    let silent = registry.key("e2").and_then(|key| registry.get_mut(key));
     silent.expect("entry").load = None;
     let mut planner = SwapPlanner::default();
-    planner.name("m", 2, Some(at(0)), at(0));
-    planner.plan(&book, LIMIT, at(0));
-    let told: Vec<EndpointKey> = ["e0", "e1"].iter().filter_map(|id| book.key(id)).collect();
-    assert_eq!(loading(&book, &planner), told);
+    planner.publish("m", 2, Some(at(0)), at(0));
+    planner.plan(&registry, LIMIT, at(0));
+    let expected: Vec<EndpointKey> = ["e0", "e1"]
+        .iter()
+        .filter_map(|id| registry.key(id))
+        .collect();
+    assert_eq!(loading(&registry, &planner), expected);
 }
 
 /// Engines that may serve nothing until they have newer weights load twice as many at once;
 /// engines that still serve change over a few at a time.
 #[test]
 fn overdue_load_together() {
-    let mut book = book(40, 0, at(0));
+    let mut registry = registry(40, 0, at(0));
     let mut planner = SwapPlanner::default();
-    planner.name("m", 2, Some(at(0)), at(0));
+    planner.publish("m", 2, Some(at(0)), at(0));
     assert_eq!(
-        planner.plan(&book, LIMIT, at(9_000)).len(),
+        planner.plan(&registry, LIMIT, at(9_000)).len(),
         0,
         "no recent report"
     );
-    hear(&mut book, at(9_000));
-    assert_eq!(planner.plan(&book, LIMIT, at(9_000)).len(), 8);
-    hear(&mut book, at(9_600));
+    refresh_reports(&mut registry, at(9_000));
+    assert_eq!(planner.plan(&registry, LIMIT, at(9_000)).len(), 8);
+    refresh_reports(&mut registry, at(9_600));
     assert_eq!(
-        planner.plan(&book, LIMIT, at(9_600)).len(),
+        planner.plan(&registry, LIMIT, at(9_600)).len(),
         8,
         "8 load already"
     );
-    hear(&mut book, at(9_700));
-    assert!(planner.plan(&book, LIMIT, at(9_700)).is_empty());
+    refresh_reports(&mut registry, at(9_700));
+    assert!(planner.plan(&registry, LIMIT, at(9_700)).is_empty());
 }
 
 #[test]
 fn two_at_once() {
-    let mut book = book(9, 0, at(0));
+    let mut registry = registry(9, 0, at(0));
     let mut planner = SwapPlanner::default();
-    assert!(planner.name("m", 2, Some(at(0)), at(0)));
-    assert!(!planner.name("m", 2, Some(at(0)), at(0)));
+    assert!(planner.publish("m", 2, Some(at(0)), at(0)));
+    assert!(!planner.publish("m", 2, Some(at(0)), at(0)));
     let mut rounds = 0;
     loop {
-        planner.plan(&book, LIMIT, at(0));
-        let now_loading = loading(&book, &planner);
+        planner.plan(&registry, LIMIT, at(0));
+        let now_loading = loading(&registry, &planner);
         if now_loading.is_empty() {
             break;
         }
         assert!(now_loading.len() <= 2);
         for key in now_loading {
-            load(&mut book, key, 2);
+            load(&mut registry, key, 2);
         }
         rounds += 1;
     }
@@ -151,26 +158,30 @@
 #[test]
 fn loads_grow_with_group() {
     for (engines, at_once) in [(3, 2), (9, 2), (15, 3), (54, 10)] {
-        let book = book(engines, 0, at(0));
+        let registry = registry(engines, 0, at(0));
         let mut planner = SwapPlanner::default();
-        planner.name("m", 2, Some(at(0)), at(0));
-        planner.plan(&book, LIMIT, at(0));
-        assert_eq!(loading(&book, &planner).len(), at_once, "{engines} engines");
+        planner.publish("m", 2, Some(at(0)), at(0));
+        planner.plan(&registry, LIMIT, at(0));
+        assert_eq!(
+            loading(&registry, &planner).len(),
+            at_once,
+            "{engines} engines"
+        );
     }
 }
 
 #[test]
 fn busy_drain_first() {
-    let mut book = book(3, 20, at(0));
+    let mut registry = registry(3, 20, at(0));
     let mut planner = SwapPlanner::default();
-    planner.name("m", 2, Some(at(0)), at(0));
+    planner.publish("m", 2, Some(at(0)), at(0));
     assert!(
-        planner.plan(&book, LIMIT, at(0)).is_empty(),
+        planner.plan(&registry, LIMIT, at(0)).is_empty(),
         "long runs end first"
     );
-    hear(&mut book, at(1_700));
+    refresh_reports(&mut registry, at(1_700));
     assert_eq!(
-        planner.plan(&book, LIMIT, at(1_700)).len(),
+        planner.plan(&registry, LIMIT, at(1_700)).len(),
         2,
         "but not without limit"
     );
@@ -179,48 +190,48 @@
 /// Turns given for version 2 blocked version 3 until they timed out, so that no order was given
 /// for 2.7 s.
 #[test]
-fn newer_naming_overtakes() {
-    let book = book(4, 0, at(0));
+fn newer_publication_replaces() {
+    let registry = registry(4, 0, at(0));
     let mut planner = SwapPlanner::default();
-    planner.name("m", 2, Some(at(0)), at(0));
-    planner.plan(&book, LIMIT, at(0));
-    planner.name("m", 3, Some(at(100)), at(100));
-    planner.plan(&book, LIMIT, at(100));
-    for key in loading(&book, &planner) {
+    planner.publish("m", 2, Some(at(0)), at(0));
+    planner.plan(&registry, LIMIT, at(0));
+    planner.publish("m", 3, Some(at(100)), at(100));
+    planner.plan(&registry, LIMIT, at(100));
+    for key in loading(&registry, &planner) {
         assert_eq!(planner.turn(key).map(|turn| turn.version), Some(3));
     }
 }
 
 #[test]
 fn oldest_weights_first() {
-    let mut book = book(4, 0, at(0));
+    let mut registry = registry(4, 0, at(0));
     for id in ["e0", "e1"] {
-        let key = book.key(id).expect("known");
-        load(&mut book, key, 2);
+        let key = registry.key(id).expect("known");
+        load(&mut registry, key, 2);
     }
     let mut planner = SwapPlanner::default();
-    planner.name("m", 3, Some(at(0)), at(0));
-    planner.plan(&book, LIMIT, at(0));
-    let first = loading(&book, &planner);
+    planner.publish("m", 3, Some(at(0)), at(0));
+    planner.plan(&registry, LIMIT, at(0));
+    let first = loading(&registry, &planner);
     assert_eq!(
         first,
         vec![
-            book.key("e2").expect("known"),
-            book.key("e3").expect("known")
+            registry.key("e2").expect("known"),
+            registry.key("e3").expect("known")
         ]
     );
 }
 
 #[test]
 fn missed_turn_passes() {
-    let mut book = book(3, 0, at(0));
+    let mut registry = registry(3, 0, at(0));
     let mut planner = SwapPlanner::default();
-    planner.name("m", 2, Some(at(0)), at(0));
-    planner.plan(&book, LIMIT, at(0));
-    let stuck = loading(&book, &planner);
-    hear(&mut book, at(7_500));
-    planner.plan(&book, LIMIT, at(7_500));
-    let next = loading(&book, &planner);
+    planner.publish("m", 2, Some(at(0)), at(0));
+    planner.plan(&registry, LIMIT, at(0));
+    let stuck = loading(&registry, &planner);
+    refresh_reports(&mut registry, at(7_500));
+    planner.plan(&registry, LIMIT, at(7_500));
+    let next = loading(&registry, &planner);
     assert!(
         next.iter().any(|key| !stuck.contains(key)),
         "the third has its turn"
@@ -229,14 +240,14 @@
 
 #[test]
 fn unheard_waits() {
-    let mut book = book(1, 0, at(0));
-    let key = book.key("e0").expect("known");
+    let mut registry = registry(1, 0, at(0));
+    let key = registry.key("e0").expect("known");
     let mut planner = SwapPlanner::default();
-    planner.name("m", 2, Some(at(0)), at(0));
-    planner.plan(&book, LIMIT, at(5_000));
+    planner.publish("m", 2, Some(at(0)), at(0));
+    planner.plan(&registry, LIMIT, at(5_000));
     assert_eq!(planner.stage(key), SwapStage::Idle);
-    hear(&mut book, at(5_000));
-    planner.plan(&book, LIMIT, at(5_000));
+    refresh_reports(&mut registry, at(5_000));
+    planner.plan(&registry, LIMIT, at(5_000));
     assert_eq!(planner.stage(key), SwapStage::Loading);
 }
 
@@ -245,19 +256,19 @@
 #[test]
 fn old_weights_expire() {
     let mut planner = SwapPlanner::default();
-    planner.name("m", 2, Some(at(900)), at(1_000));
+    planner.publish("m", 2, Some(at(900)), at(1_000));
     let allows = |time: u64| planner.bounds("m", at(9_500), at(time)).allows(Some(1));
     assert!(allows(10_400));
     assert!(!allows(10_401));
 }
 
 /// Reclaim state of a part of version 1 if engines prove all that they can.
-fn fate(
+fn reclaim_state(
     planner: &SwapPlanner,
     part: PartId,
     time: u64,
 ) -> PartFate {
-    planner.fate("m", 1, part, u64::MAX, Some(time), at(time))
+    planner.reclaim_state("m", 1, part, u64::MAX, Some(time), at(time))
 }
 
 /// While engines change over to newer weights, fewer and fewer parts of the older ones are
@@ -265,12 +276,12 @@
 #[test]
 fn old_parts_fetched_on() {
     let mut planner = SwapPlanner::default();
-    planner.name("m", 2, Some(at(0)), at(500));
+    planner.publish("m", 2, Some(at(0)), at(500));
     let ids = (0..300).map(|number| PartId::parse(&format!("{:x}", number * 7 + 1)));
     let ids: Vec<PartId> = ids.map(|id| id.expect("hex")).collect();
     let count = |may: &dyn Fn(PartId) -> bool| ids.iter().filter(|id| may(**id)).count();
     let fetched = |time: u64| count(&|id| planner.may_fetch("m", 1, id, None, at(time)));
-    let freed = |time: u64| count(&|id| fate(&planner, id, time) == PartFate::Over);
+    let freed = |time: u64| count(&|id| reclaim_state(&planner, id, time) == PartFate::Over);
     assert_eq!((fetched(5_900), freed(8_900)), (300, 0));
     assert!((120..=180).contains(&fetched(11_000)));
     assert!((120..=180).contains(&freed(14_000)));
@@ -282,13 +293,13 @@
 #[test]
 fn engines_outlive_row() {
     let mut planner = SwapPlanner::default();
-    planner.name("m", 3, None, at(0));
-    assert!(!planner.engine_has("m", 4, None, at(100)));
+    planner.publish("m", 3, None, at(0));
+    assert!(!planner.record_engine_version("m", 4, None, at(100)));
     // A read sent before the engine was seen proves nothing.
-    assert!(!planner.engine_has("m", 4, Some(at(90)), at(2_000)));
-    assert_eq!(planner.named("m"), Some(3));
-    assert!(planner.engine_has("m", 4, Some(at(1_700)), at(2_000)));
-    assert_eq!(planner.named("m"), Some(4));
+    assert!(!planner.record_engine_version("m", 4, Some(at(90)), at(2_000)));
+    assert_eq!(planner.published_version("m"), Some(3));
+    assert!(planner.record_engine_version("m", 4, Some(at(1_700)), at(2_000)));
+    assert_eq!(planner.published_version("m"), Some(4));
     // It is unknown when other boxes began to free parts of the older versions.
     let part = PartId::parse("a1").expect("hex");
     assert!(!planner.may_fetch("m", 3, part, Some(at(1_900)), at(2_000)));
@@ -298,10 +309,10 @@
 #[test]
 fn row_is_waited_for() {
     let mut planner = SwapPlanner::default();
-    planner.name("m", 1, None, at(0));
-    assert!(!planner.engine_has("m", 2, Some(at(500)), at(1_000)));
-    planner.name("m", 2, Some(at(500)), at(1_200));
-    assert!(!planner.engine_has("m", 2, Some(at(1_900)), at(2_000)));
+    planner.publish("m", 1, None, at(0));
+    assert!(!planner.record_engine_version("m", 2, Some(at(500)), at(1_000)));
+    planner.publish("m", 2, Some(at(500)), at(1_200));
+    assert!(!planner.record_engine_version("m", 2, Some(at(1_900)), at(2_000)));
     let part = PartId::parse("a1").expect("hex");
     assert!(planner.may_fetch("m", 1, part, Some(at(1_900)), at(2_000)));
 }
@@ -313,7 +324,7 @@
     /// by the other is over.
     #[test]
     fn fetch_and_free_apart(
-        named_at in 1_000u64..20_000,
+        published_at in 1_000u64..20_000,
         fetcher_reads in proptest::collection::vec(0u64..30_000, 1..20),
         freer_learns in 0u64..10_000,
         fetch_at in 0u64..40_000,
@@ -325,18 +336,18 @@
         let mut fetcher = SwapPlanner::default();
         let mut proven = None;
         for read in reads.into_iter().filter(|read| *read <= fetch_at) {
-            if read >= named_at {
-                fetcher.name("m", 2, proven, at(read));
+            if read >= published_at {
+                fetcher.publish("m", 2, proven, at(read));
             }
             proven = Some(at(read));
         }
         let mut freer = SwapPlanner::default();
-        let learned_at = named_at + freer_learns;
-        freer.name("m", 2, None, at(learned_at));
-        let fetch_ends = at(fetch_at) + VIEW_LIFE;
+        let learned_at = published_at + freer_learns;
+        freer.publish("m", 2, None, at(learned_at));
+        let fetch_ends = at(fetch_at) + VIEW_TTL;
         if fetcher.may_fetch("m", 1, part, proven, at(fetch_at)) {
-            let fate = freer.fate("m", 1, part, u64::MAX, Some(1), fetch_ends);
-            prop_assert_eq!(fate, PartFate::Fetched);
+            let reclaim_state = freer.reclaim_state("m", 1, part, u64::MAX, Some(1), fetch_ends);
+            prop_assert_eq!(reclaim_state, PartFate::Fetched);
         }
     }
 }
--- a/core/tests/told_lives.rs
+++ b/core/tests/told_lives.rs
@@ -4,7 +4,7 @@
 
 use {
     pitchhitch_core::{
-        serving::{MemoryMap, StoreView, ToldLife, SAVE_AFTER},
+        serving::{MemoryMap, StoreView, ToldLife, SAVE_DELAY},
         time::Micros,
     },
     told_store::{address, at, store, PORT, START},
@@ -25,17 +25,17 @@
 /// it is told before or after its first look.
 #[test]
 fn told_saves_at_once() {
-    let long = life(1, SAVE_AFTER + Micros(1));
+    let long = life(1, SAVE_DELAY + Micros(1));
     let mut before = StoreView::new(store());
-    before.tell_life(&long, START);
-    assert!(!before.takes(10, START), "it has not answered");
-    before.answered(1, Some(1), START, START);
-    assert!(before.takes(10, START));
+    before.record_uptime(&long, START);
+    assert!(!before.can_save(10, START), "it has not answered");
+    before.record_answer(1, Some(1), START, START);
+    assert!(before.can_save(10, START));
     let mut after = StoreView::new(store());
-    after.answered(1, Some(1), START, START);
-    assert!(!after.takes(10, START));
-    after.tell_life(&long, START);
-    assert!(after.takes(10, START));
+    after.record_answer(1, Some(1), START, START);
+    assert!(!after.can_save(10, START));
+    after.record_uptime(&long, START);
+    assert!(after.can_save(10, START));
 }
 
 /// What is told of another life proves nothing: a box that is behind knows the one before,
@@ -44,33 +44,33 @@
 fn other_life_proves_nothing() {
     let hours = Micros::from_secs(7_200);
     let mut view = StoreView::new(store());
-    view.tell_life(&life(1, hours), START);
-    view.answered(2, Some(1), START, START);
-    assert!(!view.takes(10, START));
-    view.tell_life(&life(2, hours), START);
-    view.tell_life(&life(1, hours + hours), START);
+    view.record_uptime(&life(1, hours), START);
+    view.record_answer(2, Some(1), START, START);
+    assert!(!view.can_save(10, START));
+    view.record_uptime(&life(2, hours), START);
+    view.record_uptime(&life(1, hours + hours), START);
     assert!(
-        view.takes(10, START),
+        view.can_save(10, START),
         "the one that is behind changes nothing"
     );
-    view.answered(3, Some(1), START, START);
-    assert!(!view.takes(10, START));
-    let waited = START + SAVE_AFTER + Micros(1);
-    view.answered(3, Some(1), waited, waited);
-    assert!(view.takes(10, waited));
+    view.record_answer(3, Some(1), START, START);
+    assert!(!view.can_save(10, START));
+    let waited = START + SAVE_DELAY + Micros(1);
+    view.record_answer(3, Some(1), waited, waited);
+    assert!(view.can_save(10, waited));
 }
 
 /// The greater of two least ages counts, and both count on.
 #[test]
 fn greatest_counts() {
     let mut view = StoreView::new(store());
-    view.answered(1, Some(1), START, START);
-    view.tell_life(&life(1, at(900)), START);
-    view.tell_life(&life(1, at(300)), START + at(100));
+    view.record_answer(1, Some(1), START, START);
+    view.record_uptime(&life(1, at(900)), START);
+    view.record_uptime(&life(1, at(300)), START + at(100));
     let later = START + at(500);
-    assert_eq!(view.life(later), Some(life(1, at(1_400))));
-    view.tell_life(&life(1, at(1_500)), later);
-    assert_eq!(view.life(later + at(50)), Some(life(1, at(1_550))));
+    assert_eq!(view.uptime(later), Some(life(1, at(1_400))));
+    view.record_uptime(&life(1, at(1_500)), later);
+    assert_eq!(view.uptime(later + at(50)), Some(life(1, at(1_550))));
 }
 
 #[test]
@@ -86,6 +86,6 @@
     };
     map.tell_life(&other, START);
     let view = map.view_mut(address()).expect("view");
-    view.answered(1, Some(1), START, START);
+    view.record_answer(1, Some(1), START, START);
     assert_eq!(map.lives(START + at(5)), vec![life(1, hours + at(5))]);
 }
--- a/core/tests/weight_bounds.rs
+++ b/core/tests/weight_bounds.rs
@@ -3,7 +3,7 @@
 
 use {
     pitchhitch_core::{
-        serving::{SwapPlanner, ToldNaming, WeightBounds, TELL_LIMIT},
+        serving::{SwapPlanner, WeightBounds, WeightPublication, REPORT_TIMEOUT},
         time::Micros,
     },
     proptest::prelude::*,
@@ -11,21 +11,21 @@
 
 const LIMIT: Micros = Micros::from_secs(9);
 /// Time in milliseconds that a box without knowledge takes to ask others.
-const ASKS_FOR: u64 = TELL_LIMIT.0 / 1_000;
+const REPORT_TIMEOUT_MS: u64 = REPORT_TIMEOUT.0 / 1_000;
 
 fn at(millis: u64) -> Micros {
     Micros::from_millis(millis)
 }
 
-fn told(
+fn publication(
     version: u64,
-    after: Option<u64>,
+    previous: Option<u64>,
     age: Option<Micros>,
-) -> ToldNaming {
-    ToldNaming {
+) -> WeightPublication {
+    WeightPublication {
         model: "m".to_string(),
         version,
-        after,
+        previous,
         age,
     }
 }
@@ -40,15 +40,15 @@
 /// The age of weights published before this box started is unknown: they count as expired once
 /// other boxes have had time to report it.
 #[test]
-fn untold_counts_old() {
+fn unreported_counts_expired() {
     let mut planner = SwapPlanner::default();
-    planner.name("m", 2, None, at(100));
+    planner.publish("m", 2, None, at(100));
     assert!(!planner.knows_ages(at(100)));
-    assert_eq!(oldest(&planner, 100 + ASKS_FOR), None);
-    assert_eq!(oldest(&planner, 101 + ASKS_FOR), Some(2));
-    planner.tell(&told(2, Some(1), Some(at(4_000))), at(200), at(200));
+    assert_eq!(oldest(&planner, 100 + REPORT_TIMEOUT_MS), None);
+    assert_eq!(oldest(&planner, 101 + REPORT_TIMEOUT_MS), Some(2));
+    planner.record_publication(&publication(2, Some(1), Some(at(4_000))), at(200), at(200));
     assert!(planner.knows_ages(at(200)));
-    planner.tell(&told(1, Some(0), Some(at(4_100))), at(200), at(200));
+    planner.record_publication(&publication(1, Some(0), Some(at(4_100))), at(200), at(200));
     assert_eq!(oldest(&planner, 5_200), Some(1));
     assert_eq!(oldest(&planner, 5_201), Some(2));
 }
@@ -57,44 +57,44 @@
 #[test]
 fn least_age_holds() {
     let mut planner = SwapPlanner::default();
-    planner.name("m", 2, Some(at(1_000)), at(1_500));
-    planner.tell_age("m", 2, at(3_000), at(2_000));
-    assert_eq!(planner.named_age("m", at(2_000)), Some(at(1_000)));
-    planner.tell_age("m", 2, at(600), at(2_000));
-    assert_eq!(planner.named_age("m", at(2_500)), Some(at(1_100)));
-    planner.tell_age("other", 2, at(1), at(2_500));
-    assert_eq!(planner.named_age("other", at(2_500)), None);
+    planner.publish("m", 2, Some(at(1_000)), at(1_500));
+    planner.record_age("m", 2, at(3_000), at(2_000));
+    assert_eq!(planner.published_age("m", at(2_000)), Some(at(1_000)));
+    planner.record_age("m", 2, at(600), at(2_000));
+    assert_eq!(planner.published_age("m", at(2_500)), Some(at(1_100)));
+    planner.record_age("other", 2, at(1), at(2_500));
+    assert_eq!(planner.published_age("other", at(2_500)), None);
 }
 
 /// An engine may have weights from before the second newest publication.
 #[test]
-fn older_namings_told() {
+fn older_publications_reported() {
     let mut planner = SwapPlanner::default();
-    planner.name("m", 3, None, at(100));
-    planner.tell(&told(3, Some(2), Some(at(600))), at(200), at(200));
+    planner.publish("m", 3, None, at(100));
+    planner.record_publication(&publication(3, Some(2), Some(at(600))), at(200), at(200));
     // No box reports when 2 was published: older versions count as expired.
-    assert_eq!(oldest(&planner, 101 + ASKS_FOR), Some(2));
-    planner.tell(&told(2, Some(1), Some(at(3_000))), at(200), at(200));
-    planner.tell(&told(1, None, None), at(200), at(200));
+    assert_eq!(oldest(&planner, 101 + REPORT_TIMEOUT_MS), Some(2));
+    planner.record_publication(&publication(2, Some(1), Some(at(3_000))), at(200), at(200));
+    planner.record_publication(&publication(1, None, None), at(200), at(200));
     assert_eq!(oldest(&planner, 6_200), Some(1));
     assert_eq!(oldest(&planner, 6_201), Some(2));
     assert_eq!(oldest(&planner, 8_601), Some(3));
-    let handed = planner.told_namings(at(200));
-    assert_eq!(handed[0], told(3, Some(2), Some(at(600))));
-    assert_eq!(handed[1], told(2, Some(1), Some(at(3_000))));
+    let recent = planner.recent_publications(at(200));
+    assert_eq!(recent[0], publication(3, Some(2), Some(at(600))));
+    assert_eq!(recent[1], publication(2, Some(1), Some(at(3_000))));
 }
 
 /// A box that does not know the version before the newest knows an age for the last step only.
 #[test]
 fn gap_keeps_age() {
     let mut planner = SwapPlanner::default();
-    planner.name("m", 1, None, at(0));
-    planner.name("m", 3, Some(at(1_000)), at(5_000));
-    planner.tell(&told(3, None, Some(at(10))), at(5_000), at(5_000));
-    assert_eq!(planner.named_age("m", at(5_000)), Some(at(4_000)));
-    planner.tell(&told(3, Some(2), Some(at(10))), at(5_000), at(5_000));
-    assert_eq!(planner.named_age("m", at(5_000)), Some(at(10)));
-    assert_eq!(oldest(&planner, 5_001 + ASKS_FOR), Some(2));
+    planner.publish("m", 1, None, at(0));
+    planner.publish("m", 3, Some(at(1_000)), at(5_000));
+    planner.record_publication(&publication(3, None, Some(at(10))), at(5_000), at(5_000));
+    assert_eq!(planner.published_age("m", at(5_000)), Some(at(4_000)));
+    planner.record_publication(&publication(3, Some(2), Some(at(10))), at(5_000), at(5_000));
+    assert_eq!(planner.published_age("m", at(5_000)), Some(at(10)));
+    assert_eq!(oldest(&planner, 5_001 + REPORT_TIMEOUT_MS), Some(2));
 }
 
 /// A stream that waits at an engine may begin until the first newer weights have been published
@@ -102,22 +102,26 @@
 #[test]
 fn time_to_begin() {
     let mut planner = SwapPlanner::default();
-    planner.name("m", 1, None, at(0));
-    planner.name("m", 2, Some(at(1_000)), at(1_500));
-    planner.name("m", 3, Some(at(4_000)), at(4_500));
+    planner.publish("m", 1, None, at(0));
+    planner.publish("m", 2, Some(at(1_000)), at(1_500));
+    planner.publish("m", 3, Some(at(4_000)), at(4_500));
     let left = |version: u64, time: u64| planner.begin_left("m", version, LIMIT, at(time));
     assert_eq!(left(3, 5_000), None);
     assert_eq!(left(2, 5_000), Some(at(8_000)));
     assert_eq!(left(1, 5_000), Some(at(5_000)));
     assert_eq!(left(1, 20_000), Some(at(0)));
-    assert_eq!(left(0, 5_000), Some(at(4_000)), "counts from when it was learned");
+    assert_eq!(
+        left(0, 5_000),
+        Some(at(4_000)),
+        "counts from when it was learned"
+    );
 }
 
 /// A publication is at most as old as the last read of this box that did not show it.
 #[test]
-fn first_naming_seen() {
+fn first_publication_seen() {
     let mut planner = SwapPlanner::default();
-    planner.name("m", 2, Some(at(1_000)), at(1_500));
+    planner.publish("m", 2, Some(at(1_000)), at(1_500));
     assert!(planner.knows_ages(at(1_500)));
     assert_eq!(oldest(&planner, 10_000), None);
     assert_eq!(oldest(&planner, 10_001), Some(2));
@@ -153,59 +157,59 @@
     fn never_too_old(
         gaps in proptest::collection::vec(1u64..12_000, 1..5),
         started in 0u64..30_000,
-        elder_reads in proptest::collection::vec(0u64..60_000, 1..20),
+        first_reads in proptest::collection::vec(0u64..60_000, 1..20),
         reads in proptest::collection::vec(0u64..30_000, 1..12),
-        tells in proptest::collection::vec((0u64..30_000, 0u64..6_000), 0..4),
-        asks in proptest::collection::vec(0u64..40_000, 1..20),
+        reports in proptest::collection::vec((0u64..30_000, 0u64..6_000), 0..4),
+        queries in proptest::collection::vec(0u64..40_000, 1..20),
     ) {
-        let named_at = |version: u64| gaps.iter().take(version as usize - 1).sum::<u64>();
+        let published_at = |version: u64| gaps.iter().take(version as usize - 1).sum::<u64>();
         let versions = gaps.len() as u64 + 1;
-        let newest_at = |time: u64| (1..=versions).rev().find(|v| named_at(*v) <= time).unwrap_or(1);
+        let newest_at = |time: u64| (1..=versions).rev().find(|v| published_at(*v) <= time).unwrap_or(1);
         // Events in true time: the first box reads; the later box reads, requests a report, is
         // queried.
         let mut steps: Vec<(u64, u8, u64)> = vec![(0, 0, 0)];
-        steps.extend(elder_reads.iter().map(|time| (*time, 0, 0)));
+        steps.extend(first_reads.iter().map(|time| (*time, 0, 0)));
         steps.extend(reads.iter().map(|time| (started + time, 1, 0)));
-        steps.extend(tells.iter().map(|(time, lag)| (started + time, 2, *lag)));
-        steps.extend(asks.iter().map(|time| (started + time, 3, 0)));
+        steps.extend(reports.iter().map(|(time, lag)| (started + time, 2, *lag)));
+        steps.extend(queries.iter().map(|time| (started + time, 3, 0)));
         steps.sort_unstable();
-        let (mut elder, mut elder_proven) = (SwapPlanner::default(), None);
+        let (mut first, mut first_proven) = (SwapPlanner::default(), None);
         let (mut planner, mut proven) = (SwapPlanner::default(), None);
         let (mut learned_at, mut read_at) = (None, None);
-        let mut on_its_way: Vec<(u64, u64, Vec<ToldNaming>)> = Vec::new();
+        let mut in_flight: Vec<(u64, u64, Vec<WeightPublication>)> = Vec::new();
         for (now, kind, lag) in steps {
-            let arrived = on_its_way.iter().filter(|(at, ..)| *at <= now);
-            for (_, asked_at, namings) in arrived.cloned().collect::<Vec<_>>() {
+            let arrived = in_flight.iter().filter(|(at, ..)| *at <= now);
+            for (_, asked_at, publications) in arrived.cloned().collect::<Vec<_>>() {
                 let asked_at = at(asked_at - started);
-                namings.iter().for_each(|told| planner.tell(told, asked_at, at(now - started)));
+                publications.iter().for_each(|reported| planner.record_publication(reported, asked_at, at(now - started)));
                 learned_at = learned_at.or(Some(now));
             }
-            on_its_way.retain(|(at, ..)| *at > now);
+            in_flight.retain(|(at, ..)| *at > now);
             match kind {
                 0 => {
-                    elder.name("m", newest_at(now), elder_proven, at(now));
-                    elder_proven = Some(at(now));
+                    first.publish("m", newest_at(now), first_proven, at(now));
+                    first_proven = Some(at(now));
                 }
                 1 => {
                     let time = at(now - started);
-                    if planner.name("m", newest_at(now), proven, time) {
+                    if planner.publish("m", newest_at(now), proven, time) {
                         learned_at = Some(now);
                     }
                     proven = Some(time);
                     read_at = Some(now);
                 }
-                2 => on_its_way.push((now + lag, now, elder.told_namings(at(now)))),
+                2 => in_flight.push((now + lag, now, first.recent_publications(at(now)))),
                 _ => {
                     let Some((learned, read)) = learned_at.zip(read_at) else { continue };
                     let bounds = planner.bounds("m", LIMIT, at(now - started));
-                    let has_asked = now > learned + ASKS_FOR;
+                    let has_waited = now > learned + REPORT_TIMEOUT_MS;
                     for old in 1..newest_at(read) {
-                        let replaced_at = named_at(old + 1);
-                        if has_asked && now > replaced_at + LIMIT.as_millis() {
+                        let replaced_at = published_at(old + 1);
+                        if has_waited && now > replaced_at + LIMIT.as_millis() {
                             prop_assert!(!bounds.allows(Some(old)), "{} at {}", old, now);
                         }
                     }
-                    prop_assert!(bounds.allows(planner.named("m")), "the newest version");
+                    prop_assert!(bounds.allows(planner.published_version("m")), "the newest version");
                 }
             }
         }
@@ -215,25 +219,25 @@
     #[test]
     fn never_too_early(
         gaps in proptest::collection::vec(1u64..12_000, 1..5),
-        pace in 50u64..1_500,
-        asks in proptest::collection::vec(0u64..60_000, 1..20),
+        interval in 50u64..1_500,
+        queries in proptest::collection::vec(0u64..60_000, 1..20),
     ) {
-        let named_at = |version: u64| 2_000 + gaps.iter().take(version as usize - 1).sum::<u64>();
+        let published_at = |version: u64| 2_000 + gaps.iter().take(version as usize - 1).sum::<u64>();
         let versions = gaps.len() as u64 + 1;
-        let newest_at = |time: u64| (2..=versions).rev().find(|v| named_at(*v) <= time).unwrap_or(1);
-        let mut asks = asks;
-        asks.sort_unstable();
+        let newest_at = |time: u64| (2..=versions).rev().find(|v| published_at(*v) <= time).unwrap_or(1);
+        let mut queries = queries;
+        queries.sort_unstable();
         let (mut planner, mut read_at) = (SwapPlanner::default(), None);
-        for ask in asks {
-            let mut next = read_at.map_or(0, |read| read + pace);
+        for ask in queries {
+            let mut next = read_at.map_or(0, |read| read + interval);
             while next <= ask {
-                planner.name("m", newest_at(next), read_at.map(at), at(next));
+                planner.publish("m", newest_at(next), read_at.map(at), at(next));
                 read_at = Some(next);
-                next += pace;
+                next += interval;
             }
             let bounds = planner.bounds("m", LIMIT, at(ask));
             for old in 1..=newest_at(ask) {
-                let is_young = old == versions || ask + pace < named_at(old + 1) + LIMIT.as_millis();
+                let is_young = old == versions || ask + interval < published_at(old + 1) + LIMIT.as_millis();
                 if is_young {
                     prop_assert!(bounds.allows(Some(old)), "{} at {}", old, ask);
                 }
--- a/entry/src/front/beside_link.rs
+++ b/entry/src/front/beside_link.rs
@@ -165,7 +165,7 @@
     state: &FrontState,
     key: EndpointKey,
 ) -> bool {
-    let has_turn = state.planner.turn(key).is_some_and(|turn| turn.loads);
+    let has_turn = state.planner.turn(key).is_some_and(|turn| turn.is_loading);
     let entry = state.book.get(key);
     has_turn || entry.is_some_and(|entry| !entry.is_mirrored && entry.is_listed())
 }
@@ -211,12 +211,12 @@
     let is_leaving = !entry.may_be_there();
     let wanted = state
         .planner
-        .all_named()
+        .published_versions()
         .filter(|_| !is_leaving)
         .map(|(model, version)| WantedWeights {
             model: model.to_string(),
             version,
-            is_turn: turn.is_some_and(|t| t.loads && t.model == model && t.version == version),
+            is_turn: turn.is_some_and(|t| t.is_loading && t.model == model && t.version == version),
         });
     FrontHello {
         front: front.settings.box_id.clone(),
--- a/entry/src/front/digest_watch.rs
+++ b/entry/src/front/digest_watch.rs
@@ -140,7 +140,7 @@
     }
     let operator = state.readers.table(ProvenTable::Operator);
     if let Some(at) = operator.and_then(TableProofs::witnessed_at) {
-        state.trust.witnessed(at);
+        state.trust.record_confirmed_read(at);
     }
     for news in &digest.stores {
         take_store_news(state, news, way, now);
@@ -207,7 +207,9 @@
         front.metrics.count("digests", "earlier-life");
         return None;
     }
-    state.reads.heard(digest.engine, digest.clock_ms, now);
+    state
+        .reads
+        .record_report(digest.engine, digest.clock_ms, now);
     let key = key?;
     take_suspects(front, state, &digest, now);
     let entry = state.book.get_mut(key)?;
@@ -316,7 +318,10 @@
         return;
     };
     for (model, version) in &digest.weights {
-        if state.planner.engine_has(model, *version, proven_at, now) {
+        if state
+            .planner
+            .record_engine_version(model, *version, proven_at, now)
+        {
             log::warn!(
                 event = "weights-named",
                 model = model.as_str(),
--- a/entry/src/front/front_settings.rs
+++ b/entry/src/front/front_settings.rs
@@ -147,7 +147,7 @@
             key_limit: Micros(key_limit.0 * KEY_LIMIT_PART / 100),
             key_policy: match fails_closed {
                 true => KeyPolicy::FailClosed,
-                false => KeyPolicy::ServeOn,
+                false => KeyPolicy::FailOpen,
             },
             drain_limit: reader.millis("drain_limit_ms", 2_000.0, LIMITS_MS),
             weights_limit: weights_limit.since(WEIGHTS_MARGIN),
--- a/entry/src/front/front_state.rs
+++ b/entry/src/front/front_state.rs
@@ -2,10 +2,10 @@
     super::{is_engine, EndProbe, FrontSettings, GreetingPlan, LinkPool, StoreReaders},
     pitchhitch_core::{
         serving::{
-            AdmissionRule, EndpointBook, EndpointEntry, EndpointKey, EnginePace, EraWatch,
-            EvacuationBook, KeyTrust, MemoryMap, ProvenTable, ReadProofs, RepeatMeter,
+            AdmissionRule, EndpointBook, EndpointEntry, EndpointKey, EnginePace, EraTracker,
+            EvacuationBook, FetchCompletion, KeyFreshness, MemoryMap, ProvenTable, RepeatMeter,
             ServingConfig, StandstillWatch, StoreEra, SuspectBook, SwapPlanner, TrialTable,
-            WallName, WallTag, WRITE_AGAIN,
+            WallName, WallTag, REWRITE_DELAY,
         },
         time::Micros,
     },
@@ -38,9 +38,9 @@
     /// Whether the list of endpoints has been read in this life.
     pub has_list: bool,
     /// Age of the configuration.
-    pub trust: KeyTrust,
+    pub trust: KeyFreshness,
     /// Eras of the platform's store.
-    pub eras: EraWatch,
+    pub eras: EraTracker,
     /// Who has read the platform's store, and when.
     pub readers: StoreReaders,
     /// When the process beside an engine was last heard.
@@ -58,7 +58,7 @@
     /// Stores and what is known of their content.
     pub memory: MemoryMap,
     /// Until when engines' fetches are proven to be over.
-    pub reads: ReadProofs,
+    pub reads: FetchCompletion,
     /// Named weights and whose turn it is to load them.
     pub planner: SwapPlanner,
     /// Unused connections.
@@ -103,8 +103,8 @@
             besides: BTreeSet::new(),
             book: EndpointBook::default(),
             has_list: false,
-            trust: KeyTrust::new(settings.key_limit, settings.key_policy),
-            eras: EraWatch::default(),
+            trust: KeyFreshness::new(settings.key_limit, settings.key_policy),
+            eras: EraTracker::default(),
             readers: StoreReaders::default(),
             heard_at: None,
             greetings: GreetingPlan::default(),
@@ -113,7 +113,7 @@
             admission: AdmissionRule::without(settings.left_out),
             pace: EnginePace::without(settings.left_out),
             memory: MemoryMap::without(settings.left_out),
-            reads: ReadProofs::default(),
+            reads: FetchCompletion::default(),
             planner: SwapPlanner::default(),
             pool: LinkPool::default(),
             ends: HashMap::new(),
@@ -144,8 +144,8 @@
         now: Micros,
     ) {
         if self.eras.proves(proven_at) {
-            self.trust.proven(proven_at);
-            if self.eras.may_vouch(proven_at) {
+            self.trust.record_read(proven_at);
+            if self.eras.can_confirm(proven_at) {
                 self.proven_era = self.eras.known();
             }
             let table = ProvenTable::Operator;
@@ -160,11 +160,11 @@
         usual: Micros,
         now: Micros,
     ) -> Micros {
-        let doubted_since = self.eras.doubted_since();
+        let doubted_since = self.eras.uncertain_since();
         match doubted_since.filter(|_| !self.eras.proves(now)) {
             // The next one is to prove what is in force as soon as it can.
-            Some(since) => usual.min((since + WRITE_AGAIN).since(now)),
-            None if self.trust.is_behind(usual, now) => Micros::ZERO,
+            Some(since) => usual.min((since + REWRITE_DELAY).since(now)),
+            None if self.trust.is_overdue(usual, now) => Micros::ZERO,
             None => usual,
         }
     }
@@ -275,7 +275,7 @@
             return false;
         };
         let has_keys = !config.organisations.is_empty();
-        let knows_keys = !has_keys || self.trust.is_sound(now);
+        let knows_keys = !has_keys || self.trust.is_ready(now);
         let is_told = !self.awaits_suspects(now);
         self.stops_since.is_none() && self.has_list && knows_keys && is_told
     }
--- a/entry/src/front/list_watch.rs
+++ b/entry/src/front/list_watch.rs
@@ -4,7 +4,9 @@
         FrontContext, ReadWait,
     },
     pitchhitch_core::{
-        serving::{BookChange, EndpointNotice, ProvenTable, StorePosition, TableMark, WRITE_AGAIN},
+        serving::{
+            BookChange, EndpointNotice, ProvenTable, StorePosition, TableChecksum, REWRITE_DELAY,
+        },
         time::Micros,
     },
     pitchhitch_platform::{decode_row, RowNews, RowPage, RowTable, StoreClient},
@@ -29,7 +31,7 @@
     let mut seen: Option<StorePosition> = None;
     let mut is_lost = false;
     let mut trouble_at: Option<Micros> = None;
-    let mut mark = TableMark::default();
+    let mut mark = TableChecksum::default();
     let mut sent_at = Micros::ZERO;
     loop {
         if seen.is_some() {
@@ -63,9 +65,9 @@
             Ok(page) => note_position(&front, "list", page.position),
             Err(_) => Ok(()),
         };
-        let doubted = front.state().eras.doubted_since();
-        trouble_at = trouble_at.max(doubted.filter(|at| now.since(*at) <= WRITE_AGAIN));
-        let is_steady = trouble_at.is_none_or(|at| now.since(at) > WRITE_AGAIN);
+        let doubted = front.state().eras.uncertain_since();
+        trouble_at = trouble_at.max(doubted.filter(|at| now.since(*at) <= REWRITE_DELAY));
+        let is_steady = trouble_at.is_none_or(|at| now.since(at) > REWRITE_DELAY);
         let outcome = match noted.and(read) {
             Ok(page) => {
                 let is_whole = seen.replace(page.position).is_none();
@@ -76,7 +78,7 @@
                 take_page(&front, page, is_whole, is_steady, &mut foreign);
                 let table = ProvenTable::Endpoints;
                 let readers = &mut front.state().readers;
-                readers.note_read(table, mark.number(), sent_at, now);
+                readers.note_read(table, mark.value(), sent_at, now);
                 front.greeting_due.wake();
                 Ok(())
             }
@@ -110,7 +112,7 @@
 
 /// Notes what of each entry matters here; most of what changes is its heartbeat.
 fn note_rows(
-    mark: &mut TableMark,
+    mark: &mut TableChecksum,
     page: &RowPage,
 ) {
     for row in &page.rows {
@@ -242,7 +244,7 @@
         log::info!(event = "endpoint", endpoint = id.as_str(), standing = what, born = born; "");
         front.metrics.count("endpoint_changes", what);
         if let Some(address) = address.filter(|_| what == "restarted") {
-            state.reads.restarted(address, front.now());
+            state.reads.record_restart(address, front.now());
         }
         if let Some(key) = key.filter(|_| what == "restarted") {
             begin_slow_start(&mut state, key, None, front.now());
--- a/entry/src/front/operator_watch.rs
+++ b/entry/src/front/operator_watch.rs
@@ -5,7 +5,9 @@
     },
     futures_lite::future::or,
     pitchhitch_core::{
-        serving::{ProvenTable, ReaderTier, ServingConfig, StoreClock, StorePosition, TableMark},
+        serving::{
+            ProvenTable, ReaderTier, ServingConfig, StoreClock, StorePosition, TableChecksum,
+        },
         time::Micros,
     },
     pitchhitch_platform::{
@@ -28,7 +30,7 @@
     let mut client = StoreClient::new(front.settings.store, limit.next());
     let mut foreign = ForeignRows::new("operator");
     let mut seen: Option<StorePosition> = None;
-    let mut mark = TableMark::default();
+    let mut mark = TableChecksum::default();
     let mut store_clock = StoreClock::default();
     let mut is_lost = false;
     let mut sent_at = Micros::ZERO;
@@ -48,7 +50,8 @@
                     front.state().evacuations.begin_reading();
                 }
                 // A question that was held at the store proves what was in force when it answered.
-                let proven_at = store_clock.proof_time(sent_at, page.store_ms, front.now());
+                let proven_at =
+                    store_clock.earliest_answer_time(sent_at, page.store_ms, front.now());
                 take_rows(&front, page, proven_at, &mut foreign, &mut mark);
             }),
             Err(error) => {
@@ -123,7 +126,7 @@
     page: RowPage,
     proven_at: Micros,
     foreign: &mut ForeignRows,
-    mark: &mut TableMark,
+    mark: &mut TableChecksum,
 ) {
     for row in page.rows {
         let key = row.key.clone();
@@ -148,9 +151,7 @@
     // A configuration that cannot be read may take keys away.
     if !foreign.has(CONFIG_KEY) {
         let now = front.now();
-        front
-            .state()
-            .note_config_read(mark.number(), proven_at, now);
+        front.state().note_config_read(mark.value(), proven_at, now);
         front.greeting_due.wake();
     }
 }
@@ -186,10 +187,10 @@
     let state = &mut *guard;
     let not_yet = state.trust.proven_at();
     let planner = &mut state.planner;
-    let is_news = planner.name(&named.model, named.version, not_yet, now);
+    let is_news = planner.publish(&named.model, named.version, not_yet, now);
     // What was known before, by whomever, did not show it yet.
     if let Some(age) = state.trust.age(now).filter(|_| is_news) {
-        planner.tell_age(&named.model, named.version, age, now);
+        planner.record_age(&named.model, named.version, age, now);
     }
     log::info!(
         event = "weights-named",
--- a/entry/src/front/order_substitute.rs
+++ b/entry/src/front/order_substitute.rs
@@ -195,7 +195,7 @@
     state: &FrontState,
     entry: &EndpointEntry,
 ) -> bool {
-    let mut named = state.planner.all_named();
+    let mut named = state.planner.published_versions();
     named.any(|(model, version)| {
         let known = entry.weights.version(model);
         known.is_some_and(|known| known < version)
--- a/entry/src/front/orphan_engine.rs
+++ b/entry/src/front/orphan_engine.rs
@@ -89,7 +89,7 @@
         }
         let taken = self.take_right(front, store).await;
         if taken.is_err() {
-            self.right.row_unknown();
+            self.right.on_row_unknown();
         }
         taken
     }
@@ -103,7 +103,7 @@
         let sent_at = front.now();
         let holder = front.settings.box_id.as_str();
         let taken = take_order_row(store, self.address, row.as_ref(), holder).await?;
-        self.right.row_written(taken, sent_at, front.now());
+        self.right.on_row_written(taken, sent_at, front.now());
         let engine = self.address.to_string();
         let before = row.map_or(String::new(), |row| row.holder);
         log::info!(
@@ -157,7 +157,7 @@
         store: &mut StoreClient,
     ) -> Result<(), StoreError> {
         let turn = front.state().planner.turn(self.key).cloned();
-        let Some(turn) = turn.filter(|turn| turn.loads) else {
+        let Some(turn) = turn.filter(|turn| turn.is_loading) else {
             return Ok(());
         };
         // One that does what it was told needs no further order.
@@ -167,8 +167,8 @@
         }
         let asked_at = front.now();
         let row = read_order_row(store, self.address).await?;
-        self.right.row_read(row, asked_at, front.now());
-        if let Some(number) = self.right.number(front.now()) {
+        self.right.on_row_read(row, asked_at, front.now());
+        if let Some(number) = self.right.fencing_token(front.now()) {
             self.order(front, &turn, number).await;
         }
         Ok(())
@@ -206,7 +206,7 @@
         };
         let outcome = send_order(&mut self.client, &id, &order).await;
         if outcome.is_fenced_off() {
-            self.right.row_unknown();
+            self.right.on_row_unknown();
         }
         let outcome = outcome.to_string();
         log::info!(
@@ -236,7 +236,9 @@
     let state = &mut *guard;
     let proven_at = state.trust.proven_at();
     for (model, version) in &report.weights {
-        state.planner.engine_has(model, *version, proven_at, now);
+        state
+            .planner
+            .record_engine_version(model, *version, proven_at, now);
     }
     let Some(entry) = state.book.get_mut(key) else {
         return;
--- a/entry/src/front/part_freeing.rs
+++ b/entry/src/front/part_freeing.rs
@@ -61,7 +61,7 @@
             for (salt, id) in &parts {
                 let wall = state.wall(salt);
                 if let Some(view) = state.memory.view_mut(address) {
-                    view.set(wall, *id, 0);
+                    view.set_part(wall, *id, 0);
                 }
             }
         }
@@ -72,7 +72,8 @@
 fn free_pause(front: &FrontContext) -> Micros {
     let walls = front.state().walls();
     let state = front.state();
-    let is_old = |wall: &WallName| state.planner.named(&wall.model) > Some(wall.version);
+    let is_old =
+        |wall: &WallName| state.planner.published_version(&wall.model) > Some(wall.version);
     match walls.iter().any(|(wall, _)| is_old(wall)) {
         true => FREE_PAUSE,
         false => CALM_PAUSE,
@@ -101,7 +102,7 @@
     }
     // What serves at an address now shows that the engine before it has ended.
     engines.retain(|(address, _)| !others.contains(address));
-    state.reads.know(engines.into_iter(), now);
+    state.reads.update_engines(engines.into_iter(), now);
     for address in others {
         state.reads.forget(address);
     }
@@ -114,7 +115,7 @@
     held: Option<&WallName>,
 ) {
     let state = front.state();
-    let last = held.map(|wall| state.reads.last_proven(&wall.model, wall.version));
+    let last = held.map(|wall| state.reads.oldest_proven(&wall.model, wall.version));
     let last: Vec<String> = last.iter().flatten().map(SocketAddr::to_string).collect();
     log::info!(
         event = "kept-held",
@@ -165,13 +166,13 @@
     let mut parts = Vec::new();
     let mut held = None;
     for (wall, tag) in walls {
-        if planner.named(&wall.model) <= Some(wall.version) {
+        if planner.published_version(&wall.model) <= Some(wall.version) {
             continue;
         }
         let salt = wall.salt();
-        let over_ms = reads.over_until_ms(&wall.model, wall.version);
+        let over_ms = reads.completed_until_ms(&wall.model, wall.version);
         for id in view.parts.inside(tag) {
-            match planner.fate(&wall.model, wall.version, id, over_ms, clock_ms, now) {
+            match planner.reclaim_state(&wall.model, wall.version, id, over_ms, clock_ms, now) {
                 PartFate::Fetched => {}
                 PartFate::Held => held = Some(wall.clone()),
                 PartFate::Over => parts.push((salt.clone(), id)),
--- a/entry/src/front/peer_state.rs
+++ b/entry/src/front/peer_state.rs
@@ -4,7 +4,7 @@
         TableProofs,
     },
     pitchhitch_core::{
-        serving::{even_draw, EndpointEntry, EndpointKey, ProvenTable, TELL_LIMIT},
+        serving::{even_draw, EndpointEntry, EndpointKey, ProvenTable, REPORT_TIMEOUT},
         time::Micros,
     },
     pitchhitch_platform::decode_config,
@@ -55,7 +55,7 @@
         version: config.version,
         age: state.trust.age(now)?,
         era: state.proven_era,
-        weights: state.planner.told_namings(now),
+        weights: state.planner.recent_publications(now),
         endpoints: state.book.notices(),
         evacuated: state.evacuations.domains().map(str::to_string).collect(),
         lives: state.memory.lives(now),
@@ -99,7 +99,7 @@
         let peer = next_peer(&front, turn);
         let now = front.now();
         let knows_ages = front.state().planner.knows_ages(now);
-        let may_end = knows_ages || now > TELL_LIMIT;
+        let may_end = knows_ages || now > REPORT_TIMEOUT;
         if now > FIRST_QUESTIONS && may_end && knows_all(&front) {
             return;
         }
@@ -276,16 +276,16 @@
     let now = front.now();
     let mut guard = front.state();
     let state = &mut *guard;
-    if handed.era.is_some_and(|era| state.eras.vouch(era, now)) {
-        state.trust.unprove();
+    if handed.era.is_some_and(|era| state.eras.confirm(era, now)) {
+        state.trust.invalidate();
         log::warn!(event = "store-era", doubted = "read before a peer told the era before"; "");
     }
     // Who has just started may know a copy of the store alone: it renews nothing.
     if handed.era.is_some() || state.trust.proven_at().is_none() {
-        state.trust.handed_on(handed.age, asked_at);
+        state.trust.record_report(handed.age, asked_at);
     }
     for naming in &handed.weights {
-        state.planner.tell(naming, asked_at, now);
+        state.planner.record_publication(naming, asked_at, now);
     }
     // With the namings that the peer knows, as parts of replaced weights are not saved.
     for life in &handed.lives {
--- a/entry/src/front/request_admit.rs
+++ b/entry/src/front/request_admit.rs
@@ -34,7 +34,7 @@
         // A key or route that was added meanwhile may be meant.
         false => RefusalKind::StaleKeys,
     })?;
-    if place.is_keyed && !state.trust.lets_in(now) {
+    if place.is_keyed && !state.trust.admits_keys(now) {
         return Err(RefusalKind::StaleKeys);
     }
     drop(state);
--- a/entry/src/front/request_log.rs
+++ b/entry/src/front/request_log.rs
@@ -90,7 +90,9 @@
         &self,
         state: &FrontState,
     ) -> Option<u64> {
-        state.planner.named(&self.ask.prompt.as_ref()?.model)
+        state
+            .planner
+            .published_version(&self.ask.prompt.as_ref()?.model)
     }
 
     fn named_age(
@@ -100,7 +102,7 @@
     ) -> Option<Micros> {
         state
             .planner
-            .named_age(&self.ask.prompt.as_ref()?.model, now)
+            .published_age(&self.ask.prompt.as_ref()?.model, now)
     }
 
     pub(super) fn log_end(
--- a/entry/src/front/request_moves.rs
+++ b/entry/src/front/request_moves.rs
@@ -112,7 +112,7 @@
         state.memory.fetching(&choice.plan, now);
         let is_newest = state
             .planner
-            .named(&prompt.model)
+            .published_version(&prompt.model)
             .is_none_or(|named| version >= named);
         if is_newest {
             let may_keep = |store: &KvStore| self.may_lie_in(&store.domain);
--- a/entry/src/front/store_contact.rs
+++ b/entry/src/front/store_contact.rs
@@ -1,7 +1,7 @@
 use {
     super::FrontContext,
     pitchhitch_core::{
-        serving::{even_draw, EraNews, StorePosition},
+        serving::{even_draw, EraUpdate, StorePosition},
         time::Micros,
     },
     pitchhitch_platform::StoreError,
@@ -49,16 +49,16 @@
     watch: &'static str,
     position: StorePosition,
 ) -> Result<(), StoreError> {
-    let news = front.state().eras.note(position.era, front.now());
+    let news = front.state().eras.observe(position.era, front.now());
     match news {
-        EraNews::Known => Ok(()),
-        EraNews::Earlier => Err(StoreError::EarlierEra),
-        EraNews::Later { before } => {
+        EraUpdate::Current => Ok(()),
+        EraUpdate::Outdated => Err(StoreError::EarlierEra),
+        EraUpdate::Advanced { previous } => {
             let config = front.state().config.as_ref().map_or(0, |c| c.version);
             log::warn!(
                 event = "store-era",
                 era = position.era.0,
-                before = before.0,
+                before = previous.0,
                 version = position.version,
                 watch = watch,
                 config = config,
--- a/entry/src/front/store_readers.rs
+++ b/entry/src/front/store_readers.rs
@@ -1,7 +1,7 @@
 use {
     super::{spread_number, FrontContext, FrontState},
     pitchhitch_core::{
-        serving::{even_draw, reader_draw, ProofBook, ProvenTable, ReaderTier, StoreProof},
+        serving::{even_draw, reader_draw, ProofTracker, ProvenTable, ReaderTier, StoreProof},
         time::Micros,
     },
     pitchhitch_process::to_duration,
@@ -26,7 +26,7 @@
 /// What is known of who has read one table, and when.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct TableProofs {
-    book: ProofBook,
+    book: ProofTracker,
     /// Content that is known here.
     mark: Option<u32>,
     /// When the question of the last own reading was sent.
@@ -46,12 +46,12 @@
 
     /// When the newest question was sent of which anybody tells, whatever it showed.
     pub fn newest_told(&self) -> Option<Micros> {
-        self.book.newest()
+        self.book.newest_sent_at()
     }
 
     /// When the newest question was sent of which two others tell.
     pub fn witnessed_at(&self) -> Option<Micros> {
-        self.mark.and_then(|mark| self.book.witnessed(mark))
+        self.mark.and_then(|mark| self.book.confirmed_at(mark))
     }
 
     /// Another content that somebody has read since.
@@ -60,7 +60,7 @@
         now: Micros,
     ) -> Option<u32> {
         let known_at = self.proven_at()?;
-        let other = self.book.other_since(self.mark?, known_at)?;
+        let other = self.book.newer_other(self.mark?, known_at)?;
         let is_refuted = self
             .refuted
             .is_some_and(|(mark, at)| mark == other && now.since(at) < REFUTED_FOR);
@@ -85,7 +85,7 @@
         sent_at: Micros,
     ) {
         let table = self.tables.entry(proof.table).or_default();
-        table.book.hear(proof, teller, sent_at);
+        table.book.record(proof, teller, sent_at);
     }
 
     /// Takes that this front has read a table whole, or all that changed in it: its content is
@@ -138,10 +138,10 @@
     ) -> Vec<StoreProof> {
         let proofs = self.tables.iter().filter_map(|(table, proofs)| {
             let age = now.since(proofs.read_at?);
-            let mark = proofs.mark?;
+            let checksum = proofs.mark?;
             (age <= longest).then_some(StoreProof {
                 table: *table,
-                mark,
+                checksum,
                 source,
                 age,
             })
@@ -169,7 +169,7 @@
         // Nobody tells it anything.
         return ReaderTier::First;
     }
-    ReaderTier::of(reader_draw(&front.settings.box_id, table), state.fronts)
+    ReaderTier::from_draw(reader_draw(&front.settings.box_id, table), state.fronts)
 }
 
 /// A reader of one table between two readings.
@@ -205,7 +205,7 @@
         }
         let proofs = state.readers.table(self.table);
         let known_at = proofs.and_then(TableProofs::proven_at);
-        let patience = Micros(self.bound.0 * tier.patience() / 100);
+        let patience = Micros(self.bound.0 * tier.max_age_percent() / 100);
         let is_old = known_at.is_none_or(|at| now.since(at) >= patience);
         if !self.is_lost {
             return is_old && waited >= LOOK_PAUSE;
--- a/entry/src/front/store_watch.rs
+++ b/entry/src/front/store_watch.rs
@@ -107,7 +107,7 @@
                 BUSY_PAUSE
             }
             LookStep::Lost => {
-                with_view(&front, address, StoreView::lost);
+                with_view(&front, address, StoreView::mark_unreachable);
                 plan.pause
             }
         };
@@ -134,7 +134,7 @@
 ) -> Option<Micros> {
     let now = front.now();
     let mut state = front.state();
-    let told_at = state.memory.view_mut(address)?.told_at?;
+    let told_at = state.memory.view_mut(address)?.reported_at?;
     let left = (told_at + TOLD_LIFE).since(now);
     (left > Micros::ZERO).then_some(left)
 }
@@ -143,7 +143,7 @@
     front: &FrontContext,
     address: SocketAddr,
 ) -> Option<u64> {
-    front.state().memory.view_mut(address)?.next
+    front.state().memory.view_mut(address)?.next_change
 }
 
 fn set_position(
@@ -151,7 +151,7 @@
     address: SocketAddr,
     next: Option<u64>,
 ) {
-    with_view(front, address, |view| view.next = next);
+    with_view(front, address, |view| view.next_change = next);
 }
 
 /// Takes what another process has read of a store, unless something is missing before it: then
@@ -165,18 +165,20 @@
     let Some(view) = state.memory.view_mut(news.store) else {
         return;
     };
-    let known = view.next.filter(|_| view.epoch() == Some(news.epoch));
+    let known = view
+        .next_change
+        .filter(|_| view.epoch() == Some(news.epoch));
     let Some(known) = known.filter(|known| *known >= news.from) else {
-        view.told_at = None;
+        view.reported_at = None;
         return;
     };
     let sent_at = now.since(news.age + way);
     let clock_ms = news.clock_ms.map(|clock| clock + news.answered.as_millis());
-    view.told(clock_ms, sent_at, now);
+    view.record_poll_report(clock_ms, sent_at, now);
     for part in news.parts.iter().filter(|part| part.number > known) {
-        view.set(part.wall, part.id, part.tokens);
+        view.set_part(part.wall, part.id, part.tokens);
     }
-    view.next = Some(known.max(news.next));
+    view.next_change = Some(known.max(news.next));
 }
 
 /// How the store is asked; nothing where the configuration no longer names it.
@@ -239,10 +241,10 @@
     };
     if view.epoch() != Some(changes.epoch) || changes.has_gap {
         // Not gone by until all of it has been read.
-        view.lost();
+        view.mark_unreachable();
         return LookStep::Anew;
     }
-    view.answered(changes.epoch, changes.clock_ms, sent_at, front.now());
+    view.record_answer(changes.epoch, changes.clock_ms, sent_at, front.now());
     drop(state);
     take_parts(front, address, &changes.changes);
     LookStep::Changes(changes.next)
@@ -259,7 +261,7 @@
     };
     let now = front.now();
     with_view(front, address, |view| {
-        view.answered(list.epoch, None, sent_at, now);
+        view.record_answer(list.epoch, None, sent_at, now);
         view.parts.clear();
     });
     log::info!(
@@ -283,7 +285,7 @@
     for change in changes {
         let wall = state.wall(&change.salt);
         if let Some(view) = state.memory.view_mut(address) {
-            view.set(wall, change.id, change.tokens);
+            view.set_part(wall, change.id, change.tokens);
         }
     }
 }
--- a/entry/src/front/weight_lesson.rs
+++ b/entry/src/front/weight_lesson.rs
@@ -7,7 +7,7 @@
     version: u64,
     source: &str,
 ) {
-    if !entry.weights.learn(model, version) {
+    if !entry.weights.set_version(model, version) {
         return;
     }
     // New weights drop what the engine kept.
--- a/testbed/src/load_model/world_moves.rs
+++ b/testbed/src/load_model/world_moves.rs
@@ -4,7 +4,7 @@
         LoadWorld, ModelEvent, SendKey, WALL,
     },
     pitchhitch_core::{
-        serving::{move_ms, PartPlace, PromptPart},
+        serving::{transfer_ms, PartPlace, PromptPart},
         time::Micros,
     },
 };
@@ -81,7 +81,7 @@
         if from.since(self.now) > LONGEST_WAIT {
             return None;
         }
-        let took_ms = first_ms + move_ms(bytes, link_mbps);
+        let took_ms = first_ms + transfer_ms(bytes, link_mbps);
         let there_at = from + millis(took_ms * factor);
         // A longer way delays a move, but does not keep the link of its source.
         *link_until = from + millis(took_ms);
@@ -118,7 +118,7 @@
             };
             let store = &mut self.stores[place];
             let bytes = u64::from(part.tokens) * self.load.engines.token_bytes;
-            let took_ms = store.spec.first_ms + move_ms(bytes, store.spec.link_mbps);
+            let took_ms = store.spec.first_ms + transfer_ms(bytes, store.spec.link_mbps);
             let from = self.now.max(store.link_until);
             store.link_until = from + millis(took_ms);
             let saved = ModelEvent::Saved(place, *part);
@@ -148,7 +148,7 @@
     ) {
         for front in &mut self.fronts {
             if let Some(view) = front.memory.view_at(place) {
-                view.set(WALL, part.id, part.tokens);
+                view.set_part(WALL, part.id, part.tokens);
             }
         }
     }
@@ -159,7 +159,7 @@
         for front in &mut self.fronts {
             for place in 0..self.stores.len() {
                 if let Some(view) = front.memory.view_at(place) {
-                    view.answered(STORE_LIFE, clock_ms, self.now, self.now);
+                    view.record_answer(STORE_LIFE, clock_ms, self.now, self.now);
                 }
             }
         }
--- a/wire/src/beside/handed_state.rs
+++ b/wire/src/beside/handed_state.rs
@@ -4,7 +4,7 @@
         codec::{decode_body, encode_body},
     },
     pitchhitch_core::{
-        serving::{even_number, EndpointNotice, StoreEra, ToldLife, ToldNaming},
+        serving::{even_number, EndpointNotice, StoreEra, ToldLife, WeightPublication},
         time::Micros,
     },
     serde::{Deserialize, Serialize},
@@ -32,7 +32,7 @@
     /// handed its knowledge.
     pub era: Option<StoreEra>,
     /// Named weights, the newest of each model among them.
-    pub weights: Vec<ToldNaming>,
+    pub weights: Vec<WeightPublication>,
     /// Endpoints, those that leave included.
     pub endpoints: Vec<EndpointNotice>,
     /// Failure domains that get nothing new.
