--- a/wire/tests/handed_state.rs
+++ b/wire/tests/handed_state.rs
@@ -2,7 +2,7 @@
 
 use {
     pitchhitch_core::{
-        serving::{ToldLife, ToldNaming},
+        serving::{ToldLife, WeightPublication},
         time::Micros,
     },
     pitchhitch_wire::beside::HandedState,
@@ -12,16 +12,16 @@
     model: &str,
     version: u64,
     age_ms: Option<u64>,
-) -> ToldNaming {
-    ToldNaming {
+) -> WeightPublication {
+    WeightPublication {
         model: model.to_string(),
         version,
-        after: Some(version - 1),
+        previous: Some(version - 1),
         age: age_ms.map(Micros::from_millis),
     }
 }
 
-fn state(weights: Vec<ToldNaming>) -> HandedState {
+fn state(weights: Vec<WeightPublication>) -> HandedState {
     HandedState {
         version: 4,
         age: Micros::from_millis(100),
