--- a/agent/src/beside/beside_context.rs
+++ b/agent/src/beside/beside_context.rs
@@ -3,7 +3,7 @@
     pitchhitch_core::{
         serving::{
             EndpointNotice, EngineLoad, IncarnationOrder, IncarnationTracker, ListedIncarnation,
-            NamespaceTag, PartId, ProofBook, ProvenTable, SuspectTracker,
+            NamespaceTag, PartId, ProofTracker, ProvenTable, SuspectTracker,
         },
         time::Micros,
     },
@@ -87,7 +87,7 @@
     /// Pause between two digests, by how many fronts there are.
     pub digest_pause: Micros,
     /// What fronts have read at the platform's store, by table.
-    pub proofs: BTreeMap<ProvenTable, ProofBook>,
+    pub proofs: BTreeMap<ProvenTable, ProofTracker>,
     /// Whether one of them has come since the last digest.
     pub has_fresh_proofs: bool,
     /// Stores of kept parts that are read for all fronts.
--- a/core/src/serving/endpoint_entry.rs
+++ b/core/src/serving/endpoint_entry.rs
@@ -1,7 +1,7 @@
 use {
     super::{
         EndpointIncarnation, EndpointRejoin, EndpointSlowStart, LatencyEstimator, PartIndex,
-        StorePosition, SwapStage, WeightBelief,
+        StorePosition, SwapStage, KnownWeights,
     },
     crate::{retry::OutlierGuard, time::Micros},
     serde::{Deserialize, Serialize},
@@ -125,7 +125,7 @@
     /// Its current incarnation.
     pub incarnation: EndpointIncarnation,
     /// Weight versions that it is believed to have.
-    pub weights: WeightBelief,
+    pub weights: KnownWeights,
     /// Latest load report.
     pub load: Option<EngineLoad>,
     /// Prompt parts that it is believed to cache.
--- a/core/src/serving/endpoint_incarnation.rs
+++ b/core/src/serving/endpoint_incarnation.rs
@@ -2,7 +2,7 @@
     super::{
         status_change, EndpointChange, EndpointEntry, EndpointKey, EndpointNotice,
         EndpointRegistry, EndpointRejoin, EndpointStatus, IncarnationTracker, ListedIncarnation,
-        PartIndex, StorePosition, SwapStage, WeightBelief,
+        PartIndex, StorePosition, SwapStage, KnownWeights,
     },
     crate::{retry::OutlierGuard, time::Micros},
     std::{collections::BTreeMap, net::SocketAddr},
@@ -139,7 +139,7 @@
             == IncarnationOrder::Later;
         self.incarnation.born = notice.born.or(self.incarnation.born);
         self.incarnation.listed_born = notice.born.or(self.incarnation.listed_born);
-        if notice.row.is_told_after(self.incarnation.row) {
+        if notice.row.is_newer_than(self.incarnation.row) {
             self.incarnation.row = notice.row;
         }
         for (model, version) in &notice.weights {
@@ -149,7 +149,7 @@
                 .version(model)
                 .is_none_or(|known| known < *version)
             {
-                self.weights.learn(model, *version);
+                self.weights.set_version(model, *version);
             }
         }
         if is_first_listing {
@@ -206,7 +206,7 @@
         &mut self,
         born: Option<u64>,
     ) {
-        self.weights = WeightBelief::default();
+        self.weights = KnownWeights::default();
         self.load = None;
         self.parts = PartIndex::default();
         self.is_mirrored = false;
--- a/core/src/serving/endpoint_registry.rs
+++ b/core/src/serving/endpoint_registry.rs
@@ -2,7 +2,7 @@
     super::{
         EndpointEntry, EndpointIncarnation, EndpointNotice, EndpointRejoin, EndpointSlowStart,
         EndpointStatus, PartIndex, PendingPrefill, StorePosition, SwapPlanner, SwapStage,
-        WeightBelief,
+        KnownWeights,
     },
     crate::{retry::OutlierGuard, time::Micros},
     slotmap::{new_key_type, SlotMap},
@@ -122,9 +122,9 @@
             }
             return entry.apply_listed(notice, listed_status);
         }
-        let mut weights = WeightBelief::default();
+        let mut weights = KnownWeights::default();
         for (model, version) in &notice.weights {
-            weights.learn(model, *version);
+            weights.set_version(model, *version);
         }
         let key = self.entries.insert(EndpointEntry {
             id: notice.id.clone(),
--- a/core/src/serving/era_watch.rs
+++ b/core/src/serving/era_watch.rs
@@ -1,119 +1,119 @@
 use {super::StoreEra, crate::time::Micros};
 
-/// Time after the return of the platform's store in which those who write there have written
-/// again what it lost.
-pub const WRITE_AGAIN: Micros = Micros::from_millis(2_200);
+/// Time after a restore of the platform store within which its writers have rewritten what the
+/// restore lost.
+pub const REWRITE_DELAY: Micros = Micros::from_millis(2_200);
 
-/// What an answer of the platform's store says of its era.
+/// How the era of a platform store's answer relates to the known era.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum EraNews {
-    /// It is the first one, or of the same era as the others.
-    Known,
-    /// The store has come back from a copy since.
-    Later {
-        /// Era that was known.
-        before: StoreEra,
+pub enum EraUpdate {
+    /// The first era seen, or the known one.
+    Current,
+    /// The store has been restored from a snapshot since.
+    Advanced {
+        /// Era known until then.
+        previous: StoreEra,
     },
-    /// It is a late one, of an era that is over.
-    Earlier,
+    /// A late answer from an era that has ended.
+    Outdated,
 }
 
-/// Which era of the platform's store is known, and from when on a reading proves what is in
-/// force. A copy lacks what was written, and acknowledged, between it and the return.
+/// Tracks the era of the platform store, and from when on a read proves the current content. A
+/// restored snapshot lacks writes that were acknowledged between the snapshot and the restore.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct EraWatch {
+pub struct EraTracker {
     known: Option<StoreEra>,
-    /// When the first answer of that came.
+    /// When the first answer of the known era arrived.
     seen_at: Option<Micros>,
-    /// When the era was first seen, where what was written before it may be missing.
-    doubted_since: Option<Micros>,
-    /// Newest era in which another process has proven what is in force.
-    vouched: Option<StoreEra>,
+    /// When the known era was first seen, if writes from before it may be missing.
+    uncertain_since: Option<Micros>,
+    /// Newest era in which another process has proven the current content.
+    confirmed: Option<StoreEra>,
 }
 
-impl EraWatch {
-    /// Takes the era of an answer.
-    pub fn note(
+impl EraTracker {
+    /// Records the era of an answer.
+    pub fn observe(
         &mut self,
         era: StoreEra,
         now: Micros,
-    ) -> EraNews {
+    ) -> EraUpdate {
         let Some(known) = self.known else {
             self.known = Some(era);
             self.seen_at = Some(now);
-            let is_older = self.vouched.is_some_and(|vouched| vouched < era);
+            let is_older = self.confirmed.is_some_and(|confirmed| confirmed < era);
             if is_older {
-                self.doubted_since = Some(now);
+                self.uncertain_since = Some(now);
             }
-            return EraNews::Known;
+            return EraUpdate::Current;
         };
         if era < known {
-            return EraNews::Earlier;
+            return EraUpdate::Outdated;
         }
         if era == known {
-            return EraNews::Known;
+            return EraUpdate::Current;
         }
         self.known = Some(era);
         self.seen_at = Some(now);
-        self.doubted_since = Some(now);
-        EraNews::Later { before: known }
+        self.uncertain_since = Some(now);
+        EraUpdate::Advanced { previous: known }
     }
 
-    /// Takes that another process has proven in this era what is in force. True where that was
-    /// an era before the one that is known here: the store has come back since, and what was
-    /// read here before says nothing.
-    pub fn vouch(
+    /// Records that another process has proven the current content in this era. Returns true if
+    /// that era precedes the one known here: the store has been restored since, and earlier reads
+    /// of this process prove nothing.
+    pub fn confirm(
         &mut self,
         era: StoreEra,
         now: Micros,
     ) -> bool {
-        self.vouched = self.vouched.max(Some(era));
-        let is_older = self.known.is_some_and(|known| self.vouched < Some(known));
-        if is_older && self.doubted_since.is_none() {
-            self.doubted_since = Some(now);
+        self.confirmed = self.confirmed.max(Some(era));
+        let is_older = self.known.is_some_and(|known| self.confirmed < Some(known));
+        if is_older && self.uncertain_since.is_none() {
+            self.uncertain_since = Some(now);
             return true;
         }
         false
     }
 
-    /// Whether a reading that was sent then proves what is in force.
+    /// Whether a read sent at `sent_at` proves the current content.
     pub fn proves(
         &self,
         sent_at: Micros,
     ) -> bool {
-        let doubted_since = self.doubted_since;
-        self.is_vouched() || doubted_since.is_none_or(|since| is_rewritten(since, sent_at))
+        let uncertain_since = self.uncertain_since;
+        self.is_confirmed() || uncertain_since.is_none_or(|since| is_rewritten(since, sent_at))
     }
 
-    /// Whether a reading that was sent then also proves to others what is in force. Who has just
-    /// started cannot tell a copy from what was there before.
-    pub fn may_vouch(
+    /// Whether a read sent at `sent_at` also proves the current content to other processes. A
+    /// process that has just started cannot tell a restored snapshot from the content before it.
+    pub fn can_confirm(
         &self,
         sent_at: Micros,
     ) -> bool {
         let seen_at = self.seen_at;
-        self.is_vouched() || seen_at.is_some_and(|since| is_rewritten(since, sent_at))
+        self.is_confirmed() || seen_at.is_some_and(|since| is_rewritten(since, sent_at))
     }
 
-    fn is_vouched(&self) -> bool {
-        self.known.is_some() && self.vouched == self.known
+    fn is_confirmed(&self) -> bool {
+        self.known.is_some() && self.confirmed == self.known
     }
 
-    /// When the era was first seen, where what was written before it may be missing.
-    pub fn doubted_since(&self) -> Option<Micros> {
-        self.doubted_since
+    /// When the known era was first seen, if writes from before it may be missing.
+    pub fn uncertain_since(&self) -> Option<Micros> {
+        self.uncertain_since
     }
 
-    /// The era that is known.
+    /// Known era.
     pub fn known(&self) -> Option<StoreEra> {
         self.known
     }
 }
 
-/// Whether those who write at the store had the time to, since its return was seen.
+/// Whether the store's writers have had time to rewrite their rows since its restore was seen.
 fn is_rewritten(
     since: Micros,
     sent_at: Micros,
 ) -> bool {
-    sent_at >= since + WRITE_AGAIN
+    sent_at >= since + REWRITE_DELAY
 }
--- a/core/src/serving/key_trust.rs
+++ b/core/src/serving/key_trust.rs
@@ -1,87 +1,85 @@
 use {
-    super::{told_age::ToldAge, KeyPolicy},
+    super::{told_age::ReportedAge, KeyPolicy},
     crate::time::Micros,
 };
 
-/// Part of the limit up to which a box calls itself ready, in hundredths: the
-/// balancer needs two seconds to look elsewhere.
-const SOUND_PART: u64 = 55;
+/// Share of the age limit up to which a box reports itself ready, in percent: the load balancer
+/// takes two seconds to route elsewhere.
+const READY_AGE_PERCENT: u64 = 55;
 
-/// How old the knowledge of keys may be, and how old it is.
+/// Tracks the age of the known key configuration against its limit.
 ///
-/// Knowledge counts from when the store gave an answer, as far as that is proven, and not from
-/// when it came: what the store took in between may be missing from the answer.
+/// Age counts from when the store is proven to have answered, not from when the answer arrived:
+/// changes that the store accepted in between may be missing from it.
 #[derive(Debug, Clone, Copy)]
-pub struct KeyTrust {
+pub struct KeyFreshness {
     limit: Micros,
     policy: KeyPolicy,
     read_at: Option<Micros>,
-    /// When a question was sent of which two others say what it showed.
-    witnessed_at: Option<Micros>,
-    handed: Option<ToldAge>,
+    /// Send time of a request whose result two other boxes have confirmed.
+    confirmed_at: Option<Micros>,
+    reported: Option<ReportedAge>,
 }
 
-impl KeyTrust {
-    /// Nothing is known yet; `limit` is the age up to which knowledge counts as
-    /// fresh.
+impl KeyFreshness {
+    /// Starts without any knowledge; `limit` is the age up to which knowledge counts as fresh.
     pub fn new(
         limit: Micros,
         policy: KeyPolicy,
     ) -> Self {
-        KeyTrust {
+        KeyFreshness {
             limit,
             policy,
             read_at: None,
-            witnessed_at: None,
-            handed: None,
+            confirmed_at: None,
+            reported: None,
         }
     }
 
-    /// Notes a whole read of the configuration as of `proven_at`.
-    pub fn proven(
+    /// Records a complete read of the configuration that was current at `proven_at`.
+    pub fn record_read(
         &mut self,
         proven_at: Micros,
     ) {
         self.read_at = self.read_at.max(Some(proven_at));
     }
 
-    /// Takes that two other boxes have found what is known here to be the newest, by questions
-    /// that were sent at `sent_at` or later.
-    pub fn witnessed(
+    /// Records that two other boxes found the configuration known here to be the newest, with
+    /// requests sent at `sent_at` or later.
+    pub fn record_confirmed_read(
         &mut self,
         sent_at: Micros,
     ) {
-        self.witnessed_at = self.witnessed_at.max(Some(sent_at));
+        self.confirmed_at = self.confirmed_at.max(Some(sent_at));
     }
 
-    /// The platform's store had come back from a copy: no reading of this process has proven
-    /// anything.
-    pub fn unprove(&mut self) {
+    /// Discards this process's proofs after the platform store was restored from a snapshot.
+    pub fn invalidate(&mut self) {
         self.read_at = None;
-        self.witnessed_at = None;
+        self.confirmed_at = None;
     }
 
-    /// Notes knowledge that another box handed on; it keeps its age.
-    pub fn handed_on(
+    /// Records a configuration forwarded by another box; it keeps its age.
+    pub fn record_report(
         &mut self,
         age: Micros,
         now: Micros,
     ) {
         let is_younger = self.age(now).is_none_or(|known| age < known);
         if is_younger {
-            self.handed = Some(ToldAge { age, at: now });
+            self.reported = Some(ReportedAge { age, at: now });
         }
     }
 
-    /// When the newest question was sent that showed what is known to be the newest, by an own
-    /// reading or those of two others.
+    /// Send time of the newest request that showed the known configuration to be the newest, from
+    /// an own read or from two other boxes.
     pub fn proven_at(&self) -> Option<Micros> {
-        self.read_at.max(self.witnessed_at)
+        self.read_at.max(self.confirmed_at)
     }
 
-    /// Whether no reading has proven anything for longer than two questions take that are held
-    /// for so long each.
-    pub fn is_behind(
+    /// Whether no read has proven anything for longer than two requests take that the store holds
+    /// for `held_for` each.
+    pub fn is_overdue(
         &self,
         held_for: Micros,
         now: Micros,
@@ -90,16 +88,16 @@
         self.proven_at().is_some_and(|at| now.since(at) > limit)
     }
 
-    /// Age of the knowledge, if there is any.
+    /// Age of the known configuration, if there is one.
     pub fn age(
         &self,
         now: Micros,
     ) -> Option<Micros> {
-        ToldAge::least(self.proven_at(), self.handed, now)
+        ReportedAge::min_age(self.proven_at(), self.reported, now)
     }
 
-    /// Whether somebody may be told that a key or a route does not exist: only by what this
-    /// process has read itself or two others have, as a single one may have been behind.
+    /// Whether a caller may be told that a key or a route does not exist. This needs an own read
+    /// or the reads of two other boxes, as a single box may have been out of date.
     pub fn may_deny(
         &self,
         now: Micros,
@@ -108,26 +106,28 @@
             .is_some_and(|at| now.since(at) < self.limit)
     }
 
-    /// Whether callers may be let in by their keys.
-    pub fn lets_in(
+    /// Whether callers may be admitted by their keys.
+    pub fn admits_keys(
         &self,
         now: Micros,
     ) -> bool {
         match self.policy {
             KeyPolicy::FailClosed => self.is_younger(self.limit, now),
-            KeyPolicy::ServeOn => self.age(now).is_some(),
+            KeyPolicy::FailOpen => self.age(now).is_some(),
         }
     }
 
-    /// Whether further callers may be asked for. Where keys fail closed, the
-    /// knowledge is then at most [`SOUND_PART`] of the limit old.
-    pub fn is_sound(
+    /// Whether the box may report itself ready for more callers. Where keys fail closed, the
+    /// configuration is then younger than [`READY_AGE_PERCENT`] percent of the limit.
+    pub fn is_ready(
         &self,
         now: Micros,
     ) -> bool {
         match self.policy {
-            KeyPolicy::FailClosed => self.is_younger(Micros(self.limit.0 * SOUND_PART / 100), now),
-            KeyPolicy::ServeOn => self.age(now).is_some(),
+            KeyPolicy::FailClosed => {
+                self.is_younger(Micros(self.limit.0 * READY_AGE_PERCENT / 100), now)
+            }
+            KeyPolicy::FailOpen => self.age(now).is_some(),
         }
     }
 
--- a/core/src/serving/store_clock.rs
+++ b/core/src/serving/store_clock.rs
@@ -1,28 +1,30 @@
 use crate::time::Micros;
 
-/// Time for which a bound counts: two steady clocks drift apart by some milliseconds in it.
-const BOUND_LIFE: Micros = Micros::from_secs(30);
-/// The store tells whole milliseconds.
-const TELL_STEP_US: i64 = 1_000;
+/// Validity of a bound: two monotonic clocks drift apart by some milliseconds in this time.
+const BOUND_TTL: Micros = Micros::from_secs(30);
+/// Resolution of the store's clock, which reports whole milliseconds.
+const CLOCK_RESOLUTION_US: i64 = 1_000;
 
-/// Maps the steady clock of the platform's store to the local one.
+/// Maps the monotonic clock of the platform store to the local one.
 ///
-/// An answer proves what was in force when the store gave it, not only when the question was
-/// sent, which matters for questions that are held there. The local time of that is bounded from
-/// below by earlier answers: the store's clock showed their time after they had been asked for.
+/// An answer proves the content at the time the store gave it, not only at the time the request
+/// was sent, which matters for requests that the store holds. Earlier answers give a lower bound
+/// for the local time of the answer: the store's clock showed their time only after they had been
+/// requested.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct StoreClock {
-    /// Greatest lower bound of the local time at which the store's clock showed zero, in
-    /// microseconds, and since when it is collected.
+    /// Greatest lower bound, in microseconds, of the local time at which the store's clock showed
+    /// zero, and the start of the interval over which it is collected.
     current: Option<(i64, Micros)>,
-    /// The same of the span before.
+    /// The bound of the previous interval.
     before: Option<i64>,
 }
 
 impl StoreClock {
-    /// The local time from which an answer proves what was in force: not before its question was
-    /// sent, and not after it came.
-    pub fn proof_time(
+    /// Earliest local time at which the store can have given an answer, and whose content it
+    /// therefore proves: no earlier than the request was sent and no later than the answer
+    /// arrived.
+    pub fn earliest_answer_time(
         &mut self,
         sent_at: Micros,
         store_ms: Option<u64>,
@@ -33,12 +35,12 @@
             return sent_at;
         };
         let told = self.bound(now).map(|zero| zero.saturating_add(store_us));
-        self.note(sent_at.0 as i64 - store_us - TELL_STEP_US, now);
+        self.note(sent_at.0 as i64 - store_us - CLOCK_RESOLUTION_US, now);
         let given = Micros(u64::try_from(told.unwrap_or(0)).unwrap_or(0));
         given.max(sent_at).min(now)
     }
 
-    /// Forgets all: the store's clock may have begun anew.
+    /// Discards all bounds, as the store's clock may have restarted.
     pub fn reset(&mut self) {
         *self = StoreClock::default();
     }
@@ -47,9 +49,9 @@
         &self,
         now: Micros,
     ) -> Option<i64> {
-        let fresh = |at: Micros| now.since(at) <= BOUND_LIFE + BOUND_LIFE;
+        let fresh = |at: Micros| now.since(at) <= BOUND_TTL + BOUND_TTL;
         let (current, since) = self.current.filter(|(_, since)| fresh(*since))?;
-        let before = self.before.filter(|_| now.since(since) <= BOUND_LIFE);
+        let before = self.before.filter(|_| now.since(since) <= BOUND_TTL);
         Some(before.map_or(current, |before| before.max(current)))
     }
 
@@ -59,12 +61,9 @@
         now: Micros,
     ) {
         self.current = match self.current {
-            Some((known, since)) if now.since(since) <= BOUND_LIFE => {
-                Some((known.max(zero), since))
-            }
+            Some((known, since)) if now.since(since) <= BOUND_TTL => Some((known.max(zero), since)),
             known => {
-                let recent =
-                    known.filter(|(_, since)| now.since(*since) <= BOUND_LIFE + BOUND_LIFE);
+                let recent = known.filter(|(_, since)| now.since(*since) <= BOUND_TTL + BOUND_TTL);
                 self.before = recent.map(|(zero, _)| zero);
                 Some((zero, now))
             }
--- a/core/src/serving/store_directory.rs
+++ b/core/src/serving/store_directory.rs
@@ -1,6 +1,6 @@
 use {
     super::{
-        mix_bits, move_ms, unit_fraction, EndpointEntry, EndpointKey, EndpointRegistry,
+        mix_bits, transfer_ms, unit_fraction, EndpointEntry, EndpointKey, EndpointRegistry,
         EndpointStatus, EngineGroup, KvStore, MechanismSet, NamespaceTag, PromptPart,
         ServingMechanism, StoreView,
     },
@@ -195,7 +195,7 @@
             }
         }
         let risk_ms = f64::from(part.tokens) * ENGINE_RISK_MS;
-        let engine_ms = ENGINE_LATENCY_MS + move_ms(bytes, group.link_mbps) + risk_ms;
+        let engine_ms = ENGINE_LATENCY_MS + transfer_ms(bytes, group.link_mbps) + risk_ms;
         for (key, entry) in registry.iter() {
             let is_cached = entry.parts.cached_tokens(namespace, part.id) >= part.tokens;
             if is_cached && is_source(entry, now) {
@@ -223,7 +223,7 @@
             if let PartLocation::Store(index) = source.location {
                 if let Some(view) = self.views.get_mut(index) {
                     let wait = view.fetch_ms(0, now) - view.store.first_ms;
-                    view.occupy(millis - wait, now);
+                    view.reserve_link(millis - wait, now);
                 }
             }
         }
@@ -252,13 +252,13 @@
         may_save: &dyn Fn(&KvStore) -> bool,
         now: Micros,
     ) -> Option<SocketAddr> {
-        let is_saved = |view: &StoreView| view.has_or_gets(namespace, part.id, part.tokens);
+        let is_saved = |view: &StoreView| view.has_or_expects(namespace, part.id, part.tokens);
         if self.disabled.contains(ServingMechanism::Stores) || self.views.iter().any(is_saved) {
             return None;
         }
         let mut best: Option<(f64, &mut StoreView)> = None;
         for view in &mut self.views {
-            if !may_save(&view.store) || !view.takes(part.tokens, now) {
+            if !may_save(&view.store) || !view.can_save(part.tokens, now) {
                 continue;
             }
             // Boxes without knowledge of each other choose the same store by weighted rendezvous
@@ -274,7 +274,7 @@
             }
         }
         let (_, view) = best?;
-        view.saving(namespace, part.id, part.tokens, now);
+        view.record_save(namespace, part.id, part.tokens, now);
         Some(view.store.address)
     }
 }
--- a/core/src/serving/store_uptime.rs
+++ b/core/src/serving/store_uptime.rs
@@ -22,7 +22,7 @@
         &self,
         now: Micros,
     ) -> Vec<StoreUptime> {
-        let uptimes = self.views().iter().filter_map(|view| view.life(now));
+        let uptimes = self.views().iter().filter_map(|view| view.uptime(now));
         uptimes.collect()
     }
 
@@ -33,7 +33,7 @@
         at: Micros,
     ) {
         if let Some(view) = self.view_mut(uptime.address) {
-            view.tell_life(uptime, at);
+            view.record_uptime(uptime, at);
         }
     }
 }
--- a/core/src/serving/store_view.rs
+++ b/core/src/serving/store_view.rs
@@ -1,36 +1,37 @@
 use {
-    super::{KvStore, NamespaceTag, PartId, PartIndex, StoreUptime},
+    super::{KvStore, PartId, PartIndex, StoreUptime, NamespaceTag},
     crate::time::Micros,
     std::collections::HashMap,
 };
 
-/// Age up to which what is known of a store may be gone by, from when the
-/// question was sent until a fetch must have ended. A store that restarts is
-/// empty, and a part that is being written anew must not be taken for whole.
-pub const VIEW_LIFE: Micros = Micros::from_millis(2_000);
-/// Time that a life of a store must have lasted before anything is saved there: by then
-/// no view of the life before is gone by any more.
-pub const SAVE_AFTER: Micros = Micros::from_millis(2_400);
-/// Time in which a save that we asked for shows up.
-const SAVE_SHOWS: Micros = Micros::from_secs(3);
-/// Part of a store's room that is filled, in hundredths; blocks are rounded up.
-const FILL_PART: u64 = 96;
+/// Age up to which a view of a store may be used, from when the request was sent until a fetch
+/// must have ended. A store that restarts is empty, and a part that is being rewritten must not be
+/// taken for complete.
+pub const VIEW_TTL: Micros = Micros::from_millis(2_000);
+/// Time that an incarnation of a store must have lasted before anything is saved there: by then no
+/// view of the previous incarnation is in use any more.
+pub const SAVE_DELAY: Micros = Micros::from_millis(2_400);
+/// Time within which a requested save appears in the store.
+const SAVE_VISIBLE_LIMIT: Micros = Micros::from_secs(3);
+/// Share of a store's capacity that is filled, in percent; the store rounds blocks up.
+const FILL_PERCENT: u64 = 96;
 
-/// What is known of one store's content.
+/// View of one store's content.
 #[derive(Debug, Clone)]
 pub struct StoreView {
-    /// The store.
+    /// Store that is described.
     pub store: KvStore,
-    /// Parts that are whole.
+    /// Complete parts.
     pub parts: PartIndex,
-    /// Number of the change up to which they are known; nothing where all is to be read anew.
-    pub next: Option<u64>,
-    /// When another process last told what it had read there.
-    pub told_at: Option<Micros>,
+    /// Change number up to which the parts are known; `None` if the whole list has to be read
+    /// again.
+    pub next_change: Option<u64>,
+    /// When another process last reported its reads of the store.
+    pub reported_at: Option<Micros>,
     epoch: Option<u64>,
     epoch_seen_at: Micros,
-    /// What another box told of a life, and when that had come here.
-    told: Option<(StoreUptime, Micros)>,
+    /// Incarnation reported by another box, and when the report arrived.
+    uptime_report: Option<(StoreUptime, Micros)>,
     proven_at: Option<Micros>,
     clock: Option<(u64, Micros)>,
     latest_clock: Option<(u64, Micros)>,
@@ -40,16 +41,16 @@
 }
 
 impl StoreView {
-    /// Nothing is known yet.
+    /// Starts with no knowledge of the store's content.
     pub fn new(store: KvStore) -> Self {
         StoreView {
             store,
             parts: PartIndex::default(),
-            next: None,
-            told_at: None,
+            next_change: None,
+            reported_at: None,
             epoch: None,
             epoch_seen_at: Micros::ZERO,
-            told: None,
+            uptime_report: None,
             proven_at: None,
             clock: None,
             latest_clock: None,
@@ -59,56 +60,58 @@
         }
     }
 
-    /// Life of the store that is known.
+    /// Known incarnation of the store.
     pub fn epoch(&self) -> Option<u64> {
         self.epoch
     }
 
-    /// The life that is known, and for how long at least it has lasted: since an answer
-    /// showed it here, or as another box has told.
-    pub fn life(
+    /// Known incarnation and the least time it has lasted: since an answer showed it here, or as
+    /// reported by another box.
+    pub fn uptime(
         &self,
         now: Micros,
     ) -> Option<StoreUptime> {
         let epoch = self.epoch?;
         let seen_for = now.since(self.epoch_seen_at);
-        let told = self.told.filter(|(told, _)| told.epoch == epoch);
-        let told_for = told.map(|(told, at)| told.lasted + now.since(at));
+        let reported = self
+            .uptime_report
+            .filter(|(reported, _)| reported.epoch == epoch);
+        let reported_for = reported.map(|(reported, at)| reported.lasted + now.since(at));
         Some(StoreUptime {
             address: self.store.address,
             epoch,
-            lasted: told_for.map_or(seen_for, |told| told.max(seen_for)),
+            lasted: reported_for.map_or(seen_for, |reported| reported.max(seen_for)),
         })
     }
 
-    /// Takes what another box told of a life; it had come here at `at`.
+    /// Records an incarnation reported by another box; the report arrived at `at`.
     ///
-    /// A front that starts sees every life for the first time and saves nothing for
-    /// [`SAVE_AFTER`]; with this it saves from its first request on where a box that it
-    /// asked has watched the same life for that long. A least age counts from when it came:
-    /// counted from the question, as greatest ages are, it would be too high by however long
-    /// the other box stood still before it answered.
-    pub fn tell_life(
+    /// A front that starts sees every incarnation for the first time and would save nothing for
+    /// [`SAVE_DELAY`]. With such a report it saves from its first request on, if a box that it
+    /// asked has observed the same incarnation for that long. A minimum age counts from when the
+    /// report arrived: counted from the request, as maximum ages are, it would be too high by any
+    /// pause of the other box before its answer.
+    pub fn record_uptime(
         &mut self,
-        told: &StoreUptime,
+        reported: &StoreUptime,
         at: Micros,
     ) {
-        let is_better = match self.told {
+        let is_better = match self.uptime_report {
             None => true,
-            Some((known, known_at)) if known.epoch == told.epoch => {
-                known.lasted + at.since(known_at) < told.lasted
+            Some((known, known_at)) if known.epoch == reported.epoch => {
+                known.lasted + at.since(known_at) < reported.lasted
             }
-            // A box that is behind knows an earlier life.
+            // A box that is out of date reports an earlier incarnation.
             Some((known, _)) => self.epoch != Some(known.epoch),
         };
         if is_better {
-            self.told = Some((*told, at));
+            self.uptime_report = Some((*reported, at));
         }
     }
 
-    /// Notes an answer of the store to a question sent at `sent_at`; true where
-    /// it shows a new life, of which nothing is known.
-    pub fn answered(
+    /// Records an answer to a request sent at `sent_at`. Returns true if it shows a new
+    /// incarnation, whose content is unknown.
+    pub fn record_answer(
         &mut self,
         epoch: u64,
         clock_ms: Option<u64>,
@@ -130,15 +133,15 @@
         is_new
     }
 
-    /// Takes that another process asked the store at `sent_at` or later, in the life that is
-    /// known; `clock_ms` is the time on the engines' clock now, or earlier.
-    pub fn told(
+    /// Records that another process sent a request to the store at `sent_at` or later, in the
+    /// known incarnation; `clock_ms` is the time on the engines' clock now, or earlier.
+    pub fn record_poll_report(
         &mut self,
         clock_ms: Option<u64>,
         sent_at: Micros,
         now: Micros,
     ) {
-        self.told_at = Some(now);
+        self.reported_at = Some(now);
         if self.proven_at.is_some_and(|at| at >= sent_at) {
             return;
         }
@@ -149,25 +152,25 @@
         }
     }
 
-    /// The store did not answer: what is known of it is not gone by.
-    pub fn lost(&mut self) {
+    /// Records that the store did not answer: the view may not be used.
+    pub fn mark_unreachable(&mut self) {
         self.proven_at = None;
     }
 
-    /// Takes that a part is whole now, or gone.
-    pub fn set(
+    /// Records that a part is complete, or gone if `tokens` is 0.
+    pub fn set_part(
         &mut self,
-        wall: NamespaceTag,
+        namespace: NamespaceTag,
         id: PartId,
         tokens: u32,
     ) {
-        self.parts.set(wall, id, tokens);
-        if let Some((tokens, _)) = self.pending.remove(&(wall, id)) {
+        self.parts.set(namespace, id, tokens);
+        if let Some((tokens, _)) = self.pending.remove(&(namespace, id)) {
             self.pending_tokens -= u64::from(tokens);
         }
     }
 
-    /// Time on the engines' clock, as far as this store has told it.
+    /// Time on the engines' clock, as last reported by this store.
     pub fn clock_ms(
         &self,
         now: Micros,
@@ -176,8 +179,8 @@
         Some(clock + now.since(at).as_millis())
     }
 
-    /// Time on the engines' clock that is not over yet: had the store answered at
-    /// once, it would be so late.
+    /// Latest possible time on the engines' clock, which would be right if the store had answered
+    /// at once.
     pub fn latest_clock_ms(
         &self,
         now: Micros,
@@ -186,39 +189,38 @@
         Some(clock + now.since(at).as_millis() + 1)
     }
 
-    /// Time on the engines' clock by which a fetch must have ended, and whether
-    /// there is time for one at all.
+    /// Deadline of a fetch on the engines' clock; `None` if there is no time for one.
     pub fn fetch_until_ms(
         &self,
         now: Micros,
     ) -> Option<u64> {
-        let left = (self.proven_at? + VIEW_LIFE).since(now);
+        let left = (self.proven_at? + VIEW_TTL).since(now);
         let clock_ms = self.clock_ms(now)?;
         (left > Micros::ZERO).then(|| clock_ms + left.as_millis())
     }
 
-    /// Whether the store answered last time, but too long ago to be gone by: the
-    /// next answer is about to come.
+    /// Whether the store answered last time, but too long ago for the view to be used: the next
+    /// answer is due.
     pub fn is_stale(
         &self,
         now: Micros,
     ) -> bool {
-        self.proven_at.is_some_and(|at| now.since(at) >= VIEW_LIFE)
+        self.proven_at.is_some_and(|at| now.since(at) >= VIEW_TTL)
     }
 
-    /// Time to fetch so many bytes from within the store's domain, with the
-    /// wait for what we have asked for before, in milliseconds.
+    /// Time in milliseconds to fetch `bytes` from within the store's failure domain, including the
+    /// wait for transfers requested before.
     pub fn fetch_ms(
         &self,
         bytes: u64,
         now: Micros,
     ) -> f64 {
         let wait = self.busy_until.since(now).0 as f64 / 1e3;
-        wait + self.store.first_ms + move_ms(bytes, self.store.link_mbps)
+        wait + self.store.first_ms + transfer_ms(bytes, self.store.link_mbps)
     }
 
-    /// Notes a fetch or save that we ask for.
-    pub fn occupy(
+    /// Adds a requested fetch or save to the store's queue of transfers.
+    pub fn reserve_link(
         &mut self,
         millis: f64,
         now: Micros,
@@ -228,51 +230,57 @@
     }
 
     /// Whether a part may be saved here now.
-    pub fn takes(
+    pub fn can_save(
         &self,
         tokens: u32,
         now: Micros,
     ) -> bool {
-        let is_settled = self.life(now).is_some_and(|life| life.lasted > SAVE_AFTER);
-        let is_known = self.proven_at.is_some_and(|at| now.since(at) < VIEW_LIFE);
+        let is_settled = self
+            .uptime(now)
+            .is_some_and(|uptime| uptime.lasted > SAVE_DELAY);
+        let is_known = self.proven_at.is_some_and(|at| now.since(at) < VIEW_TTL);
         let used = self.parts.tokens() + self.pending_tokens + u64::from(tokens);
-        is_settled && is_known && used * 100 <= self.store.capacity_tokens * FILL_PART
+        is_settled && is_known && used * 100 <= self.store.capacity_tokens * FILL_PERCENT
     }
 
-    /// Whether a part is kept here, or on its way.
-    pub fn has_or_gets(
+    /// Whether the store has a part, or a save of it is pending.
+    pub fn has_or_expects(
         &self,
-        wall: NamespaceTag,
+        namespace: NamespaceTag,
         id: PartId,
         tokens: u32,
     ) -> bool {
-        self.parts.cached_tokens(wall, id) >= tokens || self.pending.contains_key(&(wall, id))
+        self.parts.cached_tokens(namespace, id) >= tokens || self.pending.contains_key(&(namespace, id))
     }
 
-    /// Notes that we ask for a save.
-    pub fn saving(
+    /// Records a requested save.
+    pub fn record_save(
         &mut self,
-        wall: NamespaceTag,
+        namespace: NamespaceTag,
         id: PartId,
         tokens: u32,
         now: Micros,
     ) {
-        let gone = &mut self.pending_tokens;
+        let pending_tokens = &mut self.pending_tokens;
         self.pending.retain(|_, (tokens, at)| {
-            let waits = now.since(*at) < SAVE_SHOWS;
-            if !waits {
-                *gone -= u64::from(*tokens);
+            let is_pending = now.since(*at) < SAVE_VISIBLE_LIMIT;
+            if !is_pending {
+                *pending_tokens -= u64::from(*tokens);
             }
-            waits
+            is_pending
         });
-        if self.pending.insert((wall, id), (tokens, now)).is_none() {
+        if self
+            .pending
+            .insert((namespace, id), (tokens, now))
+            .is_none()
+        {
             self.pending_tokens += u64::from(tokens);
         }
     }
 }
 
-/// Time that a move of so many bytes takes on a link, in milliseconds.
-pub fn move_ms(
+/// Time to transfer `bytes` over a link, in milliseconds.
+pub fn transfer_ms(
     bytes: u64,
     link_mbps: f64,
 ) -> f64 {
--- a/core/tests/disabled_mechanisms.rs
+++ b/core/tests/disabled_mechanisms.rs
@@ -7,7 +7,7 @@
             pick_endpoint, EndpointRegistry, EndpointChoice, EndpointKey, EndpointNotice, EngineGroup,
             EngineLoad, KvStore, LatencyEstimator, MechanismSet, StoreDirectory, PartId, PickRequest,
             PromptInfo, PromptPart, ServingMechanism, VersionAvailability, NamespaceTag, WeightBounds,
-            SAVE_AFTER,
+            SAVE_DELAY,
         },
         time::Micros,
     },
@@ -184,10 +184,10 @@
     let saved = |disabled| {
         let mut stores = StoreDirectory::without(disabled);
         stores.set_stores(std::slice::from_ref(&store));
-        let later = NOW + SAVE_AFTER + Micros(1);
+        let later = NOW + SAVE_DELAY + Micros(1);
         let view = stores.view_mut(store.address).expect("view");
-        view.answered(1, Some(1), NOW, NOW);
-        view.answered(1, Some(1), later, later);
+        view.record_answer(1, Some(1), NOW, NOW);
+        view.record_answer(1, Some(1), later, later);
         let saves = stores.plan_saves(NAMESPACE, &prompt(3).parts, &|_| true, later);
         saves.into_iter().flatten().count()
     };
--- a/core/tests/early_saves.rs
+++ b/core/tests/early_saves.rs
@@ -9,7 +9,7 @@
 
 use {
     pitchhitch_core::{
-        serving::{StoreDirectory, StoreView, StoreUptime, SAVE_AFTER, VIEW_LIFE},
+        serving::{StoreDirectory, StoreView, StoreUptime, SAVE_DELAY, VIEW_TTL},
         time::Micros,
     },
     proptest::prelude::*,
@@ -194,7 +194,7 @@
             } => {
                 let front = &mut self.fronts[to];
                 if front.incarnation == incarnation {
-                    front.view().answered(epoch, Some(1), sent_at, now);
+                    front.view().record_answer(epoch, Some(1), sent_at, now);
                 }
             }
             Message::PeerQuery {
@@ -237,9 +237,9 @@
             let front_started_at = START + at(front.incarnation * STEP_MS);
             let view = front.view();
             let is_current = view.epoch() == Some(self.epoch);
-            if is_current && view.takes(10, now) {
-                assert!(age > VIEW_LIFE, "saved after {age:?}");
-                self.early_saves += usize::from(now.since(front_started_at) <= SAVE_AFTER);
+            if is_current && view.can_save(10, now) {
+                assert!(age > VIEW_TTL, "saved after {age:?}");
+                self.early_saves += usize::from(now.since(front_started_at) <= SAVE_DELAY);
             }
         }
     }
--- a/core/tests/fleet_fixture/mod.rs
+++ b/core/tests/fleet_fixture/mod.rs
@@ -120,9 +120,9 @@
             max_pending_calls: 12,
         }]);
         let view = self.stores.view_mut(address).expect("view");
-        view.answered(5, Some(1_000), NOW, NOW);
+        view.record_answer(5, Some(1_000), NOW, NOW);
         for shared in &prompt().parts[..2] {
-            view.set(NAMESPACE, shared.id, shared.tokens);
+            view.set_part(NAMESPACE, shared.id, shared.tokens);
         }
     }
 
--- a/core/tests/fleet_sim/mod.rs
+++ b/core/tests/fleet_sim/mod.rs
@@ -2,7 +2,7 @@
 
 use {
     pitchhitch_core::{
-        serving::{KvStore, ReclaimState, PartId, ReadProofs, StoreView, SwapPlanner, WeightBelief},
+        serving::{KvStore, ReclaimState, PartId, FetchCompletion, StoreView, SwapPlanner, KnownWeights},
         time::Micros,
     },
     std::net::SocketAddr,
@@ -16,9 +16,9 @@
     ([10, 0, 0, 1], index as u16 + 1).into()
 }
 
-fn known_weights(version: u64) -> WeightBelief {
-    let mut weights = WeightBelief::default();
-    weights.learn("m", version);
+fn known_weights(version: u64) -> KnownWeights {
+    let mut weights = KnownWeights::default();
+    weights.set_version("m", version);
     weights
 }
 
@@ -119,8 +119,8 @@
 
 struct SimFront {
     planner: SwapPlanner,
-    reads: ReadProofs,
-    known_weights: Vec<WeightBelief>,
+    reads: FetchCompletion,
+    known_weights: Vec<KnownWeights>,
     view: StoreView,
     proven_at: Option<Micros>,
     /// Reports not processed yet: engine index, weight version and engine clock.
@@ -132,7 +132,7 @@
     fn new(engines: &[SimEngine]) -> Self {
         SimFront {
             planner: SwapPlanner::default(),
-            reads: ReadProofs::default(),
+            reads: FetchCompletion::default(),
             known_weights: engines
                 .iter()
                 .map(|engine| known_weights(engine.version))
@@ -159,16 +159,16 @@
         now: u64,
     ) {
         if published > 0 {
-            self.planner.name("m", published, self.proven_at, at(now));
+            self.planner.publish("m", published, self.proven_at, at(now));
         }
         self.proven_at = Some(at(now));
         let known_weights = self.known_weights.iter().enumerate();
         let engines = known_weights.map(|(index, weights)| (engine_address(index), weights));
-        self.reads.know(engines, at(now));
+        self.reads.update_engines(engines, at(now));
         // The reply was delayed by one poll interval.
         let sent_at = at(now.saturating_sub(POLL_MS));
         self.view
-            .answered(1, Some(CLOCK_MS + now - STEP_MS), sent_at, at(now));
+            .record_answer(1, Some(CLOCK_MS + now - STEP_MS), sent_at, at(now));
     }
 }
 
@@ -281,10 +281,10 @@
                 continue;
             }
             for (index, version, clock_ms) in front.inbox.drain(..) {
-                front.known_weights[index].learn("m", version);
+                front.known_weights[index].set_version("m", version);
                 front
                     .reads
-                    .heard(engine_address(index), Some(clock_ms), at(now));
+                    .record_report(engine_address(index), Some(clock_ms), at(now));
             }
             if now % POLL_MS == 0 {
                 front.poll(published, now);
@@ -317,11 +317,11 @@
     let clock_ms = front.view.latest_clock_ms(at(now));
     let mut freed = Vec::new();
     for version in 1..published {
-        let over_ms = front.reads.over_until_ms("m", version);
+        let over_ms = front.reads.completed_until_ms("m", version);
         for (index, part) in PARTS.iter().enumerate() {
             let id = PartId::parse(part).expect("hex");
             let planner = &front.planner;
-            let fate = planner.fate("m", version, id, over_ms, clock_ms, at(now));
+            let fate = planner.reclaim_state("m", version, id, over_ms, clock_ms, at(now));
             if fate == ReclaimState::Reclaimable {
                 freed.push((version, index));
             }
