--- a/core/src/serving/mod.rs
+++ b/core/src/serving/mod.rs
@@ -13,7 +13,7 @@
 mod endpoint_pick;
 mod endpoint_return;
 mod engine_pace;
-mod era_watch;
+mod era_tracker;
 mod evacuation_book;
 mod even_draw;
 mod grant_book;
@@ -64,11 +64,11 @@
 pub use {
     admission_ask::*, admission_rule::*, admission_verdict::*, caller_limits::*, endpoint_book::*,
     endpoint_entry::*, endpoint_life::*, endpoint_pick::*, endpoint_return::*, engine_pace::*,
-    era_watch::*, evacuation_book::*, even_draw::*, grant_book::*, home_regions::*, key_policy::*,
-    key_trust::*, kv_store::*, life_watch::*, listed_life::*, mechanism_set::*, memory_map::*,
-    order_right::*, part_fate::*, part_memory::*, path_index::*, prompt_ask::*, prompt_part::*,
-    rank_shares::*, read_proofs::*, reader_tier::*, refusal_kind::*, repeat_meter::*,
-    request_fingerprint::*, route_habits::*, served_route::*, serving_config::*,
+    era_tracker::*, evacuation_book::*, even_draw::*, grant_book::*, home_regions::*,
+    key_policy::*, key_trust::*, kv_store::*, life_watch::*, listed_life::*, mechanism_set::*,
+    memory_map::*, order_right::*, part_fate::*, part_memory::*, path_index::*, prompt_ask::*,
+    prompt_part::*, rank_shares::*, read_proofs::*, reader_tier::*, refusal_kind::*,
+    repeat_meter::*, request_fingerprint::*, route_habits::*, served_route::*, serving_config::*,
     serving_mechanism::*, slow_start::*, standstill_watch::*, store_clock::*, store_position::*,
     store_proof::*, store_view::*, suspect_book::*, suspect_record::*, swap_planner::*,
     table_mark::*, telling_pace::*, told_life::*, told_naming::*, trial_table::*, wall_name::*,
