--- a/core/src/serving/mod.rs
+++ b/core/src/serving/mod.rs
@@ -18,8 +18,8 @@
 mod even_draw;
 mod grant_book;
 mod home_regions;
+mod key_freshness;
 mod key_policy;
-mod key_trust;
 mod kv_store;
 mod life_watch;
 mod listed_life;
@@ -65,7 +65,7 @@
     admission_ask::*, admission_rule::*, admission_verdict::*, caller_limits::*, endpoint_book::*,
     endpoint_entry::*, endpoint_life::*, endpoint_pick::*, endpoint_return::*, engine_pace::*,
     era_tracker::*, evacuation_book::*, even_draw::*, grant_book::*, home_regions::*,
-    key_policy::*, key_trust::*, kv_store::*, life_watch::*, listed_life::*, mechanism_set::*,
+    key_freshness::*, key_policy::*, kv_store::*, life_watch::*, listed_life::*, mechanism_set::*,
     memory_map::*, order_right::*, part_fate::*, part_memory::*, path_index::*, prompt_ask::*,
     prompt_part::*, rank_shares::*, read_proofs::*, reader_tier::*, refusal_kind::*,
     repeat_meter::*, request_fingerprint::*, route_habits::*, served_route::*, serving_config::*,
