--- a/core/src/serving/mod.rs
+++ b/core/src/serving/mod.rs
@@ -16,6 +16,7 @@
 mod era_tracker;
 mod evacuation_book;
 mod even_draw;
+mod fetch_completion;
 mod grant_book;
 mod home_regions;
 mod key_freshness;
@@ -32,7 +33,6 @@
 mod prompt_ask;
 mod prompt_part;
 mod rank_shares;
-mod read_proofs;
 mod reader_tier;
 mod refusal_kind;
 mod repeat_meter;
@@ -64,10 +64,10 @@
 pub use {
     admission_ask::*, admission_rule::*, admission_verdict::*, caller_limits::*, endpoint_book::*,
     endpoint_entry::*, endpoint_life::*, endpoint_pick::*, endpoint_return::*, engine_pace::*,
-    era_tracker::*, evacuation_book::*, even_draw::*, grant_book::*, home_regions::*,
-    key_freshness::*, key_policy::*, kv_store::*, life_watch::*, listed_life::*, mechanism_set::*,
-    memory_map::*, order_right::*, part_fate::*, part_memory::*, path_index::*, prompt_ask::*,
-    prompt_part::*, rank_shares::*, read_proofs::*, reader_tier::*, refusal_kind::*,
+    era_tracker::*, evacuation_book::*, even_draw::*, fetch_completion::*, grant_book::*,
+    home_regions::*, key_freshness::*, key_policy::*, kv_store::*, life_watch::*, listed_life::*,
+    mechanism_set::*, memory_map::*, order_right::*, part_fate::*, part_memory::*, path_index::*,
+    prompt_ask::*, prompt_part::*, rank_shares::*, reader_tier::*, refusal_kind::*,
     repeat_meter::*, request_fingerprint::*, route_habits::*, served_route::*, serving_config::*,
     serving_mechanism::*, slow_start::*, standstill_watch::*, store_clock::*, store_position::*,
     store_proof::*, store_view::*, suspect_book::*, suspect_record::*, swap_planner::*,
