--- a/core/src/serving/mod.rs
+++ b/core/src/serving/mod.rs
@@ -50,7 +50,7 @@
 mod suspect_book;
 mod suspect_record;
 mod swap_planner;
-mod table_mark;
+mod table_checksum;
 mod telling_pace;
 mod told_age;
 mod told_life;
@@ -71,6 +71,6 @@
     repeat_meter::*, request_fingerprint::*, route_habits::*, served_route::*, serving_config::*,
     serving_mechanism::*, slow_start::*, standstill_watch::*, store_clock::*, store_position::*,
     store_proof::*, store_view::*, suspect_book::*, suspect_record::*, swap_planner::*,
-    table_mark::*, telling_pace::*, told_life::*, told_naming::*, trial_table::*, wall_name::*,
+    table_checksum::*, telling_pace::*, told_life::*, told_naming::*, trial_table::*, wall_name::*,
     weight_belief::*, weight_bounds::*, weight_namings::*,
 };
