--- a/core/src/serving/key_freshness.rs
+++ b/core/src/serving/key_freshness.rs
@@ -1,5 +1,5 @@
 use {
-    super::{told_age::ReportedAge, KeyPolicy},
+    super::{reported_age::ReportedAge, KeyPolicy},
     crate::time::Micros,
 };
 
--- a/core/src/serving/weight_namings.rs
+++ b/core/src/serving/weight_namings.rs
@@ -2,8 +2,8 @@
 
 use {
     super::{
-        told_age::ReportedAge, PartFate, PartId, SwapPlanner, WeightPublication, MAX_REPORT_GAP,
-        RECLAIM_TIMEOUT, VIEW_TTL,
+        reported_age::ReportedAge, PartFate, PartId, SwapPlanner, WeightPublication,
+        MAX_REPORT_GAP, RECLAIM_TIMEOUT, VIEW_TTL,
     },
     crate::time::Micros,
     std::ops::RangeInclusive,
