--- a/core/src/serving/mod.rs
+++ b/core/src/serving/mod.rs
@@ -54,12 +54,12 @@
 mod table_checksum;
 mod telling_pace;
 mod told_life;
-mod told_naming;
 mod trial_table;
 mod wall_name;
 mod weight_belief;
 mod weight_bounds;
 mod weight_namings;
+mod weight_publication;
 
 pub use {
     admission_ask::*, admission_rule::*, admission_verdict::*, caller_limits::*, endpoint_book::*,
@@ -71,6 +71,6 @@
     repeat_meter::*, request_fingerprint::*, route_habits::*, served_route::*, serving_config::*,
     serving_mechanism::*, slow_start::*, standstill_watch::*, store_clock::*, store_position::*,
     store_proof::*, store_view::*, suspect_book::*, suspect_record::*, swap_planner::*,
-    table_checksum::*, telling_pace::*, told_life::*, told_naming::*, trial_table::*, wall_name::*,
-    weight_belief::*, weight_bounds::*, weight_namings::*,
+    table_checksum::*, telling_pace::*, told_life::*, trial_table::*, wall_name::*,
+    weight_belief::*, weight_bounds::*, weight_namings::*, weight_publication::*,
 };
