--- a/core/src/serving/mod.rs
+++ b/core/src/serving/mod.rs
@@ -21,6 +21,7 @@
 mod home_regions;
 mod key_freshness;
 mod key_policy;
+mod known_weights;
 mod kv_store;
 mod life_watch;
 mod listed_life;
@@ -56,7 +57,6 @@
 mod told_life;
 mod trial_table;
 mod wall_name;
-mod weight_belief;
 mod weight_bounds;
 mod weight_namings;
 mod weight_publication;
@@ -65,12 +65,12 @@
     admission_ask::*, admission_rule::*, admission_verdict::*, caller_limits::*, endpoint_book::*,
     endpoint_entry::*, endpoint_life::*, endpoint_pick::*, endpoint_return::*, engine_pace::*,
     era_tracker::*, evacuation_book::*, even_draw::*, fetch_completion::*, grant_book::*,
-    home_regions::*, key_freshness::*, key_policy::*, kv_store::*, life_watch::*, listed_life::*,
-    mechanism_set::*, memory_map::*, order_right::*, part_fate::*, part_memory::*, path_index::*,
-    prompt_ask::*, prompt_part::*, rank_shares::*, reader_tier::*, refusal_kind::*,
+    home_regions::*, key_freshness::*, key_policy::*, known_weights::*, kv_store::*, life_watch::*,
+    listed_life::*, mechanism_set::*, memory_map::*, order_right::*, part_fate::*, part_memory::*,
+    path_index::*, prompt_ask::*, prompt_part::*, rank_shares::*, reader_tier::*, refusal_kind::*,
     repeat_meter::*, request_fingerprint::*, route_habits::*, served_route::*, serving_config::*,
     serving_mechanism::*, slow_start::*, standstill_watch::*, store_clock::*, store_position::*,
     store_proof::*, store_view::*, suspect_book::*, suspect_record::*, swap_planner::*,
     table_checksum::*, telling_pace::*, told_life::*, trial_table::*, wall_name::*,
-    weight_belief::*, weight_bounds::*, weight_namings::*, weight_publication::*,
+    weight_bounds::*, weight_namings::*, weight_publication::*,
 };
