--- a/core/src/serving/begin_limits.rs
+++ b/core/src/serving/begin_limits.rs
@@ -2,7 +2,7 @@
 
 use {
     super::{
-        weight_namings::{version_range, PublicationRecord},
+        publication_records::{version_range, PublicationRecord},
         SwapPlanner, WeightBounds,
     },
     crate::time::Micros,
--- a/core/src/serving/mod.rs
+++ b/core/src/serving/mod.rs
@@ -33,6 +33,7 @@
 mod path_index;
 mod prompt_ask;
 mod prompt_part;
+mod publication_records;
 mod rank_shares;
 mod reader_tier;
 mod refusal_kind;
@@ -58,7 +59,6 @@
 mod trial_table;
 mod wall_name;
 mod weight_bounds;
-mod weight_namings;
 mod weight_publication;
 
 pub use {
@@ -67,10 +67,10 @@
     era_tracker::*, evacuation_book::*, even_draw::*, fetch_completion::*, grant_book::*,
     home_regions::*, key_freshness::*, key_policy::*, known_weights::*, kv_store::*, life_watch::*,
     listed_life::*, mechanism_set::*, memory_map::*, order_right::*, part_fate::*, part_memory::*,
-    path_index::*, prompt_ask::*, prompt_part::*, rank_shares::*, reader_tier::*, refusal_kind::*,
-    repeat_meter::*, request_fingerprint::*, route_habits::*, served_route::*, serving_config::*,
-    serving_mechanism::*, slow_start::*, standstill_watch::*, store_clock::*, store_position::*,
-    store_proof::*, store_view::*, suspect_book::*, suspect_record::*, swap_planner::*,
-    table_checksum::*, telling_pace::*, told_life::*, trial_table::*, wall_name::*,
-    weight_bounds::*, weight_namings::*, weight_publication::*,
+    path_index::*, prompt_ask::*, prompt_part::*, publication_records::*, rank_shares::*,
+    reader_tier::*, refusal_kind::*, repeat_meter::*, request_fingerprint::*, route_habits::*,
+    served_route::*, serving_config::*, serving_mechanism::*, slow_start::*, standstill_watch::*,
+    store_clock::*, store_position::*, store_proof::*, store_view::*, suspect_book::*,
+    suspect_record::*, swap_planner::*, table_checksum::*, telling_pace::*, told_life::*,
+    trial_table::*, wall_name::*, weight_bounds::*, weight_publication::*,
 };
--- a/core/src/serving/swap_planner.rs
+++ b/core/src/serving/swap_planner.rs
@@ -1,5 +1,5 @@
 use {
-    super::{weight_namings::PublicationRecord, EndpointBook, EndpointEntry, EndpointKey},
+    super::{publication_records::PublicationRecord, EndpointBook, EndpointEntry, EndpointKey},
     crate::time::Micros,
     std::collections::BTreeMap,
 };
