--- a/core/tests/early_saves.rs
+++ b/core/tests/early_saves.rs
@@ -1,7 +1,7 @@
 //! In a small world of a store and fronts that tell each other of its life, whatever starts
 //! again or stands still, nothing is saved while the life before may be taken for this one.
 
-mod told_store;
+mod store_fixture;
 
 use {
     pitchhitch_core::{
@@ -9,7 +9,7 @@
         time::Micros,
     },
     proptest::prelude::*,
-    told_store::{address, at, store, START},
+    store_fixture::{address, at, store, START},
 };
 
 /// Length of a step of the small world, in milliseconds.
--- a/core/tests/told_lives.rs
+++ b/core/tests/told_lives.rs
@@ -1,13 +1,13 @@
 //! For how long a store has lived, as boxes tell each other.
 
-mod told_store;
+mod store_fixture;
 
 use {
     pitchhitch_core::{
         serving::{MemoryMap, StoreView, ToldLife, SAVE_DELAY},
         time::Micros,
     },
-    told_store::{address, at, store, PORT, START},
+    store_fixture::{address, at, store, PORT, START},
 };
 
 fn life(
