--- a/core/src/serving/mod.rs
+++ b/core/src/serving/mod.rs
@@ -13,13 +13,13 @@
 mod endpoint_registry;
 mod endpoint_rejoin;
 mod latency_estimator;
-mod era_watch;
+mod era_tracker;
 mod evacuation_set;
 mod grant_allocator;
 mod allowed_regions;
 mod incarnation_tracker;
 mod key_policy;
-mod key_trust;
+mod key_freshness;
 mod kv_store;
 mod listed_incarnation;
 mod mechanism_set;
@@ -31,7 +31,7 @@
 mod prompt_info;
 mod prompt_part;
 mod priority_shares;
-mod read_proofs;
+mod fetch_completion;
 mod reader_tier;
 mod reclaim_state;
 mod refusal_kind;
@@ -52,26 +52,26 @@
 mod suspect_record;
 mod suspect_tracker;
 mod swap_planner;
-mod table_mark;
-mod told_age;
-mod told_naming;
+mod table_checksum;
+mod reported_age;
+mod weight_publication;
 mod trial_table;
 mod cache_namespace;
-mod weight_belief;
+mod known_weights;
 mod weight_bounds;
-mod weight_namings;
+mod publication_records;
 
 pub use {
     admission_request::*, admission_controller::*, admission_decision::*, caller_limits::*, endpoint_entry::*,
     endpoint_incarnation::*, endpoint_pick::*, endpoint_registry::*, endpoint_rejoin::*,
-    latency_estimator::*, era_watch::*, evacuation_set::*, grant_allocator::*, allowed_regions::*,
-    incarnation_tracker::*, key_policy::*, key_trust::*, kv_store::*, listed_incarnation::*,
+    latency_estimator::*, era_tracker::*, evacuation_set::*, grant_allocator::*, allowed_regions::*,
+    incarnation_tracker::*, key_policy::*, key_freshness::*, kv_store::*, listed_incarnation::*,
     mechanism_set::*, message_intervals::*, order_right::*, part_index::*, path_index::*,
-    pause_detector::*, prompt_info::*, prompt_part::*, priority_shares::*, read_proofs::*,
+    pause_detector::*, prompt_info::*, prompt_part::*, priority_shares::*, fetch_completion::*,
     reader_tier::*, reclaim_state::*, refusal_kind::*, retry_window::*, request_fingerprint::*,
     route_stats::*, served_route::*, serving_config::*, serving_mechanism::*, slow_start::*,
     stable_hash::*, store_clock::*, store_directory::*, store_position::*, store_proof::*,
     store_uptime::*, store_view::*, suspect_record::*, suspect_tracker::*, swap_planner::*,
-    table_mark::*, told_naming::*, trial_table::*, cache_namespace::*, weight_belief::*,
-    weight_bounds::*, weight_namings::*,
+    table_checksum::*, weight_publication::*, trial_table::*, cache_namespace::*, known_weights::*,
+    weight_bounds::*, publication_records::*,
 };
--- a/core/src/serving/weight_namings.rs
+++ b/core/src/serving/publication_records.rs
@@ -2,7 +2,7 @@
 
 use {
     super::{
-        told_age::ReportedAge, ReclaimState, PartId, SwapPlanner, WeightPublication, MAX_REPORT_GAP,
+        reported_age::ReportedAge, ReclaimState, PartId, SwapPlanner, WeightPublication, MAX_REPORT_GAP,
         RECLAIM_TIMEOUT, VIEW_TTL,
     },
     crate::time::Micros,
--- a/core/src/serving/swap_planner.rs
+++ b/core/src/serving/swap_planner.rs
@@ -1,5 +1,5 @@
 use {
-    super::{weight_namings::PublicationRecord, EndpointRegistry, EndpointEntry, EndpointKey},
+    super::{publication_records::PublicationRecord, EndpointRegistry, EndpointEntry, EndpointKey},
     crate::time::Micros,
     std::collections::BTreeMap,
 };
--- a/core/tests/early_saves.rs
+++ b/core/tests/early_saves.rs
@@ -5,7 +5,7 @@
 //! view of the previous incarnation could have a part taken for complete that is only being
 //! written, so no save may happen until those views have expired.
 
-mod told_store;
+mod store_fixture;
 
 use {
     pitchhitch_core::{
@@ -13,7 +13,7 @@
         time::Micros,
     },
     proptest::prelude::*,
-    told_store::{address, at, store, START},
+    store_fixture::{address, at, store, START},
 };
 
 /// Duration of a simulation step, in milliseconds.
--- a/core/tests/store_uptimes.rs
+++ b/core/tests/store_uptimes.rs
@@ -1,13 +1,13 @@
 //! Uptimes of a store that boxes report to each other.
 
-mod told_store;
+mod store_fixture;
 
 use {
     pitchhitch_core::{
         serving::{StoreDirectory, StoreUptime, StoreView, SAVE_DELAY},
         time::Micros,
     },
-    told_store::{address, at, store, PORT, START},
+    store_fixture::{address, at, store, PORT, START},
 };
 
 fn uptime(
