--- a/core/src/serving/publication_records.rs
+++ b/core/src/serving/publication_records.rs
@@ -251,7 +251,7 @@
     /// box tells an engine to fetch it, and the engines that were told have proven that their
     /// fetches are over.
     ///
-    /// `reads_over_ms` is the time for which they have proven it
+    /// `reads_completed_ms` is the time for which they have proven it
     /// ([`super::FetchCompletion::completed_until_ms`]); `clock_ms` is an upper bound of the engines' clock
     /// at `now`.
     pub fn reclaim_state(
@@ -259,7 +259,7 @@
         model: &str,
         version: u64,
         part: PartId,
-        reads_over_ms: u64,
+        reads_completed_ms: u64,
         clock_ms: Option<u64>,
         now: Micros,
     ) -> PartFate {
@@ -275,7 +275,7 @@
         // were told to fetch.
         let knows_fetchers = publication.last_absent_at.is_some();
         let over_ms = clock_ms.map(|clock| clock.saturating_sub(past.as_millis()));
-        let is_proven = over_ms.is_some_and(|over| reads_over_ms > over);
+        let is_proven = over_ms.is_some_and(|over| reads_completed_ms > over);
         match past > RECLAIM_TIMEOUT || (knows_fetchers && is_proven) {
             true => PartFate::Over,
             false => PartFate::Held,
--- a/core/src/serving/reader_tier.rs
+++ b/core/src/serving/reader_tier.rs
@@ -26,10 +26,10 @@
         draw: f64,
         fronts: u32,
     ) -> Self {
-        let place = draw * f64::from(fronts);
-        match place {
-            place if place < FIRST_READERS => ReaderTier::First,
-            place if place < SECOND_READERS => ReaderTier::Second,
+        let position = draw * f64::from(fronts);
+        match position {
+            position if position < FIRST_READERS => ReaderTier::First,
+            position if position < SECOND_READERS => ReaderTier::Second,
             _ => ReaderTier::Last,
         }
     }
--- a/core/src/serving/store_clock.rs
+++ b/core/src/serving/store_clock.rs
@@ -17,7 +17,7 @@
     /// zero, and the start of the interval over which it is collected.
     current: Option<(i64, Micros)>,
     /// The bound of the previous interval.
-    before: Option<i64>,
+    previous: Option<i64>,
 }
 
 impl StoreClock {
@@ -34,10 +34,10 @@
         else {
             return sent_at;
         };
-        let told = self.bound(now).map(|zero| zero.saturating_add(store_us));
-        self.note(sent_at.0 as i64 - store_us - CLOCK_RESOLUTION_US, now);
-        let given = Micros(u64::try_from(told.unwrap_or(0)).unwrap_or(0));
-        given.max(sent_at).min(now)
+        let estimate = self.bound(now).map(|zero| zero.saturating_add(store_us));
+        self.record_bound(sent_at.0 as i64 - store_us - CLOCK_RESOLUTION_US, now);
+        let answered_at = Micros(u64::try_from(estimate.unwrap_or(0)).unwrap_or(0));
+        answered_at.max(sent_at).min(now)
     }
 
     /// Discards all bounds, as the store's clock may have restarted.
@@ -51,11 +51,11 @@
     ) -> Option<i64> {
         let fresh = |at: Micros| now.since(at) <= BOUND_TTL + BOUND_TTL;
         let (current, since) = self.current.filter(|(_, since)| fresh(*since))?;
-        let before = self.before.filter(|_| now.since(since) <= BOUND_TTL);
-        Some(before.map_or(current, |before| before.max(current)))
+        let previous = self.previous.filter(|_| now.since(since) <= BOUND_TTL);
+        Some(previous.map_or(current, |previous| previous.max(current)))
     }
 
-    fn note(
+    fn record_bound(
         &mut self,
         zero: i64,
         now: Micros,
@@ -64,7 +64,7 @@
             Some((known, since)) if now.since(since) <= BOUND_TTL => Some((known.max(zero), since)),
             known => {
                 let recent = known.filter(|(_, since)| now.since(*since) <= BOUND_TTL + BOUND_TTL);
-                self.before = recent.map(|(zero, _)| zero);
+                self.previous = recent.map(|(zero, _)| zero);
                 Some((zero, now))
             }
         };
--- a/core/src/serving/store_proof.rs
+++ b/core/src/serving/store_proof.rs
@@ -68,21 +68,21 @@
         let is_same =
             |known: &ReceivedProof| known.source == proof.source && known.reporter == reporter;
         let known = self.proofs.iter().position(is_same);
-        if known.is_some_and(|place| self.proofs[place].sent_at >= sent_at) {
+        if known.is_some_and(|index| self.proofs[index].sent_at >= sent_at) {
             return false;
         }
-        if let Some(place) = known {
-            self.proofs.remove(place);
+        if let Some(index) = known {
+            self.proofs.remove(index);
         }
         let later = |known: &ReceivedProof| known.sent_at >= sent_at;
-        let place = self.proofs.iter().take_while(|known| later(known)).count();
+        let index = self.proofs.iter().take_while(|known| later(known)).count();
         let received = ReceivedProof {
             checksum: proof.checksum,
             source: proof.source,
             reporter,
             sent_at,
         };
-        self.proofs.insert(place, received);
+        self.proofs.insert(index, received);
         self.drop_excess(proof.source);
         self.proofs.truncate(MAX_PROOFS);
         true
@@ -94,11 +94,11 @@
         source: u32,
     ) {
         let mut of_source = self.proofs.iter().enumerate();
-        let mut places = of_source
+        let mut indices = of_source
             .by_ref()
             .filter(|(_, proof)| proof.source == source);
-        if let Some((place, _)) = places.nth(REPORTERS_PER_SOURCE) {
-            self.proofs.remove(place);
+        if let Some((index, _)) = indices.nth(REPORTERS_PER_SOURCE) {
+            self.proofs.remove(index);
         }
     }
 
@@ -123,14 +123,14 @@
         })
     }
 
-    /// Checksum of different content that was read later than `than`, if reported.
-    pub fn newer_other(
+    /// Checksum of different content that was read after `after`, if reported.
+    pub fn newer_checksum(
         &self,
         checksum: u32,
-        than: Micros,
+        after: Micros,
     ) -> Option<u32> {
         let mut others = self.proofs.iter();
-        let other = others.find(|proof| proof.checksum != checksum && proof.sent_at > than);
+        let other = others.find(|proof| proof.checksum != checksum && proof.sent_at > after);
         other.map(|proof| proof.checksum)
     }
 
@@ -138,14 +138,14 @@
     pub fn to_forward(
         &self,
         table: ProvenTable,
-        longest: Micros,
+        max_age: Micros,
         now: Micros,
     ) -> Vec<StoreProof> {
         let mut forwarded: Vec<StoreProof> = Vec::new();
         for proof in &self.proofs {
             let age = now.since(proof.sent_at);
             let is_known = forwarded.iter().any(|other| other.source == proof.source);
-            if age <= longest && !is_known && forwarded.len() < FORWARDED_SOURCES {
+            if age <= max_age && !is_known && forwarded.len() < FORWARDED_SOURCES {
                 forwarded.push(StoreProof {
                     table,
                     checksum: proof.checksum,
--- a/core/tests/store_proofs.rs
+++ b/core/tests/store_proofs.rs
@@ -68,8 +68,11 @@
     );
     tracker.record(&proof(3, CHECKSUM + 1), 12, at(700));
     assert_eq!(tracker.confirmed_at(CHECKSUM), Some(at(400)));
-    assert_eq!(tracker.newer_other(CHECKSUM, at(600)), Some(CHECKSUM + 1));
-    assert_eq!(tracker.newer_other(CHECKSUM, at(700)), None);
+    assert_eq!(
+        tracker.newer_checksum(CHECKSUM, at(600)),
+        Some(CHECKSUM + 1)
+    );
+    assert_eq!(tracker.newer_checksum(CHECKSUM, at(700)), None);
 }
 
 /// Proofs of other fronts are kept however often one front or one process reports.
--- a/entry/src/front/store_readers.rs
+++ b/entry/src/front/store_readers.rs
@@ -60,7 +60,7 @@
         now: Micros,
     ) -> Option<u32> {
         let known_at = self.proven_at()?;
-        let other = self.book.newer_other(self.mark?, known_at)?;
+        let other = self.book.newer_checksum(self.mark?, known_at)?;
         let is_refuted = self
             .refuted
             .is_some_and(|(mark, at)| mark == other && now.since(at) < REFUTED_FOR);
