--- a/core/src/serving/fetch_completion.rs
+++ b/core/src/serving/fetch_completion.rs
@@ -19,7 +19,7 @@
 const MIN_RUN_TIME: Micros = Micros(VIEW_TTL.0 + MAX_REPORT_GAP.0);
 
 /// Time after which an engine that is neither listed nor reporting is no longer waited for: no
-/// part is held for longer for any engine.
+/// part is kept for longer for any engine.
 const FORGET_AFTER: Micros = RECLAIM_TIMEOUT;
 
 /// Evidence that the fetches of one engine are over.
@@ -113,7 +113,7 @@
         }
     }
 
-    /// Removes engines that have been neither listed nor heard for [`FORGET_AFTER`].
+    /// Removes engines that have been neither listed nor reporting for [`FORGET_AFTER`].
     pub fn prune(
         &mut self,
         now: Micros,
--- a/core/src/serving/publication_records.rs
+++ b/core/src/serving/publication_records.rs
@@ -187,8 +187,8 @@
         recent
     }
 
-    /// Whether the age limit and the previous version of the newest publication of every model are
-    /// known.
+    /// Whether an upper bound of the age and the previous version are known for the newest
+    /// publication of every model.
     pub fn knows_ages(
         &self,
         now: Micros,
@@ -247,13 +247,12 @@
         known.is_some_and(|at| now.since(at) < fetch_period(part))
     }
 
-    /// Whether a part made under a version is still fetched, held or over. It may be freed once no
-    /// box tells an engine to fetch it, and the engines that were told have proven that their
-    /// fetches are over.
+    /// Reclaim state of a part made under a version. It may be freed once no box tells an engine to
+    /// fetch it, and the engines that were told have proven that their fetches are over.
     ///
     /// `reads_completed_ms` is the time for which they have proven it
-    /// ([`super::FetchCompletion::completed_until_ms`]); `clock_ms` is an upper bound of the engines' clock
-    /// at `now`.
+    /// ([`super::FetchCompletion::completed_until_ms`]); `clock_ms` is an upper bound of the
+    /// engines' clock at `now`.
     pub fn reclaim_state(
         &self,
         model: &str,
--- a/core/src/serving/store_view.rs
+++ b/core/src/serving/store_view.rs
@@ -170,7 +170,7 @@
         }
     }
 
-    /// Time on the engines' clock, as last reported by this store.
+    /// Time on the engines' clock now or earlier, extrapolated from this store's last answer.
     pub fn clock_ms(
         &self,
         now: Micros,
