--- a/core/tests/order_rights.rs
+++ b/core/tests/order_rights.rs
@@ -141,7 +141,7 @@
                 ..Store::default()
             },
             snapshot: Store::default(),
-            processes: ["beside", "front-1", "front-2"].map(process).into(),
+            processes: ["agent", "front-1", "front-2"].map(process).into(),
             late_writes: Vec::new(),
             received: Vec::new(),
             variant,
@@ -350,16 +350,16 @@
 #[test]
 fn takes_over_late() {
     let mut simulation = Simulation::new(Variant::Correct);
-    let beside = |action| Event::Act(0, action);
+    let agent = |action| Event::Act(0, action);
     let front = |action| Event::Act(1, action);
-    simulation.run(&[beside(Action::Take), beside(Action::Order)]);
+    simulation.run(&[agent(Action::Take), agent(Action::Order)]);
     assert_eq!(simulation.received.len(), 0);
-    simulation.run(&[Event::Pass(40), beside(Action::Order)]);
+    simulation.run(&[Event::Pass(40), agent(Action::Order)]);
     assert_eq!(simulation.received.len(), 1);
     simulation.run(&[
         front(Action::Take),
         front(Action::Order),
-        beside(Action::Order),
+        agent(Action::Order),
     ]);
     assert_eq!(
         simulation.received.len(),
@@ -369,15 +369,15 @@
     simulation.run(&[Event::Pass(40), front(Action::Order)]);
     assert_eq!(simulation.received.len(), 2);
     simulation.run(&[
-        beside(Action::Take),
+        agent(Action::Take),
         Event::Pass(40),
         front(Action::Order),
-        beside(Action::Order),
+        agent(Action::Order),
     ]);
     let holders: Vec<&str> = simulation
         .received
         .iter()
         .map(|received| received.holder.as_str())
         .collect();
-    assert_eq!(holders, ["beside", "front-1", "beside"]);
+    assert_eq!(holders, ["agent", "front-1", "agent"]);
 }
--- a/core/tests/store_eras.rs
+++ b/core/tests/store_eras.rs
@@ -365,7 +365,7 @@
 }
 
 #[test]
-fn broken_found() {
+fn violations_found() {
     let violation = [
         Variant::EraIgnored,
         Variant::AlwaysCertain,
--- a/core/tests/store_proofs.rs
+++ b/core/tests/store_proofs.rs
@@ -149,7 +149,7 @@
 }
 
 #[test]
-fn marks_follow_rows() {
+fn checksum_follows_rows() {
     let mut one = TableChecksum::default();
     let mut other = TableChecksum::default();
     for (key, content) in [("a", "1"), ("b", "2"), ("c", "3")] {
@@ -180,7 +180,7 @@
 /// A read of a restored snapshot proves nothing until the writers have had time to rewrite, unless
 /// another process has proven the content in this era.
 #[test]
-fn copy_doubted() {
+fn restored_store_unproven() {
     let mut eras = EraTracker::default();
     assert_eq!(eras.observe(StoreEra(1), at(0)), EraUpdate::Current);
     assert!(eras.proves(at(0)));
@@ -203,7 +203,7 @@
 /// A process that starts accepts the first answer, unless another process knew an earlier era,
 /// reported before the answer or after it.
 #[test]
-fn start_on_copy() {
+fn start_on_restored_store() {
     let mut eras = EraTracker::default();
     eras.confirm(StoreEra(1), at(400));
     eras.observe(StoreEra(2), at(500));
@@ -232,14 +232,14 @@
 /// no more than a few times its share.
 #[test]
 fn pairs_spread() {
-    let number = |kind: &str, place: u32| even_number(format!("10.{place}.0.1:{kind}"));
-    let engines: Vec<u64> = (0..180).map(|place| number("80", place)).collect();
+    let number = |kind: &str, index: u32| even_number(format!("10.{index}.0.1:{kind}"));
+    let engines: Vec<u64> = (0..180).map(|index| number("80", index)).collect();
     let mut chosen = vec![0; engines.len()];
-    for store in (0..900).map(|place| number("90", place)) {
+    for store in (0..900).map(|index| number("90", index)) {
         let mut ranked: Vec<usize> = (0..engines.len()).collect();
-        ranked.sort_by_key(|place| even_mix(store, engines[*place]));
-        for place in &ranked[engines.len() - 2..] {
-            chosen[*place] += 1;
+        ranked.sort_by_key(|index| even_mix(store, engines[*index]));
+        for index in &ranked[engines.len() - 2..] {
+            chosen[*index] += 1;
         }
     }
     let (least, most) = (chosen.iter().min(), chosen.iter().max());
--- a/core/tests/store_view.rs
+++ b/core/tests/store_view.rs
@@ -154,16 +154,16 @@
         }
     }
     let mut link_ms = [0.0, 0.0];
-    let mut saved_quick = 0;
+    let mut saved_fast = 0;
     for number in 0..90 {
         let parts = [part(&format!("{number:x}"), 9_000), part("ffff", 100)];
         let saves = map.plan_saves(NAMESPACE, &parts, &|_| true, later);
         let address = saves[0].expect("there is space");
-        let place = usize::from(address == slow.address);
-        saved_quick += 1 - place;
-        link_ms[place] += transfer_ms(9_000 * 18_432, [&quick, &slow][place].link_mbps);
+        let index = usize::from(address == slow.address);
+        saved_fast += 1 - index;
+        link_ms[index] += transfer_ms(9_000 * 18_432, [&quick, &slow][index].link_mbps);
     }
-    assert!(saved_quick > 50, "{saved_quick} of 90 at the fast store");
+    assert!(saved_fast > 50, "{saved_fast} of 90 at the fast store");
     assert!(link_ms[1] < 2.0 * link_ms[0], "{link_ms:?}");
 }
 
@@ -182,7 +182,7 @@
 }
 
 #[test]
-fn walls_apart() {
+fn namespaces_apart() {
     let wall = |version, organisation: Option<&str>| WallName {
         version,
         model: "m/1".to_string(),
@@ -194,8 +194,8 @@
         wall(1, Some("farm")),
         wall(1, Some("shop")),
     ];
-    for (place, name) in names.iter().enumerate() {
-        for other in &names[place + 1..] {
+    for (index, name) in names.iter().enumerate() {
+        for other in &names[index + 1..] {
             assert_ne!(name.tag(), other.tag());
         }
     }
