--- a/core/src/serving/publication_records.rs
+++ b/core/src/serving/publication_records.rs
@@ -2,8 +2,8 @@
 
 use {
     super::{
-        reported_age::ReportedAge, ReclaimState, PartId, SwapPlanner, WeightPublication, MAX_REPORT_GAP,
-        RECLAIM_TIMEOUT, VIEW_TTL,
+        reported_age::ReportedAge, ReclaimState, PartId, SwapPlanner, WeightPublication,
+        MAX_REPORT_GAP, RECLAIM_TIMEOUT, VIEW_TTL,
     },
     crate::time::Micros,
     std::ops::RangeInclusive,
@@ -187,8 +187,8 @@
         recent
     }
 
-    /// Whether the age limit and the previous version of the newest publication of every model are
-    /// known.
+    /// Whether an upper bound of the age and the previous version are known for the newest
+    /// publication of every model.
     pub fn knows_ages(
         &self,
         now: Micros,
@@ -247,19 +247,18 @@
         known.is_some_and(|at| now.since(at) < fetch_period(part))
     }
 
-    /// Whether a part made under a version is still fetched, held or over. It may be freed once no
-    /// box tells an engine to fetch it, and the engines that were told have proven that their
-    /// fetches are over.
+    /// Reclaim state of a part made under a version. It may be freed once no box tells an engine to
+    /// fetch it, and the engines that were told have proven that their fetches are over.
     ///
-    /// `reads_over_ms` is the time for which they have proven it
-    /// ([`super::FetchCompletion::completed_until_ms`]); `clock_ms` is an upper bound of the engines' clock
-    /// at `now`.
+    /// `reads_completed_ms` is the time for which they have proven it
+    /// ([`super::FetchCompletion::completed_until_ms`]); `clock_ms` is an upper bound of the
+    /// engines' clock at `now`.
     pub fn reclaim_state(
         &self,
         model: &str,
         version: u64,
         part: PartId,
-        reads_over_ms: u64,
+        reads_completed_ms: u64,
         clock_ms: Option<u64>,
         now: Micros,
     ) -> ReclaimState {
@@ -275,7 +274,7 @@
         // were told to fetch.
         let knows_fetchers = publication.last_absent_at.is_some();
         let over_ms = clock_ms.map(|clock| clock.saturating_sub(past.as_millis()));
-        let is_proven = over_ms.is_some_and(|over| reads_over_ms > over);
+        let is_proven = over_ms.is_some_and(|over| reads_completed_ms > over);
         match past > RECLAIM_TIMEOUT || (knows_fetchers && is_proven) {
             true => ReclaimState::Reclaimable,
             false => ReclaimState::Draining,
