--- a/core/src/role/endpoint_roster.rs
+++ b/core/src/role/endpoint_roster.rs
@@ -5,7 +5,9 @@
         labels::LabelSet,
         membership::AgentBeacon,
         retry::OutlierGuard,
-        route::{EndpointArena, EndpointKey, EndpointKind, EndpointLoad, EndpointState, InFlightLoad},
+        route::{
+            EndpointArena, EndpointKey, EndpointKind, EndpointLoad, EndpointState, InFlightLoad,
+        },
         time::Micros,
     },
     slotmap::SecondaryMap,
--- a/core/src/role/entry_core.rs
+++ b/core/src/role/entry_core.rs
@@ -5,7 +5,7 @@
     },
     crate::{
         conf::{ChangeHistory, FleetConfig, PeerConfig},
-        drain::{DrainState, DrainInput},
+        drain::{DrainInput, DrainState},
         kv_cache::PieceDirectory,
         lease::LeaseTimes,
         membership::{rendezvous_weight, PeerTable},
--- a/core/src/role/entry_messages.rs
+++ b/core/src/role/entry_messages.rs
@@ -6,7 +6,8 @@
         PlacementKind, RosterChange,
     },
     crate::{
-        kv_cache::PieceHolder, membership::EntryBeacon, place::ReuseLabel, route::InFlightLoad, time::Micros,
+        kv_cache::PieceHolder, membership::EntryBeacon, place::ReuseLabel, route::InFlightLoad,
+        time::Micros,
     },
 };
 
--- a/core/src/role/prompt_history.rs
+++ b/core/src/role/prompt_history.rs
@@ -84,7 +84,9 @@
         now: Micros,
     ) -> f64 {
         match self.seen.get(&identity) {
-            Some(prompt) => self.model.reuse_probability(&prompt.label, now.since(prompt.seen_at)),
+            Some(prompt) => self
+                .model
+                .reuse_probability(&prompt.label, now.since(prompt.seen_at)),
             // Not used within the history of this process.
             None => 0.0,
         }
--- a/core/src/role/shard_leases.rs
+++ b/core/src/role/shard_leases.rs
@@ -1,7 +1,9 @@
 use {
     super::{EntryAction, PlacementKind, PlacementLine},
     crate::{
-        lease::{is_contender, shard_of, LeaseMachine, LeaseRow, LeaseStep, LeaseTimes, OrderStamp},
+        lease::{
+            is_contender, shard_of, LeaseMachine, LeaseRow, LeaseStep, LeaseTimes, OrderStamp,
+        },
         time::Micros,
     },
     std::collections::{BTreeMap, BTreeSet},
--- a/core/tests/entry_control.rs
+++ b/core/tests/entry_control.rs
@@ -18,7 +18,7 @@
             BoxRole, EndpointEvent, EntryAction, EntryCore, EntryEvent, ListedBox, PromptUse,
             StoredNotice, StoredPiece,
         },
-        route::{RouteTable, InFlightLoad},
+        route::{InFlightLoad, RouteTable},
         time::Micros,
     },
     std::sync::Arc,
--- a/core/tests/entry_fixture/mod.rs
+++ b/core/tests/entry_fixture/mod.rs
@@ -12,7 +12,7 @@
         role::{
             AgentPulse, EndpointEvent, EntryAction, EntryCore, EntryEvent, EntrySetup, EventBatch,
         },
-        route::{EndpointKind, LoadReport, RoutePolicy, RouteTable, InFlightLoad},
+        route::{EndpointKind, InFlightLoad, LoadReport, RoutePolicy, RouteTable},
         time::Micros,
     },
     std::sync::Arc,
--- a/testbed/examples/slopes/small_world.rs
+++ b/testbed/examples/slopes/small_world.rs
@@ -7,7 +7,7 @@
         lease::LeaseTimes,
         membership::AgentBeacon,
         role::{AgentPulse, EntryAction, EntryCore, EntryEvent, EntrySetup},
-        route::{EndpointKind, LoadReport, RoutePolicy, RouteTable, InFlightLoad},
+        route::{EndpointKind, InFlightLoad, LoadReport, RoutePolicy, RouteTable},
         time::Micros,
     },
     std::{hint::black_box, net::SocketAddr, sync::Arc},
