--- a/core/src/serving/endpoint_pick.rs
+++ b/core/src/serving/endpoint_pick.rs
@@ -1,8 +1,8 @@
 use {
     super::{
-        plan_prompt, EndpointRegistry, EndpointEntry, EndpointKey, EndpointStatus, EnginePace,
-        MechanismSet, PartAvailability, PromptAsk, PromptPlan, ServingMechanism, SwapStage, NamespaceTag,
-        WeightBounds,
+        plan_prompt, EndpointEntry, EndpointKey, EndpointRegistry, EndpointStatus, EnginePace,
+        MechanismSet, NamespaceTag, PartAvailability, PromptAsk, PromptPlan, ServingMechanism,
+        SwapStage, WeightBounds,
     },
     crate::{retry::OutlierGuard, time::Micros},
 };
--- a/core/tests/early_saves.rs
+++ b/core/tests/early_saves.rs
@@ -9,7 +9,7 @@
 
 use {
     pitchhitch_core::{
-        serving::{StoreDirectory, StoreView, StoreUptime, SAVE_AFTER, VIEW_LIFE},
+        serving::{StoreDirectory, StoreUptime, StoreView, SAVE_AFTER, VIEW_LIFE},
         time::Micros,
     },
     proptest::prelude::*,
--- a/core/tests/freed_parts.rs
+++ b/core/tests/freed_parts.rs
@@ -4,8 +4,8 @@
 mod fleet_sim;
 
 use {
+    fleet_sim::{FleetSim, SimEvent, ENGINES, FRONTS, PARTS, SIM_MS},
     proptest::prelude::*,
-    fleet_sim::{SimEvent, FleetSim, ENGINES, FRONTS, PARTS, SIM_MS},
 };
 
 fn event() -> impl Strategy<Value = SimEvent> {
