--- a/core/src/serving/endpoint_pick.rs
+++ b/core/src/serving/endpoint_pick.rs
@@ -1,8 +1,8 @@
 use {
     super::{
-        plan_prompt, EndpointRegistry, EndpointEntry, EndpointKey, EndpointStatus, LatencyEstimator,
-        MechanismSet, PartAvailability, PromptInfo, PromptPlan, ServingMechanism, SwapStage, NamespaceTag,
-        WeightBounds,
+        plan_prompt, EndpointEntry, EndpointKey, EndpointRegistry, EndpointStatus,
+        LatencyEstimator, MechanismSet, NamespaceTag, PartAvailability, PromptInfo, PromptPlan,
+        ServingMechanism, SwapStage, WeightBounds,
     },
     crate::{retry::OutlierGuard, time::Micros},
 };
@@ -318,8 +318,8 @@
     let estimator = request.estimator;
     let token_ms = estimator.token_ms();
     let other_tokens = entry.other_prefill_tokens(now, estimator);
-    choice.ahead_tokens =
-        entry.pending_tokens(request.priority) as f64 + other_tokens * share_ahead(request.priority);
+    choice.ahead_tokens = entry.pending_tokens(request.priority) as f64
+        + other_tokens * share_ahead(request.priority);
     choice.ahead_ms = choice.ahead_tokens * token_ms;
     choice.estimate_ms = choice.ahead_ms + f64::from(choice.prefill_tokens) * token_ms;
     choice.estimate_ms += choice.plan.fetch_ms;
@@ -337,8 +337,9 @@
         choice.waiting = load.waiting;
         choice.used_tokens = load.used_tokens;
         choice.total_tokens = load.total_tokens;
-        let needed =
-            load.used_tokens + entry.unreported_tokens(now, estimator) + u64::from(prompt.tokens_in);
+        let needed = load.used_tokens
+            + entry.unreported_tokens(now, estimator)
+            + u64::from(prompt.tokens_in);
         let missing = needed.saturating_sub(load.total_tokens);
         choice.estimate_ms += missing as f64 * token_ms * MISSING_MEMORY_FACTOR;
     }
--- a/core/src/serving/endpoint_registry.rs
+++ b/core/src/serving/endpoint_registry.rs
@@ -261,7 +261,9 @@
     ) {
         if let Some(entry) = self.entries.get_mut(key) {
             entry.running += 1;
-            entry.slow_start.record_sent(prefill.ticket, prefill.sent_at);
+            entry
+                .slow_start
+                .record_sent(prefill.ticket, prefill.sent_at);
             entry.pending_prefills.push(prefill);
         }
     }
--- a/core/src/serving/mod.rs
+++ b/core/src/serving/mod.rs
@@ -2,25 +2,25 @@
 //! organisation of a request, the endpoint that gets it, what may be sent again, and how fresh
 //! the state behind these decisions must be.
 
-mod admission_request;
 mod admission_controller;
 mod admission_decision;
-mod version_expiry;
+mod admission_request;
+mod allowed_regions;
+mod cache_namespace;
 mod caller_limits;
 mod endpoint_entry;
 mod endpoint_incarnation;
 mod endpoint_pick;
 mod endpoint_registry;
 mod endpoint_rejoin;
-mod latency_estimator;
 mod era_watch;
 mod evacuation_set;
 mod grant_allocator;
-mod allowed_regions;
 mod incarnation_tracker;
 mod key_policy;
 mod key_trust;
 mod kv_store;
+mod latency_estimator;
 mod listed_incarnation;
 mod mechanism_set;
 mod message_intervals;
@@ -28,15 +28,15 @@
 mod part_index;
 mod path_index;
 mod pause_detector;
+mod priority_shares;
 mod prompt_info;
 mod prompt_part;
-mod priority_shares;
 mod read_proofs;
 mod reader_tier;
 mod reclaim_state;
 mod refusal_kind;
-mod retry_window;
 mod request_fingerprint;
+mod retry_window;
 mod route_stats;
 mod served_route;
 mod serving_config;
@@ -56,22 +56,22 @@
 mod told_age;
 mod told_naming;
 mod trial_table;
-mod cache_namespace;
+mod version_expiry;
 mod weight_belief;
 mod weight_bounds;
 mod weight_namings;
 
 pub use {
-    admission_request::*, admission_controller::*, admission_decision::*, caller_limits::*, endpoint_entry::*,
-    endpoint_incarnation::*, endpoint_pick::*, endpoint_registry::*, endpoint_rejoin::*,
-    latency_estimator::*, era_watch::*, evacuation_set::*, grant_allocator::*, allowed_regions::*,
-    incarnation_tracker::*, key_policy::*, key_trust::*, kv_store::*, listed_incarnation::*,
-    mechanism_set::*, message_intervals::*, order_right::*, part_index::*, path_index::*,
-    pause_detector::*, prompt_info::*, prompt_part::*, priority_shares::*, read_proofs::*,
-    reader_tier::*, reclaim_state::*, refusal_kind::*, retry_window::*, request_fingerprint::*,
-    route_stats::*, served_route::*, serving_config::*, serving_mechanism::*, slow_start::*,
-    stable_hash::*, store_clock::*, store_directory::*, store_position::*, store_proof::*,
-    store_uptime::*, store_view::*, suspect_record::*, suspect_tracker::*, swap_planner::*,
-    table_mark::*, told_naming::*, trial_table::*, cache_namespace::*, weight_belief::*,
-    weight_bounds::*, weight_namings::*,
+    admission_controller::*, admission_decision::*, admission_request::*, allowed_regions::*,
+    cache_namespace::*, caller_limits::*, endpoint_entry::*, endpoint_incarnation::*,
+    endpoint_pick::*, endpoint_registry::*, endpoint_rejoin::*, era_watch::*, evacuation_set::*,
+    grant_allocator::*, incarnation_tracker::*, key_policy::*, key_trust::*, kv_store::*,
+    latency_estimator::*, listed_incarnation::*, mechanism_set::*, message_intervals::*,
+    order_right::*, part_index::*, path_index::*, pause_detector::*, priority_shares::*,
+    prompt_info::*, prompt_part::*, read_proofs::*, reader_tier::*, reclaim_state::*,
+    refusal_kind::*, request_fingerprint::*, retry_window::*, route_stats::*, served_route::*,
+    serving_config::*, serving_mechanism::*, slow_start::*, stable_hash::*, store_clock::*,
+    store_directory::*, store_position::*, store_proof::*, store_uptime::*, store_view::*,
+    suspect_record::*, suspect_tracker::*, swap_planner::*, table_mark::*, told_naming::*,
+    trial_table::*, weight_belief::*, weight_bounds::*, weight_namings::*,
 };
--- a/core/tests/fleet_sim/mod.rs
+++ b/core/tests/fleet_sim/mod.rs
@@ -2,7 +2,9 @@
 
 use {
     pitchhitch_core::{
-        serving::{KvStore, ReclaimState, PartId, ReadProofs, StoreView, SwapPlanner, WeightBelief},
+        serving::{
+            KvStore, PartId, ReadProofs, ReclaimState, StoreView, SwapPlanner, WeightBelief,
+        },
         time::Micros,
     },
     std::net::SocketAddr,
--- a/core/tests/serving_limits.rs
+++ b/core/tests/serving_limits.rs
@@ -3,8 +3,8 @@
 use pitchhitch_core::{
     serving::{
         AdmissionController, AdmissionDecision, AdmissionRequest, EndpointChoice, KeyPolicy,
-        KeyTrust, LatencyEstimator, PartId, PartIndex, PromptPart, RefusalKind, RetryLimit,
-        RetryWindow, NamespaceTag,
+        KeyTrust, LatencyEstimator, NamespaceTag, PartId, PartIndex, PromptPart, RefusalKind,
+        RetryLimit, RetryWindow,
     },
     time::Micros,
 };
--- a/core/tests/store_view.rs
+++ b/core/tests/store_view.rs
@@ -2,8 +2,8 @@
 
 use pitchhitch_core::{
     serving::{
-        move_ms, KvStore, NamespaceTag, PartId, PromptPart, StoreDirectory, StoreView, CacheNamespace,
-        SAVE_AFTER, VIEW_LIFE,
+        move_ms, CacheNamespace, KvStore, NamespaceTag, PartId, PromptPart, StoreDirectory,
+        StoreView, SAVE_AFTER, VIEW_LIFE,
     },
     time::Micros,
 };
--- a/entry/src/front/digest_watch.rs
+++ b/entry/src/front/digest_watch.rs
@@ -95,7 +95,9 @@
 ) {
     let began_at = state.greetings.began_at(echo.number);
     if let (Some(began_at), Some(entry)) = (began_at, state.book.get_mut(key)) {
-        entry.slow_start.update_grant(echo.grant, began_at + echo.age);
+        entry
+            .slow_start
+            .update_grant(echo.grant, began_at + echo.age);
     }
 }
 
--- a/entry/src/front/front_state.rs
+++ b/entry/src/front/front_state.rs
@@ -2,10 +2,10 @@
     super::{is_engine, EndProbe, FrontSettings, GreetingPlan, LinkPool, StoreReaders},
     pitchhitch_core::{
         serving::{
-            AdmissionController, EndpointEntry, EndpointKey, EndpointRegistry, LatencyEstimator, EraWatch,
-            EvacuationSet, KeyTrust, NamespaceTag, PauseDetector, ProvenTable, ReadProofs,
-            RetryWindow, ServingConfig, StoreDirectory, StoreEra, SuspectTracker, SwapPlanner,
-            TrialTable, CacheNamespace, WRITE_AGAIN,
+            AdmissionController, CacheNamespace, EndpointEntry, EndpointKey, EndpointRegistry,
+            EraWatch, EvacuationSet, KeyTrust, LatencyEstimator, NamespaceTag, PauseDetector,
+            ProvenTable, ReadProofs, RetryWindow, ServingConfig, StoreDirectory, StoreEra,
+            SuspectTracker, SwapPlanner, TrialTable, WRITE_AGAIN,
         },
         time::Micros,
     },
--- a/entry/src/front/part_freeing.rs
+++ b/entry/src/front/part_freeing.rs
@@ -1,7 +1,7 @@
 use {
     super::{has_view, FrontContext, CALL_LIMIT},
     pitchhitch_core::{
-        serving::{EndpointStatus, PartId, ReclaimState, CacheNamespace},
+        serving::{CacheNamespace, EndpointStatus, PartId, ReclaimState},
         time::Micros,
     },
     pitchhitch_platform::KeptClient,
--- a/entry/src/front/request_answer.rs
+++ b/entry/src/front/request_answer.rs
@@ -85,7 +85,9 @@
                 state.trials.record_first_event(ticket, now);
                 if is_first {
                     let took = now.since(sent_at).as_millis() as f64;
-                    state.pace.record_first_token(to_read, took - choice.plan.fetch_ms);
+                    state
+                        .pace
+                        .record_first_token(to_read, took - choice.plan.fetch_ms);
                 }
             }
             RelayNews::Version(new) => version = Some(new),
--- a/entry/src/front/request_choice.rs
+++ b/entry/src/front/request_choice.rs
@@ -2,9 +2,10 @@
     super::{FrontState, RequestRun, USUAL_PATIENCE},
     pitchhitch_core::{
         serving::{
-            pick_endpoint, unit_fraction, AdmissionRequest, AdmissionDecision, EndpointChoice,
-            EndpointEntry, EndpointStatus, EngineGroup, AllowedRegions, PartAvailability,
-            PartLocation, PickRequest, TrialRequest, VersionAvailability, CacheNamespace, WeightBounds,
+            pick_endpoint, unit_fraction, AdmissionDecision, AdmissionRequest, AllowedRegions,
+            CacheNamespace, EndpointChoice, EndpointEntry, EndpointStatus, EngineGroup,
+            PartAvailability, PartLocation, PickRequest, TrialRequest, VersionAvailability,
+            WeightBounds,
         },
         time::Micros,
     },
@@ -100,13 +101,16 @@
         let starts_slowly = self.starts_slowly();
         let is_alone = self.trial.is_some_and(|crashes| crashes > 1);
         let barred = state.trials.full_endpoints(is_alone, now);
-        let trial = self.trial.and(self.known_as).map(|fingerprint| TrialRequest {
-            request_hash: fingerprint.number(),
-            is_alone,
-            excluded: &barred,
-            // What has ended two is not tried on the last one.
-            min_endpoints: if is_alone { 2 } else { 1 },
-        });
+        let trial = self
+            .trial
+            .and(self.known_as)
+            .map(|fingerprint| TrialRequest {
+                request_hash: fingerprint.number(),
+                is_alone,
+                excluded: &barred,
+                // What has ended two is not tried on the last one.
+                min_endpoints: if is_alone { 2 } else { 1 },
+            });
         let ask = PickRequest {
             service: &self.service,
             domain: &front.settings.failure_domain,
@@ -210,9 +214,10 @@
         let mut outlooks = Vec::new();
         for version in versions {
             let namespace = state.wall(&self.wall(version).salt());
-            let parts = state
-                .memory
-                .locate_parts(&state.book, group, namespace, &prompt.parts, now);
+            let parts =
+                state
+                    .memory
+                    .locate_parts(&state.book, group, namespace, &prompt.parts, now);
             outlooks.push(VersionAvailability {
                 version,
                 namespace,
--- a/testbed/src/load_model/model_front.rs
+++ b/testbed/src/load_model/model_front.rs
@@ -2,10 +2,10 @@
     super::{EngineSpec, FrontAsk, FrontSend, FrontVerdict, ModelStore},
     pitchhitch_core::{
         serving::{
-            pick_endpoint, AdmissionRequest, AdmissionController, AdmissionDecision, EndpointChoice,
-            EndpointKey, EndpointNotice, EndpointRegistry, EngineGroup, LatencyEstimator, MechanismSet,
-            NamespaceTag, PendingPrefill, PickRequest, PromptInfo, StoreDirectory, VersionAvailability,
-            WeightBounds,
+            pick_endpoint, AdmissionController, AdmissionDecision, AdmissionRequest,
+            EndpointChoice, EndpointKey, EndpointNotice, EndpointRegistry, EngineGroup,
+            LatencyEstimator, MechanismSet, NamespaceTag, PendingPrefill, PickRequest, PromptInfo,
+            StoreDirectory, VersionAvailability, WeightBounds,
         },
         time::Micros,
     },
