--- a/core/src/serving/endpoint_entry.rs
+++ b/core/src/serving/endpoint_entry.rs
@@ -1,7 +1,7 @@
 use {
     super::{
-        EndpointIncarnation, EndpointRejoin, EndpointSlowStart, LatencyEstimator, PartIndex,
-        StorePosition, SwapStage, KnownWeights,
+        EndpointIncarnation, EndpointRejoin, EndpointSlowStart, KnownWeights, LatencyEstimator,
+        PartIndex, StorePosition, SwapStage,
     },
     crate::{retry::OutlierGuard, time::Micros},
     serde::{Deserialize, Serialize},
--- a/core/src/serving/endpoint_incarnation.rs
+++ b/core/src/serving/endpoint_incarnation.rs
@@ -1,8 +1,8 @@
 use {
     super::{
         status_change, EndpointChange, EndpointEntry, EndpointKey, EndpointNotice,
-        EndpointRegistry, EndpointRejoin, EndpointStatus, IncarnationTracker, ListedIncarnation,
-        PartIndex, StorePosition, SwapStage, KnownWeights,
+        EndpointRegistry, EndpointRejoin, EndpointStatus, IncarnationTracker, KnownWeights,
+        ListedIncarnation, PartIndex, StorePosition, SwapStage,
     },
     crate::{retry::OutlierGuard, time::Micros},
     std::{collections::BTreeMap, net::SocketAddr},
--- a/core/src/serving/endpoint_registry.rs
+++ b/core/src/serving/endpoint_registry.rs
@@ -1,8 +1,8 @@
 use {
     super::{
         EndpointEntry, EndpointIncarnation, EndpointNotice, EndpointRejoin, EndpointSlowStart,
-        EndpointStatus, PartIndex, PendingPrefill, StorePosition, SwapPlanner, SwapStage,
-        KnownWeights,
+        EndpointStatus, KnownWeights, PartIndex, PendingPrefill, StorePosition, SwapPlanner,
+        SwapStage,
     },
     crate::{retry::OutlierGuard, time::Micros},
     slotmap::{new_key_type, SlotMap},
@@ -261,7 +261,9 @@
     ) {
         if let Some(entry) = self.entries.get_mut(key) {
             entry.running += 1;
-            entry.slow_start.record_sent(prefill.ticket, prefill.sent_at);
+            entry
+                .slow_start
+                .record_sent(prefill.ticket, prefill.sent_at);
             entry.pending_prefills.push(prefill);
         }
     }
--- a/core/src/serving/mod.rs
+++ b/core/src/serving/mod.rs
@@ -2,25 +2,27 @@
 //! organisation of a request, the endpoint that gets it, what may be sent again, and how fresh
 //! the state behind these decisions must be.
 
-mod admission_request;
 mod admission_controller;
 mod admission_decision;
-mod version_expiry;
+mod admission_request;
+mod allowed_regions;
+mod cache_namespace;
 mod caller_limits;
 mod endpoint_entry;
 mod endpoint_incarnation;
 mod endpoint_pick;
 mod endpoint_registry;
 mod endpoint_rejoin;
-mod latency_estimator;
 mod era_tracker;
 mod evacuation_set;
+mod fetch_completion;
 mod grant_allocator;
-mod allowed_regions;
 mod incarnation_tracker;
-mod key_policy;
 mod key_freshness;
+mod key_policy;
+mod known_weights;
 mod kv_store;
+mod latency_estimator;
 mod listed_incarnation;
 mod mechanism_set;
 mod message_intervals;
@@ -28,15 +30,16 @@
 mod part_index;
 mod path_index;
 mod pause_detector;
+mod priority_shares;
 mod prompt_info;
 mod prompt_part;
-mod priority_shares;
-mod fetch_completion;
+mod publication_records;
 mod reader_tier;
 mod reclaim_state;
 mod refusal_kind;
-mod retry_window;
+mod reported_age;
 mod request_fingerprint;
+mod retry_window;
 mod route_stats;
 mod served_route;
 mod serving_config;
@@ -53,25 +56,22 @@
 mod suspect_tracker;
 mod swap_planner;
 mod table_checksum;
-mod reported_age;
-mod weight_publication;
 mod trial_table;
-mod cache_namespace;
-mod known_weights;
+mod version_expiry;
 mod weight_bounds;
-mod publication_records;
+mod weight_publication;
 
 pub use {
-    admission_request::*, admission_controller::*, admission_decision::*, caller_limits::*, endpoint_entry::*,
-    endpoint_incarnation::*, endpoint_pick::*, endpoint_registry::*, endpoint_rejoin::*,
-    latency_estimator::*, era_tracker::*, evacuation_set::*, grant_allocator::*, allowed_regions::*,
-    incarnation_tracker::*, key_policy::*, key_freshness::*, kv_store::*, listed_incarnation::*,
+    admission_controller::*, admission_decision::*, admission_request::*, allowed_regions::*,
+    cache_namespace::*, caller_limits::*, endpoint_entry::*, endpoint_incarnation::*,
+    endpoint_pick::*, endpoint_registry::*, endpoint_rejoin::*, era_tracker::*, evacuation_set::*,
+    fetch_completion::*, grant_allocator::*, incarnation_tracker::*, key_freshness::*,
+    key_policy::*, known_weights::*, kv_store::*, latency_estimator::*, listed_incarnation::*,
     mechanism_set::*, message_intervals::*, order_right::*, part_index::*, path_index::*,
-    pause_detector::*, prompt_info::*, prompt_part::*, priority_shares::*, fetch_completion::*,
-    reader_tier::*, reclaim_state::*, refusal_kind::*, retry_window::*, request_fingerprint::*,
+    pause_detector::*, priority_shares::*, prompt_info::*, prompt_part::*, publication_records::*,
+    reader_tier::*, reclaim_state::*, refusal_kind::*, request_fingerprint::*, retry_window::*,
     route_stats::*, served_route::*, serving_config::*, serving_mechanism::*, slow_start::*,
     stable_hash::*, store_clock::*, store_directory::*, store_position::*, store_proof::*,
     store_uptime::*, store_view::*, suspect_record::*, suspect_tracker::*, swap_planner::*,
-    table_checksum::*, weight_publication::*, trial_table::*, cache_namespace::*, known_weights::*,
-    weight_bounds::*, publication_records::*,
+    table_checksum::*, trial_table::*, weight_bounds::*, weight_publication::*,
 };
--- a/core/src/serving/publication_records.rs
+++ b/core/src/serving/publication_records.rs
@@ -2,7 +2,7 @@
 
 use {
     super::{
-        reported_age::ReportedAge, ReclaimState, PartId, SwapPlanner, WeightPublication,
+        reported_age::ReportedAge, PartId, ReclaimState, SwapPlanner, WeightPublication,
         MAX_REPORT_GAP, RECLAIM_TIMEOUT, VIEW_TTL,
     },
     crate::time::Micros,
--- a/core/src/serving/store_view.rs
+++ b/core/src/serving/store_view.rs
@@ -1,5 +1,5 @@
 use {
-    super::{KvStore, PartId, PartIndex, StoreUptime, NamespaceTag},
+    super::{KvStore, NamespaceTag, PartId, PartIndex, StoreUptime},
     crate::time::Micros,
     std::collections::HashMap,
 };
@@ -250,7 +250,8 @@
         id: PartId,
         tokens: u32,
     ) -> bool {
-        self.parts.cached_tokens(namespace, id) >= tokens || self.pending.contains_key(&(namespace, id))
+        self.parts.cached_tokens(namespace, id) >= tokens
+            || self.pending.contains_key(&(namespace, id))
     }
 
     /// Records a requested save.
--- a/core/src/serving/swap_planner.rs
+++ b/core/src/serving/swap_planner.rs
@@ -1,5 +1,5 @@
 use {
-    super::{publication_records::PublicationRecord, EndpointRegistry, EndpointEntry, EndpointKey},
+    super::{publication_records::PublicationRecord, EndpointEntry, EndpointKey, EndpointRegistry},
     crate::time::Micros,
     std::collections::BTreeMap,
 };
--- a/core/tests/disabled_mechanisms.rs
+++ b/core/tests/disabled_mechanisms.rs
@@ -4,10 +4,10 @@
 use {
     pitchhitch_core::{
         serving::{
-            pick_endpoint, EndpointRegistry, EndpointChoice, EndpointKey, EndpointNotice, EngineGroup,
-            EngineLoad, KvStore, LatencyEstimator, MechanismSet, StoreDirectory, PartId, PickRequest,
-            PromptInfo, PromptPart, ServingMechanism, VersionAvailability, NamespaceTag, WeightBounds,
-            SAVE_DELAY,
+            pick_endpoint, EndpointChoice, EndpointKey, EndpointNotice, EndpointRegistry,
+            EngineGroup, EngineLoad, KvStore, LatencyEstimator, MechanismSet, NamespaceTag, PartId,
+            PickRequest, PromptInfo, PromptPart, ServingMechanism, StoreDirectory,
+            VersionAvailability, WeightBounds, SAVE_DELAY,
         },
         time::Micros,
     },
--- a/core/tests/early_saves.rs
+++ b/core/tests/early_saves.rs
@@ -9,7 +9,7 @@
 
 use {
     pitchhitch_core::{
-        serving::{StoreDirectory, StoreView, StoreUptime, SAVE_DELAY, VIEW_TTL},
+        serving::{StoreDirectory, StoreUptime, StoreView, SAVE_DELAY, VIEW_TTL},
         time::Micros,
     },
     proptest::prelude::*,
--- a/core/tests/endpoint_pick.rs
+++ b/core/tests/endpoint_pick.rs
@@ -6,8 +6,8 @@
     fleet_fixture::{part, prompt, Fleet, NOW},
     pitchhitch_core::{
         serving::{
-            EndpointKey, LatencyEstimator, StoreDirectory, PartLocation, PromptInfo, SwapStage, PendingPrefill,
-            WeightBounds,
+            EndpointKey, LatencyEstimator, PartLocation, PendingPrefill, PromptInfo,
+            StoreDirectory, SwapStage, WeightBounds,
         },
         time::Micros,
     },
--- a/core/tests/endpoint_registry.rs
+++ b/core/tests/endpoint_registry.rs
@@ -216,7 +216,11 @@
     let mut registry = EndpointRegistry::default();
     registry.apply(&notice("e", 1, false));
     let key = registry.key("e").expect("known");
-    registry.get_mut(key).expect("entry").weights.set_version("m", 3);
+    registry
+        .get_mut(key)
+        .expect("entry")
+        .weights
+        .set_version("m", 3);
     registry.apply(&notice("e", 1, false));
     assert_eq!(
         registry.get(key).and_then(|e| e.weights.version("m")),
--- a/core/tests/fetch_completion.rs
+++ b/core/tests/fetch_completion.rs
@@ -3,7 +3,7 @@
 use {
     pitchhitch_core::{
         serving::{
-            FetchCompletion, KnownWeights, ReclaimState, PartId, SwapPlanner, MAX_REPORT_GAP,
+            FetchCompletion, KnownWeights, PartId, ReclaimState, SwapPlanner, MAX_REPORT_GAP,
             RECLAIM_TIMEOUT,
         },
         time::Micros,
--- a/core/tests/fleet_fixture/mod.rs
+++ b/core/tests/fleet_fixture/mod.rs
@@ -3,9 +3,9 @@
 use {
     pitchhitch_core::{
         serving::{
-            pick_endpoint, EndpointRegistry, EndpointChoice, EndpointKey, EndpointNotice, EngineGroup,
-            EngineLoad, KvStore, LatencyEstimator, MechanismSet, StoreDirectory, PartId, PickRequest,
-            PromptInfo, PromptPart, VersionAvailability, NamespaceTag, WeightBounds,
+            pick_endpoint, EndpointChoice, EndpointKey, EndpointNotice, EndpointRegistry,
+            EngineGroup, EngineLoad, KvStore, LatencyEstimator, MechanismSet, NamespaceTag, PartId,
+            PickRequest, PromptInfo, PromptPart, StoreDirectory, VersionAvailability, WeightBounds,
         },
         time::Micros,
     },
@@ -134,9 +134,13 @@
         let availabilities = [VersionAvailability {
             version: 1,
             namespace: NAMESPACE,
-            parts: self
-                .stores
-                .locate_parts(&self.registry, &group(), NAMESPACE, &prompt.parts, NOW),
+            parts: self.stores.locate_parts(
+                &self.registry,
+                &group(),
+                NAMESPACE,
+                &prompt.parts,
+                NOW,
+            ),
         }];
         let request = PickRequest {
             trial: None,
--- a/core/tests/fleet_sim/mod.rs
+++ b/core/tests/fleet_sim/mod.rs
@@ -2,7 +2,9 @@
 
 use {
     pitchhitch_core::{
-        serving::{KvStore, ReclaimState, PartId, FetchCompletion, StoreView, SwapPlanner, KnownWeights},
+        serving::{
+            FetchCompletion, KnownWeights, KvStore, PartId, ReclaimState, StoreView, SwapPlanner,
+        },
         time::Micros,
     },
     std::net::SocketAddr,
@@ -159,7 +161,8 @@
         now: u64,
     ) {
         if published > 0 {
-            self.planner.publish("m", published, self.proven_at, at(now));
+            self.planner
+                .publish("m", published, self.proven_at, at(now));
         }
         self.proven_at = Some(at(now));
         let known_weights = self.known_weights.iter().enumerate();
--- a/core/tests/serving_limits.rs
+++ b/core/tests/serving_limits.rs
@@ -2,9 +2,9 @@
 
 use pitchhitch_core::{
     serving::{
-        AdmissionController, AdmissionDecision, AdmissionRequest, EndpointChoice, KeyPolicy,
-        KeyFreshness, LatencyEstimator, PartId, PartIndex, PromptPart, RefusalKind, RetryLimit,
-        RetryWindow, NamespaceTag,
+        AdmissionController, AdmissionDecision, AdmissionRequest, EndpointChoice, KeyFreshness,
+        KeyPolicy, LatencyEstimator, NamespaceTag, PartId, PartIndex, PromptPart, RefusalKind,
+        RetryLimit, RetryWindow,
     },
     time::Micros,
 };
--- a/core/tests/store_proofs.rs
+++ b/core/tests/store_proofs.rs
@@ -3,7 +3,7 @@
 use {
     pitchhitch_core::{
         serving::{
-            digest_interval, mix_hashes, stable_hash, greeting_interval, EraTracker, EraUpdate,
+            digest_interval, greeting_interval, mix_hashes, stable_hash, EraTracker, EraUpdate,
             KeyFreshness, KeyPolicy, ProofTracker, ProvenTable, ReaderTier, StoreEra,
             StorePosition, StoreProof, TableChecksum, REWRITE_DELAY,
         },
@@ -68,7 +68,10 @@
     );
     tracker.record(&proof(3, CHECKSUM + 1), 12, at(700));
     assert_eq!(tracker.confirmed_at(CHECKSUM), Some(at(400)));
-    assert_eq!(tracker.newer_checksum(CHECKSUM, at(600)), Some(CHECKSUM + 1));
+    assert_eq!(
+        tracker.newer_checksum(CHECKSUM, at(600)),
+        Some(CHECKSUM + 1)
+    );
     assert_eq!(tracker.newer_checksum(CHECKSUM, at(700)), None);
 }
 
--- a/core/tests/store_view.rs
+++ b/core/tests/store_view.rs
@@ -2,8 +2,8 @@
 
 use pitchhitch_core::{
     serving::{
-        transfer_ms, KvStore, StoreDirectory, PartId, PromptPart, StoreView, CacheNamespace, NamespaceTag,
-        SAVE_DELAY, VIEW_TTL,
+        transfer_ms, CacheNamespace, KvStore, NamespaceTag, PartId, PromptPart, StoreDirectory,
+        StoreView, SAVE_DELAY, VIEW_TTL,
     },
     time::Micros,
 };
--- a/core/tests/swap_planner.rs
+++ b/core/tests/swap_planner.rs
@@ -3,8 +3,8 @@
 use {
     pitchhitch_core::{
         serving::{
-            EndpointRegistry, EndpointKey, EndpointNotice, EngineLoad, ReclaimState, PartId, SwapPlanner,
-            SwapStage, VIEW_TTL,
+            EndpointKey, EndpointNotice, EndpointRegistry, EngineLoad, PartId, ReclaimState,
+            SwapPlanner, SwapStage, VIEW_TTL,
         },
         time::Micros,
     },
@@ -281,7 +281,8 @@
     let ids: Vec<PartId> = ids.map(|id| id.expect("hex")).collect();
     let count = |may: &dyn Fn(PartId) -> bool| ids.iter().filter(|id| may(**id)).count();
     let fetched = |time: u64| count(&|id| planner.may_fetch("m", 1, id, None, at(time)));
-    let freed = |time: u64| count(&|id| reclaim_state(&planner, id, time) == ReclaimState::Reclaimable);
+    let freed =
+        |time: u64| count(&|id| reclaim_state(&planner, id, time) == ReclaimState::Reclaimable);
     assert_eq!((fetched(5_900), freed(8_900)), (300, 0));
     assert!((120..=180).contains(&fetched(11_000)));
     assert!((120..=180).contains(&freed(14_000)));
--- a/entry/src/front/digest_watch.rs
+++ b/entry/src/front/digest_watch.rs
@@ -95,7 +95,9 @@
 ) {
     let began_at = state.greetings.began_at(echo.number);
     if let (Some(began_at), Some(entry)) = (began_at, state.book.get_mut(key)) {
-        entry.slow_start.update_grant(echo.grant, began_at + echo.age);
+        entry
+            .slow_start
+            .update_grant(echo.grant, began_at + echo.age);
     }
 }
 
@@ -207,7 +209,9 @@
         front.metrics.count("digests", "earlier-life");
         return None;
     }
-    state.reads.record_report(digest.engine, digest.clock_ms, now);
+    state
+        .reads
+        .record_report(digest.engine, digest.clock_ms, now);
     let key = key?;
     take_suspects(front, state, &digest, now);
     let entry = state.book.get_mut(key)?;
@@ -317,7 +321,10 @@
         return;
     };
     for (model, version) in &digest.weights {
-        if state.planner.record_engine_version(model, *version, proven_at, now) {
+        if state
+            .planner
+            .record_engine_version(model, *version, proven_at, now)
+        {
             log::warn!(
                 event = "weights-named",
                 model = model.as_str(),
--- a/entry/src/front/front_state.rs
+++ b/entry/src/front/front_state.rs
@@ -2,10 +2,10 @@
     super::{is_engine, EndProbe, FrontSettings, GreetingPlan, LinkPool, StoreReaders},
     pitchhitch_core::{
         serving::{
-            AdmissionController, EndpointEntry, EndpointKey, EndpointRegistry, LatencyEstimator, EraTracker,
-            EvacuationSet, KeyFreshness, NamespaceTag, PauseDetector, ProvenTable, FetchCompletion,
-            RetryWindow, ServingConfig, StoreDirectory, StoreEra, SuspectTracker, SwapPlanner,
-            TrialTable, CacheNamespace, REWRITE_DELAY,
+            AdmissionController, CacheNamespace, EndpointEntry, EndpointKey, EndpointRegistry,
+            EraTracker, EvacuationSet, FetchCompletion, KeyFreshness, LatencyEstimator,
+            NamespaceTag, PauseDetector, ProvenTable, RetryWindow, ServingConfig, StoreDirectory,
+            StoreEra, SuspectTracker, SwapPlanner, TrialTable, REWRITE_DELAY,
         },
         time::Micros,
     },
--- a/entry/src/front/list_watch.rs
+++ b/entry/src/front/list_watch.rs
@@ -5,7 +5,8 @@
     },
     pitchhitch_core::{
         serving::{
-            EndpointChange, EndpointNotice, ProvenTable, StorePosition, TableChecksum, REWRITE_DELAY,
+            EndpointChange, EndpointNotice, ProvenTable, StorePosition, TableChecksum,
+            REWRITE_DELAY,
         },
         time::Micros,
     },
--- a/entry/src/front/operator_watch.rs
+++ b/entry/src/front/operator_watch.rs
@@ -5,7 +5,9 @@
     },
     futures_lite::future::or,
     pitchhitch_core::{
-        serving::{ProvenTable, ReaderTier, ServingConfig, StoreClock, StorePosition, TableChecksum},
+        serving::{
+            ProvenTable, ReaderTier, ServingConfig, StoreClock, StorePosition, TableChecksum,
+        },
         time::Micros,
     },
     pitchhitch_platform::{
@@ -48,7 +50,8 @@
                     front.state().evacuations.begin_full_read();
                 }
                 // A question that was held at the store proves what was in force when it answered.
-                let proven_at = store_clock.earliest_answer_time(sent_at, page.store_ms, front.now());
+                let proven_at =
+                    store_clock.earliest_answer_time(sent_at, page.store_ms, front.now());
                 take_rows(&front, page, proven_at, &mut foreign, &mut mark);
             }),
             Err(error) => {
@@ -148,9 +151,7 @@
     // A configuration that cannot be read may take keys away.
     if !foreign.has(CONFIG_KEY) {
         let now = front.now();
-        front
-            .state()
-            .note_config_read(mark.value(), proven_at, now);
+        front.state().note_config_read(mark.value(), proven_at, now);
         front.greeting_due.wake();
     }
 }
--- a/entry/src/front/part_freeing.rs
+++ b/entry/src/front/part_freeing.rs
@@ -1,7 +1,7 @@
 use {
     super::{has_view, FrontContext, CALL_LIMIT},
     pitchhitch_core::{
-        serving::{EndpointStatus, PartId, ReclaimState, CacheNamespace},
+        serving::{CacheNamespace, EndpointStatus, PartId, ReclaimState},
         time::Micros,
     },
     pitchhitch_platform::KeptClient,
@@ -72,7 +72,8 @@
 fn free_pause(front: &FrontContext) -> Micros {
     let walls = front.state().walls();
     let state = front.state();
-    let is_old = |wall: &CacheNamespace| state.planner.published_version(&wall.model) > Some(wall.version);
+    let is_old =
+        |wall: &CacheNamespace| state.planner.published_version(&wall.model) > Some(wall.version);
     match walls.iter().any(|(wall, _)| is_old(wall)) {
         true => FREE_PAUSE,
         false => CALM_PAUSE,
--- a/entry/src/front/request_log.rs
+++ b/entry/src/front/request_log.rs
@@ -90,7 +90,9 @@
         &self,
         state: &FrontState,
     ) -> Option<u64> {
-        state.planner.published_version(&self.ask.prompt.as_ref()?.model)
+        state
+            .planner
+            .published_version(&self.ask.prompt.as_ref()?.model)
     }
 
     fn named_age(
--- a/entry/src/front/store_readers.rs
+++ b/entry/src/front/store_readers.rs
@@ -1,7 +1,9 @@
 use {
     super::{spread_number, FrontContext, FrontState},
     pitchhitch_core::{
-        serving::{reader_draw, stable_fraction, ProofTracker, ProvenTable, ReaderTier, StoreProof},
+        serving::{
+            reader_draw, stable_fraction, ProofTracker, ProvenTable, ReaderTier, StoreProof,
+        },
         time::Micros,
     },
     pitchhitch_process::to_duration,
--- a/entry/src/front/store_watch.rs
+++ b/entry/src/front/store_watch.rs
@@ -165,7 +165,9 @@
     let Some(view) = state.memory.view_mut(news.store) else {
         return;
     };
-    let known = view.next_change.filter(|_| view.epoch() == Some(news.epoch));
+    let known = view
+        .next_change
+        .filter(|_| view.epoch() == Some(news.epoch));
     let Some(known) = known.filter(|known| *known >= news.from) else {
         view.reported_at = None;
         return;
