--- a/agent/src/beside/beside_process.rs
+++ b/agent/src/beside/beside_process.rs
@@ -4,8 +4,8 @@
         tell_figures, watch_engine, watch_kept, BesideContext, BesideSettings,
     },
     anyhow::Context,
-    pitchhitch_http1::serve_small,
-    pitchhitch_process::{flush_log, ProcessSignal, SignalWatch},
+    pitchhitch_http1::serve_paths,
+    pitchhitch_process::{flush_log, ProcessSignal, SignalListener},
     pitchhitch_wire::beside::BesideSocket,
     smol::Timer,
     std::time::Duration,
@@ -23,16 +23,16 @@
     settings: BesideSettings,
     reload: &dyn Fn() -> Result<BesideSettings, String>,
 ) -> anyhow::Result<()> {
-    let mut signals = SignalWatch::start().context("cannot watch signals")?;
+    let mut signals = SignalListener::start().context("cannot watch signals")?;
     let socket = BesideSocket::bind(settings.listen).await;
     let socket = socket.with_context(|| format!("cannot listen on {}", settings.listen))?;
     let socket = socket.with_key(settings.peer_key);
     let beside = BesideContext::new(settings, socket);
     if let Some(metrics) = beside.settings.metrics {
-        beside.spawn(serve_small(metrics, beside.clone(), tell_figures).await?);
+        beside.spawn(serve_paths(metrics, beside.clone(), tell_figures).await?);
     }
     let listen = beside.settings.listen;
-    beside.spawn(serve_small(listen, beside.clone(), hand_copy_on).await?);
+    beside.spawn(serve_paths(listen, beside.clone(), hand_copy_on).await?);
     beside.spawn(keep_state(beside.clone()));
     beside.spawn(watch_engine(beside.clone()));
     beside.spawn(watch_kept(beside.clone()));
@@ -63,7 +63,7 @@
 /// New settings are checked and compared; what they change needs a restart.
 async fn wait_for_stop(
     beside: &BesideContext,
-    signals: &mut SignalWatch,
+    signals: &mut SignalListener,
     reload: &dyn Fn() -> Result<BesideSettings, String>,
 ) -> anyhow::Result<()> {
     while signals.next().await.context("cannot watch signals")? == ProcessSignal::Reload {
--- a/agent/src/beside/engine_watch.rs
+++ b/agent/src/beside/engine_watch.rs
@@ -1,6 +1,6 @@
 use {
     super::BesideContext,
-    pitchhitch_http1::{HttpCall, HttpClient},
+    pitchhitch_http1::{HttpClient, HttpRequest},
     pitchhitch_platform::{decode_report, EngineReport, REPORT_PATH},
     pitchhitch_process::to_duration,
     smol::Timer,
@@ -17,12 +17,12 @@
     let mut client = HttpClient::new(beside.settings.engine, REPORT_LIMIT);
     let mut failures = 0;
     loop {
-        let call = HttpCall {
+        let call = HttpRequest {
             method: "GET",
             target: REPORT_PATH,
-            ..HttpCall::default()
+            ..HttpRequest::default()
         };
-        let body = client.sound_body(call).await;
+        let body = client.ok_body(call).await;
         let report = body.and_then(|body| decode_report(&body, beside.now()).ok());
         match report {
             Some(report) => {
--- a/agent/src/cli/agent_cli.rs
+++ b/agent/src/cli/agent_cli.rs
@@ -5,7 +5,7 @@
         conf::AgentSettings,
     },
     getopts::{Matches, Options},
-    pitchhitch_process::{flush_log, start_bounded_logging, start_logging, start_traffic},
+    pitchhitch_process::{flush_log, start_bounded_logging, start_logging, start_traffic_threads},
     std::{env, fmt::Display, fs, process::ExitCode},
 };
 
@@ -117,7 +117,7 @@
         return Ok(());
     }
     start_logging();
-    start_traffic(settings.traffic_threads);
+    start_traffic_threads(settings.traffic_threads);
     smol::block_on(run_agent(settings)).map_err(end_failed)
 }
 
--- a/agent/src/cli/agent_process.rs
+++ b/agent/src/cli/agent_process.rs
@@ -11,7 +11,7 @@
     },
     anyhow::Context,
     pitchhitch_core::role::{AgentEvent, AgentIdentity},
-    pitchhitch_process::{spawn_detached, stop_asked, MetricSet, ProcessClock},
+    pitchhitch_process::{spawn_detached, wait_for_stop, MetricSet, ProcessClock},
     pitchhitch_services::table::TableClient,
     smol::{net::TcpListener, Timer},
     std::{
@@ -66,7 +66,7 @@
         incarnation = clock.incarnation();
         ""
     );
-    stop_asked().await.context("cannot watch signals")?;
+    wait_for_stop().await.context("cannot watch signals")?;
     stop(&settings, &handle).await;
     Ok(())
 }
--- a/entry/src/cli/entry_process.rs
+++ b/entry/src/cli/entry_process.rs
@@ -17,7 +17,7 @@
         lease::LeaseTimes,
         role::{EntryCore, EntrySetup},
     },
-    pitchhitch_process::{stop_asked, MetricSet, ProcessClock},
+    pitchhitch_process::{wait_for_stop, MetricSet, ProcessClock},
     pitchhitch_services::{
         boxes::BoxClient, config::ConfigStore, objects::ObjectClient, table::TableClient,
     },
@@ -106,7 +106,7 @@
         incarnation = clock.incarnation();
         ""
     );
-    stop_asked().await.context("cannot watch signals")?;
+    wait_for_stop().await.context("cannot watch signals")?;
     log::info!(event = "stopping", entry = settings.box_id.as_str(); "");
     app.stopping.store(true, Ordering::Relaxed);
     // The balancer is given time to notice that no new requests should come.
--- a/entry/src/command/command_args.rs
+++ b/entry/src/command/command_args.rs
@@ -4,7 +4,7 @@
         conf::OperatorSettings,
     },
     getopts::{Matches, Options},
-    pitchhitch_services::http::HttpCaller,
+    pitchhitch_services::http::ServiceClient,
     std::{fs, time::Duration},
 };
 
@@ -121,12 +121,12 @@
 ///
 /// # Errors
 /// [`CliError::Settings`] when they name none.
-pub fn entry_caller(settings: &OperatorSettings) -> Result<HttpCaller, CliError> {
+pub fn entry_caller(settings: &OperatorSettings) -> Result<ServiceClient, CliError> {
     let entry = settings.entry.ok_or_else(|| {
         let text = "the settings name no 'entry'; add the operator address of an entry process";
         CliError::Settings(text.to_string())
     })?;
-    Ok(HttpCaller::new(entry, ENTRY_TIMEOUT))
+    Ok(ServiceClient::new(entry, ENTRY_TIMEOUT))
 }
 
 /// A value as JSON for people and programs.
--- a/entry/src/command/config_access.rs
+++ b/entry/src/command/config_access.rs
@@ -3,7 +3,7 @@
     crate::{cli::CliError, conf::OperatorSettings},
     getopts::Options,
     pitchhitch_core::conf::{ChangeError, ConfigChange, FleetConfig},
-    pitchhitch_process::{wall_seconds, ProcessClock},
+    pitchhitch_process::{unix_seconds, ProcessClock},
     pitchhitch_services::{
         config::{AcceptedChange, ChangeFailure, ChangeRequest, ConfigStore},
         objects::ObjectClient,
@@ -79,7 +79,7 @@
     let request = ChangeRequest {
         change_id: change_id.clone(),
         operator: settings.operator.clone(),
-        at_secs: wall_seconds(),
+        at_secs: unix_seconds(),
         change,
         expected,
     };
--- a/entry/src/command/drain.rs
+++ b/entry/src/command/drain.rs
@@ -9,7 +9,7 @@
         conf::{ConfigChange, LabelTarget, LEAVING_LABEL},
         drain::DrainState,
     },
-    pitchhitch_services::http::HttpCaller,
+    pitchhitch_services::http::ServiceClient,
     smol::Timer,
     std::time::{Duration, Instant},
 };
@@ -60,7 +60,7 @@
 
 async fn wait_drained(
     args: &CommandArgs,
-    caller: &HttpCaller,
+    caller: &ServiceClient,
     endpoint: &str,
     timeout: Duration,
 ) -> Result<(), CliError> {
--- a/entry/src/command/explain.rs
+++ b/entry/src/command/explain.rs
@@ -6,7 +6,7 @@
         operators::{PieceReport, EXPLAIN_PREFIX, PIECE_PREFIX},
     },
     getopts::Options,
-    pitchhitch_services::http::{CallError, HttpCaller},
+    pitchhitch_services::http::{CallError, ServiceClient},
     std::{
         fs::File,
         io::{self, BufRead, BufReader},
@@ -139,7 +139,7 @@
 
 fn explain_request(
     args: &CommandArgs,
-    caller: &HttpCaller,
+    caller: &ServiceClient,
     request_id: &str,
 ) -> Result<(), CliError> {
     let path = format!("{EXPLAIN_PREFIX}{request_id}");
@@ -206,7 +206,7 @@
 
 fn explain_piece(
     args: &CommandArgs,
-    caller: &HttpCaller,
+    caller: &ServiceClient,
     key: &str,
 ) -> Result<(), CliError> {
     let path = format!("{PIECE_PREFIX}{key}");
--- a/entry/src/command/serve.rs
+++ b/entry/src/command/serve.rs
@@ -5,7 +5,7 @@
         conf::EntrySettings,
     },
     getopts::Options,
-    pitchhitch_process::{start_logging, start_traffic},
+    pitchhitch_process::{start_logging, start_traffic_threads},
 };
 
 const SHAPE: CommandShape = CommandShape {
@@ -25,6 +25,6 @@
     let settings = EntrySettings::parse(&text.file, &text.text)
         .map_err(|e| CliError::Settings(e.to_string()))?;
     start_logging();
-    start_traffic(settings.traffic_threads);
+    start_traffic_threads(settings.traffic_threads);
     smol::block_on(run_entry(settings)).map_err(|e| CliError::Failed(format!("{e:#}")))
 }
--- a/entry/src/command/suspects.rs
+++ b/entry/src/command/suspects.rs
@@ -6,7 +6,7 @@
     },
     getopts::Options,
     pitchhitch_core::serving::RequestFingerprint,
-    pitchhitch_http1::{HttpAnswer, HttpCall, HttpClient},
+    pitchhitch_http1::{HttpClient, HttpRequest, HttpResponse},
     std::time::Duration,
 };
 
@@ -87,13 +87,13 @@
 fn ask(
     settings: &FrontSettings,
     target: &str,
-) -> Result<HttpAnswer, CliError> {
+) -> Result<HttpResponse, CliError> {
     let address = settings.control.unwrap_or(settings.digests);
     let mut client = HttpClient::new(address, CALL_LIMIT);
-    let call = HttpCall {
+    let call = HttpRequest {
         method: "GET",
         target,
-        ..HttpCall::default()
+        ..HttpRequest::default()
     };
     let answer = smol::block_on(client.call(call))
         .map_err(|e| CliError::Failed(format!("{address}: {e}; does the front run?")))?;
--- a/entry/src/control/box_controller.rs
+++ b/entry/src/control/box_controller.rs
@@ -5,7 +5,7 @@
         member::{home_set, HomeCandidate},
         role::{EntryEvent, ListedBox},
     },
-    pitchhitch_services::boxes::{BoxClient, BoxRow, ListedRole},
+    pitchhitch_services::boxes::{BoxClient, BoxRecord, ListedRole},
     smol::Timer,
     std::{net::SocketAddr, time::Duration},
 };
@@ -48,7 +48,7 @@
 
 fn choose_peers(
     place: &BoxPlace,
-    rows: &[BoxRow],
+    rows: &[BoxRecord],
 ) -> Vec<SocketAddr> {
     let entries = rows
         .iter()
--- a/entry/src/control/config_controller.rs
+++ b/entry/src/control/config_controller.rs
@@ -4,7 +4,7 @@
     pitchhitch_process::to_duration,
     pitchhitch_services::{
         config::ConfigStore,
-        http::{CallError, HttpCaller},
+        http::{CallError, ServiceClient},
     },
     rand::SeedableRng,
     rand_pcg::Pcg32,
@@ -69,5 +69,5 @@
     since: u64,
 ) -> Result<PeerConfig, CallError> {
     let path = format!("{PEER_CONFIG_PATH}?{SINCE_QUERY}{since}");
-    HttpCaller::new(peer, PEER_TIMEOUT).get_json(&path).await
+    ServiceClient::new(peer, PEER_TIMEOUT).get_json(&path).await
 }
--- a/entry/src/front/caller_conn.rs
+++ b/entry/src/front/caller_conn.rs
@@ -6,7 +6,8 @@
         time::Micros,
     },
     pitchhitch_http1::{
-        read_request_head, BodyDecoder, BodyFraming, ByteLink, HeadError, IdleState, RequestHead,
+        parse_request_head, BodyDecoder, BodyFraming, HeadError, IdleState, RequestHead,
+        TcpConnection,
     },
     pitchhitch_platform::{encode_refusal, waits_to_send},
     pitchhitch_process::to_duration,
@@ -46,7 +47,7 @@
 /// Serves the requests of one connection, one after another.
 pub(crate) async fn serve_caller(
     front: Rc<FrontContext>,
-    mut link: ByteLink,
+    mut link: TcpConnection,
 ) {
     loop {
         let limits = limits(&front);
@@ -59,7 +60,7 @@
                 if end == RequestEnd::Close {
                     return;
                 }
-                link.shrink();
+                link.shrink_buffer();
             }
             Arrival::Refused(kind) => return refuse(&front, &mut link, kind).await,
             Arrival::End => return,
@@ -77,10 +78,10 @@
 
 async fn next_request(
     front: &FrontContext,
-    link: &mut ByteLink,
+    link: &mut TcpConnection,
     limits: &CallerLimits,
 ) -> Arrival {
-    if link.unused().is_empty() && !wait_for_first_byte(front, link, limits.idle_time).await {
+    if link.buffer().is_empty() && !wait_for_first_byte(front, link, limits.idle_time).await {
         return Arrival::End;
     }
     let came_at = front.now();
@@ -112,7 +113,7 @@
 ) -> bool {
     let told = head
         .fields
-        .text("content-length")
+        .get_str("content-length")
         .and_then(|text| text.parse().ok());
     let wanted: u64 = told.unwrap_or(0);
     let room = front.settings.memory_mb * BODY_BYTES_PER_MB;
@@ -122,7 +123,7 @@
 /// False where the connection ends, rests for too long or the process stops.
 async fn wait_for_first_byte(
     front: &FrontContext,
-    link: &mut ByteLink,
+    link: &mut TcpConnection,
     idle_time: Micros,
 ) -> bool {
     let rests_since = front.now();
@@ -136,23 +137,23 @@
         let rested = front.now().since(rests_since);
         let is_over = rested > idle_time || front.state().closes_idle;
         // The last look is at the socket: a request that is there is served.
-        if is_over && link.idle_state() != IdleState::Unasked {
+        if is_over && link.idle_state() != IdleState::UnexpectedData {
             return false;
         }
-        if !link.unused().is_empty() {
+        if !link.buffer().is_empty() {
             return true;
         }
     }
 }
 
 async fn read_head(
-    link: &mut ByteLink,
+    link: &mut TcpConnection,
     limit: usize,
 ) -> Result<Option<RequestHead>, RefusalKind> {
     loop {
-        match read_request_head(link.unused(), limit) {
+        match parse_request_head(link.buffer(), limit) {
             Ok(Some((head, length))) => {
-                link.use_up(length);
+                link.consume(length);
                 return Ok(Some(head));
             }
             Ok(None) => {}
@@ -166,25 +167,25 @@
 }
 
 async fn read_body(
-    link: &mut ByteLink,
+    link: &mut TcpConnection,
     head: &RequestHead,
     limits: &CallerLimits,
 ) -> Result<Option<Vec<u8>>, RefusalKind> {
-    let framing = BodyFraming::of_request(&head.fields).map_err(|_| RefusalKind::BadRequest)?;
+    let framing = BodyFraming::for_request(&head.fields).map_err(|_| RefusalKind::BadRequest)?;
     if matches!(framing, BodyFraming::Length(length) if length > limits.body_bytes as u64) {
         return Err(RefusalKind::BodyTooLong);
     }
     let mut decoder = BodyDecoder::new(framing);
     let mut body = Vec::new();
-    if !decoder.is_done() && link.unused().is_empty() && waits_to_send(head) {
+    if !decoder.is_done() && link.buffer().is_empty() && waits_to_send(head) {
         let word = link.write_all(b"HTTP/1.1 100 Continue\r\n\r\n").await;
         if word.is_err() {
             return Ok(None);
         }
     }
     loop {
-        let used = decoder.decode(link.unused(), &mut body);
-        link.use_up(used.map_err(|_| RefusalKind::BadRequest)?);
+        let used = decoder.decode(link.buffer(), &mut body);
+        link.consume(used.map_err(|_| RefusalKind::BadRequest)?);
         if body.len() > limits.body_bytes {
             return Err(RefusalKind::BodyTooLong);
         }
@@ -201,7 +202,7 @@
 
 async fn refuse(
     front: &FrontContext,
-    link: &mut ByteLink,
+    link: &mut TcpConnection,
     kind: RefusalKind,
 ) {
     let row = kind.row();
--- a/entry/src/front/end_probe.rs
+++ b/entry/src/front/end_probe.rs
@@ -1,7 +1,7 @@
 use {
     super::FrontContext,
     pitchhitch_core::{serving::EndpointKey, time::Micros},
-    pitchhitch_http1::{ByteLink, IdleState},
+    pitchhitch_http1::{IdleState, TcpConnection},
     pitchhitch_process::to_duration,
     smol::Timer,
     std::io::ErrorKind,
@@ -113,12 +113,12 @@
         return false;
     };
     front.metrics.count("links", "probes");
-    let mut link = match ByteLink::open(address, to_duration(PROBE_LIMIT)).await {
+    let mut link = match TcpConnection::connect(address, to_duration(PROBE_LIMIT)).await {
         Ok(link) => link,
         Err(error) => return is_refusal(error.kind()),
     };
     Timer::after(to_duration(STAYS_OPEN)).await;
-    let is_open = link.idle_state() == IdleState::Quiet;
+    let is_open = link.idle_state() == IdleState::Reusable;
     if is_open {
         let now = front.now();
         front.state().pool.put(key, link, None, now);
--- a/entry/src/front/front_process.rs
+++ b/entry/src/front/front_process.rs
@@ -9,8 +9,8 @@
         serving::{MechanismSet, TICK},
         time::Micros,
     },
-    pitchhitch_http1::{serve_small, ByteLink, SilenceLimit},
-    pitchhitch_process::{flush_log, to_duration, ProcessSignal, SignalWatch},
+    pitchhitch_http1::{serve_paths, TcpConnection, TcpKeepalive},
+    pitchhitch_process::{flush_log, to_duration, ProcessSignal, SignalListener},
     pitchhitch_wire::beside::BesideSocket,
     smol::{Async, Timer},
     std::{net::TcpListener, rc::Rc, time::Duration},
@@ -43,19 +43,19 @@
     reload: &dyn Fn() -> Result<FrontSettings, String>,
 ) -> anyhow::Result<()> {
     let settings = front.settings.clone();
-    let mut signals = SignalWatch::start().context("cannot watch signals")?;
+    let mut signals = SignalListener::start().context("cannot watch signals")?;
     let callers = TcpListener::bind(settings.callers);
     let callers = callers.with_context(|| format!("cannot listen on {}", settings.callers))?;
-    front.spawn(serve_small(settings.ready, front.clone(), answer_ready).await?);
+    front.spawn(serve_paths(settings.ready, front.clone(), answer_ready).await?);
     if let Some(metrics) = settings.metrics {
-        front.spawn(serve_small(metrics, front.clone(), answer_metrics).await?);
+        front.spawn(serve_paths(metrics, front.clone(), answer_metrics).await?);
     }
     let socket = BesideSocket::bind(settings.digests).await;
     let socket = socket.with_context(|| format!("cannot listen on {}", settings.digests))?;
     let socket = socket.with_key(settings.peer_key);
-    front.spawn(serve_small(settings.digests, front.clone(), answer_control).await?);
+    front.spawn(serve_paths(settings.digests, front.clone(), answer_control).await?);
     if let Some(control) = settings.control {
-        front.spawn(serve_small(control, front.clone(), answer_control).await?);
+        front.spawn(serve_paths(control, front.clone(), answer_control).await?);
     }
     front.spawn(ask_peers(front.clone()));
     front.spawn(stay_told(front.clone()));
@@ -126,7 +126,7 @@
 ) {
     loop {
         match listener.accept().await {
-            Ok((stream, _)) => match ByteLink::new(stream, &SilenceLimit::INWARD) {
+            Ok((stream, _)) => match TcpConnection::new(stream, &TcpKeepalive::INBOUND) {
                 Ok(link) => front.spawn(serve_caller(front.clone(), link)),
                 Err(error) => log_accept(&error),
             },
--- a/entry/src/front/held_rows.rs
+++ b/entry/src/front/held_rows.rs
@@ -2,7 +2,7 @@
     super::{note_contact, note_position, CallLimit, FrontContext},
     pitchhitch_core::{serving::ToldSuspect, time::Micros},
     pitchhitch_platform::{RowPage, RowTable, RowValue, StoreClient, StoreError},
-    pitchhitch_process::{to_duration, wall_seconds},
+    pitchhitch_process::{to_duration, unix_seconds},
     pitchhitch_wire::codec::{decode_body, encode_body},
     serde::{Deserialize, Serialize},
     smol::Timer,
@@ -85,7 +85,7 @@
             front.metrics.count("foreign_rows", "held");
             continue;
         };
-        let age = Micros::from_secs(wall_seconds().saturating_sub(held.wall_secs));
+        let age = Micros::from_secs(unix_seconds().saturating_sub(held.wall_secs));
         for told in &held.suspects {
             state.suspects.tell(&older(told, age), now);
         }
@@ -133,7 +133,7 @@
     };
     let count = suspects.len();
     let row = HeldRow {
-        wall_secs: wall_seconds(),
+        wall_secs: unix_seconds(),
         suspects,
     };
     let bytes = encode_body(&row).map_err(|e| StoreError::Unreadable(e.to_string()))?;
--- a/entry/src/front/link_pool.rs
+++ b/entry/src/front/link_pool.rs
@@ -1,6 +1,6 @@
 use {
     pitchhitch_core::{serving::EndpointKey, time::Micros},
-    pitchhitch_http1::{ByteLink, IdleState},
+    pitchhitch_http1::{IdleState, TcpConnection},
     std::collections::HashMap,
 };
 
@@ -14,7 +14,7 @@
 
 #[derive(Debug)]
 struct IdleLink {
-    link: ByteLink,
+    link: TcpConnection,
     use_until: Micros,
 }
 
@@ -30,10 +30,10 @@
         &mut self,
         key: EndpointKey,
         now: Micros,
-    ) -> Option<ByteLink> {
+    ) -> Option<TcpConnection> {
         let idle = self.idle.get_mut(&key)?;
         while let Some(mut kept) = idle.pop() {
-            if now < kept.use_until && kept.link.idle_state() == IdleState::Quiet {
+            if now < kept.use_until && kept.link.idle_state() == IdleState::Reusable {
                 return Some(kept.link);
             }
         }
@@ -54,15 +54,15 @@
     pub fn put(
         &mut self,
         key: EndpointKey,
-        mut link: ByteLink,
+        mut link: TcpConnection,
         keeps_for: Option<Micros>,
         now: Micros,
     ) {
         let idle = self.idle.entry(key).or_default();
-        if idle.len() >= KEPT_LINKS || !link.unused().is_empty() {
+        if idle.len() >= KEPT_LINKS || !link.buffer().is_empty() {
             return;
         }
-        link.shrink();
+        link.shrink_buffer();
         let keep = keeps_for.unwrap_or(USUAL_KEEP).since(KEEP_MARGIN);
         idle.push(IdleLink {
             link,
--- a/entry/src/front/offer.rs
+++ b/entry/src/front/offer.rs
@@ -1,7 +1,9 @@
 use {
     super::{wait_for_endpoint, WakeReason},
     pitchhitch_core::time::Micros,
-    pitchhitch_http1::{read_answer_head, AnswerHead, BodyDecoder, BodyFraming, ByteLink},
+    pitchhitch_http1::{
+        parse_response_head, BodyDecoder, BodyFraming, ResponseHead, TcpConnection,
+    },
     pitchhitch_platform::{decode_marks, AnswerMarks},
     pitchhitch_process::DeadlineTimer,
 };
@@ -33,7 +35,7 @@
 #[derive(Debug)]
 pub(crate) struct OpenOffer {
     /// Connection.
-    pub link: ByteLink,
+    pub link: TcpConnection,
     /// Whether all of the request went out.
     pub is_sent_whole: bool,
     /// Whether the connection can take another request.
@@ -44,7 +46,7 @@
 
 impl OpenOffer {
     /// An offer on a connection that has nothing else on it.
-    pub fn new(link: ByteLink) -> Self {
+    pub fn new(link: TcpConnection) -> Self {
         OpenOffer {
             link,
             is_sent_whole: false,
@@ -58,7 +60,7 @@
 #[derive(Debug)]
 pub(crate) struct OfferAnswer {
     /// Head.
-    pub head: AnswerHead,
+    pub head: ResponseHead,
     /// What it says.
     pub marks: AnswerMarks,
     /// Framing of its body.
@@ -72,7 +74,7 @@
     offer: &mut OpenOffer,
     bytes: &[u8],
     request_id: &str,
-    caller: &mut ByteLink,
+    caller: &mut TcpConnection,
     timer: &mut DeadlineTimer,
 ) -> (Result<OfferAnswer, OfferFailure>, bool) {
     let mut sent = 0;
@@ -112,20 +114,20 @@
     offer: &mut OpenOffer,
     request_id: &str,
     surplus: &mut u32,
-    caller: &mut ByteLink,
+    caller: &mut TcpConnection,
     timer: &mut DeadlineTimer,
 ) -> Result<Option<OfferAnswer>, OfferFailure> {
     loop {
-        let found = read_answer_head(offer.link.unused(), HEAD_LIMIT);
+        let found = parse_response_head(offer.link.buffer(), HEAD_LIMIT);
         let Some((head, length)) = found.map_err(|_| OfferFailure::Garbled)? else {
             return Ok(None);
         };
-        offer.link.use_up(length);
+        offer.link.consume(length);
         if head.status < 200 {
             continue;
         }
         let marks = decode_marks(&head);
-        let framing = BodyFraming::of_answer(head.status, &head.fields);
+        let framing = BodyFraming::for_response(head.status, &head.fields);
         let framing = framing.map_err(|_| OfferFailure::Garbled)?;
         if marks.request_id.as_deref() == Some(request_id) {
             return Ok(Some(OfferAnswer {
@@ -150,13 +152,13 @@
     framing: BodyFraming,
     body: &mut Vec<u8>,
     limit: usize,
-    caller: &mut ByteLink,
+    caller: &mut TcpConnection,
     timer: &mut DeadlineTimer,
 ) -> Result<(), OfferFailure> {
     let mut decoder = BodyDecoder::new(framing);
     loop {
-        let used = decoder.decode(offer.link.unused(), body);
-        offer.link.use_up(used.map_err(|_| OfferFailure::Garbled)?);
+        let used = decoder.decode(offer.link.buffer(), body);
+        offer.link.consume(used.map_err(|_| OfferFailure::Garbled)?);
         if decoder.is_done() {
             return Ok(());
         }
@@ -169,7 +171,7 @@
             WakeReason::Endpoint | WakeReason::Writable => {}
         }
         match offer.link.try_read() {
-            Ok(Some(0)) if decoder.is_endless() => return Ok(()),
+            Ok(Some(0)) if decoder.is_until_close() => return Ok(()),
             Ok(Some(0)) | Err(_) => return Err(OfferFailure::Lost),
             Ok(_) => {}
         }
--- a/entry/src/front/orphan_engine.rs
+++ b/entry/src/front/orphan_engine.rs
@@ -4,7 +4,7 @@
         serving::{EndpointKey, EngineLoad, OrderRight, SwapTurn},
         time::Micros,
     },
-    pitchhitch_http1::{HttpCall, HttpClient},
+    pitchhitch_http1::{HttpClient, HttpRequest},
     pitchhitch_platform::{
         decode_report, read_order_row, send_order, take_order_row, EngineReport, StoreClient,
         StoreError, WeightOrder, REPORT_PATH,
@@ -128,13 +128,13 @@
             return;
         }
         self.reported_at = Some(now);
-        let call = HttpCall {
+        let call = HttpRequest {
             method: "GET",
             target: REPORT_PATH,
-            ..HttpCall::default()
+            ..HttpRequest::default()
         };
         front.metrics.count("links", "reports");
-        let body = self.client.sound_body(call).await;
+        let body = self.client.ok_body(call).await;
         let now = front.now();
         let Some(report) = body.and_then(|body| decode_report(&body, now).ok()) else {
             self.answers = None;
--- a/entry/src/front/plain_answer.rs
+++ b/entry/src/front/plain_answer.rs
@@ -1,6 +1,6 @@
 use {
     super::{read_rest, OfferAnswer, OfferFailure, OpenOffer},
-    pitchhitch_http1::{BodyFraming, ByteLink},
+    pitchhitch_http1::{BodyFraming, TcpConnection},
     pitchhitch_platform::{encode_answer_head, AnswerLength},
     pitchhitch_process::DeadlineTimer,
 };
@@ -24,7 +24,7 @@
     answer: &OfferAnswer,
     has_no_body: bool,
     closes: bool,
-    caller: &mut ByteLink,
+    caller: &mut TcpConnection,
     timer: &mut DeadlineTimer,
 ) -> Result<WholeAnswer, OfferFailure> {
     let framing = if has_no_body {
--- a/entry/src/front/request_admit.rs
+++ b/entry/src/front/request_admit.rs
@@ -4,7 +4,7 @@
         serving::{RefusalKind, RequestAsk, RequestPlace, ServingConfig},
         time::Micros,
     },
-    pitchhitch_http1::ByteLink,
+    pitchhitch_http1::TcpConnection,
     pitchhitch_platform::encode_refusal,
     std::rc::Rc,
 };
@@ -75,7 +75,7 @@
 
 pub(super) async fn refuse(
     front: &FrontContext,
-    caller: &ByteLink,
+    caller: &TcpConnection,
     ask: &RequestAsk,
     refusal: OwnRefusal,
 ) -> RequestEnd {
--- a/entry/src/front/request_answer.rs
+++ b/entry/src/front/request_answer.rs
@@ -145,7 +145,7 @@
         offer: &mut OpenOffer,
         answer: &OfferAnswer,
     ) {
-        let is_over = offer.is_sent_whole && offer.link.unused().is_empty();
+        let is_over = offer.is_sent_whole && offer.link.buffer().is_empty();
         let ends = answer.marks.closes || answer.framing == BodyFraming::UntilClose;
         if !is_over || ends {
             return;
--- a/entry/src/front/request_run.rs
+++ b/entry/src/front/request_run.rs
@@ -10,7 +10,7 @@
         },
         time::Micros,
     },
-    pitchhitch_http1::ByteLink,
+    pitchhitch_http1::TcpConnection,
     pitchhitch_platform::decode_ask,
     pitchhitch_process::{to_duration, DeadlineTimer},
     smol::Timer,
@@ -40,7 +40,7 @@
 /// One request on its way through the front.
 pub(super) struct RequestRun<'a> {
     pub(super) front: &'a FrontContext,
-    pub(super) caller: &'a mut ByteLink,
+    pub(super) caller: &'a mut TcpConnection,
     pub(super) request: &'a WholeRequest,
     pub(super) ask: RequestAsk,
     pub(super) config: Rc<ServingConfig>,
@@ -66,14 +66,14 @@
 /// Serves one request.
 pub(crate) async fn run_request(
     front: &FrontContext,
-    caller: &mut ByteLink,
+    caller: &mut TcpConnection,
     request: WholeRequest,
 ) -> RequestEnd {
     let ask = decode_ask(&request.head);
     let admitted = admit(front, &ask);
     let closes = front.state().stops_since.is_some()
-        || request.head.fields.has_word("connection", "close")
-        || !request.head.is_current;
+        || request.head.fields.has_token("connection", "close")
+        || !request.head.is_http11;
     let (config, place) = match admitted {
         Ok(admitted) => admitted,
         Err(kind) => {
--- a/entry/src/front/request_try.rs
+++ b/entry/src/front/request_try.rs
@@ -4,7 +4,7 @@
         serving::{EndpointChoice, EndpointStanding, UnreadWork},
         time::Micros,
     },
-    pitchhitch_http1::ByteLink,
+    pitchhitch_http1::TcpConnection,
     pitchhitch_process::to_duration,
     std::time::Duration,
 };
@@ -46,7 +46,7 @@
             None => {
                 let address = front.state().book.get(choice.key)?.address;
                 front.metrics.count("links", "opened");
-                match ByteLink::open(address, to_duration(OPEN_LIMIT)).await {
+                match TcpConnection::connect(address, to_duration(OPEN_LIMIT)).await {
                     Ok(link) => link,
                     Err(error) => {
                         self.judge(choice, false);
--- a/entry/src/front/return_check.rs
+++ b/entry/src/front/return_check.rs
@@ -1,7 +1,7 @@
 use {
     super::{log_changes, FrontContext},
     pitchhitch_core::serving::ReturnQuestion,
-    pitchhitch_http1::{HttpCall, HttpClient},
+    pitchhitch_http1::{HttpClient, HttpRequest},
     pitchhitch_platform::instance_field,
     std::{rc::Rc, time::Duration},
 };
@@ -60,11 +60,11 @@
     path: &str,
 ) -> Option<u16> {
     let mut client = HttpClient::new(question.address, CALL_LIMIT);
-    let call = HttpCall {
+    let call = HttpRequest {
         method: "GET",
         target: path,
         fields: vec![instance_field(&question.id)],
-        ..HttpCall::default()
+        ..HttpRequest::default()
     };
     client.call(call).await.ok().map(|answer| answer.status)
 }
--- a/entry/src/front/stream_relay.rs
+++ b/entry/src/front/stream_relay.rs
@@ -3,7 +3,7 @@
         wait_for_endpoint, write_to_caller, EventSplitter, OfferAnswer, OfferFailure, OpenOffer,
         WakeReason,
     },
-    pitchhitch_http1::{write_chunk, BodyDecoder, ByteLink, LAST_CHUNK},
+    pitchhitch_http1::{write_chunk, BodyDecoder, TcpConnection, LAST_CHUNK},
     pitchhitch_platform::{encode_answer_head, AnswerLength},
     pitchhitch_process::DeadlineTimer,
     std::time::Duration,
@@ -39,7 +39,7 @@
     offer: &mut OpenOffer,
     answer: &OfferAnswer,
     progress: &mut StreamProgress,
-    caller: &mut ByteLink,
+    caller: &mut TcpConnection,
     timer: &mut DeadlineTimer,
     left: &dyn Fn() -> Duration,
     tell: &mut dyn FnMut(RelayNews),
@@ -49,8 +49,8 @@
     let mut is_first = true;
     loop {
         piece.clear();
-        let used = decoder.decode(offer.link.unused(), &mut piece);
-        offer.link.use_up(used.map_err(|_| OfferFailure::Garbled)?);
+        let used = decoder.decode(offer.link.buffer(), &mut piece);
+        offer.link.consume(used.map_err(|_| OfferFailure::Garbled)?);
         let before = progress.splitter.version();
         let mut events = progress.splitter.take(&piece);
         if let Some(version) = progress.splitter.version().filter(|v| Some(*v) != before) {
@@ -77,7 +77,7 @@
             WakeReason::Endpoint | WakeReason::Writable => {}
         }
         match offer.link.try_read() {
-            Ok(Some(0)) if decoder.is_endless() => {
+            Ok(Some(0)) if decoder.is_until_close() => {
                 let rest = progress.splitter.rest().to_vec();
                 return pass_on(&rest, true, answer, progress, caller, timer).await;
             }
@@ -92,7 +92,7 @@
     is_end: bool,
     answer: &OfferAnswer,
     progress: &mut StreamProgress,
-    caller: &mut ByteLink,
+    caller: &mut TcpConnection,
     timer: &mut DeadlineTimer,
 ) -> Result<(), OfferFailure> {
     let mut out = Vec::with_capacity(events.len() + 32);
--- a/entry/src/front/wake_reason.rs
+++ b/entry/src/front/wake_reason.rs
@@ -1,6 +1,6 @@
 use {
     futures_lite::future::poll_fn,
-    pitchhitch_http1::ByteLink,
+    pitchhitch_http1::TcpConnection,
     pitchhitch_process::DeadlineTimer,
     std::{future::Future, pin::Pin, task::Poll},
 };
@@ -23,13 +23,13 @@
 
 /// Waits for the endpoint, and notices a caller that goes.
 pub(crate) async fn wait_for_endpoint(
-    endpoint: &ByteLink,
+    endpoint: &TcpConnection,
     wants_write: bool,
-    caller: &mut ByteLink,
+    caller: &mut TcpConnection,
     timer: &mut DeadlineTimer,
 ) -> WakeReason {
     loop {
-        let watches = caller.unused().len() < AHEAD_LIMIT;
+        let watches = caller.buffer().len() < AHEAD_LIMIT;
         let woken = poll_fn(|context| {
             if endpoint.poll_readable(context).is_ready() {
                 return Poll::Ready(Some(WakeReason::Endpoint));
@@ -57,7 +57,7 @@
 
 /// Writes to the caller, for as long as the request has time.
 pub(crate) async fn write_to_caller(
-    caller: &ByteLink,
+    caller: &TcpConnection,
     bytes: &[u8],
     timer: &mut DeadlineTimer,
 ) -> bool {
--- a/entry/src/once/once_gate.rs
+++ b/entry/src/once/once_gate.rs
@@ -2,7 +2,7 @@
     super::{IntentRow, IntentState},
     async_channel::{Receiver, Sender},
     pitchhitch_core::errors::ErrorKind,
-    pitchhitch_process::{spawn_detached, wall_seconds},
+    pitchhitch_process::{spawn_detached, unix_seconds},
     pitchhitch_services::table::{CommitOutcome, RowWrite, TableClient, TableRow},
     smol::Timer,
     std::{
@@ -163,7 +163,7 @@
     if writes.is_empty() {
         return again;
     }
-    match table.commit_settled(&writes, SETTLE_PATIENCE, seed).await {
+    match table.commit_confirmed(&writes, SETTLE_PATIENCE, seed).await {
         CommitOutcome::Done { .. } => writing.iter().for_each(|call| answer(call, Ok(()))),
         CommitOutcome::Unknown { .. } => refuse_all(writing, ErrorKind::CannotSettle),
         CommitOutcome::Conflict { .. } => again.extend(retried(writing)),
@@ -193,7 +193,7 @@
     let value = serde_json::to_string(&IntentRow {
         request_id: call.request_id.clone(),
         state,
-        at_secs: wall_seconds(),
+        at_secs: unix_seconds(),
     });
     Ok(RowWrite {
         key: call.key.clone(),
--- a/entry/src/operators/operator_server.rs
+++ b/entry/src/operators/operator_server.rs
@@ -10,7 +10,7 @@
         drain::DrainState,
         kept::{PieceHolder, PieceKey, StoreTier},
     },
-    pitchhitch_services::http::HttpCaller,
+    pitchhitch_services::http::ServiceClient,
     serde::{Deserialize, Serialize},
     std::{net::SocketAddr, sync::Arc, time::Duration},
     trillium::{Conn, Method, Status},
@@ -153,7 +153,7 @@
     request_id: &str,
 ) -> Option<Vec<DecisionRecord>> {
     let path = format!("{EXPLAIN_PREFIX}{request_id}?{PASSED_QUERY}");
-    HttpCaller::new(peer, PEER_TIMEOUT)
+    ServiceClient::new(peer, PEER_TIMEOUT)
         .get_json(&path)
         .await
         .ok()
--- a/entry/src/operators/status_report.rs
+++ b/entry/src/operators/status_report.rs
@@ -159,7 +159,7 @@
                 .into_iter()
                 .map(|(name, n)| (name.to_string(), n))
                 .collect(),
-            usage: ProcessUsage::of_self(),
+            usage: ProcessUsage::current(),
         })
     }
 }
--- a/http1/src/body_decoder.rs
+++ b/http1/src/body_decoder.rs
@@ -1,9 +1,9 @@
 use super::{BodyFraming, HeadError};
 
 /// Longest line that tells the size of a chunk, in bytes.
-const SIZE_LINE_LIMIT: usize = 256;
+const MAX_SIZE_LINE_BYTES: usize = 256;
 /// Longest trailer behind the last chunk, in bytes.
-const TRAILER_LIMIT: usize = 4_096;
+const MAX_TRAILER_BYTES: usize = 4_096;
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum ChunkState {
@@ -15,9 +15,9 @@
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum DecoderState {
-    Left(u64),
-    Chunks(ChunkState),
-    Endless,
+    Remaining(u64),
+    Chunked(ChunkState),
+    UntilClose,
     Done,
 }
 
@@ -34,9 +34,9 @@
     pub fn new(framing: BodyFraming) -> Self {
         let state = match framing {
             BodyFraming::Empty | BodyFraming::Length(0) => DecoderState::Done,
-            BodyFraming::Length(length) => DecoderState::Left(length),
-            BodyFraming::Chunked => DecoderState::Chunks(ChunkState::Size),
-            BodyFraming::UntilClose => DecoderState::Endless,
+            BodyFraming::Length(length) => DecoderState::Remaining(length),
+            BodyFraming::Chunked => DecoderState::Chunked(ChunkState::Size),
+            BodyFraming::UntilClose => DecoderState::UntilClose,
         };
         BodyDecoder {
             state,
@@ -51,8 +51,8 @@
     }
 
     /// Whether only the end of the connection ends this body.
-    pub fn is_endless(&self) -> bool {
-        self.state == DecoderState::Endless
+    pub fn is_until_close(&self) -> bool {
+        self.state == DecoderState::UntilClose
     }
 
     /// Takes what belongs to the body from `input`, appends it to `body` and
@@ -79,48 +79,48 @@
     ) -> Result<usize, HeadError> {
         match self.state {
             DecoderState::Done => Ok(0),
-            DecoderState::Endless => {
+            DecoderState::UntilClose => {
                 body.extend_from_slice(input);
                 Ok(input.len())
             }
-            DecoderState::Left(left) => {
-                let taken = take(left, input, body);
-                self.state = match left - taken as u64 {
+            DecoderState::Remaining(remaining) => {
+                let copied = copy_data(remaining, input, body);
+                self.state = match remaining - copied as u64 {
                     0 => DecoderState::Done,
-                    left => DecoderState::Left(left),
+                    remaining => DecoderState::Remaining(remaining),
                 };
-                Ok(taken)
+                Ok(copied)
             }
-            DecoderState::Chunks(ChunkState::Data(left)) => {
-                let taken = take(left, input, body);
-                self.state = DecoderState::Chunks(match left - taken as u64 {
+            DecoderState::Chunked(ChunkState::Data(remaining)) => {
+                let copied = copy_data(remaining, input, body);
+                self.state = DecoderState::Chunked(match remaining - copied as u64 {
                     0 => ChunkState::DataEnd,
-                    left => ChunkState::Data(left),
+                    remaining => ChunkState::Data(remaining),
                 });
-                Ok(taken)
+                Ok(copied)
             }
-            DecoderState::Chunks(state) => self.line_step(state, input),
+            DecoderState::Chunked(state) => self.decode_line(state, input),
         }
     }
 
-    fn line_step(
+    fn decode_line(
         &mut self,
         state: ChunkState,
         input: &[u8],
     ) -> Result<usize, HeadError> {
         let Some(end) = input.iter().position(|byte| *byte == b'\n') else {
             self.line.extend_from_slice(input);
-            let within = self.line.len() <= SIZE_LINE_LIMIT;
+            let within = self.line.len() <= MAX_SIZE_LINE_BYTES;
             return within.then_some(input.len()).ok_or(HeadError::Malformed);
         };
         self.line.extend_from_slice(&input[..end]);
         let line = std::mem::take(&mut self.line);
         let line = line.strip_suffix(b"\r").ok_or(HeadError::Malformed)?;
-        self.state = self.after_line(state, line)?;
+        self.state = self.next_state(state, line)?;
         Ok(end + 1)
     }
 
-    fn after_line(
+    fn next_state(
         &mut self,
         state: ChunkState,
         line: &[u8],
@@ -134,32 +134,34 @@
             ChunkState::Trailer if line.is_empty() => return Ok(DecoderState::Done),
             ChunkState::Trailer => {
                 self.trailer_bytes += line.len();
-                if self.trailer_bytes > TRAILER_LIMIT {
+                if self.trailer_bytes > MAX_TRAILER_BYTES {
                     return Err(HeadError::Malformed);
                 }
                 ChunkState::Trailer
             }
             _ => return Err(HeadError::Malformed),
         };
-        Ok(DecoderState::Chunks(next))
+        Ok(DecoderState::Chunked(next))
     }
 }
 
-fn take(
-    left: u64,
+fn copy_data(
+    remaining: u64,
     input: &[u8],
     body: &mut Vec<u8>,
 ) -> usize {
-    let taken = usize::try_from(left).unwrap_or(usize::MAX).min(input.len());
-    body.extend_from_slice(&input[..taken]);
-    taken
+    let copied = usize::try_from(remaining)
+        .unwrap_or(usize::MAX)
+        .min(input.len());
+    body.extend_from_slice(&input[..copied]);
+    copied
 }
 
 fn parse_size(line: &[u8]) -> Result<u64, HeadError> {
     let digits = line.split(|byte| *byte == b';').next().unwrap_or(line);
     let digits = digits.trim_ascii_end();
-    let sound = !digits.is_empty() && digits.iter().all(u8::is_ascii_hexdigit);
-    let text = std::str::from_utf8(digits).ok().filter(|_| sound);
+    let is_valid = !digits.is_empty() && digits.iter().all(u8::is_ascii_hexdigit);
+    let text = std::str::from_utf8(digits).ok().filter(|_| is_valid);
     text.and_then(|text| u64::from_str_radix(text, 16).ok())
         .ok_or(HeadError::Malformed)
 }
--- a/http1/src/body_framing.rs
+++ b/http1/src/body_framing.rs
@@ -1,4 +1,4 @@
-use super::{HeadError, HeadFields};
+use super::{HeadError, HeaderFields};
 
 /// How the end of a body is told.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -17,33 +17,33 @@
     /// Framing of a request.
     ///
     /// # Errors
-    /// [`HeadError::UnclearLength`] where two readers could see two bodies.
-    pub fn of_request(fields: &HeadFields) -> Result<Self, HeadError> {
-        Ok(stated(fields)?.unwrap_or(BodyFraming::Empty))
+    /// [`HeadError::AmbiguousLength`] where two readers could see two bodies.
+    pub fn for_request(fields: &HeaderFields) -> Result<Self, HeadError> {
+        Ok(declared_framing(fields)?.unwrap_or(BodyFraming::Empty))
     }
 
     /// Framing of an answer with this status.
     ///
     /// # Errors
-    /// [`HeadError::UnclearLength`] where two readers could see two bodies.
-    pub fn of_answer(
+    /// [`HeadError::AmbiguousLength`] where two readers could see two bodies.
+    pub fn for_response(
         status: u16,
-        fields: &HeadFields,
+        fields: &HeaderFields,
     ) -> Result<Self, HeadError> {
         if status < 200 || status == 204 || status == 304 {
             return Ok(BodyFraming::Empty);
         }
-        Ok(stated(fields)?.unwrap_or(BodyFraming::UntilClose))
+        Ok(declared_framing(fields)?.unwrap_or(BodyFraming::UntilClose))
     }
 }
 
-fn stated(fields: &HeadFields) -> Result<Option<BodyFraming>, HeadError> {
-    let mut codings = fields.all("transfer-encoding");
+fn declared_framing(fields: &HeaderFields) -> Result<Option<BodyFraming>, HeadError> {
+    let mut codings = fields.get_all("transfer-encoding");
     let coding = codings.next();
-    let mut lengths = fields.all("content-length");
+    let mut lengths = fields.get_all("content-length");
     let length = lengths.next();
     if codings.next().is_some() || lengths.next().is_some() {
-        return Err(HeadError::UnclearLength);
+        return Err(HeadError::AmbiguousLength);
     }
     match (coding, length) {
         (None, None) => Ok(None),
@@ -51,14 +51,14 @@
             Ok(Some(BodyFraming::Chunked))
         }
         (None, Some(length)) => parse_length(length).map(|n| Some(BodyFraming::Length(n))),
-        _ => Err(HeadError::UnclearLength),
+        _ => Err(HeadError::AmbiguousLength),
     }
 }
 
 fn parse_length(value: &[u8]) -> Result<u64, HeadError> {
     let value = value.trim_ascii();
-    let digits = !value.is_empty() && value.iter().all(u8::is_ascii_digit);
-    let text = std::str::from_utf8(value).ok().filter(|_| digits);
+    let is_numeric = !value.is_empty() && value.iter().all(u8::is_ascii_digit);
+    let text = std::str::from_utf8(value).ok().filter(|_| is_numeric);
     text.and_then(|text| text.parse().ok())
-        .ok_or(HeadError::UnclearLength)
+        .ok_or(HeadError::AmbiguousLength)
 }
--- a/http1/src/byte_link.rs
+++ b/http1/src/byte_link.rs
@@ -1,5 +1,5 @@
 use {
-    super::SilenceLimit,
+    super::TcpKeepalive,
     futures_lite::future::poll_fn,
     smol::{Async, Timer},
     std::{
@@ -11,57 +11,57 @@
 };
 
 /// Bytes that one read takes at most; several events of a stream fit in.
-const READ_BYTES: usize = 16 << 10;
+const MAX_READ_BYTES: usize = 16 << 10;
 
 /// What an unused connection has to say.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum IdleState {
     /// Nothing: it can be used.
-    Quiet,
+    Reusable,
     /// Bytes that nobody asked for.
-    Unasked,
+    UnexpectedData,
     /// It is closed or broken.
     Closed,
 }
 
 /// A TCP connection with what was read from it and not used yet.
 #[derive(Debug)]
-pub struct ByteLink {
+pub struct TcpConnection {
     io: Async<TcpStream>,
-    unused: Vec<u8>,
+    buffer: Vec<u8>,
 }
 
-impl ByteLink {
+impl TcpConnection {
     /// Takes a connection over.
     ///
     /// # Errors
     /// When the system refuses an option of the socket.
     pub fn new(
         io: Async<TcpStream>,
-        silence: &SilenceLimit,
+        keepalive: &TcpKeepalive,
     ) -> io::Result<Self> {
         io.get_ref().set_nodelay(true)?;
-        silence.watch(io.get_ref())?;
-        Ok(ByteLink {
+        keepalive.apply_to(io.get_ref())?;
+        Ok(TcpConnection {
             io,
-            unused: Vec::new(),
+            buffer: Vec::new(),
         })
     }
 
-    /// Opens a connection; it is watched by [`SilenceLimit::OUTWARD`].
+    /// Opens a connection; it is watched by [`TcpKeepalive::OUTBOUND`].
     ///
     /// # Errors
     /// When the other side refuses, or does not answer within `limit`.
-    pub async fn open(
+    pub async fn connect(
         address: SocketAddr,
-        limit: Duration,
+        timeout: Duration,
     ) -> io::Result<Self> {
-        let late = async {
-            Timer::after(limit).await;
+        let timed_out = async {
+            Timer::after(timeout).await;
             Err(ErrorKind::TimedOut.into())
         };
-        let io = futures_lite::future::or(Async::<TcpStream>::connect(address), late).await?;
-        ByteLink::new(io, &SilenceLimit::OUTWARD)
+        let io = futures_lite::future::or(Async::<TcpStream>::connect(address), timed_out).await?;
+        TcpConnection::new(io, &TcpKeepalive::OUTBOUND)
     }
 
     /// The socket itself, for options.
@@ -70,26 +70,26 @@
     }
 
     /// Bytes read and not used yet.
-    pub fn unused(&self) -> &[u8] {
-        &self.unused
+    pub fn buffer(&self) -> &[u8] {
+        &self.buffer
     }
 
-    /// Drops the first bytes of [`ByteLink::unused`].
-    pub fn use_up(
+    /// Drops the first bytes of [`TcpConnection::buffer`].
+    pub fn consume(
         &mut self,
         count: usize,
     ) {
-        if count >= self.unused.len() {
-            self.unused.clear();
+        if count >= self.buffer.len() {
+            self.buffer.clear();
         } else {
-            self.unused.drain(..count);
+            self.buffer.drain(..count);
         }
     }
 
     /// Gives back memory that a large body has taken.
-    pub fn shrink(&mut self) {
-        if self.unused.is_empty() {
-            self.unused = Vec::new();
+    pub fn shrink_buffer(&mut self) {
+        if self.buffer.is_empty() {
+            self.buffer = Vec::new();
         }
     }
 
@@ -106,14 +106,14 @@
     /// # Errors
     /// When the connection is broken.
     pub fn try_read(&mut self) -> io::Result<Option<usize>> {
-        let held = self.unused.len();
-        self.unused.resize(held + READ_BYTES, 0);
-        let outcome = self.io.get_ref().read(&mut self.unused[held..]);
+        let filled = self.buffer.len();
+        self.buffer.resize(filled + MAX_READ_BYTES, 0);
+        let outcome = self.io.get_ref().read(&mut self.buffer[filled..]);
         let count = *outcome.as_ref().unwrap_or(&0);
-        self.unused.truncate(held + count);
+        self.buffer.truncate(filled + count);
         match outcome {
             Ok(count) => Ok(Some(count)),
-            Err(error) if is_pause(&error) => Ok(None),
+            Err(error) if is_transient(&error) => Ok(None),
             Err(error) => Err(error),
         }
     }
@@ -141,7 +141,7 @@
     ) -> io::Result<usize> {
         match self.io.get_ref().write(bytes) {
             Ok(count) => Ok(count),
-            Err(error) if is_pause(&error) => Ok(0),
+            Err(error) if is_transient(&error) => Ok(0),
             Err(error) => Err(error),
         }
     }
@@ -162,11 +162,11 @@
         &self,
         bytes: &[u8],
     ) -> io::Result<()> {
-        let mut left = bytes;
-        while !left.is_empty() {
-            let count = self.try_write(left)?;
-            left = &left[count..];
-            if !left.is_empty() {
+        let mut remaining = bytes;
+        while !remaining.is_empty() {
+            let count = self.try_write(remaining)?;
+            remaining = &remaining[count..];
+            if !remaining.is_empty() {
                 poll_fn(|context| self.io.poll_writable(context)).await?;
             }
         }
@@ -175,17 +175,17 @@
 
     /// Looks whether an unused connection can still be used.
     pub fn idle_state(&mut self) -> IdleState {
-        if !self.unused.is_empty() {
-            return IdleState::Unasked;
+        if !self.buffer.is_empty() {
+            return IdleState::UnexpectedData;
         }
         match self.try_read() {
-            Ok(None) => IdleState::Quiet,
+            Ok(None) => IdleState::Reusable,
             Ok(Some(0)) | Err(_) => IdleState::Closed,
-            Ok(Some(_)) => IdleState::Unasked,
+            Ok(Some(_)) => IdleState::UnexpectedData,
         }
     }
 }
 
-fn is_pause(error: &io::Error) -> bool {
+fn is_transient(error: &io::Error) -> bool {
     matches!(error.kind(), ErrorKind::WouldBlock | ErrorKind::Interrupted)
 }
--- a/http1/src/head_error.rs
+++ b/http1/src/head_error.rs
@@ -11,5 +11,5 @@
     TooLong,
     /// The message says its length in two ways, or in one that is not known.
     #[error("the length of the body is not clear; send one length, or chunks")]
-    UnclearLength,
+    AmbiguousLength,
 }
--- a/http1/src/head_fields.rs
+++ b/http1/src/head_fields.rs
@@ -2,26 +2,26 @@
 
 /// One header, by its places in the bytes of the head.
 #[derive(Debug, Clone, PartialEq, Eq)]
-struct FieldPlace {
+struct FieldRange {
     name: Range<usize>,
     value: Range<usize>,
 }
 
 /// The headers of a message, in their order, over one copy of its head.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct HeadFields {
+pub struct HeaderFields {
     bytes: Vec<u8>,
-    places: Vec<FieldPlace>,
+    ranges: Vec<FieldRange>,
 }
 
-impl HeadFields {
+impl HeaderFields {
     /// Copies the head and notes where each header stands in it.
-    pub(crate) fn copy(
+    pub(crate) fn from_parsed(
         head: &[u8],
         headers: &[httparse::Header<'_>],
     ) -> Self {
         let base = head.as_ptr() as usize;
-        let place = |part: &[u8]| {
+        let range = |part: &[u8]| {
             // An empty value may point outside of the head.
             if part.is_empty() {
                 return 0..0;
@@ -29,22 +29,22 @@
             let start = part.as_ptr() as usize - base;
             start..start + part.len()
         };
-        let places = headers.iter().map(|header| FieldPlace {
-            name: place(header.name.as_bytes()),
-            value: place(header.value),
+        let ranges = headers.iter().map(|header| FieldRange {
+            name: range(header.name.as_bytes()),
+            value: range(header.value),
         });
-        HeadFields {
-            places: places.collect(),
+        HeaderFields {
+            ranges: ranges.collect(),
             bytes: head.to_vec(),
         }
     }
 
     /// All headers as they came: name and value.
     pub fn iter(&self) -> impl Iterator<Item = (&[u8], &[u8])> {
-        self.places.iter().map(|place| {
+        self.ranges.iter().map(|range| {
             (
-                &self.bytes[place.name.clone()],
-                &self.bytes[place.value.clone()],
+                &self.bytes[range.name.clone()],
+                &self.bytes[range.value.clone()],
             )
         })
     }
@@ -61,7 +61,7 @@
     }
 
     /// The first value under a name, where it is text.
-    pub fn text(
+    pub fn get_str(
         &self,
         name: &str,
     ) -> Option<&str> {
@@ -70,7 +70,7 @@
     }
 
     /// All values under a name.
-    pub fn all<'a>(
+    pub fn get_all<'a>(
         &'a self,
         name: &'a str,
     ) -> impl Iterator<Item = &'a [u8]> + 'a {
@@ -80,14 +80,14 @@
     }
 
     /// Whether a comma-separated header holds a word.
-    pub fn has_word(
+    pub fn has_token(
         &self,
         name: &str,
-        word: &str,
+        token: &str,
     ) -> bool {
-        self.all(name).any(|value| {
-            let mut words = value.split(|byte| *byte == b',');
-            words.any(|found| found.trim_ascii().eq_ignore_ascii_case(word.as_bytes()))
+        self.get_all(name).any(|value| {
+            let mut tokens = value.split(|byte| *byte == b',');
+            tokens.any(|found| found.trim_ascii().eq_ignore_ascii_case(token.as_bytes()))
         })
     }
 }
--- a/http1/src/head_reader.rs
+++ b/http1/src/head_reader.rs
@@ -1,7 +1,7 @@
-use super::{HeadError, HeadFields};
+use super::{HeadError, HeaderFields};
 
 /// Most headers in one head; the platform's clients send about a dozen.
-const HEADER_LIMIT: usize = 100;
+const MAX_HEADERS: usize = 100;
 
 /// The head of a request.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -11,33 +11,33 @@
     /// Path and query, as they came.
     pub target: String,
     /// Whether the sender speaks HTTP/1.1 and not 1.0.
-    pub is_current: bool,
+    pub is_http11: bool,
     /// Headers.
-    pub fields: HeadFields,
+    pub fields: HeaderFields,
 }
 
 /// The head of an answer.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct AnswerHead {
+pub struct ResponseHead {
     /// Status code.
     pub status: u16,
     /// Whether the sender speaks HTTP/1.1 and not 1.0.
-    pub is_current: bool,
+    pub is_http11: bool,
     /// Headers.
-    pub fields: HeadFields,
+    pub fields: HeaderFields,
 }
 
 /// Reads the head of a request, once it is whole; also says how long it is.
 ///
 /// # Errors
 /// [`HeadError`] where no head can come of these bytes.
-pub fn read_request_head(
+pub fn parse_request_head(
     bytes: &[u8],
     limit: usize,
 ) -> Result<Option<(RequestHead, usize)>, HeadError> {
-    let mut headers = [httparse::EMPTY_HEADER; HEADER_LIMIT];
+    let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut request = httparse::Request::new(&mut headers);
-    let Some(length) = outcome(request.parse(bytes), bytes, limit)? else {
+    let Some(length) = head_length(request.parse(bytes), bytes, limit)? else {
         return Ok(None);
     };
     let (Some(method), Some(target)) = (request.method, request.path) else {
@@ -46,8 +46,8 @@
     let head = RequestHead {
         method: method.to_string(),
         target: target.to_string(),
-        is_current: request.version == Some(1),
-        fields: HeadFields::copy(&bytes[..length], request.headers),
+        is_http11: request.version == Some(1),
+        fields: HeaderFields::from_parsed(&bytes[..length], request.headers),
     };
     Ok(Some((head, length)))
 }
@@ -56,24 +56,24 @@
 ///
 /// # Errors
 /// [`HeadError`] where no head can come of these bytes.
-pub fn read_answer_head(
+pub fn parse_response_head(
     bytes: &[u8],
     limit: usize,
-) -> Result<Option<(AnswerHead, usize)>, HeadError> {
-    let mut headers = [httparse::EMPTY_HEADER; HEADER_LIMIT];
-    let mut answer = httparse::Response::new(&mut headers);
-    let Some(length) = outcome(answer.parse(bytes), bytes, limit)? else {
+) -> Result<Option<(ResponseHead, usize)>, HeadError> {
+    let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
+    let mut response = httparse::Response::new(&mut headers);
+    let Some(length) = head_length(response.parse(bytes), bytes, limit)? else {
         return Ok(None);
     };
-    let head = AnswerHead {
-        status: answer.code.ok_or(HeadError::Malformed)?,
-        is_current: answer.version == Some(1),
-        fields: HeadFields::copy(&bytes[..length], answer.headers),
+    let head = ResponseHead {
+        status: response.code.ok_or(HeadError::Malformed)?,
+        is_http11: response.version == Some(1),
+        fields: HeaderFields::from_parsed(&bytes[..length], response.headers),
     };
     Ok(Some((head, length)))
 }
 
-fn outcome(
+fn head_length(
     parsed: Result<httparse::Status<usize>, httparse::Error>,
     bytes: &[u8],
     limit: usize,
--- a/http1/src/http_client.rs
+++ b/http1/src/http_client.rs
@@ -1,18 +1,18 @@
 use {
-    super::{read_answer_head, BodyDecoder, BodyFraming, ByteLink, HeadFields},
+    super::{parse_response_head, BodyDecoder, BodyFraming, HeaderFields, TcpConnection},
     smol::Timer,
     std::{io::Write, net::SocketAddr, time::Duration},
     thiserror::Error,
 };
 
 /// Longest head of an answer, in bytes.
-const HEAD_LIMIT: usize = 16 << 10;
+const MAX_HEAD_BYTES: usize = 16 << 10;
 /// Longest body of an answer, in bytes; the platform gives 1 MB of rows, coded.
-const BODY_LIMIT: usize = 4 << 20;
+const MAX_BODY_BYTES: usize = 4 << 20;
 
 /// One small call.
 #[derive(Debug, Clone, Default)]
-pub struct HttpCall<'a> {
+pub struct HttpRequest<'a> {
     /// Method.
     pub method: &'a str,
     /// Path and query.
@@ -22,16 +22,16 @@
     /// Body, in JSON where there is one.
     pub body: Vec<u8>,
     /// Time beyond the client's limit, where the other side is asked to wait.
-    pub extra_time: Duration,
+    pub extra_timeout: Duration,
 }
 
 /// A whole answer.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct HttpAnswer {
+pub struct HttpResponse {
     /// Status code.
     pub status: u16,
     /// Headers.
-    pub fields: HeadFields,
+    pub fields: HeaderFields,
     /// Body.
     pub body: Vec<u8>,
 }
@@ -57,29 +57,29 @@
 #[derive(Debug)]
 pub struct HttpClient {
     address: SocketAddr,
-    limit: Duration,
-    link: Option<ByteLink>,
+    timeout: Duration,
+    connection: Option<TcpConnection>,
 }
 
 impl HttpClient {
     /// A client of `address`; each call ends after `limit`.
     pub fn new(
         address: SocketAddr,
-        limit: Duration,
+        timeout: Duration,
     ) -> Self {
         HttpClient {
             address,
-            limit,
-            link: None,
+            timeout,
+            connection: None,
         }
     }
 
     /// Lets each later call take so long.
-    pub fn set_limit(
+    pub fn set_timeout(
         &mut self,
-        limit: Duration,
+        timeout: Duration,
     ) {
-        self.limit = limit;
+        self.timeout = timeout;
     }
 
     /// Makes a call. After any failure the next one takes a new connection:
@@ -89,117 +89,121 @@
     /// [`HttpFailure`] where there is no whole answer.
     pub async fn call(
         &mut self,
-        call: HttpCall<'_>,
-    ) -> Result<HttpAnswer, HttpFailure> {
-        let limit = self.limit + call.extra_time;
-        let kept = self.link.take();
-        let work = exchange(self.address, self.limit, kept, &call);
-        let late = async {
-            Timer::after(limit).await;
+        request: HttpRequest<'_>,
+    ) -> Result<HttpResponse, HttpFailure> {
+        let timeout = self.timeout + request.extra_timeout;
+        let idle = self.connection.take();
+        let exchanged = exchange(self.address, self.timeout, idle, &request);
+        let timed_out = async {
+            Timer::after(timeout).await;
             Err(HttpFailure::Late)
         };
-        let (answer, link) = futures_lite::future::or(work, late).await?;
-        self.link = link;
-        Ok(answer)
+        let (response, connection) = futures_lite::future::or(exchanged, timed_out).await?;
+        self.connection = connection;
+        Ok(response)
     }
 
     /// Makes a call and gives back the body of an answer with status 200; for
     /// callers that do the same after any failure.
-    pub async fn sound_body(
+    pub async fn ok_body(
         &mut self,
-        call: HttpCall<'_>,
+        request: HttpRequest<'_>,
     ) -> Option<Vec<u8>> {
-        let answer = self.call(call).await.ok()?;
-        (answer.status == 200).then_some(answer.body)
+        let response = self.call(request).await.ok()?;
+        (response.status == 200).then_some(response.body)
     }
 }
 
 async fn exchange(
     address: SocketAddr,
-    limit: Duration,
-    kept: Option<ByteLink>,
-    call: &HttpCall<'_>,
-) -> Result<(HttpAnswer, Option<ByteLink>), HttpFailure> {
-    let mut kept = kept;
-    let is_quiet = |link: &mut ByteLink| link.idle_state() == super::IdleState::Quiet;
-    let usable = kept.as_mut().is_some_and(is_quiet);
-    let mut link = match kept.filter(|_| usable) {
-        Some(link) => link,
-        None => ByteLink::open(address, limit)
+    timeout: Duration,
+    idle: Option<TcpConnection>,
+    request: &HttpRequest<'_>,
+) -> Result<(HttpResponse, Option<TcpConnection>), HttpFailure> {
+    let mut idle = idle;
+    let is_reusable =
+        |connection: &mut TcpConnection| connection.idle_state() == super::IdleState::Reusable;
+    let usable = idle.as_mut().is_some_and(is_reusable);
+    let mut connection = match idle.filter(|_| usable) {
+        Some(connection) => connection,
+        None => TcpConnection::connect(address, timeout)
             .await
             .map_err(HttpFailure::NoConnection)?,
     };
-    link.write_all(&encode(address, call))
+    connection
+        .write_all(&encode(address, request))
         .await
         .map_err(HttpFailure::Broken)?;
-    let (answer, closes) = read_answer(&mut link).await?;
-    Ok((answer, (!closes).then_some(link)))
+    let (response, closes) = read_response(&mut connection).await?;
+    Ok((response, (!closes).then_some(connection)))
 }
 
 fn encode(
     address: SocketAddr,
-    call: &HttpCall<'_>,
+    request: &HttpRequest<'_>,
 ) -> Vec<u8> {
-    let mut out = Vec::with_capacity(256 + call.body.len());
+    let mut out = Vec::with_capacity(256 + request.body.len());
     // Writing to memory does not fail.
     let _ = write!(
         out,
         "{} {} HTTP/1.1\r\nhost: {address}\r\n",
-        call.method, call.target
+        request.method, request.target
     );
-    for (name, value) in &call.fields {
+    for (name, value) in &request.fields {
         let _ = write!(out, "{name}: {value}\r\n");
     }
-    if !call.body.is_empty() {
-        let length = call.body.len();
+    if !request.body.is_empty() {
+        let length = request.body.len();
         let _ = write!(
             out,
             "content-type: application/json\r\ncontent-length: {length}\r\n"
         );
     }
     out.extend_from_slice(b"\r\n");
-    out.extend_from_slice(&call.body);
+    out.extend_from_slice(&request.body);
     out
 }
 
-async fn read_answer(link: &mut ByteLink) -> Result<(HttpAnswer, bool), HttpFailure> {
+async fn read_response(
+    connection: &mut TcpConnection
+) -> Result<(HttpResponse, bool), HttpFailure> {
     let head = loop {
-        let found = read_answer_head(link.unused(), HEAD_LIMIT);
+        let found = parse_response_head(connection.buffer(), MAX_HEAD_BYTES);
         match found.map_err(|_| HttpFailure::Unreadable)? {
             Some((head, length)) => {
-                link.use_up(length);
+                connection.consume(length);
                 if head.status >= 200 {
                     break head;
                 }
             }
-            None => fill(link).await?,
+            None => fill(connection).await?,
         }
     };
-    let framing = BodyFraming::of_answer(head.status, &head.fields);
+    let framing = BodyFraming::for_response(head.status, &head.fields);
     let mut decoder = BodyDecoder::new(framing.map_err(|_| HttpFailure::Unreadable)?);
     let mut body = Vec::new();
     loop {
-        let used = decoder.decode(link.unused(), &mut body);
-        link.use_up(used.map_err(|_| HttpFailure::Unreadable)?);
+        let used = decoder.decode(connection.buffer(), &mut body);
+        connection.consume(used.map_err(|_| HttpFailure::Unreadable)?);
         if decoder.is_done() {
             break;
         }
-        if body.len() > BODY_LIMIT {
+        if body.len() > MAX_BODY_BYTES {
             return Err(HttpFailure::Unreadable);
         }
-        fill(link).await?;
+        fill(connection).await?;
     }
-    let closes = head.fields.has_word("connection", "close") || !link.unused().is_empty();
-    let answer = HttpAnswer {
+    let closes = head.fields.has_token("connection", "close") || !connection.buffer().is_empty();
+    let response = HttpResponse {
         status: head.status,
         fields: head.fields,
         body,
     };
-    Ok((answer, closes))
+    Ok((response, closes))
 }
 
-async fn fill(link: &mut ByteLink) -> Result<(), HttpFailure> {
-    match link.read_more().await {
+async fn fill(connection: &mut TcpConnection) -> Result<(), HttpFailure> {
+    match connection.read_more().await {
         Ok(0) => Err(HttpFailure::Broken(
             std::io::ErrorKind::UnexpectedEof.into(),
         )),
--- a/http1/src/small_server.rs
+++ b/http1/src/small_server.rs
@@ -1,77 +1,78 @@
 use {
-    super::{read_request_head, ByteLink, SilenceLimit},
+    super::{parse_request_head, TcpConnection, TcpKeepalive},
     smol::{net::TcpListener, Async, LocalExecutor, Timer},
     std::{future::Future, io::Error, net::SocketAddr, rc::Rc, sync::Arc, time::Duration},
 };
 
 /// Longest head of a question, in bytes.
-const HEAD_LIMIT: usize = 8 << 10;
+const MAX_HEAD_BYTES: usize = 8 << 10;
 /// Time for which a connection may rest.
-const REST_LIMIT: Duration = Duration::from_secs(30);
+const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// A server for small questions, such as whether a process is ready.
 #[derive(Debug)]
-pub struct SmallServer {
+pub struct PathServer {
     listener: TcpListener,
 }
 
-impl SmallServer {
+impl PathServer {
     /// Binds to an address.
     ///
     /// # Errors
     /// When the address cannot be bound.
     pub async fn bind(address: SocketAddr) -> std::io::Result<Self> {
-        Ok(SmallServer {
+        Ok(PathServer {
             listener: TcpListener::bind(address).await?,
         })
     }
 
     /// Waits for the next connection; those that fail at once are passed over.
-    pub async fn next(&self) -> ByteLink {
+    pub async fn next(&self) -> TcpConnection {
         loop {
             let Ok((stream, _)) = self.listener.accept().await else {
                 continue;
             };
             let stream: Arc<Async<std::net::TcpStream>> = stream.into();
-            let link = Arc::into_inner(stream);
-            let link = link.map(|stream| ByteLink::new(stream, &SilenceLimit::INWARD));
-            if let Some(Ok(link)) = link {
-                return link;
+            let connection = Arc::into_inner(stream);
+            let connection =
+                connection.map(|stream| TcpConnection::new(stream, &TcpKeepalive::INBOUND));
+            if let Some(Ok(connection)) = connection {
+                return connection;
             }
         }
     }
 }
 
 /// What a process says to a path: status and body.
-pub type SmallAnswer<Context> = fn(&Context, &str) -> (u16, Vec<u8>);
+pub type PathHandler<Context> = fn(&Context, &str) -> (u16, Vec<u8>);
 
 /// Binds to an address; the future that comes back answers small questions there, such
 /// as whether a process is ready, for as long as it is run.
 ///
 /// # Errors
 /// When the address cannot be bound; the error names it.
-pub async fn serve_small<Context: 'static>(
+pub async fn serve_paths<Context: 'static>(
     address: SocketAddr,
     context: Rc<Context>,
-    answer: SmallAnswer<Context>,
+    handler: PathHandler<Context>,
 ) -> std::io::Result<impl Future<Output = ()>> {
-    let bound = SmallServer::bind(address).await;
-    let server = bound.map_err(|error| name_address(address, &error))?;
+    let bound = PathServer::bind(address).await;
+    let server = bound.map_err(|error| with_address(address, &error))?;
     let connections = LocalExecutor::new();
     Ok(async move {
         let accept = async {
             loop {
-                let link = server.next().await;
-                let asked = context.clone();
-                let answers = answer_small(link, move |target| answer(&asked, target));
-                connections.spawn(answers).detach();
+                let connection = server.next().await;
+                let shared = context.clone();
+                let served = serve_connection(connection, move |target| handler(&shared, target));
+                connections.spawn(served).detach();
             }
         };
         connections.run(accept).await
     })
 }
 
-fn name_address(
+fn with_address(
     address: SocketAddr,
     error: &Error,
 ) -> Error {
@@ -79,20 +80,20 @@
 }
 
 /// Answers the questions of one connection; `answer` gives status and body for a path.
-pub async fn answer_small<Body: Into<Vec<u8>>>(
-    mut link: ByteLink,
-    answer: impl Fn(&str) -> (u16, Body),
+pub async fn serve_connection<Body: Into<Vec<u8>>>(
+    mut connection: TcpConnection,
+    handler: impl Fn(&str) -> (u16, Body),
 ) {
     loop {
-        let head = match read_request_head(link.unused(), HEAD_LIMIT) {
+        let head = match parse_request_head(connection.buffer(), MAX_HEAD_BYTES) {
             Ok(Some((head, length))) => {
-                link.use_up(length);
+                connection.consume(length);
                 head
             }
-            Ok(None) if more_came(&mut link).await => continue,
+            Ok(None) if read_within_timeout(&mut connection).await => continue,
             Ok(None) | Err(_) => return,
         };
-        let (status, body) = answer(&head.target);
+        let (status, body) = handler(&head.target);
         let body: Vec<u8> = body.into();
         let reason = if status == 200 {
             "OK"
@@ -106,17 +107,17 @@
         );
         let mut bytes = head.into_bytes();
         bytes.extend_from_slice(&body);
-        if link.write_all(&bytes).await.is_err() {
+        if connection.write_all(&bytes).await.is_err() {
             return;
         }
     }
 }
 
-async fn more_came(link: &mut ByteLink) -> bool {
-    let late = async {
-        Timer::after(REST_LIMIT).await;
+async fn read_within_timeout(connection: &mut TcpConnection) -> bool {
+    let timed_out = async {
+        Timer::after(IDLE_TIMEOUT).await;
         false
     };
-    let read = async { matches!(link.read_more().await, Ok(count) if count > 0) };
-    futures_lite::future::or(read, late).await
+    let read = async { matches!(connection.read_more().await, Ok(count) if count > 0) };
+    futures_lite::future::or(read, timed_out).await
 }
--- a/http1/tests/body_frames.rs
+++ b/http1/tests/body_frames.rs
@@ -2,7 +2,7 @@
 
 use {
     pitchhitch_http1::{
-        read_answer_head, read_request_head, write_chunk, BodyDecoder, BodyFraming, HeadError,
+        parse_request_head, parse_response_head, write_chunk, BodyDecoder, BodyFraming, HeadError,
         LAST_CHUNK,
     },
     proptest::prelude::*,
@@ -78,8 +78,8 @@
 
 fn framing(head: &str) -> Result<BodyFraming, HeadError> {
     let text = format!("POST /x HTTP/1.1\r\n{head}\r\n");
-    let (head, _) = read_request_head(text.as_bytes(), 4_096)?.expect("whole");
-    BodyFraming::of_request(&head.fields)
+    let (head, _) = parse_request_head(text.as_bytes(), 4_096)?.expect("whole");
+    BodyFraming::for_request(&head.fields)
 }
 
 /// A request that two readers could cut at two places can hide another one.
@@ -100,7 +100,11 @@
         "Content-Length: 5, 5\r\n",
         "Content-Length:\r\n",
     ] {
-        assert_eq!(framing(unclear), Err(HeadError::UnclearLength), "{unclear}");
+        assert_eq!(
+            framing(unclear),
+            Err(HeadError::AmbiguousLength),
+            "{unclear}"
+        );
     }
 }
 
@@ -108,12 +112,12 @@
 fn heads_limited() {
     let long = format!("GET / HTTP/1.1\r\nA: {}\r\n\r\n", "x".repeat(500));
     assert_eq!(
-        read_request_head(long.as_bytes(), 100),
+        parse_request_head(long.as_bytes(), 100),
         Err(HeadError::TooLong)
     );
-    assert_eq!(read_request_head(&long.as_bytes()[..90], 100), Ok(None));
+    assert_eq!(parse_request_head(&long.as_bytes()[..90], 100), Ok(None));
     assert_eq!(
-        read_answer_head(b"\x00\x01nonsense\r\n\r\n", 100),
+        parse_response_head(b"\x00\x01nonsense\r\n\r\n", 100),
         Err(HeadError::Malformed)
     );
 }
@@ -122,13 +126,13 @@
 fn fields_found() {
     let text =
         b"HTTP/1.1 200 OK\r\nConnection: Keep-Alive, Close\r\nEmpty:\r\nA: 1\r\na: 2\r\n\r\n";
-    let (head, length) = read_answer_head(text, 4_096)
+    let (head, length) = parse_response_head(text, 4_096)
         .expect("sound")
         .expect("whole");
     assert_eq!(length, text.len());
-    assert!(head.fields.has_word("connection", "close"));
-    assert_eq!(head.fields.text("A"), Some("1"));
-    assert_eq!(head.fields.text("empty"), Some(""));
-    assert_eq!(head.fields.all("a").count(), 2);
+    assert!(head.fields.has_token("connection", "close"));
+    assert_eq!(head.fields.get_str("A"), Some("1"));
+    assert_eq!(head.fields.get_str("empty"), Some(""));
+    assert_eq!(head.fields.get_all("a").count(), 2);
     assert_eq!(head.fields.get("none"), None);
 }
--- a/http1/tests/silent_links.rs
+++ b/http1/tests/silent_links.rs
@@ -2,7 +2,7 @@
 //! by the system: it is asked to on each connection, both ways.
 
 use {
-    pitchhitch_http1::{ByteLink, SilenceLimit},
+    pitchhitch_http1::{TcpConnection, TcpKeepalive},
     rustix::net::sockopt,
     smol::Async,
     std::{
@@ -11,32 +11,32 @@
     },
 };
 
-const HERE: SocketAddr = SocketAddr::new(IpAddr::V4(Ipv4Addr::LOCALHOST), 0);
-const OPEN_LIMIT: Duration = Duration::from_secs(30);
+const ANY_LOCAL_PORT: SocketAddr = SocketAddr::new(IpAddr::V4(Ipv4Addr::LOCALHOST), 0);
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(30);
 
-fn watch_of(link: &ByteLink) -> SilenceLimit {
-    let socket = link.socket();
+fn keepalive_of(connection: &TcpConnection) -> TcpKeepalive {
+    let socket = connection.socket();
     assert!(sockopt::socket_keepalive(socket).expect("option"));
-    let pause = sockopt::tcp_keepidle(socket).expect("option");
-    assert_eq!(pause, sockopt::tcp_keepintvl(socket).expect("option"));
-    let unacknowledged = sockopt::tcp_user_timeout(socket).expect("option");
-    SilenceLimit {
-        probe_pause: pause,
+    let interval = sockopt::tcp_keepidle(socket).expect("option");
+    assert_eq!(interval, sockopt::tcp_keepintvl(socket).expect("option"));
+    let user_timeout = sockopt::tcp_user_timeout(socket).expect("option");
+    TcpKeepalive {
+        probe_interval: interval,
         probes: sockopt::tcp_keepcnt(socket).expect("option"),
-        unacknowledged: Duration::from_millis(u64::from(unacknowledged)),
+        user_timeout: Duration::from_millis(u64::from(user_timeout)),
     }
 }
 
 #[test]
 fn both_ends_watched() {
     smol::block_on(async {
-        let listener = Async::<TcpListener>::bind(HERE).expect("a port");
+        let listener = Async::<TcpListener>::bind(ANY_LOCAL_PORT).expect("a port");
         let address = listener.get_ref().local_addr().expect("an address");
-        let opened = ByteLink::open(address, OPEN_LIMIT);
+        let opened = TcpConnection::connect(address, CONNECT_TIMEOUT);
         let opened = opened.await.expect("a connection");
-        let (taken, _) = listener.accept().await.expect("a connection");
-        let taken = ByteLink::new(taken, &SilenceLimit::INWARD).expect("a link");
-        assert_eq!(watch_of(&opened), SilenceLimit::OUTWARD);
-        assert_eq!(watch_of(&taken), SilenceLimit::INWARD);
+        let (accepted, _) = listener.accept().await.expect("a connection");
+        let accepted = TcpConnection::new(accepted, &TcpKeepalive::INBOUND).expect("a link");
+        assert_eq!(keepalive_of(&opened), TcpKeepalive::OUTBOUND);
+        assert_eq!(keepalive_of(&accepted), TcpKeepalive::INBOUND);
     });
 }
--- a/process/src/bounded_output.rs
+++ b/process/src/bounded_output.rs
@@ -5,17 +5,17 @@
 
 /// Bytes of lines that wait for standard output at most; about a second of a
 /// busy box.
-const HELD_LIMIT: usize = 128 << 10;
+const MAX_BUFFERED_BYTES: usize = 128 << 10;
 /// Bytes from which lines are written out; one system call carries many.
-const WRITE_FROM: usize = 8 << 10;
+const FLUSH_THRESHOLD_BYTES: usize = 8 << 10;
 
 /// Standard output that never blocks: lines that find no room are counted and
 /// left out.
 #[derive(Debug)]
 pub(crate) struct BoundedOutput {
-    held: Vec<u8>,
-    left_out: u64,
-    write_from: usize,
+    buffer: Vec<u8>,
+    dropped: u64,
+    flush_threshold: usize,
 }
 
 impl BoundedOutput {
@@ -27,18 +27,18 @@
             let _ = fcntl_setfl(output, flags | OFlags::NONBLOCK);
         }
         BoundedOutput {
-            held: Vec::new(),
-            left_out: 0,
-            write_from: WRITE_FROM,
+            buffer: Vec::new(),
+            dropped: 0,
+            flush_threshold: FLUSH_THRESHOLD_BYTES,
         }
     }
 
-    fn push(&mut self) {
-        while !self.held.is_empty() {
-            match rustix::io::write(rustix::stdio::stdout(), &self.held) {
+    fn write_buffer(&mut self) {
+        while !self.buffer.is_empty() {
+            match rustix::io::write(rustix::stdio::stdout(), &self.buffer) {
                 Ok(0) | Err(_) => return,
                 Ok(count) => {
-                    self.held.drain(..count);
+                    self.buffer.drain(..count);
                 }
             }
         }
@@ -50,27 +50,27 @@
         &mut self,
         line: &[u8],
     ) -> io::Result<usize> {
-        if self.held.len() + line.len() > HELD_LIMIT {
-            self.push();
+        if self.buffer.len() + line.len() > MAX_BUFFERED_BYTES {
+            self.write_buffer();
         }
-        if self.held.len() + line.len() > HELD_LIMIT {
-            self.left_out += 1;
+        if self.buffer.len() + line.len() > MAX_BUFFERED_BYTES {
+            self.dropped += 1;
             return Ok(line.len());
         }
-        if self.left_out > 0 {
-            let note = format!("level=WARN event=lines-left-out count={}\n", self.left_out);
-            self.held.extend_from_slice(note.as_bytes());
-            self.left_out = 0;
+        if self.dropped > 0 {
+            let note = format!("level=WARN event=lines-left-out count={}\n", self.dropped);
+            self.buffer.extend_from_slice(note.as_bytes());
+            self.dropped = 0;
         }
-        self.held.extend_from_slice(line);
-        if self.held.len() >= self.write_from {
-            self.push();
+        self.buffer.extend_from_slice(line);
+        if self.buffer.len() >= self.flush_threshold {
+            self.write_buffer();
         }
         Ok(line.len())
     }
 
     fn flush(&mut self) -> io::Result<()> {
-        self.push();
+        self.write_buffer();
         Ok(())
     }
 }
--- a/process/src/deadline_timer.rs
+++ b/process/src/deadline_timer.rs
@@ -12,7 +12,7 @@
 
 /// Longest time until it looks at the clock again: timers of the system stand still while
 /// the box is suspended, and end so much too late.
-const LOOK_PAUSE: Micros = Micros::from_millis(1_000);
+const CLOCK_CHECK_INTERVAL: Micros = Micros::from_millis(1_000);
 
 /// Ends at a time of the process's clock, or within a second after the box has woken.
 #[derive(Debug)]
@@ -26,24 +26,25 @@
     /// A timer that ends after so long.
     pub fn after(
         clock: ProcessClock,
-        span: Duration,
+        delay: Duration,
     ) -> Self {
-        let span = Micros(span.as_micros() as u64);
+        let delay = Micros(delay.as_micros() as u64);
         DeadlineTimer {
             clock,
-            ends_at: clock.now() + span,
-            timer: Timer::after(to_duration(span.min(LOOK_PAUSE))),
+            ends_at: clock.now() + delay,
+            timer: Timer::after(to_duration(delay.min(CLOCK_CHECK_INTERVAL))),
         }
     }
 
     /// Lets it end after so long from now on.
     pub fn set_after(
         &mut self,
-        span: Duration,
+        delay: Duration,
     ) {
-        let span = Micros(span.as_micros() as u64);
-        self.ends_at = self.clock.now() + span;
-        self.timer.set_after(to_duration(span.min(LOOK_PAUSE)));
+        let delay = Micros(delay.as_micros() as u64);
+        self.ends_at = self.clock.now() + delay;
+        self.timer
+            .set_after(to_duration(delay.min(CLOCK_CHECK_INTERVAL)));
     }
 }
 
@@ -55,11 +56,12 @@
         context: &mut Context<'_>,
     ) -> Poll<()> {
         while Pin::new(&mut self.timer).poll(context).is_ready() {
-            let left = self.ends_at.since(self.clock.now());
-            if left == Micros::ZERO {
+            let remaining = self.ends_at.since(self.clock.now());
+            if remaining == Micros::ZERO {
                 return Poll::Ready(());
             }
-            self.timer.set_after(to_duration(left.min(LOOK_PAUSE)));
+            self.timer
+                .set_after(to_duration(remaining.min(CLOCK_CHECK_INTERVAL)));
         }
         Poll::Pending
     }
--- a/process/src/log_setup.rs
+++ b/process/src/log_setup.rs
@@ -34,11 +34,11 @@
     }
 }
 
-struct PairWriter {
+struct KeyValueWriter {
     line: String,
 }
 
-impl<'kvs> VisitSource<'kvs> for PairWriter {
+impl<'kvs> VisitSource<'kvs> for KeyValueWriter {
     fn visit_pair(
         &mut self,
         key: Key<'kvs>,
@@ -54,8 +54,8 @@
 
 /// A value as it stands in a log line: in quotes where it would not be one word.
 pub fn quoted(value: &str) -> String {
-    let plain = !value.is_empty() && !value.contains([' ', '"', '=', '\n']);
-    if plain {
+    let is_plain = !value.is_empty() && !value.contains([' ', '"', '=', '\n']);
+    if is_plain {
         value.to_string()
     } else {
         format!("{value:?}")
@@ -97,7 +97,7 @@
     );
     let mut builder = Builder::from_env(env);
     builder.format(|out, record| {
-        let mut pairs = PairWriter {
+        let mut pairs = KeyValueWriter {
             line: String::new(),
         };
         let _ = record.key_values().visit(&mut pairs);
--- a/process/src/process_clock.rs
+++ b/process/src/process_clock.rs
@@ -5,7 +5,7 @@
 };
 
 /// What a clock shows, counted from some fixed moment.
-pub type ClockReading = fn() -> Duration;
+pub type ClockSource = fn() -> Duration;
 
 /// The clock of one process: it counts from the start, never goes back, and goes on while
 /// the box is suspended.
@@ -14,7 +14,7 @@
 /// would take what it knows of keys, weights and leases for ten seconds younger than it is.
 #[derive(Debug, Clone, Copy)]
 pub struct ProcessClock {
-    read: ClockReading,
+    read: ClockSource,
     started: Duration,
     incarnation: u64,
 }
@@ -22,11 +22,11 @@
 impl ProcessClock {
     /// Starts the clock.
     pub fn start() -> Self {
-        ProcessClock::start_by(since_boot)
+        ProcessClock::start_with(since_boot)
     }
 
     /// Starts a clock by another one.
-    pub fn start_by(read: ClockReading) -> Self {
+    pub fn start_with(read: ClockSource) -> Self {
         let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH);
         ProcessClock {
             read,
@@ -37,8 +37,8 @@
 
     /// Time since the start.
     pub fn now(&self) -> Micros {
-        let passed = (self.read)().saturating_sub(self.started);
-        Micros(passed.as_micros() as u64)
+        let elapsed = (self.read)().saturating_sub(self.started);
+        Micros(elapsed.as_micros() as u64)
     }
 
     /// Start of the process, in microseconds since 1970.
@@ -53,7 +53,7 @@
 }
 
 /// Seconds since 1970, for people.
-pub fn wall_seconds() -> u64 {
+pub fn unix_seconds() -> u64 {
     let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH);
     since_epoch.map_or(0, |d| d.as_secs())
 }
--- a/process/src/process_usage.rs
+++ b/process/src/process_usage.rs
@@ -18,12 +18,12 @@
 
 impl ProcessUsage {
     /// Reads the usage of this process; zeros where the system does not tell.
-    pub fn of_self() -> Self {
+    pub fn current() -> Self {
         Self::of("self")
     }
 
     /// Reads the usage of another process of ours.
-    pub fn of_pid(pid: u32) -> Self {
+    pub fn for_pid(pid: u32) -> Self {
         Self::of(&pid.to_string())
     }
 
--- a/process/src/signal_watch.rs
+++ b/process/src/signal_watch.rs
@@ -16,18 +16,18 @@
 /// Watches the signals that processes on the platform get. One that is not
 /// watched would end the process.
 #[derive(Debug)]
-pub struct SignalWatch {
+pub struct SignalListener {
     signals: Signals,
 }
 
-impl SignalWatch {
+impl SignalListener {
     /// Starts watching.
     ///
     /// # Errors
     /// When the system refuses.
     pub fn start() -> io::Result<Self> {
         let signals = Signals::new([Signal::Term, Signal::Int, Signal::Hup])?;
-        Ok(SignalWatch { signals })
+        Ok(SignalListener { signals })
     }
 
     /// Waits for the next signal.
--- a/process/src/stop_signal.rs
+++ b/process/src/stop_signal.rs
@@ -8,7 +8,7 @@
 ///
 /// # Errors
 /// When the signals cannot be watched.
-pub async fn stop_asked() -> io::Result<()> {
+pub async fn wait_for_stop() -> io::Result<()> {
     let mut signals = Signals::new([Signal::Term, Signal::Int])?;
     match signals.next().await {
         Some(signal) => signal.map(|_| ()),
--- a/process/src/task_pool.rs
+++ b/process/src/task_pool.rs
@@ -4,7 +4,7 @@
 };
 
 /// Starts the threads for traffic; must come before anything is spawned.
-pub fn start_traffic(threads: usize) {
+pub fn start_traffic_threads(threads: usize) {
     let config = GlobalExecutorConfig::default()
         .with_min_threads(threads)
         .with_max_threads(threads)
--- a/process/src/wake_signal.rs
+++ b/process/src/wake_signal.rs
@@ -29,13 +29,13 @@
     /// Waits for a wake, for so long at most; true where there was one.
     pub async fn wait(
         &self,
-        longest: Duration,
+        timeout: Duration,
     ) -> bool {
         let woken = async { self.woken.recv().await.is_ok() };
-        let passed = async {
-            Timer::after(longest).await;
+        let timed_out = async {
+            Timer::after(timeout).await;
             false
         };
-        or(woken, passed).await
+        or(woken, timed_out).await
     }
 }
--- a/process/tests/suspended_box.rs
+++ b/process/tests/suspended_box.rs
@@ -23,7 +23,7 @@
 
 #[test]
 fn clock_goes_on() {
-    let clock = ProcessClock::start_by(|| ahead_by(&CLOCK_SUSPENDED));
+    let clock = ProcessClock::start_with(|| ahead_by(&CLOCK_SUSPENDED));
     let before = clock.now();
     CLOCK_SUSPENDED.store(10_000, Ordering::SeqCst);
     assert!(clock.now().since(before) >= Micros::from_secs(10));
@@ -32,7 +32,7 @@
 /// A deadline that is over when the box wakes ends then, and not so much later.
 #[test]
 fn deadline_holds() {
-    let clock = ProcessClock::start_by(|| ahead_by(&TIMER_SUSPENDED));
+    let clock = ProcessClock::start_with(|| ahead_by(&TIMER_SUSPENDED));
     let timer = DeadlineTimer::after(clock, Duration::from_secs(3_600));
     TIMER_SUSPENDED.store(3_600_000, Ordering::SeqCst);
     smol::block_on(timer);
--- a/services/src/boxes/box_client.rs
+++ b/services/src/boxes/box_client.rs
@@ -1,13 +1,13 @@
 use {
     super::BoxList,
-    crate::http::{CallError, HttpCaller},
+    crate::http::{CallError, ServiceClient},
     std::{net::SocketAddr, time::Duration},
 };
 
 /// Client of the box list.
 #[derive(Debug, Clone)]
 pub struct BoxClient {
-    caller: HttpCaller,
+    client: ServiceClient,
 }
 
 impl BoxClient {
@@ -17,7 +17,7 @@
         timeout: Duration,
     ) -> Self {
         BoxClient {
-            caller: HttpCaller::new(address, timeout),
+            client: ServiceClient::new(address, timeout),
         }
     }
 
@@ -26,6 +26,6 @@
     /// # Errors
     /// [`CallError`] when no answer came in time.
     pub async fn list(&self) -> Result<BoxList, CallError> {
-        self.caller.get_json("/boxes").await
+        self.client.get_json("/boxes").await
     }
 }
--- a/services/src/boxes/box_row.rs
+++ b/services/src/boxes/box_row.rs
@@ -6,7 +6,7 @@
 
 /// One box as the platform lists it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct BoxRow {
+pub struct BoxRecord {
     /// Id of the box.
     pub id: String,
     /// What runs on it: `entry`, `endpoint` or `store`.
@@ -39,22 +39,22 @@
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct BoxList {
     /// All boxes.
-    pub boxes: Vec<BoxRow>,
+    pub boxes: Vec<BoxRecord>,
 }
 
-impl From<BoxRow> for ListedBox {
-    fn from(row: BoxRow) -> Self {
+impl From<BoxRecord> for ListedBox {
+    fn from(record: BoxRecord) -> Self {
         ListedBox {
-            id: row.id,
-            role: match row.role {
+            id: record.id,
+            role: match record.role {
                 ListedRole::Entry => BoxRole::Entry,
                 ListedRole::Endpoint => BoxRole::Endpoint,
                 ListedRole::Store => BoxRole::Store,
             },
-            group: row.group,
-            failure_domain: row.failure_domain,
-            address: row.address,
-            leaving: row.leaving,
+            group: record.group,
+            failure_domain: record.failure_domain,
+            address: record.address,
+            leaving: record.leaving,
         }
     }
 }
--- a/services/src/config/config_store.rs
+++ b/services/src/config/config_store.rs
@@ -57,7 +57,7 @@
 
 /// A configuration with the changes that led up to it, as far as the head row has them.
 #[derive(Debug, Clone, PartialEq)]
-pub struct FreshConfig {
+pub struct CurrentConfig {
     /// The configuration.
     pub config: FleetConfig,
     /// The last changes, in order.
@@ -97,15 +97,15 @@
     pub async fn refresh(
         &self,
         known: &FleetConfig,
-    ) -> Result<FreshConfig, ConfigError> {
+    ) -> Result<CurrentConfig, ConfigError> {
         let row = self.read_head().await?;
-        Ok(FreshConfig {
-            config: self.bring_up(&row.head, known).await?,
+        Ok(CurrentConfig {
+            config: self.update_to_head(&row.head, known).await?,
             recent: row.head.tail.into(),
         })
     }
 
-    async fn bring_up(
+    async fn update_to_head(
         &self,
         head: &ConfigHead,
         known: &FleetConfig,
@@ -144,7 +144,7 @@
     pub async fn change(
         &self,
         request: &ChangeRequest,
-        patience: Duration,
+        timeout: Duration,
         seed: u64,
     ) -> Result<AcceptedChange, ChangeFailure> {
         let started = Instant::now();
@@ -153,19 +153,21 @@
         let mut may_have_written = false;
         loop {
             attempt += 1;
-            let tried = self.try_change(request, random.gen()).await;
-            let reason = match tried {
+            let outcome = self.try_change(request, random.gen()).await;
+            let reason = match outcome {
                 Ok(accepted) => return Ok(accepted),
-                Err(TryFailure::Refused(error)) => return Err(error.into()),
-                Err(TryFailure::Raced) => "others change the configuration all the time".into(),
-                Err(TryFailure::Unread(error)) => error.to_string(),
-                Err(TryFailure::Unknown(error)) => {
+                Err(AttemptError::Refused(error)) => return Err(error.into()),
+                Err(AttemptError::Conflict) => {
+                    "others change the configuration all the time".into()
+                }
+                Err(AttemptError::ReadFailed(error)) => error.to_string(),
+                Err(AttemptError::Unknown(error)) => {
                     may_have_written = true;
                     error.to_string()
                 }
             };
-            if started.elapsed() >= patience {
-                return Err(give_up(request, may_have_written, reason));
+            if started.elapsed() >= timeout {
+                return Err(timeout_failure(request, may_have_written, reason));
             }
             let pause = BackoffPolicy::PLATFORM.pause(attempt, &mut random);
             Timer::after(Duration::from_micros(pause.0)).await;
@@ -176,8 +178,8 @@
         &self,
         request: &ChangeRequest,
         seed: u64,
-    ) -> Result<AcceptedChange, TryFailure> {
-        let row = self.read_head().await.map_err(TryFailure::Unread)?;
+    ) -> Result<AcceptedChange, AttemptError> {
+        let row = self.read_head().await.map_err(AttemptError::ReadFailed)?;
         if let Some(revision) = row.head.settled_revision(&request.change_id) {
             return Ok(AcceptedChange {
                 revision,
@@ -185,10 +187,12 @@
             });
         }
         let base = self.read_base(&row.head).await;
-        let base = base.map_err(TryFailure::Unread)?;
-        let mut config = row.head.bring_up(&base).map_err(TryFailure::Refused)?;
+        let base = base.map_err(AttemptError::ReadFailed)?;
+        let mut config = row.head.bring_up(&base).map_err(AttemptError::Refused)?;
         check_expected(request, config.revision)?;
-        config.apply(&request.change).map_err(TryFailure::Refused)?;
+        config
+            .apply(&request.change)
+            .map_err(AttemptError::Refused)?;
         let mut head = row.head.appended(
             &request.change_id,
             &request.operator,
@@ -221,45 +225,47 @@
         row: &HeadRow,
         head: &ConfigHead,
         seed: u64,
-    ) -> Result<AcceptedChange, TryFailure> {
-        let value = serde_json::to_string(head).map_err(|e| TryFailure::Unread(damaged(e)))?;
+    ) -> Result<AcceptedChange, AttemptError> {
+        let value =
+            serde_json::to_string(head).map_err(|e| AttemptError::ReadFailed(damaged(e)))?;
         let write = RowWrite {
             key: HEAD_KEY.to_string(),
             expected: row.version,
             value: Some(value),
         };
-        let patience = Duration::from_secs(2);
-        match self.table.commit_settled(&[write], patience, seed).await {
+        let timeout = Duration::from_secs(2);
+        match self.table.commit_confirmed(&[write], timeout, seed).await {
             CommitOutcome::Done { .. } => Ok(AcceptedChange {
                 revision: head.revision(),
                 repeated: false,
             }),
-            CommitOutcome::Conflict { .. } => Err(TryFailure::Raced),
-            CommitOutcome::Unknown { error } => Err(TryFailure::Unknown(error)),
+            CommitOutcome::Conflict { .. } => Err(AttemptError::Conflict),
+            CommitOutcome::Unknown { error } => Err(AttemptError::Unknown(error)),
         }
     }
 }
 
-enum TryFailure {
+enum AttemptError {
     Refused(ChangeError),
-    Raced,
-    Unread(ConfigError),
+    Conflict,
+    ReadFailed(ConfigError),
     Unknown(CallError),
 }
 
 fn check_expected(
     request: &ChangeRequest,
     found: u64,
-) -> Result<(), TryFailure> {
+) -> Result<(), AttemptError> {
     match request.expected {
-        Some(wanted) if wanted != found => {
-            Err(TryFailure::Refused(ChangeError::Outdated { wanted, found }))
-        }
+        Some(wanted) if wanted != found => Err(AttemptError::Refused(ChangeError::Outdated {
+            wanted,
+            found,
+        })),
         _ => Ok(()),
     }
 }
 
-fn give_up(
+fn timeout_failure(
     request: &ChangeRequest,
     may_have_written: bool,
     reason: String,
--- a/services/src/http/call_error.rs
+++ b/services/src/http/call_error.rs
@@ -5,7 +5,7 @@
 pub enum CallError {
     /// No whole answer came; the call may have taken effect.
     #[error("{url}: no answer: {reason}")]
-    NoAnswer {
+    NoResponse {
         /// What was called.
         url: String,
         /// What happened.
@@ -23,7 +23,7 @@
     },
     /// The answer is not of the expected form.
     #[error("{url}: answer cannot be read: {reason}")]
-    BadAnswer {
+    InvalidResponse {
         /// What was called.
         url: String,
         /// What is wrong.
--- a/services/src/http/http_caller.rs
+++ b/services/src/http/http_caller.rs
@@ -9,13 +9,13 @@
 };
 
 /// Bytes of an error answer that are kept.
-const ERROR_TEXT_LIMIT: usize = 300;
+const MAX_ERROR_TEXT_CHARS: usize = 300;
 /// Longest answer that is read, in bytes.
-pub const ANSWER_LIMIT: u64 = 64 * 1024 * 1024;
+pub const MAX_RESPONSE_BYTES: u64 = 64 * 1024 * 1024;
 
 /// Makes HTTP calls to one service, each within a time limit.
 #[derive(Debug, Clone)]
-pub struct HttpCaller {
+pub struct ServiceClient {
     client: Client,
     base: String,
     timeout: Duration,
@@ -23,13 +23,13 @@
 
 /// An answer with success status.
 #[derive(Debug)]
-pub struct HttpAnswer {
+pub struct HttpResponse {
     /// Body, whole.
     pub body: Vec<u8>,
     conn: Conn,
 }
 
-impl HttpAnswer {
+impl HttpResponse {
     /// One header of the answer.
     pub fn header(
         &self,
@@ -39,20 +39,20 @@
     }
 }
 
-impl HttpCaller {
+impl ServiceClient {
     /// A caller for the service at `address`.
     pub fn new(
         address: SocketAddr,
         timeout: Duration,
     ) -> Self {
-        HttpCaller {
+        ServiceClient {
             client: Client::new(ClientConfig::new().with_nodelay(true)).with_default_pool(),
             base: format!("http://{address}"),
             timeout,
         }
     }
 
-    /// A fresh request for a path; see [`HttpCaller::send`].
+    /// A fresh request for a path; see [`ServiceClient::send`].
     pub fn request(
         &self,
         method: &str,
@@ -69,11 +69,11 @@
     pub async fn send(
         &self,
         conn: Conn,
-    ) -> Result<HttpAnswer, CallError> {
+    ) -> Result<HttpResponse, CallError> {
         let url = conn.url().to_string();
         let timed_out = async {
             Timer::after(self.timeout).await;
-            Err(CallError::NoAnswer {
+            Err(CallError::NoResponse {
                 url: url.clone(),
                 reason: format!("nothing within {:?}", self.timeout),
             })
@@ -84,36 +84,36 @@
     async fn exchange(
         conn: Conn,
         url: &str,
-    ) -> Result<HttpAnswer, CallError> {
-        let no_answer = |error: trillium_client::Error| CallError::NoAnswer {
+    ) -> Result<HttpResponse, CallError> {
+        let no_response = |error: trillium_client::Error| CallError::NoResponse {
             url: url.to_string(),
             reason: error.to_string(),
         };
-        let mut conn = conn.await.map_err(no_answer)?;
-        let body = conn.response_body().with_max_len(ANSWER_LIMIT);
-        let body = body.read_bytes().await.map_err(no_answer)?;
+        let mut conn = conn.await.map_err(no_response)?;
+        let body = conn.response_body().with_max_len(MAX_RESPONSE_BYTES);
+        let body = body.read_bytes().await.map_err(no_response)?;
         let status = conn.status().map_or(0, |s| s as u16);
         if !(200..300).contains(&status) {
             let text = String::from_utf8_lossy(&body);
             return Err(CallError::Status {
                 url: url.to_string(),
                 status,
-                text: text.chars().take(ERROR_TEXT_LIMIT).collect(),
+                text: text.chars().take(MAX_ERROR_TEXT_CHARS).collect(),
             });
         }
-        Ok(HttpAnswer { body, conn })
+        Ok(HttpResponse { body, conn })
     }
 
     /// Posts JSON and reads JSON.
     ///
     /// # Errors
     /// [`CallError`] when no such answer came in time.
-    pub async fn post_json<Q: Serialize, A: DeserializeOwned>(
+    pub async fn post_json<Req: Serialize, Res: DeserializeOwned>(
         &self,
         path: &str,
-        question: &Q,
-    ) -> Result<A, CallError> {
-        let body = serde_json::to_vec(question).map_err(|e| CallError::BadAnswer {
+        request_body: &Req,
+    ) -> Result<Res, CallError> {
+        let body = serde_json::to_vec(request_body).map_err(|e| CallError::InvalidResponse {
             url: path.to_string(),
             reason: e.to_string(),
         })?;
@@ -121,28 +121,28 @@
         let conn = conn
             .with_request_header("content-type", "application/json")
             .with_body(body);
-        let answer = self.send(conn).await?;
-        self.read_json(path, &answer)
+        let response = self.send(conn).await?;
+        self.read_json(path, &response)
     }
 
     /// Gets JSON.
     ///
     /// # Errors
     /// [`CallError`] when no such answer came in time.
-    pub async fn get_json<A: DeserializeOwned>(
+    pub async fn get_json<Res: DeserializeOwned>(
         &self,
         path: &str,
-    ) -> Result<A, CallError> {
-        let answer = self.send(self.request("GET", path)).await?;
-        self.read_json(path, &answer)
+    ) -> Result<Res, CallError> {
+        let response = self.send(self.request("GET", path)).await?;
+        self.read_json(path, &response)
     }
 
-    fn read_json<A: DeserializeOwned>(
+    fn read_json<Res: DeserializeOwned>(
         &self,
         path: &str,
-        answer: &HttpAnswer,
-    ) -> Result<A, CallError> {
-        serde_json::from_slice(&answer.body).map_err(|e| CallError::BadAnswer {
+        response: &HttpResponse,
+    ) -> Result<Res, CallError> {
+        serde_json::from_slice(&response.body).map_err(|e| CallError::InvalidResponse {
             url: format!("{}{path}", self.base),
             reason: e.to_string(),
         })
--- a/services/src/objects/object_client.rs
+++ b/services/src/objects/object_client.rs
@@ -1,12 +1,12 @@
 use {
-    crate::http::{CallError, HttpCaller},
+    crate::http::{CallError, ServiceClient},
     std::{net::SocketAddr, time::Duration},
 };
 
 /// Client of the object store.
 #[derive(Debug, Clone)]
 pub struct ObjectClient {
-    caller: HttpCaller,
+    client: ServiceClient,
 }
 
 impl ObjectClient {
@@ -16,7 +16,7 @@
         timeout: Duration,
     ) -> Self {
         ObjectClient {
-            caller: HttpCaller::new(address, timeout),
+            client: ServiceClient::new(address, timeout),
         }
     }
 
@@ -28,9 +28,9 @@
         &self,
         name: &str,
     ) -> Result<Option<Vec<u8>>, CallError> {
-        let conn = self.caller.request("GET", &format!("/objects/{name}"));
-        match self.caller.send(conn).await {
-            Ok(answer) => Ok(Some(answer.body)),
+        let conn = self.client.request("GET", &format!("/objects/{name}"));
+        match self.client.send(conn).await {
+            Ok(response) => Ok(Some(response.body)),
             Err(CallError::Status { status: 404, .. }) => Ok(None),
             Err(error) => Err(error),
         }
@@ -45,7 +45,7 @@
         name: &str,
         body: Vec<u8>,
     ) -> Result<(), CallError> {
-        let conn = self.caller.request("PUT", &format!("/objects/{name}"));
-        self.caller.send(conn.with_body(body)).await.map(|_| ())
+        let conn = self.client.request("PUT", &format!("/objects/{name}"));
+        self.client.send(conn.with_body(body)).await.map(|_| ())
     }
 }
--- a/services/src/stores/store_client.rs
+++ b/services/src/stores/store_client.rs
@@ -1,6 +1,6 @@
 use {
-    super::{StoreContent, StoreError},
-    crate::http::{CallError, HttpCaller},
+    super::{PieceList, StoreError},
+    crate::http::{CallError, ServiceClient},
     pitchhitch_core::kept::{PieceKey, StoreTier},
     std::{net::SocketAddr, time::Duration},
 };
@@ -13,7 +13,7 @@
 /// Client of one store box.
 #[derive(Debug, Clone)]
 pub struct StoreClient {
-    caller: HttpCaller,
+    client: ServiceClient,
 }
 
 /// A piece that was read and checked.
@@ -27,7 +27,7 @@
     pub bytes: Vec<u8>,
 }
 
-fn tier_word(tier: StoreTier) -> &'static str {
+fn tier_name(tier: StoreTier) -> &'static str {
     match tier {
         StoreTier::Memory => "memory",
         StoreTier::Disk => "disk",
@@ -41,7 +41,7 @@
         timeout: Duration,
     ) -> Self {
         StoreClient {
-            caller: HttpCaller::new(address, timeout),
+            client: ServiceClient::new(address, timeout),
         }
     }
 
@@ -57,13 +57,13 @@
         bytes: Vec<u8>,
         checksum: String,
     ) -> Result<u64, StoreError> {
-        let path = format!("/pieces/{key}?tier={}", tier_word(tier));
-        let conn = self.caller.request("PUT", &path);
+        let path = format!("/pieces/{key}?tier={}", tier_name(tier));
+        let conn = self.client.request("PUT", &path);
         let conn = conn
             .with_request_header(CHECKSUM_HEADER, checksum)
             .with_body(bytes);
-        match self.caller.send(conn).await {
-            Ok(answer) => header_number(answer.header(GENERATION_HEADER)),
+        match self.client.send(conn).await {
+            Ok(response) => parse_generation(response.header(GENERATION_HEADER)),
             Err(CallError::Status { status: 507, .. }) => Err(StoreError::Full),
             Err(error) => Err(error.into()),
         }
@@ -82,19 +82,19 @@
         checksum_of: impl Fn(&[u8]) -> String,
     ) -> Result<SealedPiece, StoreError> {
         let path = format!("/pieces/{key}?generation={generation}");
-        let answer = match self.caller.send(self.caller.request("GET", &path)).await {
-            Ok(answer) => answer,
+        let response = match self.client.send(self.client.request("GET", &path)).await {
+            Ok(response) => response,
             Err(CallError::Status {
                 status: 404 | 409, ..
             }) => return Err(StoreError::Missing),
             Err(error) => return Err(error.into()),
         };
-        let found = header_number(answer.header(GENERATION_HEADER))?;
+        let found = parse_generation(response.header(GENERATION_HEADER))?;
         if found != generation {
             return Err(StoreError::Missing);
         }
-        let wanted = answer.header(CHECKSUM_HEADER).unwrap_or_default();
-        if checksum_of(&answer.body) != wanted {
+        let expected = response.header(CHECKSUM_HEADER).unwrap_or_default();
+        if checksum_of(&response.body) != expected {
             return Err(StoreError::Damaged {
                 reason: "the checksum does not fit".to_string(),
             });
@@ -102,7 +102,7 @@
         Ok(SealedPiece {
             key,
             generation,
-            bytes: answer.body,
+            bytes: response.body,
         })
     }
 
@@ -110,13 +110,13 @@
     ///
     /// # Errors
     /// [`StoreError`] when no answer came in time.
-    pub async fn drop_piece(
+    pub async fn delete_piece(
         &self,
         key: PieceKey,
         generation: u64,
     ) -> Result<(), StoreError> {
         let path = format!("/pieces/{key}?generation={generation}");
-        match self.caller.send(self.caller.request("DELETE", &path)).await {
+        match self.client.send(self.client.request("DELETE", &path)).await {
             Ok(_) | Err(CallError::Status { status: 404, .. }) => Ok(()),
             Err(error) => Err(error.into()),
         }
@@ -126,12 +126,12 @@
     ///
     /// # Errors
     /// [`StoreError`] when no answer came in time.
-    pub async fn list(&self) -> Result<StoreContent, StoreError> {
-        Ok(self.caller.get_json("/pieces").await?)
+    pub async fn list(&self) -> Result<PieceList, StoreError> {
+        Ok(self.client.get_json("/pieces").await?)
     }
 }
 
-fn header_number(text: Option<&str>) -> Result<u64, StoreError> {
+fn parse_generation(text: Option<&str>) -> Result<u64, StoreError> {
     let number = text.and_then(|t| t.parse().ok());
     number.ok_or_else(|| StoreError::Damaged {
         reason: "the answer has no generation".to_string(),
--- a/services/src/stores/store_row.rs
+++ b/services/src/stores/store_row.rs
@@ -8,7 +8,7 @@
 
 /// One sealed piece as a store box lists it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct StoreRow {
+pub struct PieceRecord {
     /// The piece.
     pub key: PieceKey,
     /// Its tier.
@@ -21,17 +21,17 @@
 
 /// All sealed pieces of a store box.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct StoreContent {
+pub struct PieceList {
     /// The pieces.
-    pub pieces: Vec<StoreRow>,
+    pub pieces: Vec<PieceRecord>,
 }
 
-impl From<StoreRow> for StoredPiece {
-    fn from(row: StoreRow) -> Self {
+impl From<PieceRecord> for StoredPiece {
+    fn from(record: PieceRecord) -> Self {
         StoredPiece {
-            key: row.key,
-            tier: row.tier,
-            generation: row.generation,
+            key: record.key,
+            tier: record.tier,
+            generation: record.generation,
         }
     }
 }
--- a/services/src/table/table_client.rs
+++ b/services/src/table/table_client.rs
@@ -1,6 +1,8 @@
 use {
-    super::{CommitAnswer, CommitOutcome, CommitQuery, ReadAnswer, ReadQuery, RowWrite, TableRow},
-    crate::http::{CallError, HttpCaller},
+    super::{
+        CommitOutcome, CommitRequest, CommitResponse, ReadRequest, ReadResponse, RowWrite, TableRow,
+    },
+    crate::http::{CallError, ServiceClient},
     pitchhitch_core::retry::BackoffPolicy,
     rand::SeedableRng,
     rand_pcg::Pcg32,
@@ -18,13 +20,13 @@
 /// Client of the table service.
 #[derive(Debug, Clone)]
 pub struct TableClient {
-    caller: HttpCaller,
-    use_count: Arc<TableUse>,
+    client: ServiceClient,
+    usage: Arc<TableUsage>,
 }
 
 /// Calls made so far, for the budget of the whole fleet.
 #[derive(Debug, Default)]
-pub struct TableUse {
+pub struct TableUsage {
     /// Read calls.
     pub reads: AtomicU64,
     /// Commit calls.
@@ -38,14 +40,14 @@
         timeout: Duration,
     ) -> Self {
         TableClient {
-            caller: HttpCaller::new(address, timeout),
-            use_count: Arc::default(),
+            client: ServiceClient::new(address, timeout),
+            usage: Arc::default(),
         }
     }
 
     /// Calls made so far.
-    pub fn usage(&self) -> &TableUse {
-        &self.use_count
+    pub fn usage(&self) -> &TableUsage {
+        &self.usage
     }
 
     /// Reads rows once, all at one moment.
@@ -56,12 +58,12 @@
         &self,
         keys: &[String],
     ) -> Result<Vec<TableRow>, CallError> {
-        self.use_count.reads.fetch_add(1, Ordering::Relaxed);
-        let query = ReadQuery {
+        self.usage.reads.fetch_add(1, Ordering::Relaxed);
+        let request = ReadRequest {
             keys: keys.to_vec(),
         };
-        let answer: ReadAnswer = self.caller.post_json("/table/read", &query).await?;
-        Ok(answer.rows)
+        let response: ReadResponse = self.client.post_json("/table/read", &request).await?;
+        Ok(response.rows)
     }
 
     /// Reads one row once; none when it is not there.
@@ -81,13 +83,13 @@
         &self,
         writes: &[RowWrite],
     ) -> CommitOutcome {
-        self.use_count.writes.fetch_add(1, Ordering::Relaxed);
-        let query = CommitQuery {
+        self.usage.writes.fetch_add(1, Ordering::Relaxed);
+        let request = CommitRequest {
             writes: writes.to_vec(),
         };
-        match self.caller.post_json("/table/commit", &query).await {
-            Ok(CommitAnswer::Done { versions }) => CommitOutcome::Done { versions },
-            Ok(CommitAnswer::Conflict { keys }) => CommitOutcome::Conflict { keys },
+        match self.client.post_json("/table/commit", &request).await {
+            Ok(CommitResponse::Done { versions }) => CommitOutcome::Done { versions },
+            Ok(CommitResponse::Conflict { keys }) => CommitOutcome::Conflict { keys },
             Err(error) => CommitOutcome::Unknown { error },
         }
     }
@@ -97,39 +99,39 @@
     /// The values must be such that nobody else writes the same. Tries go on
     /// with jittered pauses until `patience` is over; only then is the outcome
     /// left unknown.
-    pub async fn commit_settled(
+    pub async fn commit_confirmed(
         &self,
         writes: &[RowWrite],
-        patience: Duration,
+        timeout: Duration,
         seed: u64,
     ) -> CommitOutcome {
         let started = Instant::now();
         let mut random = Pcg32::seed_from_u64(seed);
         let mut attempt = 0;
-        let mut lost_before = false;
+        let mut response_lost = false;
         loop {
             attempt += 1;
             let outcome = self.commit(writes).await;
             match &outcome {
                 CommitOutcome::Done { .. } => return outcome,
                 // A conflict after a lost answer may be with our own write.
-                CommitOutcome::Conflict { .. } if !lost_before => return outcome,
+                CommitOutcome::Conflict { .. } if !response_lost => return outcome,
                 CommitOutcome::Conflict { .. } => {
-                    if let Ok(settled) = self.read_back(writes).await {
-                        return settled.unwrap_or(outcome);
+                    if let Ok(confirmed) = self.read_back(writes).await {
+                        return confirmed.unwrap_or(outcome);
                     }
                 }
                 CommitOutcome::Unknown { .. } => {
-                    lost_before = true;
-                    if let Ok(Some(settled)) = self.read_back(writes).await {
-                        return settled;
+                    response_lost = true;
+                    if let Ok(Some(confirmed)) = self.read_back(writes).await {
+                        return confirmed;
                     }
                 }
             }
-            if started.elapsed() >= patience {
+            if started.elapsed() >= timeout {
                 return match outcome {
                     CommitOutcome::Conflict { keys } => CommitOutcome::Unknown {
-                        error: CallError::NoAnswer {
+                        error: CallError::NoResponse {
                             url: keys.join(","),
                             reason: "the outcome could not be read back".to_string(),
                         },
--- a/services/src/table/table_messages.rs
+++ b/services/src/table/table_messages.rs
@@ -2,14 +2,14 @@
 
 /// Reads several rows at one moment.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ReadQuery {
+pub struct ReadRequest {
     /// Keys of the rows.
     pub keys: Vec<String>,
 }
 
 /// Rows that were found; the others are not there.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ReadAnswer {
+pub struct ReadResponse {
     /// The rows.
     pub rows: Vec<TableRow>,
 }
@@ -27,7 +27,7 @@
 
 /// Writes several rows, all or none.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct CommitQuery {
+pub struct CommitRequest {
     /// The writes.
     pub writes: Vec<RowWrite>,
 }
@@ -46,7 +46,7 @@
 /// Answer to a commit.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum CommitAnswer {
+pub enum CommitResponse {
     /// All rows were written; their new versions, in order.
     Done {
         /// New versions.
--- a/services/src/weights/weight_client.rs
+++ b/services/src/weights/weight_client.rs
@@ -1,5 +1,5 @@
 use {
-    crate::http::{CallError, HttpCaller},
+    crate::http::{CallError, ServiceClient},
     std::{net::SocketAddr, time::Duration},
 };
 
@@ -7,7 +7,7 @@
 /// asks what is there.
 #[derive(Debug, Clone)]
 pub struct WeightClient {
-    caller: HttpCaller,
+    client: ServiceClient,
 }
 
 impl WeightClient {
@@ -17,7 +17,7 @@
         timeout: Duration,
     ) -> Self {
         WeightClient {
-            caller: HttpCaller::new(address, timeout),
+            client: ServiceClient::new(address, timeout),
         }
     }
 
@@ -31,9 +31,9 @@
         version: &str,
     ) -> Result<bool, CallError> {
         let conn = self
-            .caller
+            .client
             .request("GET", &format!("/weights/{model}/{version}/about"));
-        match self.caller.send(conn).await {
+        match self.client.send(conn).await {
             Ok(_) => Ok(true),
             Err(CallError::Status { status: 404, .. }) => Ok(false),
             Err(error) => Err(error),
--- a/testbed/examples/demo.rs
+++ b/testbed/examples/demo.rs
@@ -8,7 +8,7 @@
     anyhow::{bail, Context},
     futures_lite::future,
     pitchhitch_core::route::RoutePolicy,
-    pitchhitch_process::{start_logging, start_traffic},
+    pitchhitch_process::{start_logging, start_traffic_threads},
     pitchhitch_testbed::{
         deploy::{Deployment, DeploymentShape, ProcessSignal, ProgramSet, PATIENCE},
         replay::{ReplayProgress, RunMeasures, TraceReplay},
@@ -34,7 +34,7 @@
         std::env::var("PITCHHITCH_LOG").unwrap_or("error".to_string()),
     );
     start_logging();
-    start_traffic(THREADS);
+    start_traffic_threads(THREADS);
     match smol::block_on(run()) {
         Ok(true) => ExitCode::SUCCESS,
         Ok(false) => {
--- a/testbed/examples/figures/main.rs
+++ b/testbed/examples/figures/main.rs
@@ -12,7 +12,7 @@
         load_figures::{memory_and_idle, short_requests, streamed_tokens},
         route_figures::route_cost,
     },
-    pitchhitch_process::{start_logging, start_traffic},
+    pitchhitch_process::{start_logging, start_traffic_threads},
     pitchhitch_testbed::deploy::{ChildEngine, ProgramSet},
 };
 
@@ -23,7 +23,7 @@
     ChildEngine::play_role();
     std::env::set_var("PITCHHITCH_LOG", "error");
     start_logging();
-    start_traffic(THREADS);
+    start_traffic_threads(THREADS);
     let only = std::env::args().nth(1);
     let wants = |name: &str| only.as_deref().is_none_or(|o| o == name);
     println!("| figure | measured | wanted |\n|---|---|---|");
--- a/testbed/examples/fuzz.rs
+++ b/testbed/examples/fuzz.rs
@@ -129,7 +129,7 @@
             feed(&mutated(seed, &mut random));
         }
     }
-    let resident = ProcessUsage::of_self().resident_bytes;
+    let resident = ProcessUsage::current().resident_bytes;
     println!("{inputs} inputs, no panic, {} MiB resident", resident >> 20);
     ExitCode::from(u8::from(resident > MEMORY_LIMIT))
 }
--- a/testbed/examples/playground.rs
+++ b/testbed/examples/playground.rs
@@ -2,7 +2,7 @@
 //! serves until it is stopped or for as many seconds as its argument says.
 
 use {
-    pitchhitch_process::{start_traffic, stop_asked},
+    pitchhitch_process::{start_traffic_threads, wait_for_stop},
     pitchhitch_testbed::deploy::{Deployment, DeploymentShape, ProgramSet},
     smol::Timer,
     std::time::Duration,
@@ -13,7 +13,7 @@
 
 fn main() -> anyhow::Result<()> {
     ProgramSet::play_role();
-    start_traffic(THREADS);
+    start_traffic_threads(THREADS);
     let seconds = std::env::args()
         .nth(1)
         .and_then(|text| text.parse().ok())
@@ -29,7 +29,7 @@
         );
         println!("serving model 'assistant' and service '/orders'; stop it with Ctrl-C");
         let stopped = async {
-            let _ = stop_asked().await;
+            let _ = wait_for_stop().await;
         };
         let over = async {
             Timer::after(Duration::from_secs(seconds)).await;
--- a/testbed/examples/slopes/piece_slopes.rs
+++ b/testbed/examples/slopes/piece_slopes.rs
@@ -116,9 +116,9 @@
 
 pub fn print_memory(args: &[String]) {
     let count = args[1].parse().unwrap_or(0);
-    let before = ProcessUsage::of_self().resident_bytes;
+    let before = ProcessUsage::current().resident_bytes;
     let core = fill(&args[0], count);
-    let after = ProcessUsage::of_self().resident_bytes;
+    let after = ProcessUsage::current().resident_bytes;
     println!("{}", after.saturating_sub(before));
     black_box(core);
 }
--- a/testbed/src/deploy/child_engine.rs
+++ b/testbed/src/deploy/child_engine.rs
@@ -2,7 +2,7 @@
     super::ChildProcess,
     crate::engine::{EngineShape, EngineStandIn},
     anyhow::Context,
-    pitchhitch_process::start_traffic,
+    pitchhitch_process::start_traffic_threads,
     smol::Timer,
     std::{
         env, fs,
@@ -86,7 +86,7 @@
     let [place, prefill, decode, threads] = args else {
         anyhow::bail!("four arguments are wanted");
     };
-    start_traffic(threads.parse()?);
+    start_traffic_threads(threads.parse()?);
     let weights = SocketAddr::from(([127, 0, 0, 1], 9));
     let shape = EngineShape {
         prefill_token: Duration::from_micros(prefill.parse()?),
--- a/testbed/src/deploy/child_process.rs
+++ b/testbed/src/deploy/child_process.rs
@@ -103,7 +103,7 @@
 
     /// What it has used so far.
     pub fn usage(&self) -> ProcessUsage {
-        ProcessUsage::of_pid(self.pid())
+        ProcessUsage::for_pid(self.pid())
     }
 
     /// Its log so far.
--- a/testbed/src/deploy/deployment.rs
+++ b/testbed/src/deploy/deployment.rs
@@ -9,7 +9,7 @@
     },
     anyhow::Context,
     pitchhitch_entry::operators::{StatusReport, STATUS_PATH},
-    pitchhitch_services::http::HttpCaller,
+    pitchhitch_services::http::ServiceClient,
     serde_json::json,
     smol::Timer,
     std::{
@@ -195,7 +195,7 @@
         &self,
         index: usize,
     ) -> anyhow::Result<StatusReport> {
-        let caller = HttpCaller::new(self.entry_places[index].operators, CALL_TIMEOUT);
+        let caller = ServiceClient::new(self.entry_places[index].operators, CALL_TIMEOUT);
         Ok(caller.get_json(STATUS_PATH).await?)
     }
 
--- a/testbed/src/deploy/platform_setup.rs
+++ b/testbed/src/deploy/platform_setup.rs
@@ -2,7 +2,7 @@
     super::{Deployment, CALL_TIMEOUT},
     pitchhitch_core::conf::{ConfigChange, ModelConf, OrganisationConf, ServiceConf, VersionConf},
     pitchhitch_services::{
-        boxes::{BoxRow, ListedRole},
+        boxes::{BoxRecord, ListedRole},
         config::{ChangeRequest, ConfigStore},
         objects::ObjectClient,
         table::TableClient,
@@ -16,7 +16,7 @@
 impl Deployment {
     pub(super) fn list_boxes(&self) {
         for place in &self.entry_places {
-            self.platform.state.list_box(BoxRow {
+            self.platform.state.list_box(BoxRecord {
                 id: place.id.clone(),
                 role: ListedRole::Entry,
                 group: String::new(),
@@ -25,7 +25,7 @@
                 leaving: false,
             });
         }
-        self.platform.state.list_box(BoxRow {
+        self.platform.state.list_box(BoxRecord {
             id: format!("{}-store", self.shape.name),
             role: ListedRole::Store,
             group: self.engine_group(),
--- a/testbed/src/engine/engine_stand_in.rs
+++ b/testbed/src/engine/engine_stand_in.rs
@@ -3,7 +3,7 @@
     crate::stand_ins::{answer_json, answer_status, any_port, read_body, HttpStandIn},
     pitchhitch_agent::endpoint::{EngineHealth, EngineOrder, VERSION_HEADER},
     pitchhitch_core::{kept::PieceKey, lease::OrderStamp},
-    pitchhitch_services::http::HttpCaller,
+    pitchhitch_services::http::ServiceClient,
     std::{
         io,
         net::SocketAddr,
@@ -91,7 +91,7 @@
     version: Mutex<String>,
     loading: AtomicBool,
     newest_order: Mutex<OrderStamp>,
-    weights: HttpCaller,
+    weights: ServiceClient,
 }
 
 /// Stand-in for a model engine; it stops when dropped.
@@ -129,7 +129,7 @@
             version: Mutex::new(shape.version.clone()),
             loading: AtomicBool::new(false),
             newest_order: Mutex::new(OrderStamp::default()),
-            weights: HttpCaller::new(shape.weights, WEIGHT_TIMEOUT),
+            weights: ServiceClient::new(shape.weights, WEIGHT_TIMEOUT),
             shape,
         });
         let shared = core.clone();
--- a/testbed/src/stand_ins/platform_stand_in.rs
+++ b/testbed/src/stand_ins/platform_stand_in.rs
@@ -3,7 +3,7 @@
         answer_json, answer_status, any_port, read_body, FaultOutcome, FaultSwitch, HttpStandIn,
         TableRows,
     },
-    pitchhitch_services::boxes::{BoxList, BoxRow},
+    pitchhitch_services::boxes::{BoxList, BoxRecord},
     smol::Timer,
     std::{
         collections::{BTreeMap, BTreeSet},
@@ -35,7 +35,7 @@
     /// Faults of the box list.
     pub box_faults: FaultSwitch,
     objects: Mutex<BTreeMap<String, Vec<u8>>>,
-    boxes: Mutex<BTreeMap<String, BoxRow>>,
+    boxes: Mutex<BTreeMap<String, BoxRecord>>,
     weights: Mutex<BTreeSet<String>>,
     loading: AtomicU32,
     most_loading: AtomicU32,
@@ -72,7 +72,7 @@
     /// Puts a box on the list, or replaces it.
     pub fn list_box(
         &self,
-        row: BoxRow,
+        row: BoxRecord,
     ) {
         let mut boxes = self.boxes.lock().unwrap_or_else(PoisonError::into_inner);
         boxes.insert(row.id.clone(), row);
--- a/testbed/src/stand_ins/store_box.rs
+++ b/testbed/src/stand_ins/store_box.rs
@@ -2,7 +2,7 @@
     super::{answer_json, answer_status, any_port, HttpStandIn},
     pitchhitch_agent::moves::piece_checksum,
     pitchhitch_core::kept::{PieceKey, StoreTier},
-    pitchhitch_services::stores::{StoreContent, StoreRow, CHECKSUM_HEADER, GENERATION_HEADER},
+    pitchhitch_services::stores::{PieceList, PieceRecord, CHECKSUM_HEADER, GENERATION_HEADER},
     smol::Timer,
     std::{
         collections::BTreeMap,
@@ -178,13 +178,13 @@
     conn: Conn,
 ) -> Conn {
     let state = shared.lock();
-    let rows = state.pieces.iter().map(|(key, piece)| StoreRow {
+    let rows = state.pieces.iter().map(|(key, piece)| PieceRecord {
         key: *key,
         tier: piece.tier,
         generation: piece.generation,
         length: piece.bytes.len() as u64,
     });
-    let content = StoreContent {
+    let content = PieceList {
         pieces: rows.collect(),
     };
     drop(state);
--- a/testbed/src/stand_ins/table_rows.rs
+++ b/testbed/src/stand_ins/table_rows.rs
@@ -1,6 +1,6 @@
 use {
     pitchhitch_services::table::{
-        CommitAnswer, CommitQuery, ReadAnswer, ReadQuery, RowWrite, TableRow,
+        CommitRequest, CommitResponse, ReadRequest, ReadResponse, RowWrite, TableRow,
     },
     std::{
         collections::BTreeMap,
@@ -35,15 +35,15 @@
     /// Reads rows.
     pub fn read(
         &self,
-        query: &ReadQuery,
-    ) -> ReadAnswer {
+        query: &ReadRequest,
+    ) -> ReadResponse {
         let mut state = self.lock();
         state.reads += 1;
         let rows = query
             .keys
             .iter()
             .filter_map(|key| state.rows.get(key).cloned());
-        ReadAnswer {
+        ReadResponse {
             rows: rows.collect(),
         }
     }
@@ -51,8 +51,8 @@
     /// Writes rows, all or none.
     pub fn commit(
         &self,
-        query: &CommitQuery,
-    ) -> CommitAnswer {
+        query: &CommitRequest,
+    ) -> CommitResponse {
         let mut state = self.lock();
         state.writes += 1;
         let conflicts = query.writes.iter().filter(|write| {
@@ -61,14 +61,14 @@
         });
         let keys: Vec<String> = conflicts.map(|write| write.key.clone()).collect();
         if !keys.is_empty() {
-            return CommitAnswer::Conflict { keys };
+            return CommitResponse::Conflict { keys };
         }
         let versions = query
             .writes
             .iter()
             .map(|write| state.write(write))
             .collect();
-        CommitAnswer::Done { versions }
+        CommitResponse::Done { versions }
     }
 
     /// Calls answered so far.
--- a/testbed/tests/kept_pieces.rs
+++ b/testbed/tests/kept_pieces.rs
@@ -54,7 +54,7 @@
             Err(StoreError::Missing)
         );
         client(&store)
-            .drop_piece(KEY, second)
+            .delete_piece(KEY, second)
             .await
             .expect("dropped");
         assert_eq!(
--- a/wire/src/beside/state_question.rs
+++ b/wire/src/beside/state_question.rs
@@ -1,7 +1,7 @@
 use {
     super::{HandedState, StateError, STATE_PATH},
     crate::beacon::BeaconKey,
-    pitchhitch_http1::{HttpCall, HttpClient},
+    pitchhitch_http1::{HttpClient, HttpRequest},
     std::{net::SocketAddr, time::Duration},
 };
 
@@ -22,12 +22,12 @@
     key: Option<&BeaconKey>,
 ) -> Option<StateAnswer> {
     let mut client = HttpClient::new(address, limit);
-    let call = HttpCall {
+    let call = HttpRequest {
         method: "GET",
         target: STATE_PATH,
-        ..HttpCall::default()
+        ..HttpRequest::default()
     };
-    let body = client.sound_body(call).await?;
+    let body = client.ok_body(call).await?;
     Some(StateAnswer {
         state: HandedState::open(&body, key),
         bytes: body.len(),
