--- a/http1/src/lib.rs
+++ b/http1/src/lib.rs
@@ -6,15 +6,15 @@
 
 mod body_decoder;
 mod body_framing;
-mod byte_link;
 mod head_error;
 mod head_fields;
 mod head_reader;
 mod http_client;
 mod silence_limit;
 mod small_server;
+mod tcp_connection;
 
 pub use {
-    body_decoder::*, body_framing::*, byte_link::*, head_error::*, head_fields::*, head_reader::*,
-    http_client::*, silence_limit::*, small_server::*,
+    body_decoder::*, body_framing::*, head_error::*, head_fields::*, head_reader::*,
+    http_client::*, silence_limit::*, small_server::*, tcp_connection::*,
 };
