--- a/http1/src/lib.rs
+++ b/http1/src/lib.rs
@@ -7,14 +7,14 @@
 mod body_decoder;
 mod body_framing;
 mod head_error;
-mod head_fields;
 mod head_reader;
+mod header_fields;
 mod http_client;
 mod silence_limit;
 mod small_server;
 mod tcp_connection;
 
 pub use {
-    body_decoder::*, body_framing::*, head_error::*, head_fields::*, head_reader::*,
+    body_decoder::*, body_framing::*, head_error::*, head_reader::*, header_fields::*,
     http_client::*, silence_limit::*, small_server::*, tcp_connection::*,
 };
