--- a/http1/src/lib.rs
+++ b/http1/src/lib.rs
@@ -7,7 +7,7 @@
 mod body_decoder;
 mod body_framing;
 mod head_error;
-mod head_reader;
+mod head_parser;
 mod header_fields;
 mod http_client;
 mod silence_limit;
@@ -15,6 +15,6 @@
 mod tcp_connection;
 
 pub use {
-    body_decoder::*, body_framing::*, head_error::*, head_reader::*, header_fields::*,
+    body_decoder::*, body_framing::*, head_error::*, head_parser::*, header_fields::*,
     http_client::*, silence_limit::*, small_server::*, tcp_connection::*,
 };
