--- a/http1/src/lib.rs
+++ b/http1/src/lib.rs
@@ -10,11 +10,11 @@
 mod head_parser;
 mod header_fields;
 mod http_client;
-mod small_server;
+mod path_server;
 mod tcp_connection;
 mod tcp_keepalive;
 
 pub use {
     body_decoder::*, body_framing::*, head_error::*, head_parser::*, header_fields::*,
-    http_client::*, small_server::*, tcp_connection::*, tcp_keepalive::*,
+    http_client::*, path_server::*, tcp_connection::*, tcp_keepalive::*,
 };
