--- a/services/src/boxes/mod.rs
+++ b/services/src/boxes/mod.rs
@@ -1,6 +1,6 @@
 //! The box list.
 
 mod box_client;
-mod box_row;
+mod box_record;
 
-pub use {box_client::*, box_row::*};
+pub use {box_client::*, box_record::*};
