--- a/services/src/stores/mod.rs
+++ b/services/src/stores/mod.rs
@@ -1,7 +1,7 @@
 //! Store boxes: memory and disk for kept pieces.
 
+mod piece_record;
 mod store_client;
 mod store_error;
-mod store_row;
 
-pub use {store_client::*, store_error::*, store_row::*};
+pub use {piece_record::*, store_client::*, store_error::*};
