--- a/services/src/http/mod.rs
+++ b/services/src/http/mod.rs
@@ -1,6 +1,6 @@
 //! HTTP calls with a time limit.
 
 mod call_error;
-mod http_caller;
+mod service_client;
 
-pub use {call_error::*, http_caller::*};
+pub use {call_error::*, service_client::*};
