--- a/http1/src/body_decoder.rs
+++ b/http1/src/body_decoder.rs
@@ -1,8 +1,8 @@
 use super::{BodyFraming, HeadError};
 
-/// Longest line that tells the size of a chunk, in bytes.
+/// Maximum length of a chunk-size line, in bytes.
 const MAX_SIZE_LINE_BYTES: usize = 256;
-/// Longest trailer behind the last chunk, in bytes.
+/// Maximum total length of the trailer fields, in bytes.
 const MAX_TRAILER_BYTES: usize = 4_096;
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -21,7 +21,7 @@
     Done,
 }
 
-/// Takes the bytes of a body out of their framing, as they come.
+/// Incremental decoder that strips the transfer framing from a message body.
 #[derive(Debug)]
 pub struct BodyDecoder {
     state: DecoderState,
@@ -30,7 +30,7 @@
 }
 
 impl BodyDecoder {
-    /// A decoder for one body.
+    /// Creates a decoder for a single body.
     pub fn new(framing: BodyFraming) -> Self {
         let state = match framing {
             BodyFraming::Empty | BodyFraming::Length(0) => DecoderState::Done,
@@ -45,21 +45,21 @@
         }
     }
 
-    /// Whether the whole body has come.
+    /// Whether the whole body has been decoded.
     pub fn is_done(&self) -> bool {
         self.state == DecoderState::Done
     }
 
-    /// Whether only the end of the connection ends this body.
+    /// Whether this body extends until the connection closes.
     pub fn is_until_close(&self) -> bool {
         self.state == DecoderState::UntilClose
     }
 
-    /// Takes what belongs to the body from `input`, appends it to `body` and
-    /// returns how many bytes of `input` were used up.
+    /// Decodes body bytes from `input`, appends them to `body` and returns the
+    /// number of bytes of `input` consumed.
     ///
     /// # Errors
-    /// [`HeadError::Malformed`] where the framing is broken.
+    /// [`HeadError::Malformed`] if the chunked framing is invalid.
     pub fn decode(
         &mut self,
         input: &[u8],
@@ -166,7 +166,7 @@
         .ok_or(HeadError::Malformed)
 }
 
-/// Writes one chunk.
+/// Appends one chunk to `out`; empty data writes nothing, as an empty chunk would end the body.
 pub fn write_chunk(
     out: &mut Vec<u8>,
     data: &[u8],
@@ -179,5 +179,5 @@
     out.extend_from_slice(b"\r\n");
 }
 
-/// The chunk that ends a body.
+/// Final chunk of a chunked body, without trailer fields.
 pub const LAST_CHUNK: &[u8] = b"0\r\n\r\n";
--- a/http1/src/body_framing.rs
+++ b/http1/src/body_framing.rs
@@ -1,31 +1,31 @@
 use super::{HeadError, HeaderFields};
 
-/// How the end of a body is told.
+/// How the end of a message body is determined.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum BodyFraming {
-    /// There is none.
+    /// The message has no body.
     Empty,
-    /// By its length in bytes.
+    /// By `Content-Length`, in bytes.
     Length(u64),
-    /// By chunks.
+    /// By chunked transfer coding.
     Chunked,
-    /// By the end of the connection.
+    /// By the close of the connection.
     UntilClose,
 }
 
 impl BodyFraming {
-    /// Framing of a request.
+    /// Determines the framing of a request body.
     ///
     /// # Errors
-    /// [`HeadError::AmbiguousLength`] where two readers could see two bodies.
+    /// [`HeadError::AmbiguousLength`] if two recipients could see different body ends.
     pub fn for_request(fields: &HeaderFields) -> Result<Self, HeadError> {
         Ok(declared_framing(fields)?.unwrap_or(BodyFraming::Empty))
     }
 
-    /// Framing of an answer with this status.
+    /// Determines the framing of the body of a response with this status.
     ///
     /// # Errors
-    /// [`HeadError::AmbiguousLength`] where two readers could see two bodies.
+    /// [`HeadError::AmbiguousLength`] if two recipients could see different body ends.
     pub fn for_response(
         status: u16,
         fields: &HeaderFields,
--- a/http1/src/head_error.rs
+++ b/http1/src/head_error.rs
@@ -1,15 +1,15 @@
 use thiserror::Error;
 
-/// Why the head of a message cannot be used.
+/// Why the head or the framing of a message is rejected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub enum HeadError {
-    /// The bytes are no head.
-    #[error("these bytes are no HTTP/1.1 head; look at what the sender writes")]
+    /// The bytes are not a valid message head or chunk.
+    #[error("malformed HTTP/1.1 message; check what the sender writes")]
     Malformed,
-    /// The head is longer than the limit.
-    #[error("the head is over its limit; send fewer or shorter headers")]
+    /// The head exceeds the limit on its length or on its number of headers.
+    #[error("message head too large; send fewer or shorter headers")]
     TooLong,
-    /// The message says its length in two ways, or in one that is not known.
-    #[error("the length of the body is not clear; send one length, or chunks")]
+    /// The body length is stated more than once, or in an invalid or unsupported form.
+    #[error("ambiguous body length; send one Content-Length or chunked transfer coding")]
     AmbiguousLength,
 }
--- a/http1/src/head_parser.rs
+++ b/http1/src/head_parser.rs
@@ -1,36 +1,37 @@
 use super::{HeadError, HeaderFields};
 
-/// Most headers in one head; the platform's clients send about a dozen.
+/// Maximum number of headers in a head; the platform's clients send about a dozen.
 const MAX_HEADERS: usize = 100;
 
 /// The head of a request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RequestHead {
-    /// Method, as it came.
+    /// Method, as received.
     pub method: String,
-    /// Path and query, as they came.
+    /// Path and query, as received.
     pub target: String,
-    /// Whether the sender speaks HTTP/1.1 and not 1.0.
+    /// Whether the message is HTTP/1.1 rather than HTTP/1.0.
     pub is_http11: bool,
     /// Headers.
     pub fields: HeaderFields,
 }
 
-/// The head of an answer.
+/// The head of a response.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ResponseHead {
     /// Status code.
     pub status: u16,
-    /// Whether the sender speaks HTTP/1.1 and not 1.0.
+    /// Whether the message is HTTP/1.1 rather than HTTP/1.0.
     pub is_http11: bool,
     /// Headers.
     pub fields: HeaderFields,
 }
 
-/// Reads the head of a request, once it is whole; also says how long it is.
+/// Parses the head of a request; returns it with its length in bytes, or `None` while it is
+/// incomplete.
 ///
 /// # Errors
-/// [`HeadError`] where no head can come of these bytes.
+/// [`HeadError`] if the bytes cannot become a valid head within `limit` bytes.
 pub fn parse_request_head(
     bytes: &[u8],
     limit: usize,
@@ -52,10 +53,11 @@
     Ok(Some((head, length)))
 }
 
-/// Reads the head of an answer, once it is whole; also says how long it is.
+/// Parses the head of a response; returns it with its length in bytes, or `None` while it is
+/// incomplete.
 ///
 /// # Errors
-/// [`HeadError`] where no head can come of these bytes.
+/// [`HeadError`] if the bytes cannot become a valid head within `limit` bytes.
 pub fn parse_response_head(
     bytes: &[u8],
     limit: usize,
--- a/http1/src/header_fields.rs
+++ b/http1/src/header_fields.rs
@@ -1,13 +1,13 @@
 use std::ops::Range;
 
-/// One header, by its places in the bytes of the head.
+/// Byte ranges of the name and the value of one header in the head.
 #[derive(Debug, Clone, PartialEq, Eq)]
 struct FieldRange {
     name: Range<usize>,
     value: Range<usize>,
 }
 
-/// The headers of a message, in their order, over one copy of its head.
+/// The headers of a message in their original order, stored as ranges of one copy of the head.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct HeaderFields {
     bytes: Vec<u8>,
@@ -15,14 +15,14 @@
 }
 
 impl HeaderFields {
-    /// Copies the head and notes where each header stands in it.
+    /// Copies the head and records the byte ranges of its parsed headers.
     pub(crate) fn from_parsed(
         head: &[u8],
         headers: &[httparse::Header<'_>],
     ) -> Self {
         let base = head.as_ptr() as usize;
         let range = |part: &[u8]| {
-            // An empty value may point outside of the head.
+            // The slice of an empty value may point outside of the head.
             if part.is_empty() {
                 return 0..0;
             }
@@ -39,7 +39,7 @@
         }
     }
 
-    /// All headers as they came: name and value.
+    /// All headers in their original order, as name and value.
     pub fn iter(&self) -> impl Iterator<Item = (&[u8], &[u8])> {
         self.ranges.iter().map(|range| {
             (
@@ -49,7 +49,7 @@
         })
     }
 
-    /// The first value under a name; names are compared without case.
+    /// The first value of a header; names are case-insensitive.
     pub fn get(
         &self,
         name: &str,
@@ -60,7 +60,7 @@
         found.next().map(|(_, value)| value)
     }
 
-    /// The first value under a name, where it is text.
+    /// The first value of a header, trimmed; `None` if it is not valid UTF-8.
     pub fn get_str(
         &self,
         name: &str,
@@ -69,7 +69,7 @@
         std::str::from_utf8(value).ok().map(str::trim)
     }
 
-    /// All values under a name.
+    /// All values of a header.
     pub fn get_all<'a>(
         &'a self,
         name: &'a str,
@@ -79,7 +79,7 @@
             .map(|(_, value)| value)
     }
 
-    /// Whether a comma-separated header holds a word.
+    /// Whether a comma-separated header contains a token, ignoring case.
     pub fn has_token(
         &self,
         name: &str,
--- a/http1/src/http_client.rs
+++ b/http1/src/http_client.rs
@@ -5,27 +5,28 @@
     thiserror::Error,
 };
 
-/// Longest head of an answer, in bytes.
+/// Maximum length of a response head, in bytes.
 const MAX_HEAD_BYTES: usize = 16 << 10;
-/// Longest body of an answer, in bytes; the platform gives 1 MB of rows, coded.
+/// Maximum length of a response body, in bytes; the platform returns up to 1 MB of rows,
+/// encoded.
 const MAX_BODY_BYTES: usize = 4 << 20;
 
-/// One small call.
+/// A request with a small body.
 #[derive(Debug, Clone, Default)]
 pub struct HttpRequest<'a> {
     /// Method.
     pub method: &'a str,
     /// Path and query.
     pub target: &'a str,
-    /// Further headers.
+    /// Additional headers.
     pub fields: Vec<(String, String)>,
-    /// Body, in JSON where there is one.
+    /// JSON body; empty for none.
     pub body: Vec<u8>,
-    /// Time beyond the client's limit, where the other side is asked to wait.
+    /// Time added to the client's timeout, for requests on which the server is asked to wait.
     pub extra_timeout: Duration,
 }
 
-/// A whole answer.
+/// A complete response.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct HttpResponse {
     /// Status code.
@@ -36,24 +37,24 @@
     pub body: Vec<u8>,
 }
 
-/// Why there is no answer.
+/// Why a request got no response.
 #[derive(Debug, Error)]
 pub enum HttpFailure {
-    /// No connection came up: nothing was asked.
-    #[error("no connection: {0}")]
+    /// The connection could not be established; the request was not sent.
+    #[error("connection failed: {0}")]
     NoConnection(std::io::Error),
-    /// The connection broke: what was asked may have been done.
+    /// The connection broke; the request may have been executed.
     #[error("connection broken: {0}")]
     Broken(std::io::Error),
-    /// No answer in time: what was asked may have been done.
-    #[error("no answer in time")]
+    /// No response before the timeout; the request may have been executed.
+    #[error("no response before the timeout")]
     Late,
-    /// The bytes are no answer.
-    #[error("the answer cannot be read")]
+    /// The response is malformed or too large.
+    #[error("malformed or oversized response")]
     Unreadable,
 }
 
-/// A client for small calls, one after another, over one connection.
+/// An HTTP client that sends one small request at a time over one persistent connection.
 #[derive(Debug)]
 pub struct HttpClient {
     address: SocketAddr,
@@ -62,7 +63,7 @@
 }
 
 impl HttpClient {
-    /// A client of `address`; each call ends after `limit`.
+    /// Creates a client of `address`; each request ends after `timeout`.
     pub fn new(
         address: SocketAddr,
         timeout: Duration,
@@ -74,7 +75,7 @@
         }
     }
 
-    /// Lets each later call take so long.
+    /// Sets the timeout of later requests.
     pub fn set_timeout(
         &mut self,
         timeout: Duration,
@@ -82,11 +83,11 @@
         self.timeout = timeout;
     }
 
-    /// Makes a call. After any failure the next one takes a new connection:
-    /// an answer that still comes belongs to nobody.
+    /// Sends a request and reads the whole response. After a failure the next request opens
+    /// a new connection, so that a late response is never taken for its own.
     ///
     /// # Errors
-    /// [`HttpFailure`] where there is no whole answer.
+    /// [`HttpFailure`] if no complete response was received.
     pub async fn call(
         &mut self,
         request: HttpRequest<'_>,
@@ -103,8 +104,8 @@
         Ok(response)
     }
 
-    /// Makes a call and gives back the body of an answer with status 200; for
-    /// callers that do the same after any failure.
+    /// Sends a request and returns the body of a response with status 200; for callers that
+    /// treat all failures alike.
     pub async fn ok_body(
         &mut self,
         request: HttpRequest<'_>,
@@ -143,7 +144,7 @@
     request: &HttpRequest<'_>,
 ) -> Vec<u8> {
     let mut out = Vec::with_capacity(256 + request.body.len());
-    // Writing to memory does not fail.
+    // Writing to a `Vec` does not fail.
     let _ = write!(
         out,
         "{} {} HTTP/1.1\r\nhost: {address}\r\n",
--- a/http1/src/lib.rs
+++ b/http1/src/lib.rs
@@ -1,8 +1,8 @@
-//! HTTP/1.1 connections for paths where each event counts.
+//! HTTP/1.1 connections for latency-sensitive paths.
 //!
-//! The general servers and clients of this workspace hold the start of a
-//! streamed body back. Here a host sees each read as it comes and decides by
-//! itself what goes on, while heads are parsed by `httparse`.
+//! The general-purpose server and client of this workspace delay the start of a streamed
+//! body. Here the caller sees the data of each read at once and decides what to forward;
+//! heads are parsed by `httparse`.
 
 mod body_decoder;
 mod body_framing;
--- a/http1/src/path_server.rs
+++ b/http1/src/path_server.rs
@@ -4,29 +4,29 @@
     std::{future::Future, io::Error, net::SocketAddr, rc::Rc, sync::Arc, time::Duration},
 };
 
-/// Longest head of a question, in bytes.
+/// Maximum length of a request head, in bytes.
 const MAX_HEAD_BYTES: usize = 8 << 10;
-/// Time for which a connection may rest.
+/// Time after which an idle connection is closed.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// A server for small questions, such as whether a process is ready.
+/// A minimal HTTP server for readiness checks, metrics and similar small requests.
 #[derive(Debug)]
 pub struct PathServer {
     listener: TcpListener,
 }
 
 impl PathServer {
-    /// Binds to an address.
+    /// Listens on `address`.
     ///
     /// # Errors
-    /// When the address cannot be bound.
+    /// If the address cannot be bound.
     pub async fn bind(address: SocketAddr) -> std::io::Result<Self> {
         Ok(PathServer {
             listener: TcpListener::bind(address).await?,
         })
     }
 
-    /// Waits for the next connection; those that fail at once are passed over.
+    /// Waits for the next connection; connections that fail on accept are skipped.
     pub async fn next(&self) -> TcpConnection {
         loop {
             let Ok((stream, _)) = self.listener.accept().await else {
@@ -43,14 +43,14 @@
     }
 }
 
-/// What a process says to a path: status and body.
+/// Returns status and body for a request path.
 pub type PathHandler<Context> = fn(&Context, &str) -> (u16, Vec<u8>);
 
-/// Binds to an address; the future that comes back answers small questions there, such
-/// as whether a process is ready, for as long as it is run.
+/// Listens on `address` and returns a future that serves requests there, such as readiness
+/// checks, for as long as it is polled.
 ///
 /// # Errors
-/// When the address cannot be bound; the error names it.
+/// If the address cannot be bound; the error contains the address.
 pub async fn serve_paths<Context: 'static>(
     address: SocketAddr,
     context: Rc<Context>,
@@ -79,7 +79,7 @@
     Error::new(error.kind(), format!("cannot listen on {address}: {error}"))
 }
 
-/// Answers the questions of one connection; `answer` gives status and body for a path.
+/// Serves the requests of one connection; `handler` returns status and body for a path.
 pub async fn serve_connection<Body: Into<Vec<u8>>>(
     mut connection: TcpConnection,
     handler: impl Fn(&str) -> (u16, Body),
--- a/http1/src/tcp_connection.rs
+++ b/http1/src/tcp_connection.rs
@@ -10,21 +10,21 @@
     },
 };
 
-/// Bytes that one read takes at most; several events of a stream fit in.
+/// Maximum number of bytes per read; enough for several events of a stream.
 const MAX_READ_BYTES: usize = 16 << 10;
 
-/// What an unused connection has to say.
+/// State of an idle connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum IdleState {
-    /// Nothing: it can be used.
+    /// Open, with nothing to read: it can carry another request.
     Reusable,
-    /// Bytes that nobody asked for.
+    /// The peer sent bytes without a request.
     UnexpectedData,
-    /// It is closed or broken.
+    /// Closed or broken.
     Closed,
 }
 
-/// A TCP connection with what was read from it and not used yet.
+/// A TCP connection with a read buffer.
 #[derive(Debug)]
 pub struct TcpConnection {
     io: Async<TcpStream>,
@@ -32,10 +32,10 @@
 }
 
 impl TcpConnection {
-    /// Takes a connection over.
+    /// Wraps a connected socket and sets its options.
     ///
     /// # Errors
-    /// When the system refuses an option of the socket.
+    /// If a socket option cannot be set.
     pub fn new(
         io: Async<TcpStream>,
         keepalive: &TcpKeepalive,
@@ -48,10 +48,10 @@
         })
     }
 
-    /// Opens a connection; it is watched by [`TcpKeepalive::OUTBOUND`].
+    /// Opens a connection that uses [`TcpKeepalive::OUTBOUND`].
     ///
     /// # Errors
-    /// When the other side refuses, or does not answer within `limit`.
+    /// If the peer refuses the connection or does not accept it within `timeout`.
     pub async fn connect(
         address: SocketAddr,
         timeout: Duration,
@@ -64,17 +64,17 @@
         TcpConnection::new(io, &TcpKeepalive::OUTBOUND)
     }
 
-    /// The socket itself, for options.
+    /// The underlying socket, for its options.
     pub fn socket(&self) -> &TcpStream {
         self.io.get_ref()
     }
 
-    /// Bytes read and not used yet.
+    /// Bytes read but not consumed yet.
     pub fn buffer(&self) -> &[u8] {
         &self.buffer
     }
 
-    /// Drops the first bytes of [`TcpConnection::buffer`].
+    /// Removes the first `count` bytes of [`TcpConnection::buffer`].
     pub fn consume(
         &mut self,
         count: usize,
@@ -86,14 +86,14 @@
         }
     }
 
-    /// Gives back memory that a large body has taken.
+    /// Releases the memory of the buffer if it is empty, for example after a large body.
     pub fn shrink_buffer(&mut self) {
         if self.buffer.is_empty() {
             self.buffer = Vec::new();
         }
     }
 
-    /// Ready once something can be read; one registration lasts until then.
+    /// Ready once the socket is readable; a single registration lasts until then.
     pub fn poll_readable(
         &self,
         context: &mut Context<'_>,
@@ -101,10 +101,10 @@
         self.io.poll_readable(context)
     }
 
-    /// Reads once without waiting; `None` where nothing is there, 0 at the end.
+    /// Reads once without waiting: `None` if no data is available, 0 at the end of the stream.
     ///
     /// # Errors
-    /// When the connection is broken.
+    /// If the connection is broken.
     pub fn try_read(&mut self) -> io::Result<Option<usize>> {
         let filled = self.buffer.len();
         self.buffer.resize(filled + MAX_READ_BYTES, 0);
@@ -118,10 +118,10 @@
         }
     }
 
-    /// Reads more; 0 at the end of the connection.
+    /// Waits for data and reads it into the buffer; returns 0 at the end of the stream.
     ///
     /// # Errors
-    /// When the connection is broken.
+    /// If the connection is broken.
     pub async fn read_more(&mut self) -> io::Result<usize> {
         loop {
             if let Some(count) = self.try_read()? {
@@ -131,10 +131,10 @@
         }
     }
 
-    /// Writes what goes out without waiting and says how much that was.
+    /// Writes as much as possible without waiting and returns the number of bytes written.
     ///
     /// # Errors
-    /// When the connection is broken.
+    /// If the connection is broken.
     pub fn try_write(
         &self,
         bytes: &[u8],
@@ -146,7 +146,7 @@
         }
     }
 
-    /// Ready once something can be written.
+    /// Ready once the socket is writable.
     pub fn poll_writable(
         &self,
         context: &mut Context<'_>,
@@ -154,10 +154,10 @@
         self.io.poll_writable(context)
     }
 
-    /// Writes all of it.
+    /// Writes all bytes.
     ///
     /// # Errors
-    /// When the connection is broken.
+    /// If the connection is broken.
     pub async fn write_all(
         &self,
         bytes: &[u8],
@@ -173,7 +173,7 @@
         Ok(())
     }
 
-    /// Looks whether an unused connection can still be used.
+    /// Checks whether an idle connection can still be used.
     pub fn idle_state(&mut self) -> IdleState {
         if !self.buffer.is_empty() {
             return IdleState::UnexpectedData;
--- a/http1/src/tcp_keepalive.rs
+++ b/http1/src/tcp_keepalive.rs
@@ -3,41 +3,41 @@
     std::{io, net::TcpStream, time::Duration},
 };
 
-/// How soon a connection counts as broken whose other side says nothing at all,
-/// not even that bytes have come. A program that only takes its time is not
-/// meant: its system answers for it.
+/// Limits after which the kernel closes a connection whose peer does not respond at all, not
+/// even with TCP acknowledgements. A slow program on a reachable peer is unaffected: the
+/// peer's kernel acknowledges for it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct TcpKeepalive {
-    /// Rest after which the system asks whether the other side is there, and
-    /// the pause between two such questions. Whole seconds, at least one.
+    /// Idle time before the first keepalive probe and interval between probes. Whole
+    /// seconds, at least one.
     pub probe_interval: Duration,
-    /// Questions without an answer after which the connection is broken.
+    /// Number of unanswered probes after which the connection is closed.
     pub probes: u32,
-    /// Time for which bytes may be under way unacknowledged.
+    /// Maximum time that sent bytes may stay unacknowledged (`TCP_USER_TIMEOUT`).
     pub user_timeout: Duration,
 }
 
 impl TcpKeepalive {
-    /// Towards endpoints and the platform. Callers on the users' sites give a
-    /// silent stream up after 2.4 s, so a stream has to go on elsewhere before
-    /// that; three packets in a row may still be lost on their way.
+    /// For connections to endpoints and the platform. Callers at the users' sites abandon a
+    /// silent stream after 2.4 s, so a stream must be resumed elsewhere before that; the
+    /// limits still tolerate the loss of three packets in a row.
     pub const OUTBOUND: TcpKeepalive = TcpKeepalive {
         probe_interval: Duration::from_secs(1),
         probes: 1,
         user_timeout: Duration::from_millis(1_500),
     };
-    /// Towards callers: nobody waits for their connections, and a caller that
-    /// does not read for a while is no lost one.
+    /// For connections from callers: nothing depends on detecting their loss soon, and a
+    /// caller that stops reading for a while is not lost.
     pub const INBOUND: TcpKeepalive = TcpKeepalive {
         probe_interval: Duration::from_secs(5),
         probes: 3,
         user_timeout: Duration::from_secs(15),
     };
 
-    /// Has the system watch a connection.
+    /// Sets the socket options of a connection.
     ///
     /// # Errors
-    /// When the system refuses an option of the socket.
+    /// If a socket option cannot be set.
     pub fn apply_to(
         &self,
         socket: &TcpStream,
--- a/http1/tests/body_frames.rs
+++ b/http1/tests/body_frames.rs
@@ -1,4 +1,4 @@
-//! Bodies come out of their framing whole, however they are cut on the way.
+//! Body framing: a body is decoded completely however the network splits it.
 
 use {
     pitchhitch_http1::{
@@ -37,10 +37,10 @@
         let length = wire.len();
         wire.extend_from_slice(b"NEXT");
         let pieces: Vec<&[u8]> = wire.chunks(cut).collect();
-        let (body, is_done, used) = decode(BodyFraming::Chunked, &pieces).expect("sound");
+        let (body, is_done, used) = decode(BodyFraming::Chunked, &pieces).expect("valid");
         prop_assert_eq!(body, parts.concat());
         prop_assert!(is_done);
-        prop_assert_eq!(used, length, "what follows belongs to nobody");
+        prop_assert_eq!(used, length, "bytes after the body are not consumed");
     }
 }
 
@@ -52,10 +52,10 @@
         b"5\r\nabcde\r\n0\r\n",
         b"",
     ] {
-        let (_, is_done, _) = decode(BodyFraming::Chunked, &[wire]).expect("sound so far");
+        let (_, is_done, _) = decode(BodyFraming::Chunked, &[wire]).expect("valid so far");
         assert!(!is_done);
     }
-    let (_, is_done, _) = decode(BodyFraming::Length(4), &[b"abc"]).expect("sound so far");
+    let (_, is_done, _) = decode(BodyFraming::Length(4), &[b"abc"]).expect("valid so far");
     assert!(!is_done);
 }
 
@@ -78,11 +78,12 @@
 
 fn framing(head: &str) -> Result<BodyFraming, HeadError> {
     let text = format!("POST /x HTTP/1.1\r\n{head}\r\n");
-    let (head, _) = parse_request_head(text.as_bytes(), 4_096)?.expect("whole");
+    let (head, _) = parse_request_head(text.as_bytes(), 4_096)?.expect("complete");
     BodyFraming::for_request(&head.fields)
 }
 
-/// A request that two readers could cut at two places can hide another one.
+/// Request smuggling: a request whose end two recipients could place differently can hide
+/// another request.
 #[test]
 fn unclear_length_refused() {
     assert_eq!(framing("Content-Length: 5\r\n"), Ok(BodyFraming::Length(5)));
@@ -127,8 +128,8 @@
     let text =
         b"HTTP/1.1 200 OK\r\nConnection: Keep-Alive, Close\r\nEmpty:\r\nA: 1\r\na: 2\r\n\r\n";
     let (head, length) = parse_response_head(text, 4_096)
-        .expect("sound")
-        .expect("whole");
+        .expect("valid")
+        .expect("complete");
     assert_eq!(length, text.len());
     assert!(head.fields.has_token("connection", "close"));
     assert_eq!(head.fields.get_str("A"), Some("1"));
--- a/http1/tests/tcp_keepalive.rs
+++ b/http1/tests/tcp_keepalive.rs
@@ -1,5 +1,5 @@
-//! A connection whose other side says nothing at all, without a reset, is found
-//! by the system: it is asked to on each connection, both ways.
+//! A peer that disappears without a reset is detected by TCP keepalive, which must be
+//! enabled on each connection, outbound and inbound.
 
 use {
     pitchhitch_http1::{TcpConnection, TcpKeepalive},
@@ -35,7 +35,8 @@
         let opened = TcpConnection::connect(address, CONNECT_TIMEOUT);
         let opened = opened.await.expect("a connection");
         let (accepted, _) = listener.accept().await.expect("a connection");
-        let accepted = TcpConnection::new(accepted, &TcpKeepalive::INBOUND).expect("a link");
+        let accepted =
+            TcpConnection::new(accepted, &TcpKeepalive::INBOUND).expect("a wrapped connection");
         assert_eq!(keepalive_of(&opened), TcpKeepalive::OUTBOUND);
         assert_eq!(keepalive_of(&accepted), TcpKeepalive::INBOUND);
     });
--- a/process/src/bounded_output.rs
+++ b/process/src/bounded_output.rs
@@ -3,14 +3,13 @@
     std::io::{self, Write},
 };
 
-/// Bytes of lines that wait for standard output at most; about a second of a
-/// busy box.
+/// Maximum number of buffered bytes, about one second of log lines of a busy box.
 const MAX_BUFFERED_BYTES: usize = 128 << 10;
-/// Bytes from which lines are written out; one system call carries many.
+/// Buffered bytes from which lines are written, so that one system call carries many lines.
 const FLUSH_THRESHOLD_BYTES: usize = 8 << 10;
 
-/// Standard output that never blocks: lines that find no room are counted and
-/// left out.
+/// Non-blocking standard output with a bounded buffer: lines that do not fit are counted and
+/// dropped.
 #[derive(Debug)]
 pub(crate) struct BoundedOutput {
     buffer: Vec<u8>,
@@ -19,10 +18,10 @@
 }
 
 impl BoundedOutput {
-    /// Takes standard output over.
+    /// Switches standard output to non-blocking mode.
     pub fn new() -> Self {
         let output = rustix::stdio::stdout();
-        // Where the system refuses, writing may block, as it does elsewhere.
+        // If the mode cannot be set, writes may block, as with ordinary standard output.
         if let Ok(flags) = fcntl_getfl(output) {
             let _ = fcntl_setfl(output, flags | OFlags::NONBLOCK);
         }
--- a/process/src/deadline_timer.rs
+++ b/process/src/deadline_timer.rs
@@ -10,11 +10,12 @@
     },
 };
 
-/// Longest time until it looks at the clock again: timers of the system stand still while
-/// the box is suspended, and end so much too late.
+/// Interval at which the timer checks the process clock: system timers do not advance while
+/// the box is suspended and would fire that much too late.
 const CLOCK_CHECK_INTERVAL: Micros = Micros::from_millis(1_000);
 
-/// Ends at a time of the process's clock, or within a second after the box has woken.
+/// A timer that ends at a time of the process clock; if the box was suspended then, it ends
+/// within a second after the resume.
 #[derive(Debug)]
 pub struct DeadlineTimer {
     clock: ProcessClock,
@@ -23,7 +24,7 @@
 }
 
 impl DeadlineTimer {
-    /// A timer that ends after so long.
+    /// Creates a timer that ends after `delay`.
     pub fn after(
         clock: ProcessClock,
         delay: Duration,
@@ -36,7 +37,7 @@
         }
     }
 
-    /// Lets it end after so long from now on.
+    /// Resets the timer to end after `delay` from now.
     pub fn set_after(
         &mut self,
         delay: Duration,
--- a/process/src/lib.rs
+++ b/process/src/lib.rs
@@ -1,5 +1,5 @@
-//! What every process of ours needs of the operating system: a clock, log
-//! lines, metrics and the signal to stop.
+//! Operating-system support shared by all processes: clock, timers, logging, metrics, signal
+//! handling and task execution.
 
 mod bounded_output;
 mod deadline_timer;
--- a/process/src/log_setup.rs
+++ b/process/src/log_setup.rs
@@ -8,10 +8,10 @@
     },
 };
 
-/// Environment variable that says what is logged, as `env_logger` reads it.
+/// Environment variable with the log filter, in the syntax of `env_logger`.
 pub const LOG_VARIABLE: &str = "PITCHHITCH_LOG";
 
-/// The one standard output of this process.
+/// Buffered standard output of this process.
 static OUTPUT: OnceLock<Mutex<BoundedOutput>> = OnceLock::new();
 
 /// Writes to [`OUTPUT`], which the logger and [`flush_log`] share.
@@ -52,7 +52,7 @@
     }
 }
 
-/// A value as it stands in a log line: in quotes where it would not be one word.
+/// Formats a value for a log line: quoted unless it is a single word.
 pub fn quoted(value: &str) -> String {
     let is_plain = !value.is_empty() && !value.contains([' ', '"', '=', '\n']);
     if is_plain {
@@ -62,18 +62,18 @@
     }
 }
 
-/// Sets logging up: one line of key=value pairs for each event, to standard error.
+/// Initialises logging: one line of key=value pairs per event, to standard error.
 ///
-/// The message of a record, if it has one, stands under `text`.
+/// A non-empty message of a record is written under the key `text`.
 pub fn start_logging() {
-    // A second call, as in tests, changes nothing.
+    // A second call, as in tests, has no effect.
     let _ = builder().try_init();
 }
 
-/// Sets logging up for a process whose lines must never hold it up: the same
-/// lines go to standard output through a buffer with a bound.
+/// Initialises logging for a process that must never block on it: the same lines go to
+/// standard output through a bounded buffer.
 ///
-/// Lines wait in the buffer until [`flush_log`] or until some kilobytes are there.
+/// The buffer is written on [`flush_log`] or when it holds several kilobytes.
 pub fn start_bounded_logging() {
     let mut builder = builder();
     builder.target(Target::Pipe(Box::new(SharedOutput)));
@@ -81,11 +81,11 @@
     let _ = builder.try_init();
 }
 
-/// Writes out the lines that wait.
+/// Writes the buffered log lines.
 pub fn flush_log() {
     if let Some(output) = OUTPUT.get() {
         let mut output = output.lock().unwrap_or_else(PoisonError::into_inner);
-        // Lines that find no room wait or are counted.
+        // Lines that cannot be written yet stay buffered; dropped lines are counted.
         let _ = output.flush();
     }
 }
--- a/process/src/metric_set.rs
+++ b/process/src/metric_set.rs
@@ -14,7 +14,8 @@
 /// Prefix of all metrics.
 const PREFIX: &str = "pitchhitch";
 
-/// Metrics of one process: sent by cadence, and counted for `pitchhitch status`.
+/// Metrics of one process: sent to statsd by `cadence`; counters are also kept for
+/// `pitchhitch status`.
 #[derive(Debug)]
 pub struct MetricSet {
     client: StatsdClient,
@@ -22,10 +23,10 @@
 }
 
 impl MetricSet {
-    /// Metrics that are sent to `target` by UDP, or nowhere.
+    /// Creates metrics that are sent to `target` by UDP, or discarded if it is `None`.
     ///
     /// # Errors
-    /// When the socket cannot be opened.
+    /// If the socket cannot be opened.
     pub fn new(target: Option<SocketAddr>) -> io::Result<Self> {
         let client = match target {
             None => StatsdClient::from_sink(PREFIX, NopMetricSink),
@@ -43,7 +44,7 @@
         })
     }
 
-    /// Counts something.
+    /// Adds `amount` to a counter.
     pub fn count(
         &self,
         name: &'static str,
@@ -54,7 +55,7 @@
         *counts.entry(name).or_insert(0) += amount;
     }
 
-    /// Notes how long something took, in microseconds.
+    /// Records a duration, given in microseconds and sent in milliseconds.
     pub fn time(
         &self,
         name: &'static str,
@@ -63,7 +64,7 @@
         let _ = self.client.time(name, micros / 1_000);
     }
 
-    /// Notes the present size of something.
+    /// Records the current value of a gauge.
     pub fn gauge(
         &self,
         name: &'static str,
@@ -72,7 +73,7 @@
         let _ = self.client.gauge(name, value);
     }
 
-    /// All counts so far.
+    /// Returns all counters.
     pub fn counts(&self) -> BTreeMap<&'static str, u64> {
         self.counts
             .lock()
--- a/process/src/process_clock.rs
+++ b/process/src/process_clock.rs
@@ -4,14 +4,14 @@
     std::time::{Duration, SystemTime, UNIX_EPOCH},
 };
 
-/// What a clock shows, counted from some fixed moment.
+/// Reads a clock, as the time since a fixed moment.
 pub type ClockSource = fn() -> Duration;
 
-/// The clock of one process: it counts from the start, never goes back, and goes on while
-/// the box is suspended.
+/// Monotonic clock of one process: it starts at zero and keeps advancing while the box is
+/// suspended.
 ///
-/// By the steady clock, which stands still then, a box that was suspended for ten seconds
-/// would take what it knows of keys, weights and leases for ten seconds younger than it is.
+/// `CLOCK_MONOTONIC` stops during suspension: after ten seconds of it, a box would consider
+/// its knowledge of keys, weights and leases ten seconds fresher than it is.
 #[derive(Debug, Clone, Copy)]
 pub struct ProcessClock {
     read: ClockSource,
@@ -25,7 +25,7 @@
         ProcessClock::start_with(since_boot)
     }
 
-    /// Starts a clock by another one.
+    /// Starts a clock that reads the given source.
     pub fn start_with(read: ClockSource) -> Self {
         let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH);
         ProcessClock {
@@ -41,7 +41,7 @@
         Micros(elapsed.as_micros() as u64)
     }
 
-    /// Start of the process, in microseconds since 1970.
+    /// Start time of the process, in microseconds since the Unix epoch.
     pub fn incarnation(&self) -> u64 {
         self.incarnation
     }
@@ -52,13 +52,13 @@
     Duration::new(read.tv_sec as u64, read.tv_nsec as u32)
 }
 
-/// Seconds since 1970, for people.
+/// Seconds since the Unix epoch by the wall clock, for timestamps that people read.
 pub fn unix_seconds() -> u64 {
     let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH);
     since_epoch.map_or(0, |d| d.as_secs())
 }
 
-/// A span of the core as the standard library has it.
+/// Converts a duration of the core crate to one of the standard library.
 pub fn to_duration(span: Micros) -> Duration {
     Duration::from_micros(span.0)
 }
--- a/process/src/process_usage.rs
+++ b/process/src/process_usage.rs
@@ -3,26 +3,26 @@
     std::fs,
 };
 
-/// Clock ticks a second in `/proc`, the same on every Linux that matters here.
+/// Clock ticks per second in `/proc`; 100 on all supported Linux systems.
 const TICKS_PER_SECOND: f64 = 100.0;
 const PAGE_BYTES: u64 = 4096;
 
-/// What a process has used so far.
+/// Resource usage of a process.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize, Deserialize)]
 pub struct ProcessUsage {
-    /// Processor time, in seconds.
+    /// CPU time since the start, in seconds.
     pub cpu_seconds: f64,
     /// Resident memory, in bytes.
     pub resident_bytes: u64,
 }
 
 impl ProcessUsage {
-    /// Reads the usage of this process; zeros where the system does not tell.
+    /// Reads the usage of this process; values that cannot be read are zero.
     pub fn current() -> Self {
         Self::of("self")
     }
 
-    /// Reads the usage of another process of ours.
+    /// Reads the usage of another process; values that cannot be read are zero.
     pub fn for_pid(pid: u32) -> Self {
         Self::of(&pid.to_string())
     }
@@ -38,7 +38,7 @@
 }
 
 fn cpu_ticks(stat: &str) -> u64 {
-    // The name in brackets may hold blanks, so fields are counted behind it.
+    // The process name in parentheses may contain spaces, so fields are counted after it.
     let Some((_, rest)) = stat.rsplit_once(')') else {
         return 0;
     };
--- a/process/src/signal_listener.rs
+++ b/process/src/signal_listener.rs
@@ -4,27 +4,27 @@
     std::io,
 };
 
-/// What a signal asks of a process.
+/// Meaning of a signal for a process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ProcessSignal {
-    /// To serve what is open to its end, and to end then.
+    /// Finish open requests, then exit.
     Stop,
-    /// To read its settings again.
+    /// Reload the settings.
     Reload,
 }
 
-/// Watches the signals that processes on the platform get. One that is not
-/// watched would end the process.
+/// Receives the signals that the platform sends to processes. An unhandled one would
+/// terminate the process.
 #[derive(Debug)]
 pub struct SignalListener {
     signals: Signals,
 }
 
 impl SignalListener {
-    /// Starts watching.
+    /// Installs the signal handlers.
     ///
     /// # Errors
-    /// When the system refuses.
+    /// If the handlers cannot be installed.
     pub fn start() -> io::Result<Self> {
         let signals = Signals::new([Signal::Term, Signal::Int, Signal::Hup])?;
         Ok(SignalListener { signals })
@@ -33,7 +33,7 @@
     /// Waits for the next signal.
     ///
     /// # Errors
-    /// When the signals cannot be watched any more.
+    /// If signals can no longer be received.
     pub async fn next(&mut self) -> io::Result<ProcessSignal> {
         match self.signals.next().await.transpose()? {
             Some(Signal::Hup) => Ok(ProcessSignal::Reload),
--- a/process/src/stop_signal.rs
+++ b/process/src/stop_signal.rs
@@ -4,10 +4,10 @@
     std::io,
 };
 
-/// Waits until somebody asks the process to stop, by SIGTERM or SIGINT.
+/// Waits until the process is asked to stop by SIGTERM or SIGINT.
 ///
 /// # Errors
-/// When the signals cannot be watched.
+/// If the signal handlers cannot be installed.
 pub async fn wait_for_stop() -> io::Result<()> {
     let mut signals = Signals::new([Signal::Term, Signal::Int])?;
     match signals.next().await {
--- a/process/src/task_pool.rs
+++ b/process/src/task_pool.rs
@@ -3,7 +3,7 @@
     std::future::Future,
 };
 
-/// Starts the threads for traffic; must come before anything is spawned.
+/// Starts the thread pool for request traffic; must be called before any task is spawned.
 pub fn start_traffic_threads(threads: usize) {
     let config = GlobalExecutorConfig::default()
         .with_min_threads(threads)
@@ -12,12 +12,12 @@
     async_global_executor::init_with_config(config);
 }
 
-/// Runs a task on the threads for traffic; dropping the handle stops it.
+/// Spawns a task on the traffic threads; dropping the handle cancels it.
 pub fn spawn<T: Send + 'static>(task: impl Future<Output = T> + Send + 'static) -> Task<T> {
     async_global_executor::spawn(task)
 }
 
-/// Runs a task on the threads for traffic until it ends by itself.
+/// Spawns a task on the traffic threads that runs to completion.
 pub fn spawn_detached(task: impl Future<Output = ()> + Send + 'static) {
     async_global_executor::spawn(task).detach();
 }
--- a/process/src/wake_signal.rs
+++ b/process/src/wake_signal.rs
@@ -5,7 +5,7 @@
     std::time::Duration,
 };
 
-/// Wakes one task that otherwise looks again after a pause.
+/// Wakes a task that otherwise polls at intervals.
 #[derive(Debug)]
 pub struct WakeSignal {
     wake: Sender<()>,
@@ -20,13 +20,13 @@
 }
 
 impl WakeSignal {
-    /// Wakes the task that waits, or the next that does; more wakes before that are one.
+    /// Wakes the waiting task, or the next one to wait; several wakes before that count as one.
     pub fn wake(&self) {
-        // Where one wake waits already, that is enough.
+        // The channel is full if a wake is already pending, which is enough.
         let _ = self.wake.try_send(());
     }
 
-    /// Waits for a wake, for so long at most; true where there was one.
+    /// Waits for a wake for at most `timeout`; returns whether there was one.
     pub async fn wait(
         &self,
         timeout: Duration,
--- a/process/tests/suspended_box.rs
+++ b/process/tests/suspended_box.rs
@@ -1,4 +1,4 @@
-//! Time that passes while the box is suspended.
+//! Clock and timers of a process whose box is suspended.
 
 use {
     pitchhitch_core::time::Micros,
@@ -10,8 +10,8 @@
     },
 };
 
-/// Time for which the box of a test was suspended, in milliseconds: by that much its clock is
-/// ahead of its timers.
+/// Simulated suspension in milliseconds: the process clock is ahead of the system timers by
+/// this much.
 static CLOCK_SUSPENDED: AtomicU64 = AtomicU64::new(0);
 static TIMER_SUSPENDED: AtomicU64 = AtomicU64::new(0);
 
@@ -29,7 +29,8 @@
     assert!(clock.now().since(before) >= Micros::from_secs(10));
 }
 
-/// A deadline that is over when the box wakes ends then, and not so much later.
+/// A deadline that passed during the suspension ends at the resume, not later by the length
+/// of the suspension.
 #[test]
 fn deadline_holds() {
     let clock = ProcessClock::start_with(|| ahead_by(&TIMER_SUSPENDED));
@@ -39,7 +40,7 @@
     assert!(clock.now() >= Micros::from_secs(3_600));
 }
 
-/// It ends no sooner than it should.
+/// The timer does not end early.
 #[test]
 fn ends_no_sooner() {
     let clock = ProcessClock::start();
@@ -50,7 +51,7 @@
     assert!(from.elapsed() >= Duration::from_millis(1_100));
 }
 
-/// The clock of a process is that of the system since its boot.
+/// The process clock follows the system's time since boot.
 #[test]
 fn counts_since_boot() {
     let uptime = || -> f64 {
@@ -61,6 +62,6 @@
     let clock = ProcessClock::start();
     let before = uptime();
     thread::sleep(Duration::from_millis(50));
-    // It is told in hundredths of a second.
+    // `/proc/uptime` has a resolution of 10 ms.
     assert!(clock.now().as_secs_f64() + 0.02 >= uptime() - before);
 }
--- a/services/src/boxes/box_client.rs
+++ b/services/src/boxes/box_client.rs
@@ -11,7 +11,7 @@
 }
 
 impl BoxClient {
-    /// A client of the service at `address`.
+    /// Creates a client of the service at `address`.
     pub fn new(
         address: SocketAddr,
         timeout: Duration,
@@ -21,10 +21,10 @@
         }
     }
 
-    /// Reads the list once. It lags behind what really runs.
+    /// Reads the list once. It lags behind the actual state of the fleet.
     ///
     /// # Errors
-    /// [`CallError`] when no answer came in time.
+    /// [`CallError`] if no response was received in time.
     pub async fn list(&self) -> Result<BoxList, CallError> {
         self.client.get_json("/boxes").await
     }
--- a/services/src/boxes/box_record.rs
+++ b/services/src/boxes/box_record.rs
@@ -9,16 +9,16 @@
 pub struct BoxRecord {
     /// Id of the box.
     pub id: String,
-    /// What runs on it: `entry`, `endpoint` or `store`.
+    /// Role of the box: `entry`, `endpoint` or `store`.
     pub role: ListedRole,
-    /// Group that it belongs to; empty for entry boxes.
+    /// Group of the box; empty for entry boxes.
     #[serde(default)]
     pub group: String,
     /// Failure domain.
     pub failure_domain: String,
-    /// Address: beacons for entry boxes, links for endpoints, HTTP for stores.
+    /// Address for beacons (entry boxes), agent links (endpoints) or HTTP (stores).
     pub address: SocketAddr,
-    /// Whether it is leaving.
+    /// Whether the box is being removed from service.
     #[serde(default)]
     pub leaving: bool,
 }
@@ -31,11 +31,11 @@
     Entry,
     /// An endpoint with its agent.
     Endpoint,
-    /// A store for kept pieces.
+    /// A store for cached pieces of prompt state.
     Store,
 }
 
-/// The whole list.
+/// The list of all boxes.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct BoxList {
     /// All boxes.
--- a/services/src/config/change_outcome.rs
+++ b/services/src/config/change_outcome.rs
@@ -1,32 +1,33 @@
 use {pitchhitch_core::conf::ChangeError, thiserror::Error};
 
-/// Why a change is not known to be in force.
+/// Why a change is not known to have taken effect.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum ChangeFailure {
-    /// It was refused and has no effect.
+    /// The change was rejected and has no effect.
     #[error("refused: {0}")]
     Refused(#[from] ChangeError),
-    /// Nobody knows; the same change id may be sent again without harm.
+    /// The outcome is unknown; sending the same change id again is safe.
     #[error("unknown whether the change took effect ({reason}); repeat it with --change-id {change_id}, which is safe")]
     Unknown {
         /// Id of the change.
         change_id: String,
-        /// What happened.
+        /// Description of the failure.
         reason: String,
     },
-    /// Nothing could be read, so nothing was written.
-    #[error("not accepted: the platform does not answer ({reason}); try again later")]
+    /// The current state could not be read, or other changes always came first; the
+    /// change was not written.
+    #[error("not accepted: the platform does not respond ({reason}); try again later")]
     NotAccepted {
-        /// What happened.
+        /// Description of the failure.
         reason: String,
     },
 }
 
-/// A change that is in force.
+/// A change that has taken effect.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct AcceptedChange {
-    /// Revision that it made.
+    /// Revision created by the change.
     pub revision: u64,
-    /// Whether it had been accepted before, under the same id.
+    /// Whether the change had already been accepted under the same id.
     pub repeated: bool,
 }
--- a/services/src/config/config_store.rs
+++ b/services/src/config/config_store.rs
@@ -16,51 +16,51 @@
     thiserror::Error,
 };
 
-/// Key of the head row.
+/// Key of the table row with the head of the configuration.
 pub const HEAD_KEY: &str = "config/head";
 
 /// Why the configuration could not be read.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum ConfigError {
-    /// The platform did not answer.
+    /// A call to the platform failed.
     #[error(transparent)]
     Call(#[from] CallError),
-    /// What is stored cannot be read.
+    /// The stored data is invalid or incomplete.
     #[error("the stored configuration cannot be read: {reason}")]
     Damaged {
-        /// What is wrong.
+        /// Description of the defect.
         reason: String,
     },
 }
 
-/// One operator's request for a change.
+/// A configuration change requested by an operator.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ChangeRequest {
-    /// Chosen once for a change, kept over retries.
+    /// Id of the change; the same for all retries.
     pub change_id: String,
-    /// Who asks.
+    /// Operator who requests the change.
     pub operator: String,
-    /// Seconds since 1970.
+    /// Time of the request, in seconds since the Unix epoch.
     pub at_secs: u64,
-    /// What should change.
+    /// The change itself.
     pub change: ConfigChange,
-    /// Revision that the operator saw; none to change whatever is there.
+    /// Revision that the change is based on; `None` to change any revision.
     pub expected: Option<u64>,
 }
 
-/// Reads and changes the configuration.
+/// Reads and changes the configuration in the table and the object store.
 #[derive(Debug, Clone)]
 pub struct ConfigStore {
     table: TableClient,
     objects: ObjectClient,
 }
 
-/// A configuration with the changes that led up to it, as far as the head row has them.
+/// The current configuration and the recent changes that the head row still contains.
 #[derive(Debug, Clone, PartialEq)]
 pub struct CurrentConfig {
     /// The configuration.
     pub config: FleetConfig,
-    /// The last changes, in order.
+    /// Recent changes, oldest first.
     pub recent: Vec<ChangeRecord>,
 }
 
@@ -77,7 +77,7 @@
 }
 
 impl ConfigStore {
-    /// A store over the two services.
+    /// Creates a store on the two services.
     pub fn new(
         table: TableClient,
         objects: ObjectClient,
@@ -85,15 +85,15 @@
         ConfigStore { table, objects }
     }
 
-    /// The table client underneath.
+    /// The underlying table client.
     pub fn table(&self) -> &TableClient {
         &self.table
     }
 
-    /// Reads what `known` lacks; gives `known` back when it is the newest.
+    /// Reads the changes since `known`; returns `known` if it is the latest revision.
     ///
     /// # Errors
-    /// [`ConfigError`] when the platform does not answer or the data is damaged.
+    /// [`ConfigError`] if the platform does not respond or the data is damaged.
     pub async fn refresh(
         &self,
         known: &FleetConfig,
@@ -137,10 +137,10 @@
         serde_json::from_slice(&body).map_err(damaged)
     }
 
-    /// Makes one change, by compare-and-set on the head row.
+    /// Makes one change by compare-and-set on the head row, with retries until `timeout`.
     ///
     /// # Errors
-    /// [`ChangeFailure`] saying whether it was refused or is unknown.
+    /// [`ChangeFailure`]: rejected, not accepted, or outcome unknown.
     pub async fn change(
         &self,
         request: &ChangeRequest,
@@ -157,9 +157,7 @@
             let reason = match outcome {
                 Ok(accepted) => return Ok(accepted),
                 Err(AttemptError::Refused(error)) => return Err(error.into()),
-                Err(AttemptError::Conflict) => {
-                    "others change the configuration all the time".into()
-                }
+                Err(AttemptError::Conflict) => "concurrent changes came first".into(),
                 Err(AttemptError::ReadFailed(error)) => error.to_string(),
                 Err(AttemptError::Unknown(error)) => {
                     may_have_written = true;
@@ -200,8 +198,8 @@
             request.change.clone(),
         );
         if head.wants_folding() {
-            // The name is this writer's own: a writer that loses the race must
-            // not overwrite the document of the one that wins.
+            // The name is unique to this writer: the loser of a race must not overwrite the
+            // document of the winner.
             let name = format!("config-base-{}-{seed:016x}", config.revision);
             if self.write_base(&name, &config).await.is_ok() {
                 head = head.folded(name);
@@ -210,7 +208,8 @@
         self.write_head(&row, &head, seed).await
     }
 
-    /// Writes the folded document; the head names it only after it is there.
+    /// Writes the base document of a compacted head; the head refers to it only once it is
+    /// stored.
     async fn write_base(
         &self,
         name: &str,
--- a/services/src/config/mod.rs
+++ b/services/src/config/mod.rs
@@ -1,4 +1,4 @@
-//! The configuration in the table and the object store.
+//! The configuration, stored in the table and the object store.
 
 mod change_outcome;
 mod config_store;
--- a/services/src/http/call_error.rs
+++ b/services/src/http/call_error.rs
@@ -1,32 +1,32 @@
 use thiserror::Error;
 
-/// How a call of a service failed.
+/// Error of a call to a service.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum CallError {
-    /// No whole answer came; the call may have taken effect.
-    #[error("{url}: no answer: {reason}")]
+    /// No complete response was received; the call may have taken effect.
+    #[error("{url}: no response: {reason}")]
     NoResponse {
-        /// What was called.
+        /// URL of the call.
         url: String,
-        /// What happened.
+        /// Description of the failure.
         reason: String,
     },
     /// The service answered with an error status.
     #[error("{url}: status {status}: {text}")]
     Status {
-        /// What was called.
+        /// URL of the call.
         url: String,
-        /// The HTTP status.
+        /// HTTP status.
         status: u16,
-        /// The start of the answer.
+        /// Start of the response body.
         text: String,
     },
-    /// The answer is not of the expected form.
-    #[error("{url}: answer cannot be read: {reason}")]
+    /// The response does not have the expected form, or the request cannot be encoded.
+    #[error("{url}: invalid response: {reason}")]
     InvalidResponse {
-        /// What was called.
+        /// URL of the call.
         url: String,
-        /// What is wrong.
+        /// Description of the defect.
         reason: String,
     },
 }
--- a/services/src/http/mod.rs
+++ b/services/src/http/mod.rs
@@ -1,4 +1,4 @@
-//! HTTP calls with a time limit.
+//! HTTP calls with a timeout.
 
 mod call_error;
 mod service_client;
--- a/services/src/http/service_client.rs
+++ b/services/src/http/service_client.rs
@@ -8,12 +8,12 @@
     trillium_smol::ClientConfig,
 };
 
-/// Bytes of an error answer that are kept.
+/// Number of characters of an error response that are kept.
 const MAX_ERROR_TEXT_CHARS: usize = 300;
-/// Longest answer that is read, in bytes.
+/// Maximum length of a response body, in bytes.
 pub const MAX_RESPONSE_BYTES: u64 = 64 * 1024 * 1024;
 
-/// Makes HTTP calls to one service, each within a time limit.
+/// HTTP client of one service, with a timeout per call.
 #[derive(Debug, Clone)]
 pub struct ServiceClient {
     client: Client,
@@ -21,16 +21,16 @@
     timeout: Duration,
 }
 
-/// An answer with success status.
+/// A response with a success status.
 #[derive(Debug)]
 pub struct HttpResponse {
-    /// Body, whole.
+    /// Complete body.
     pub body: Vec<u8>,
     conn: Conn,
 }
 
 impl HttpResponse {
-    /// One header of the answer.
+    /// Returns a header of the response.
     pub fn header(
         &self,
         name: &'static str,
@@ -40,7 +40,7 @@
 }
 
 impl ServiceClient {
-    /// A caller for the service at `address`.
+    /// Creates a client of the service at `address`.
     pub fn new(
         address: SocketAddr,
         timeout: Duration,
@@ -52,7 +52,7 @@
         }
     }
 
-    /// A fresh request for a path; see [`ServiceClient::send`].
+    /// Builds a request for a path, to be sent by [`ServiceClient::send`].
     pub fn request(
         &self,
         method: &str,
@@ -62,10 +62,10 @@
             .build_conn(method, format!("{}{path}", self.base))
     }
 
-    /// Sends a request and reads the whole answer.
+    /// Sends a request and reads the whole response.
     ///
     /// # Errors
-    /// [`CallError`] when no answer with success status came in time.
+    /// [`CallError`] if no response with a success status was received in time.
     pub async fn send(
         &self,
         conn: Conn,
@@ -75,7 +75,7 @@
             Timer::after(self.timeout).await;
             Err(CallError::NoResponse {
                 url: url.clone(),
-                reason: format!("nothing within {:?}", self.timeout),
+                reason: format!("timed out after {:?}", self.timeout),
             })
         };
         future::or(Self::exchange(conn, &url), timed_out).await
@@ -104,10 +104,10 @@
         Ok(HttpResponse { body, conn })
     }
 
-    /// Posts JSON and reads JSON.
+    /// Sends a JSON body by POST and parses the JSON response.
     ///
     /// # Errors
-    /// [`CallError`] when no such answer came in time.
+    /// [`CallError`] if no valid response was received in time.
     pub async fn post_json<Req: Serialize, Res: DeserializeOwned>(
         &self,
         path: &str,
@@ -125,10 +125,10 @@
         self.read_json(path, &response)
     }
 
-    /// Gets JSON.
+    /// Sends a GET request and parses the JSON response.
     ///
     /// # Errors
-    /// [`CallError`] when no such answer came in time.
+    /// [`CallError`] if no valid response was received in time.
     pub async fn get_json<Res: DeserializeOwned>(
         &self,
         path: &str,
--- a/services/src/lib.rs
+++ b/services/src/lib.rs
@@ -1,6 +1,6 @@
-//! Clients of the services behind the own interface: table, object store, box list, weight
-//! store and store boxes. One folder a service, so that another dialect costs
-//! one folder.
+//! Clients of the platform services: table, object store, box list, weight store and store
+//! boxes. Each service has its own module, so that supporting another protocol changes only
+//! that module.
 
 pub mod boxes;
 pub mod config;
--- a/services/src/objects/object_client.rs
+++ b/services/src/objects/object_client.rs
@@ -10,7 +10,7 @@
 }
 
 impl ObjectClient {
-    /// A client of the service at `address`.
+    /// Creates a client of the service at `address`.
     pub fn new(
         address: SocketAddr,
         timeout: Duration,
@@ -20,10 +20,10 @@
         }
     }
 
-    /// Reads an object; none when it is not there.
+    /// Reads an object; `None` if it does not exist.
     ///
     /// # Errors
-    /// [`CallError`] when no answer came in time.
+    /// [`CallError`] if no response was received in time.
     pub async fn get(
         &self,
         name: &str,
@@ -36,10 +36,10 @@
         }
     }
 
-    /// Writes an object, replacing what was there.
+    /// Writes an object, replacing an existing one.
     ///
     /// # Errors
-    /// [`CallError`] when it is not known to be written.
+    /// [`CallError`] if the write is not confirmed.
     pub async fn put(
         &self,
         name: &str,
--- a/services/src/stores/mod.rs
+++ b/services/src/stores/mod.rs
@@ -1,4 +1,4 @@
-//! Store boxes: memory and disk for kept pieces.
+//! Store boxes, which cache pieces of prompt state in memory and on disk.
 
 mod piece_record;
 mod store_client;
--- a/services/src/stores/piece_record.rs
+++ b/services/src/stores/piece_record.rs
@@ -9,17 +9,17 @@
 /// One sealed piece as a store box lists it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PieceRecord {
-    /// The piece.
+    /// Key of the piece.
     pub key: PieceKey,
-    /// Its tier.
+    /// Storage tier.
     pub tier: StoreTier,
-    /// Its generation.
+    /// Generation of the piece.
     pub generation: u64,
-    /// Its length, in bytes.
+    /// Length in bytes.
     pub length: u64,
 }
 
-/// All sealed pieces of a store box.
+/// List of all sealed pieces of a store box.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PieceList {
     /// The pieces.
--- a/services/src/stores/store_client.rs
+++ b/services/src/stores/store_client.rs
@@ -7,7 +7,7 @@
 
 /// Header with the generation of a piece.
 pub const GENERATION_HEADER: &str = "x-piece-generation";
-/// Header with the BLAKE3 checksum of a piece, in hexadecimal digits.
+/// Header with the BLAKE3 checksum of a piece, in hexadecimal.
 pub const CHECKSUM_HEADER: &str = "x-piece-checksum";
 
 /// Client of one store box.
@@ -16,14 +16,14 @@
     client: ServiceClient,
 }
 
-/// A piece that was read and checked.
+/// A complete piece whose checksum has been verified.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct SealedPiece {
-    /// The piece.
+    /// Key of the piece.
     pub key: PieceKey,
-    /// Its generation.
+    /// Generation of the piece.
     pub generation: u64,
-    /// Its bytes, whole.
+    /// Complete content of the piece.
     pub bytes: Vec<u8>,
 }
 
@@ -35,7 +35,7 @@
 }
 
 impl StoreClient {
-    /// A client of the box at `address`.
+    /// Creates a client of the store box at `address`.
     pub fn new(
         address: SocketAddr,
         timeout: Duration,
@@ -45,11 +45,11 @@
         }
     }
 
-    /// Writes and seals a piece; gives its generation. Until all bytes are there
-    /// and the checksum fits, the box offers nothing.
+    /// Writes and seals a piece; returns its generation. The store box does not offer the
+    /// piece until all bytes have arrived and match the checksum.
     ///
     /// # Errors
-    /// [`StoreError`] when the piece is not known to be sealed.
+    /// [`StoreError`] if the piece is not confirmed as sealed.
     pub async fn put(
         &self,
         key: PieceKey,
@@ -69,12 +69,12 @@
         }
     }
 
-    /// Reads one generation of a piece and checks it.
+    /// Reads one generation of a piece and verifies its checksum.
     ///
-    /// `checksum_of` gives the checksum of bytes in hexadecimal digits.
+    /// `checksum_of` returns the checksum of the bytes in hexadecimal.
     ///
     /// # Errors
-    /// [`StoreError`] unless all bytes of just that generation came.
+    /// [`StoreError`] unless all bytes of exactly that generation were received.
     pub async fn get(
         &self,
         key: PieceKey,
@@ -96,7 +96,7 @@
         let expected = response.header(CHECKSUM_HEADER).unwrap_or_default();
         if checksum_of(&response.body) != expected {
             return Err(StoreError::Damaged {
-                reason: "the checksum does not fit".to_string(),
+                reason: "checksum mismatch".to_string(),
             });
         }
         Ok(SealedPiece {
@@ -106,10 +106,10 @@
         })
     }
 
-    /// Drops a piece, if it still has this generation.
+    /// Deletes a piece if it still has this generation; a missing piece is not an error.
     ///
     /// # Errors
-    /// [`StoreError`] when no answer came in time.
+    /// [`StoreError`] if no response was received in time.
     pub async fn delete_piece(
         &self,
         key: PieceKey,
@@ -125,7 +125,7 @@
     /// Lists all sealed pieces.
     ///
     /// # Errors
-    /// [`StoreError`] when no answer came in time.
+    /// [`StoreError`] if no response was received in time.
     pub async fn list(&self) -> Result<PieceList, StoreError> {
         Ok(self.client.get_json("/pieces").await?)
     }
@@ -134,6 +134,6 @@
 fn parse_generation(text: Option<&str>) -> Result<u64, StoreError> {
     let number = text.and_then(|t| t.parse().ok());
     number.ok_or_else(|| StoreError::Damaged {
-        reason: "the answer has no generation".to_string(),
+        reason: "the response has no valid generation".to_string(),
     })
 }
--- a/services/src/table/commit_outcome.rs
+++ b/services/src/table/commit_outcome.rs
@@ -1,21 +1,21 @@
 use crate::http::CallError;
 
-/// What came of a commit.
+/// Outcome of a commit.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum CommitOutcome {
-    /// It took effect; the new versions, in order.
+    /// The commit took effect.
     Done {
-        /// New versions.
+        /// New versions of the rows, in the order of the writes.
         versions: Vec<u64>,
     },
-    /// It took no effect: another write was first.
+    /// The commit had no effect: another write came first.
     Conflict {
-        /// Keys of the rows that had changed.
+        /// Keys of the rows that have other versions.
         keys: Vec<String>,
     },
-    /// Nobody knows whether it took effect.
+    /// It is unknown whether the commit took effect.
     Unknown {
-        /// What happened.
+        /// The error of the call.
         error: CallError,
     },
 }
--- a/services/src/table/table_client.rs
+++ b/services/src/table/table_client.rs
@@ -24,17 +24,17 @@
     usage: Arc<TableUsage>,
 }
 
-/// Calls made so far, for the budget of the whole fleet.
+/// Number of calls made, for checking the call budget of the fleet.
 #[derive(Debug, Default)]
 pub struct TableUsage {
-    /// Read calls.
+    /// Number of read calls.
     pub reads: AtomicU64,
-    /// Commit calls.
+    /// Number of commit calls.
     pub writes: AtomicU64,
 }
 
 impl TableClient {
-    /// A client of the service at `address`.
+    /// Creates a client of the service at `address`.
     pub fn new(
         address: SocketAddr,
         timeout: Duration,
@@ -45,15 +45,15 @@
         }
     }
 
-    /// Calls made so far.
+    /// Number of calls made by this client and its clones.
     pub fn usage(&self) -> &TableUsage {
         &self.usage
     }
 
-    /// Reads rows once, all at one moment.
+    /// Reads rows once, as one consistent snapshot.
     ///
     /// # Errors
-    /// [`CallError`] when no answer came in time.
+    /// [`CallError`] if no response was received in time.
     pub async fn read(
         &self,
         keys: &[String],
@@ -66,10 +66,10 @@
         Ok(response.rows)
     }
 
-    /// Reads one row once; none when it is not there.
+    /// Reads one row once; `None` if it does not exist.
     ///
     /// # Errors
-    /// [`CallError`] when no answer came in time.
+    /// [`CallError`] if no response was received in time.
     pub async fn read_row(
         &self,
         key: &str,
@@ -78,7 +78,7 @@
         Ok(rows.into_iter().next())
     }
 
-    /// Writes rows once.
+    /// Writes rows once, without retries.
     pub async fn commit(
         &self,
         writes: &[RowWrite],
@@ -94,11 +94,10 @@
         }
     }
 
-    /// Writes rows, and when the answer is lost finds out by reading back.
+    /// Writes rows and, if the response is lost, determines the outcome by reading them back.
     ///
-    /// The values must be such that nobody else writes the same. Tries go on
-    /// with jittered pauses until `patience` is over; only then is the outcome
-    /// left unknown.
+    /// The values must be unique to this writer. Attempts continue with jittered backoff until
+    /// `timeout`; only then is the outcome reported as unknown.
     pub async fn commit_confirmed(
         &self,
         writes: &[RowWrite],
@@ -114,7 +113,7 @@
             let outcome = self.commit(writes).await;
             match &outcome {
                 CommitOutcome::Done { .. } => return outcome,
-                // A conflict after a lost answer may be with our own write.
+                // After a lost response, the conflict may be with this client's own write.
                 CommitOutcome::Conflict { .. } if !response_lost => return outcome,
                 CommitOutcome::Conflict { .. } => {
                     if let Ok(confirmed) = self.read_back(writes).await {
@@ -144,7 +143,7 @@
         }
     }
 
-    /// Whether the rows have the values that were to be written.
+    /// Reads the rows and returns the outcome if they have the values to be written.
     async fn read_back(
         &self,
         writes: &[RowWrite],
--- a/services/src/table/table_messages.rs
+++ b/services/src/table/table_messages.rs
@@ -1,58 +1,58 @@
 use serde::{Deserialize, Serialize};
 
-/// Reads several rows at one moment.
+/// Request to read several rows as one consistent snapshot.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ReadRequest {
     /// Keys of the rows.
     pub keys: Vec<String>,
 }
 
-/// Rows that were found; the others are not there.
+/// The rows that exist; missing rows are left out.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ReadResponse {
     /// The rows.
     pub rows: Vec<TableRow>,
 }
 
-/// One row.
+/// A row of the table.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TableRow {
-    /// Its key.
+    /// Key of the row.
     pub key: String,
-    /// Changes with each write; never zero.
+    /// Version of the row: changes with each write, never zero.
     pub version: u64,
-    /// Its value.
+    /// Value of the row.
     pub value: String,
 }
 
-/// Writes several rows, all or none.
+/// Request to write several rows atomically.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CommitRequest {
     /// The writes.
     pub writes: Vec<RowWrite>,
 }
 
-/// One write.
+/// Write of one row.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RowWrite {
     /// Key of the row.
     pub key: String,
-    /// Version that the row must have; zero when it must not be there.
+    /// Version that the row must have; zero if the row must not exist.
     pub expected: u64,
-    /// New value; none removes the row.
+    /// New value; `None` deletes the row.
     pub value: Option<String>,
 }
 
-/// Answer to a commit.
+/// Response to a commit.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum CommitResponse {
-    /// All rows were written; their new versions, in order.
+    /// All rows were written.
     Done {
-        /// New versions.
+        /// New versions of the rows, in the order of the writes.
         versions: Vec<u64>,
     },
-    /// Nothing was written: these rows have other versions.
+    /// Nothing was written: some rows have other versions than expected.
     Conflict {
         /// Keys of those rows.
         keys: Vec<String>,
--- a/services/src/weights/weight_client.rs
+++ b/services/src/weights/weight_client.rs
@@ -3,15 +3,15 @@
     std::{net::SocketAddr, time::Duration},
 };
 
-/// Client of the weight store. Engines fetch the weights themselves; this only
-/// asks what is there.
+/// Client of the weight store. It only checks which versions exist; engines fetch the weights
+/// themselves.
 #[derive(Debug, Clone)]
 pub struct WeightClient {
     client: ServiceClient,
 }
 
 impl WeightClient {
-    /// A client of the service at `address`.
+    /// Creates a client of the service at `address`.
     pub fn new(
         address: SocketAddr,
         timeout: Duration,
@@ -24,7 +24,7 @@
     /// Whether the store has a version of a model.
     ///
     /// # Errors
-    /// [`CallError`] when no answer came in time.
+    /// [`CallError`] if no response was received in time.
     pub async fn has_version(
         &self,
         model: &str,
