--- a/http1/tests/body_frames.rs
+++ b/http1/tests/body_frames.rs
@@ -85,14 +85,14 @@
 /// Request smuggling: a request whose end two recipients could place differently can hide
 /// another request.
 #[test]
-fn unclear_length_refused() {
+fn ambiguous_length_refused() {
     assert_eq!(framing("Content-Length: 5\r\n"), Ok(BodyFraming::Length(5)));
     assert_eq!(
         framing("Transfer-Encoding: chunked\r\n"),
         Ok(BodyFraming::Chunked)
     );
     assert_eq!(framing(""), Ok(BodyFraming::Empty));
-    for unclear in [
+    for ambiguous in [
         "Content-Length: 5\r\nContent-Length: 6\r\n",
         "Content-Length: 5\r\nTransfer-Encoding: chunked\r\n",
         "Transfer-Encoding: gzip, chunked\r\n",
@@ -102,9 +102,9 @@
         "Content-Length:\r\n",
     ] {
         assert_eq!(
-            framing(unclear),
+            framing(ambiguous),
             Err(HeadError::AmbiguousLength),
-            "{unclear}"
+            "{ambiguous}"
         );
     }
 }
