--- a/agent/src/moves/piece_mover.rs
+++ b/agent/src/moves/piece_mover.rs
@@ -233,7 +233,11 @@
     ) {
         let store = self.store(plan.address);
         for piece in &plan.pieces {
-            if store.delete_piece(piece.key, piece.generation).await.is_err() {
+            if store
+                .delete_piece(piece.key, piece.generation)
+                .await
+                .is_err()
+            {
                 continue;
             }
             self.metrics.count("store.dropped", 1);
--- a/entry/src/front/orphan_engine.rs
+++ b/entry/src/front/orphan_engine.rs
@@ -4,7 +4,7 @@
         serving::{EndpointKey, EngineLoad, OrderRight, SwapTurn},
         time::Micros,
     },
-    pitchhitch_http1::{HttpRequest, HttpClient},
+    pitchhitch_http1::{HttpClient, HttpRequest},
     pitchhitch_platform::{
         decode_report, read_order_row, send_order, take_order_row, EngineReport, StoreClient,
         StoreError, WeightOrder, REPORT_PATH,
