--- a/agent/src/beside/kept_watch.rs
+++ b/agent/src/beside/kept_watch.rs
@@ -1,7 +1,7 @@
 use {
     super::BesideContext,
     pitchhitch_core::serving::NamespaceTag,
-    pitchhitch_platform::{KeptChanges, KeptClient},
+    pitchhitch_platform::{KvChanges, KvClient},
     pitchhitch_process::to_duration,
     pitchhitch_wire::beside::DigestPart,
     smol::Timer,
@@ -17,7 +17,7 @@
 
 /// Follows what the engine keeps in its memory.
 pub(crate) async fn watch_kept(beside: Rc<BesideContext>) {
-    let mut client = KeptClient::new(beside.settings.engine, CALL_LIMIT);
+    let mut client = KvClient::new(beside.settings.engine, CALL_LIMIT);
     let mut next = 0;
     let mut epoch = None;
     let mut forgotten = 0;
@@ -56,7 +56,7 @@
 
 fn take_changes(
     beside: &BesideContext,
-    changes: &KeptChanges,
+    changes: &KvChanges,
 ) {
     let mut state = beside.state();
     if changes.has_gap {
--- a/agent/src/beside/order_giver.rs
+++ b/agent/src/beside/order_giver.rs
@@ -6,7 +6,7 @@
     },
     pitchhitch_http1::HttpClient,
     pitchhitch_platform::{
-        read_order_row, send_order, take_order_row, OrderOutcome, StoreClient, StoreError,
+        acquire_order_row, read_order_row, send_order, OrderResponse, StoreClient, StoreError,
         WeightOrder,
     },
     std::{rc::Rc, time::Duration},
@@ -65,7 +65,7 @@
     beside: &BesideContext,
     engine_id: &str,
     order: &WeightOrder,
-    outcome: &OrderOutcome,
+    outcome: &OrderResponse,
 ) {
     let outcome = outcome.to_string();
     log::info!(
@@ -120,7 +120,7 @@
     let settings = &beside.settings;
     let row = read_order_row(store, settings.engine).await?;
     let sent_at = beside.now();
-    let taken = take_order_row(store, settings.engine, row.as_ref(), &settings.box_id).await?;
+    let taken = acquire_order_row(store, settings.engine, row.as_ref(), &settings.box_id).await?;
     right.on_row_written(taken, sent_at, beside.now());
     Ok(taken)
 }
--- a/agent/src/beside/store_reader.rs
+++ b/agent/src/beside/store_reader.rs
@@ -1,7 +1,7 @@
 use {
     super::BesideContext,
     pitchhitch_core::{serving::NamespaceTag, time::Micros},
-    pitchhitch_platform::{KeptChanges, KeptClient, KeptFailure},
+    pitchhitch_platform::{KvChanges, KvClient, KvError},
     pitchhitch_process::to_duration,
     pitchhitch_wire::beside::{StoreNews, StorePart},
     smol::Timer,
@@ -128,7 +128,7 @@
     fn take(
         &mut self,
         store: SocketAddr,
-        changes: &KeptChanges,
+        changes: &KvChanges,
         sent_at: Micros,
         now: Micros,
     ) {
@@ -200,7 +200,7 @@
     beside: Rc<BesideContext>,
     store: SocketAddr,
 ) {
-    let mut client = KeptClient::new(store, CALL_LIMIT);
+    let mut client = KvClient::new(store, CALL_LIMIT);
     let mut next: Option<u64> = None;
     while beside.state().stores.is_asked(store, beside.now()) {
         let pause = match next {
@@ -219,8 +219,8 @@
                         next = Some(changes.next);
                         ASK_PAUSE
                     }
-                    Err(KeptFailure::Busy) => FAILED_PAUSE,
-                    Err(KeptFailure::Silent) => {
+                    Err(KvError::Busy) => FAILED_PAUSE,
+                    Err(KvError::Unavailable) => {
                         state.stores.forget(store);
                         next = None;
                         FAILED_PAUSE
--- a/entry/src/front/call_limit.rs
+++ b/entry/src/front/call_limit.rs
@@ -26,7 +26,7 @@
         outcome: &Result<T, StoreError>,
     ) {
         self.failures = match outcome {
-            Err(StoreError::Late | StoreError::Unreachable(_) | StoreError::Refused(_)) => {
+            Err(StoreError::Timeout | StoreError::Unreachable(_) | StoreError::Refused(_)) => {
                 self.failures + 1
             }
             _ => 0,
--- a/entry/src/front/caller_conn.rs
+++ b/entry/src/front/caller_conn.rs
@@ -8,7 +8,7 @@
     pitchhitch_http1::{
         read_request_head, BodyDecoder, BodyFraming, ByteLink, HeadError, IdleState, RequestHead,
     },
-    pitchhitch_platform::{encode_refusal, waits_to_send},
+    pitchhitch_platform::{encode_refusal, expects_continue},
     pitchhitch_process::to_duration,
     smol::Timer,
     std::rc::Rc,
@@ -181,7 +181,7 @@
     }
     let mut decoder = BodyDecoder::new(framing);
     let mut body = Vec::new();
-    if !decoder.is_done() && link.unused().is_empty() && waits_to_send(head) {
+    if !decoder.is_done() && link.unused().is_empty() && expects_continue(head) {
         let word = link.write_all(b"HTTP/1.1 100 Continue\r\n\r\n").await;
         if word.is_err() {
             return Ok(None);
--- a/entry/src/front/foreign_rows.rs
+++ b/entry/src/front/foreign_rows.rs
@@ -1,4 +1,4 @@
-use {super::FrontContext, pitchhitch_platform::RowFault, std::collections::BTreeSet};
+use {super::FrontContext, pitchhitch_platform::RowError, std::collections::BTreeSet};
 
 /// Keys that are remembered; of further ones no line is written.
 const KEYS_LIMIT: usize = 500;
@@ -25,7 +25,7 @@
         &mut self,
         front: &FrontContext,
         key: &str,
-        fault: &RowFault,
+        fault: &RowError,
     ) {
         front.metrics.count("foreign_rows", self.table);
         let has_room = self.keys.len() < KEYS_LIMIT;
--- a/entry/src/front/held_rows.rs
+++ b/entry/src/front/held_rows.rs
@@ -34,8 +34,8 @@
     let mut client = StoreClient::new(front.settings.store, limit.next());
     let mut is_lost = false;
     let mut has_row = loop {
-        client.set_limit(limit.next());
-        let read = client.read_all(RowTable::Own).await;
+        client.set_timeout(limit.next());
+        let read = client.read_all(RowTable::Product).await;
         limit.note(&read);
         let noted =
             read.and_then(|page| note_position(&front, "held", page.position).map(|()| page));
@@ -137,7 +137,7 @@
         suspects,
     };
     let bytes = encode_body(&row).map_err(|e| StoreError::Unreadable(e.to_string()))?;
-    client.set_limit(limit.next());
+    client.set_timeout(limit.next());
     let written = client.put(&own_key(front), &bytes).await;
     limit.note(&written);
     written?;
--- a/entry/src/front/list_watch.rs
+++ b/entry/src/front/list_watch.rs
@@ -10,7 +10,7 @@
         },
         time::Micros,
     },
-    pitchhitch_platform::{decode_row, RowNews, RowPage, RowTable, StoreClient},
+    pitchhitch_platform::{decode_row, RowPage, RowTable, RowUpdate, StoreClient},
     pitchhitch_process::to_duration,
     smol::Timer,
     std::{collections::HashSet, net::SocketAddr, rc::Rc, time::Duration},
@@ -48,7 +48,7 @@
             wait.wait(&front).await;
         }
         sent_at = front.now();
-        client.set_limit(limit.next());
+        client.set_timeout(limit.next());
         let read = match seen {
             Some(after) => {
                 client
@@ -93,7 +93,7 @@
                 log_changes(&front, &changes);
             }
             Ok(()) => {}
-            Err(error) if error.wants_all() => seen = None,
+            Err(error) if error.needs_full_read() => seen = None,
             Err(_) => {}
         }
         if seen.is_none() {
@@ -118,8 +118,8 @@
 ) {
     for row in &page.rows {
         match decode_row(RowTable::Endpoints, row.clone()) {
-            Ok(RowNews::Endpoint(notice)) => mark.set(&row.key, &standing_bytes(&notice)),
-            Ok(RowNews::EndpointGone(id)) => mark.remove(&id),
+            Ok(RowUpdate::Endpoint(notice)) => mark.set(&row.key, &standing_bytes(&notice)),
+            Ok(RowUpdate::EndpointRemoved(id)) => mark.remove(&id),
             _ => mark.remove(&row.key),
         }
     }
@@ -159,8 +159,8 @@
         };
         foreign.is_over(&key);
         match news {
-            RowNews::Endpoint(notice) if is_whole => listed.push(notice),
-            RowNews::Endpoint(notice) => {
+            RowUpdate::Endpoint(notice) if is_whole => listed.push(notice),
+            RowUpdate::Endpoint(notice) => {
                 let change = front.state().book.apply(&notice);
                 let is_new = matches!(
                     change,
@@ -169,7 +169,7 @@
                 note_slow_start(front, &notice, is_new);
                 changes.extend(change);
             }
-            RowNews::EndpointGone(id) => {
+            RowUpdate::EndpointRemoved(id) => {
                 changes.extend(front.state().book.mark_unlisted(&id, is_steady));
             }
             _ => {}
--- a/entry/src/front/offer.rs
+++ b/entry/src/front/offer.rs
@@ -2,7 +2,7 @@
     super::{wait_for_endpoint, WakeReason},
     pitchhitch_core::time::Micros,
     pitchhitch_http1::{read_answer_head, AnswerHead, BodyDecoder, BodyFraming, ByteLink},
-    pitchhitch_platform::{decode_marks, AnswerMarks},
+    pitchhitch_platform::{decode_response_info, ResponseInfo},
     pitchhitch_process::DeadlineTimer,
 };
 
@@ -60,7 +60,7 @@
     /// Head.
     pub head: AnswerHead,
     /// What it says.
-    pub marks: AnswerMarks,
+    pub marks: ResponseInfo,
     /// Framing of its body.
     pub framing: BodyFraming,
 }
@@ -124,7 +124,7 @@
         if head.status < 200 {
             continue;
         }
-        let marks = decode_marks(&head);
+        let marks = decode_response_info(&head);
         let framing = BodyFraming::of_answer(head.status, &head.fields);
         let framing = framing.map_err(|_| OfferFailure::Garbled)?;
         if marks.request_id.as_deref() == Some(request_id) {
--- a/entry/src/front/operator_watch.rs
+++ b/entry/src/front/operator_watch.rs
@@ -11,8 +11,8 @@
         time::Micros,
     },
     pitchhitch_platform::{
-        decode_config, decode_row, NamedWeights, RowFault, RowNews, RowPage, RowTable, RowValue,
-        StoreClient, StoreError, StoreRow, CONFIG_KEY,
+        decode_config, decode_row, PublishedVersion, RowError, RowPage, RowTable, RowUpdate,
+        RowValue, StoreClient, StoreError, StoreRow, CONFIG_KEY,
     },
     pitchhitch_process::to_duration,
     smol::Timer,
@@ -39,7 +39,7 @@
             read_wait(&front, sent_at, is_lost).wait(&front).await;
         }
         sent_at = front.now();
-        client.set_limit(limit.next());
+        client.set_timeout(limit.next());
         let hold = limit.hold(to_duration(config_hold(&front, sent_at)));
         let read = read_operator(&front, &mut client, seen, hold).await;
         limit.note(&read);
@@ -63,7 +63,7 @@
         match outcome {
             Ok(()) => {}
             Err(error) => {
-                if error.wants_all() {
+                if error.needs_full_read() {
                     seen = None;
                 }
                 Timer::after(to_duration(RETRY_PAUSE)).await;
@@ -116,7 +116,7 @@
     let changes = client.read_changes(RowTable::Operator, after, hold);
     let other_era = async {
         while !front.era_over.wait(ERA_WAIT).await {}
-        Err(StoreError::OtherEra)
+        Err(StoreError::EraChanged)
     };
     or(changes, other_era).await
 }
@@ -133,7 +133,7 @@
         match &row.value {
             RowValue::Bytes(bytes) => mark.set(&key, bytes),
             RowValue::Unreadable => mark.set(&key, b""),
-            RowValue::Gone => mark.remove(&key),
+            RowValue::Deleted => mark.remove(&key),
         }
         match take_operator_row(front, row) {
             Ok(()) => foreign.is_over(&key),
@@ -159,28 +159,31 @@
 fn take_operator_row(
     front: &FrontContext,
     row: StoreRow,
-) -> Result<(), RowFault> {
+) -> Result<(), RowError> {
     match decode_row(RowTable::Operator, row)? {
-        RowNews::Config(text) => {
+        RowUpdate::Config(text) => {
             let config = decode_config(&text)?;
             take_config(front, config, text, "row");
         }
-        RowNews::Weights(named) => name_weights(front, &named),
-        RowNews::Evacuation { domain, is_asked } => {
-            let change = front.state().evacuations.set(&domain, is_asked);
+        RowUpdate::Weights(named) => name_weights(front, &named),
+        RowUpdate::Evacuation {
+            domain,
+            is_requested,
+        } => {
+            let change = front.state().evacuations.set(&domain, is_requested);
             take_evacuations(front, change.as_slice(), "row");
         }
-        RowNews::Other(key) => {
+        RowUpdate::Other(key) => {
             log::warn!(event = "operator-row", key = key.as_str(), used = false; "");
         }
-        RowNews::Endpoint(_) | RowNews::EndpointGone(_) => {}
+        RowUpdate::Endpoint(_) | RowUpdate::EndpointRemoved(_) => {}
     }
     Ok(())
 }
 
 fn name_weights(
     front: &FrontContext,
-    named: &NamedWeights,
+    named: &PublishedVersion,
 ) {
     let now = front.now();
     let mut guard = front.state();
--- a/entry/src/front/order_lease.rs
+++ b/entry/src/front/order_lease.rs
@@ -56,11 +56,11 @@
         match self.machine.step(asked_at) {
             LeaseStep::Wait => Ok(()),
             LeaseStep::Read => {
-                let row = store.read_own(LEASE_KEY).await?;
+                let row = store.read_row(LEASE_KEY).await?;
                 let version = row.as_ref().map_or(0, |row| row.position.version);
                 let row = row.and_then(|row| match row.value {
                     RowValue::Bytes(bytes) => decode_body::<LeaseRow>(&bytes).ok(),
-                    RowValue::Gone | RowValue::Unreadable => None,
+                    RowValue::Deleted | RowValue::Unreadable => None,
                 });
                 self.machine
                     .on_row_read(row, version, asked_at, front.now());
@@ -99,7 +99,7 @@
         };
         let era = front.state().eras.known().unwrap_or_default();
         let expected = (version > 0).then_some(StorePosition { era, version });
-        match store.replace_own(LEASE_KEY, expected, &bytes).await {
+        match store.put_if_unchanged(LEASE_KEY, expected, &bytes).await {
             Ok(position) => self.machine.on_row_written(position.version, front.now()),
             Err(StoreError::Conflict) => self.machine.on_write_conflict(),
             Err(error) => {
--- a/entry/src/front/orphan_engine.rs
+++ b/entry/src/front/orphan_engine.rs
@@ -6,7 +6,7 @@
     },
     pitchhitch_http1::{HttpCall, HttpClient},
     pitchhitch_platform::{
-        decode_report, read_order_row, send_order, take_order_row, EngineReport, StoreClient,
+        acquire_order_row, decode_report, read_order_row, send_order, EngineReport, StoreClient,
         StoreError, WeightOrder, REPORT_PATH,
     },
     std::{net::SocketAddr, time::Duration},
@@ -102,7 +102,7 @@
         let row = read_order_row(store, self.address).await?;
         let sent_at = front.now();
         let holder = front.settings.box_id.as_str();
-        let taken = take_order_row(store, self.address, row.as_ref(), holder).await?;
+        let taken = acquire_order_row(store, self.address, row.as_ref(), holder).await?;
         self.right.on_row_written(taken, sent_at, front.now());
         let engine = self.address.to_string();
         let before = row.map_or(String::new(), |row| row.holder);
--- a/entry/src/front/part_freeing.rs
+++ b/entry/src/front/part_freeing.rs
@@ -4,7 +4,7 @@
         serving::{CacheNamespace, EndpointStatus, PartId, ReclaimState},
         time::Micros,
     },
-    pitchhitch_platform::KeptClient,
+    pitchhitch_platform::KvClient,
     std::{collections::HashSet, net::SocketAddr, rc::Rc},
 };
 
@@ -30,7 +30,7 @@
     front: Rc<FrontContext>,
     address: SocketAddr,
 ) {
-    let mut client = KeptClient::new(address, CALL_LIMIT);
+    let mut client = KvClient::new(address, CALL_LIMIT);
     let mut held_looks = 0;
     while has_view(&front, address) {
         front.rest(free_pause(&front)).await;
--- a/entry/src/front/plain_answer.rs
+++ b/entry/src/front/plain_answer.rs
@@ -1,7 +1,7 @@
 use {
     super::{read_rest, OfferAnswer, OfferFailure, OpenOffer},
     pitchhitch_http1::{BodyFraming, ByteLink},
-    pitchhitch_platform::{encode_answer_head, AnswerLength},
+    pitchhitch_platform::{encode_response_head, BodyLength},
     pitchhitch_process::DeadlineTimer,
 };
 
@@ -35,10 +35,10 @@
     let mut body = Vec::new();
     read_rest(offer, framing, &mut body, HELD_LIMIT, caller, timer).await?;
     let length = match framing {
-        BodyFraming::Empty => AnswerLength::Without,
-        _ => AnswerLength::Known(body.len()),
+        BodyFraming::Empty => BodyLength::Absent,
+        _ => BodyLength::Known(body.len()),
     };
-    let mut bytes = encode_answer_head(&answer.head, length, closes);
+    let mut bytes = encode_response_head(&answer.head, length, closes);
     bytes.extend_from_slice(&body);
     Ok(WholeAnswer {
         status: answer.head.status,
--- a/entry/src/front/request_answer.rs
+++ b/entry/src/front/request_answer.rs
@@ -153,6 +153,6 @@
             return;
         }
         offer.is_kept = true;
-        offer.keeps_for = answer.marks.keeps_for;
+        offer.keeps_for = answer.marks.keep_alive_timeout;
     }
 }
--- a/entry/src/front/request_moves.rs
+++ b/entry/src/front/request_moves.rs
@@ -4,7 +4,7 @@
         serving::{EndpointChoice, KvStore, PartLocation, PromptInfo},
         time::Micros,
     },
-    pitchhitch_platform::{encode_request, PartAddress, SendOrder},
+    pitchhitch_platform::{encode_request, ForwardHeaders, PartAddress},
 };
 
 /// Taken off the time that an endpoint gets, for the way there and back.
@@ -38,9 +38,9 @@
             None => self.ask.request_id.clone(),
         };
         let left = self.ends_at.since(now);
-        let order = SendOrder {
+        let order = ForwardHeaders {
             endpoint_id: entry.map_or("", |entry| entry.id.as_str()),
-            patience: left.since(TRANSIT).max(Micros::from_millis(1)),
+            time_left: left.since(TRANSIT).max(Micros::from_millis(1)),
             organisation: organisation.map(|organisation| organisation.name.as_str()),
             priority: is_engine.then(|| self.rank()),
             version: choice.version.filter(|_| is_engine),
--- a/entry/src/front/request_run.rs
+++ b/entry/src/front/request_run.rs
@@ -11,7 +11,7 @@
         time::Micros,
     },
     pitchhitch_http1::ByteLink,
-    pitchhitch_platform::decode_ask,
+    pitchhitch_platform::decode_request_info,
     pitchhitch_process::{to_duration, DeadlineTimer},
     smol::Timer,
     std::rc::Rc,
@@ -69,7 +69,7 @@
     caller: &mut ByteLink,
     request: WholeRequest,
 ) -> RequestEnd {
-    let ask = decode_ask(&request.head);
+    let ask = decode_request_info(&request.head);
     let admitted = admit(front, &ask);
     let closes = front.state().stops_since.is_some()
         || request.head.fields.has_word("connection", "close")
--- a/entry/src/front/store_contact.rs
+++ b/entry/src/front/store_contact.rs
@@ -28,7 +28,7 @@
             log::info!(event = "store-back", watch = watch; "");
         }
         // It is there, and is read anew at once.
-        Err(StoreError::OtherEra) | Ok(()) => {}
+        Err(StoreError::EraChanged) | Ok(()) => {}
         Err(error) => {
             front.metrics.count("store_failures", watch);
             if !*is_lost {
@@ -43,7 +43,7 @@
 /// Takes the position of a reading.
 ///
 /// # Errors
-/// [`StoreError::EarlierEra`] where it is a late one.
+/// [`StoreError::OutdatedEra`] where it is a late one.
 pub(super) fn note_position(
     front: &Rc<FrontContext>,
     watch: &'static str,
@@ -52,7 +52,7 @@
     let news = front.state().eras.observe(position.era, front.now());
     match news {
         EraUpdate::Current => Ok(()),
-        EraUpdate::Outdated => Err(StoreError::EarlierEra),
+        EraUpdate::Outdated => Err(StoreError::OutdatedEra),
         EraUpdate::Advanced { previous } => {
             let config = front.state().config.as_ref().map_or(0, |c| c.version);
             log::warn!(
--- a/entry/src/front/store_watch.rs
+++ b/entry/src/front/store_watch.rs
@@ -4,7 +4,7 @@
         serving::{PollPlan, StoreView},
         time::Micros,
     },
-    pitchhitch_platform::{KeptChange, KeptClient, KeptFailure},
+    pitchhitch_platform::{KvChange, KvClient, KvError},
     pitchhitch_process::to_duration,
     pitchhitch_wire::beside::StoreNews,
     smol::Timer,
@@ -65,7 +65,7 @@
     front: Rc<FrontContext>,
     address: SocketAddr,
 ) {
-    let mut client = KeptClient::new(address, CALL_LIMIT);
+    let mut client = KvClient::new(address, CALL_LIMIT);
     let mut asks_at_once = false;
     let mut is_lost = false;
     while let Some(plan) = look_plan(&front, address) {
@@ -224,7 +224,7 @@
 
 async fn read_changes(
     front: &FrontContext,
-    client: &mut KeptClient,
+    client: &mut KvClient,
     address: SocketAddr,
     since: u64,
     hold: Micros,
@@ -232,8 +232,8 @@
     let sent_at = front.now();
     let changes = match client.changes(since, to_duration(hold)).await {
         Ok(changes) => changes,
-        Err(KeptFailure::Busy) => return LookStep::Busy,
-        Err(KeptFailure::Silent) => return LookStep::Lost,
+        Err(KvError::Busy) => return LookStep::Busy,
+        Err(KvError::Unavailable) => return LookStep::Lost,
     };
     let mut state = front.state();
     let Some(view) = state.memory.view_mut(address) else {
@@ -252,7 +252,7 @@
 
 async fn read_list(
     front: &FrontContext,
-    client: &mut KeptClient,
+    client: &mut KvClient,
     address: SocketAddr,
 ) -> LookStep {
     let sent_at = front.now();
@@ -268,18 +268,18 @@
         event = "kept-list",
         store = address.to_string().as_str(),
         epoch = list.epoch,
-        parts = list.whole.len(),
-        broken = list.broken.len();
+        parts = list.complete.len(),
+        broken = list.partial.len();
         ""
     );
-    take_parts(front, address, &list.whole);
+    take_parts(front, address, &list.complete);
     LookStep::Listed(list.next)
 }
 
 fn take_parts(
     front: &FrontContext,
     address: SocketAddr,
-    changes: &[KeptChange],
+    changes: &[KvChange],
 ) {
     let mut state = front.state();
     for change in changes {
--- a/entry/src/front/stream_relay.rs
+++ b/entry/src/front/stream_relay.rs
@@ -4,7 +4,7 @@
         WakeReason,
     },
     pitchhitch_http1::{write_chunk, BodyDecoder, ByteLink, LAST_CHUNK},
-    pitchhitch_platform::{encode_answer_head, AnswerLength},
+    pitchhitch_platform::{encode_response_head, BodyLength},
     pitchhitch_process::DeadlineTimer,
     std::time::Duration,
 };
@@ -98,7 +98,7 @@
     let mut out = Vec::with_capacity(events.len() + 32);
     if !progress.is_begun {
         progress.is_begun = true;
-        out = encode_answer_head(&answer.head, AnswerLength::Chunks, progress.closes);
+        out = encode_response_head(&answer.head, BodyLength::Chunked, progress.closes);
     }
     write_chunk(&mut out, events);
     if is_end {
