--- a/entry/src/front/caller_conn.rs
+++ b/entry/src/front/caller_conn.rs
@@ -9,7 +9,7 @@
         parse_request_head, BodyDecoder, BodyFraming, HeadError, IdleState, RequestHead,
         TcpConnection,
     },
-    pitchhitch_platform::{encode_refusal, waits_to_send},
+    pitchhitch_platform::{encode_refusal, expects_continue},
     pitchhitch_process::to_duration,
     smol::Timer,
     std::rc::Rc,
@@ -182,7 +182,7 @@
     }
     let mut decoder = BodyDecoder::new(framing);
     let mut body = Vec::new();
-    if !decoder.is_done() && link.buffer().is_empty() && waits_to_send(head) {
+    if !decoder.is_done() && link.buffer().is_empty() && expects_continue(head) {
         let word = link.write_all(b"HTTP/1.1 100 Continue\r\n\r\n").await;
         if word.is_err() {
             return Ok(None);
--- a/entry/src/front/offer.rs
+++ b/entry/src/front/offer.rs
@@ -4,7 +4,7 @@
     pitchhitch_http1::{
         parse_response_head, BodyDecoder, BodyFraming, ResponseHead, TcpConnection,
     },
-    pitchhitch_platform::{decode_marks, AnswerMarks},
+    pitchhitch_platform::{decode_response_info, ResponseInfo},
     pitchhitch_process::DeadlineTimer,
 };
 
@@ -62,7 +62,7 @@
     /// Head.
     pub head: ResponseHead,
     /// What it says.
-    pub marks: AnswerMarks,
+    pub marks: ResponseInfo,
     /// Framing of its body.
     pub framing: BodyFraming,
 }
@@ -126,7 +126,7 @@
         if head.status < 200 {
             continue;
         }
-        let marks = decode_marks(&head);
+        let marks = decode_response_info(&head);
         let framing = BodyFraming::for_response(head.status, &head.fields);
         let framing = framing.map_err(|_| OfferFailure::Garbled)?;
         if marks.request_id.as_deref() == Some(request_id) {
