--- a/entry/src/front/orphan_engine.rs
+++ b/entry/src/front/orphan_engine.rs
@@ -6,7 +6,7 @@
     },
     pitchhitch_http1::{HttpClient, HttpRequest},
     pitchhitch_platform::{
-        decode_report, read_order_row, send_order, acquire_order_row, EngineReport, StoreClient,
+        acquire_order_row, decode_report, read_order_row, send_order, EngineReport, StoreClient,
         StoreError, WeightOrder, REPORT_PATH,
     },
     std::{net::SocketAddr, time::Duration},
