--- a/agent/src/beside/beside_context.rs
+++ b/agent/src/beside/beside_context.rs
@@ -1,5 +1,8 @@
 use {
-    super::{BesideMetrics, BesideSettings, FrontContacts, SentDigests, StateKeeper, StoreReads},
+    super::{
+        EngineAgentMetrics, EngineAgentSettings, FrontContacts, PolledStores, SentDigests,
+        SnapshotCache,
+    },
     pitchhitch_core::{
         serving::{
             EndpointNotice, EngineLoad, IncarnationOrder, IncarnationTracker, ListedIncarnation,
@@ -8,7 +11,7 @@
         time::Micros,
     },
     pitchhitch_process::{ProcessClock, WakeSignal},
-    pitchhitch_wire::beside::{BesideSocket, DigestPart},
+    pitchhitch_wire::beside::{DatagramSocket, DigestPart},
     smol::LocalExecutor,
     std::{
         cell::{RefCell, RefMut},
@@ -20,21 +23,22 @@
 };
 
 /// Pause between two such words.
-const ANNOUNCE_PAUSE: Micros = Micros::from_secs(1);
+const ANNOUNCE_INTERVAL: Micros = Micros::from_secs(1);
 /// Changes of kept parts that wait for the next digest at most.
-const PENDING_LIMIT: usize = 4_000;
+const MAX_PENDING_CHANGES: usize = 4_000;
 
 /// Longest time between two digests, unless the pause is longer: fronts take silence for a sign.
-pub(crate) const QUIET_LIMIT: Micros = Micros::from_millis(250);
+pub(crate) const MAX_DIGEST_INTERVAL: Micros = Micros::from_millis(250);
 /// Reports that are read for one digest, and how often at least and at most.
-const REPORTS_A_DIGEST: u64 = 3;
-const REPORT_PAUSES: (Micros, Micros) = (Micros::from_millis(90), Micros::from_millis(200));
+const REPORTS_PER_DIGEST: u64 = 3;
+const REPORT_INTERVAL_RANGE: (Micros, Micros) = (Micros::from_millis(90), Micros::from_millis(200));
 /// How often it is looked at least and at most what the engine keeps.
-const KEPT_PAUSES: (Micros, Micros) = (Micros::from_millis(30), Micros::from_millis(150));
+const CACHE_POLL_INTERVAL_RANGE: (Micros, Micros) =
+    (Micros::from_millis(30), Micros::from_millis(150));
 
 /// Weights that the engine should have, and whether it may load them now.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub(crate) struct Wanted {
+pub(crate) struct WantedVersion {
     /// Version.
     pub version: u64,
     /// When a front last said that it is the engine's turn.
@@ -43,7 +47,7 @@
 
 /// What the tasks share.
 #[derive(Debug, Default)]
-pub(crate) struct BesideState {
+pub(crate) struct EngineAgentState {
     /// Load of the engine, at its last report.
     pub load: EngineLoad,
     /// Models and versions of their weights, at the last report.
@@ -55,108 +59,115 @@
     /// Id of the engine, as fronts tell it.
     pub engine_id: Option<String>,
     /// The life that they mean by it.
-    pub id_life: ListedIncarnation,
+    pub id_incarnation: ListedIncarnation,
     /// Engine that leaves, and what is meant by its id as above.
-    pub left: Option<(String, ListedIncarnation)>,
+    pub leaving: Option<(String, ListedIncarnation)>,
     /// Start of the engine's life, as it tells it itself.
     pub born: Option<u64>,
     /// What it tells of lives that were born earlier.
-    pub watch: IncarnationTracker,
+    pub incarnation_tracker: IncarnationTracker,
     /// Times that the engine was found to have forgotten what it kept.
-    pub forgotten: u64,
+    pub cache_resets: u64,
     /// When digests were sent.
-    pub sent: SentDigests,
+    pub sent_digests: SentDigests,
     /// Copy of what fronts know.
-    pub keeper: StateKeeper,
+    pub snapshot_cache: SnapshotCache,
     /// Wanted weights by model.
-    pub wanted: BTreeMap<String, Wanted>,
+    pub wanted: BTreeMap<String, WantedVersion>,
     /// Changes of kept parts that no digest has told yet.
-    pub pending: VecDeque<DigestPart>,
+    pub pending_changes: VecDeque<DigestPart>,
     /// Whether the engine has forgotten what it kept before those.
-    pub forgets: bool,
+    pub has_cache_reset: bool,
     /// Requests under which endpoints ended: a copy that outlives the fronts.
     pub suspects: SuspectTracker,
     /// Counters.
-    pub metrics: BesideMetrics,
+    pub metrics: EngineAgentMetrics,
     /// Fronts that want to be told of all suspects.
-    pub suspect_askers: BTreeSet<SocketAddr>,
+    pub suspect_requesters: BTreeSet<SocketAddr>,
     /// Fronts that want to be told all that the engine keeps.
-    pub newcomers: BTreeSet<SocketAddr>,
+    pub part_requesters: BTreeSet<SocketAddr>,
     /// Fronts that greet.
     pub fronts: FrontContacts,
     /// Pause between two digests, by how many fronts there are.
-    pub digest_pause: Micros,
+    pub digest_interval: Micros,
     /// What fronts have read at the platform's store, by table.
     pub proofs: BTreeMap<ProvenTable, ProofTracker>,
     /// Whether one of them has come since the last digest.
-    pub has_fresh_proofs: bool,
+    pub has_new_proofs: bool,
     /// Stores of kept parts that are read for all fronts.
-    pub stores: StoreReads,
+    pub stores: PolledStores,
     announced_at: Option<Micros>,
     silent_fronts: usize,
-    kept: HashMap<(NamespaceTag, PartId), u32>,
+    cached_parts: HashMap<(NamespaceTag, PartId), u32>,
 }
 
-impl BesideState {
+impl EngineAgentState {
     /// Load of the engine as it is told: the time of the report means nothing to others.
-    pub fn told_load(&self) -> EngineLoad {
+    pub fn reported_load(&self) -> EngineLoad {
         EngineLoad {
             at: Micros::ZERO,
-            again_within: self.digest_pause.max(QUIET_LIMIT),
-            changes_within: self.digest_pause,
+            again_within: self.digest_interval.max(MAX_DIGEST_INTERVAL),
+            changes_within: self.digest_interval,
             ..self.load
         }
     }
 
     /// Whether weights are wanted that the engine does not have.
-    pub fn wants_order(&self) -> bool {
+    pub fn needs_order(&self) -> bool {
         let mut weights = self.weights.iter();
-        weights.any(|(model, version)| self.wanted.get(model).is_some_and(|w| w.version > *version))
+        weights.any(|(model, version)| {
+            self.wanted
+                .get(model)
+                .is_some_and(|wanted| wanted.version > *version)
+        })
     }
 
     /// Pause between two reports; from the engine's own box they cost it nothing.
-    pub fn report_pause(&self) -> Micros {
-        let (least, most) = REPORT_PAUSES;
-        Micros(self.digest_pause.0 / REPORTS_A_DIGEST)
-            .max(least)
-            .min(most)
+    pub fn report_interval(&self) -> Micros {
+        let (min, max) = REPORT_INTERVAL_RANGE;
+        Micros(self.digest_interval.0 / REPORTS_PER_DIGEST)
+            .max(min)
+            .min(max)
     }
 
     /// Pause between two looks at what the engine keeps. Calls that may be held have no price; a
     /// busy engine exchanges what it does not use within a third of a second.
-    pub fn kept_pause(&self) -> Micros {
-        let (least, most) = KEPT_PAUSES;
-        Micros(self.digest_pause.0 / REPORTS_A_DIGEST)
-            .max(least)
-            .min(most)
+    pub fn cache_poll_interval(&self) -> Micros {
+        let (min, max) = CACHE_POLL_INTERVAL_RANGE;
+        Micros(self.digest_interval.0 / REPORTS_PER_DIGEST)
+            .max(min)
+            .min(max)
     }
 
     /// All that the engine keeps.
-    pub fn kept(&self) -> Vec<DigestPart> {
-        let kept = self.kept.iter().map(|((wall, id), tokens)| DigestPart {
-            wall: *wall,
-            id: *id,
-            tokens: *tokens,
-        });
-        kept.collect()
+    pub fn cached_parts(&self) -> Vec<DigestPart> {
+        let parts = self
+            .cached_parts
+            .iter()
+            .map(|((namespace, id), tokens)| DigestPart {
+                namespace: *namespace,
+                id: *id,
+                tokens: *tokens,
+            });
+        parts.collect()
     }
 
     /// The engine keeps nothing of what it kept before.
-    pub fn forget(&mut self) {
-        self.forgotten += 1;
-        self.kept.clear();
-        self.pending.clear();
-        self.forgets = true;
+    pub fn reset_cache(&mut self) {
+        self.cache_resets += 1;
+        self.cached_parts.clear();
+        self.pending_changes.clear();
+        self.has_cache_reset = true;
     }
 
     /// Takes which life the engine tells of; false where that one is over, and what
     /// came with it says nothing.
-    pub fn note_life(
+    pub fn record_incarnation(
         &mut self,
         born: Option<u64>,
         now: Micros,
     ) -> bool {
-        let order = self.watch.order(self.born, born, now);
+        let order = self.incarnation_tracker.order(self.born, born, now);
         if order == IncarnationOrder::Earlier {
             return false;
         }
@@ -167,7 +178,7 @@
             self.load = EngineLoad::default();
             self.weights.clear();
             self.orders_taken = 0;
-            self.forget();
+            self.reset_cache();
         }
         true
     }
@@ -175,64 +186,71 @@
     /// Takes which engine a front means; true where that is news. Fronts that lag
     /// still mean the one that was at the address before: the one born later counts,
     /// or the one whose row was written last.
-    pub fn note_id(
+    pub fn record_engine_id(
         &mut self,
         id: &str,
-        life: ListedIncarnation,
+        incarnation: ListedIncarnation,
     ) -> bool {
-        let is_news = self.engine_id.as_deref() != Some(id);
-        let is_later = life.is_later_than(&self.id_life);
-        if is_news && self.engine_id.is_some() && !is_later {
+        let is_new = self.engine_id.as_deref() != Some(id);
+        let is_later = incarnation.is_later_than(&self.id_incarnation);
+        if is_new && self.engine_id.is_some() && !is_later {
             return false;
         }
         if is_later {
-            self.id_life = life;
+            self.id_incarnation = incarnation;
         }
-        if is_news {
+        if is_new {
             self.engine_id = Some(id.to_string());
         }
-        is_news
+        is_new
     }
 
     /// Takes what a front says of an engine's end. Fronts that lag still mean that it
     /// serves; only a later row or life takes the end back.
-    pub fn note_end(
+    pub fn record_leaving(
         &mut self,
         id: &str,
-        life: ListedIncarnation,
+        incarnation: ListedIncarnation,
         is_leaving: bool,
     ) {
-        let is_known = self.left.as_ref().is_some_and(|(left, _)| left == id);
-        let left = self.left.as_ref().map(|(_, left)| left);
-        let is_later = left.is_none_or(|left| life.is_later_than(left));
+        let is_known = self
+            .leaving
+            .as_ref()
+            .is_some_and(|(leaving, _)| leaving == id);
+        let leaving = self.leaving.as_ref().map(|(_, leaving)| leaving);
+        let is_later = leaving.is_none_or(|leaving| incarnation.is_later_than(leaving));
         if is_leaving && (!is_known || is_later) {
-            self.left = Some((id.to_string(), life));
+            self.leaving = Some((id.to_string(), incarnation));
         } else if !is_leaving && is_known && is_later {
-            self.left = None;
+            self.leaving = None;
         }
     }
 
     /// Whether what the engine keeps has changed since the last digest.
     pub fn has_changes(&self) -> bool {
-        self.forgets || !self.pending.is_empty()
+        self.has_cache_reset || !self.pending_changes.is_empty()
     }
 
     /// What fronts knew of the engine, and those that greet no more, where it is time to
     /// tell them.
-    pub fn announcement(
+    pub fn due_announcement(
         &mut self,
         now: Micros,
     ) -> Option<(EndpointNotice, Vec<SocketAddr>)> {
-        let is_due = |at: Micros| now.since(at) >= ANNOUNCE_PAUSE;
+        let is_due = |at: Micros| now.since(at) >= ANNOUNCE_INTERVAL;
         if !self.announced_at.is_none_or(is_due) {
             return None;
         }
         let silent = self.fronts.silent(now);
         let id = self.engine_id.as_deref()?;
-        if self.left.as_ref().is_some_and(|(left, _)| left == id) {
+        if self
+            .leaving
+            .as_ref()
+            .is_some_and(|(leaving, _)| leaving == id)
+        {
             return None;
         }
-        let notice = self.keeper.own_endpoint(id)?.clone();
+        let notice = self.snapshot_cache.own_endpoint(id)?.clone();
         self.announced_at = Some(now);
         if silent.len() != self.silent_fronts {
             self.silent_fronts = silent.len();
@@ -245,53 +263,53 @@
     }
 
     /// Notes a change of what the engine keeps.
-    pub fn push_change(
+    pub fn record_change(
         &mut self,
         part: DigestPart,
     ) {
         // Without fronts to tell, the oldest are of no use any more.
-        if self.pending.len() >= PENDING_LIMIT {
-            self.pending.pop_front();
+        if self.pending_changes.len() >= MAX_PENDING_CHANGES {
+            self.pending_changes.pop_front();
         }
         match part.tokens {
-            0 => self.kept.remove(&(part.wall, part.id)),
-            tokens => self.kept.insert((part.wall, part.id), tokens),
+            0 => self.cached_parts.remove(&(part.namespace, part.id)),
+            tokens => self.cached_parts.insert((part.namespace, part.id), tokens),
         };
-        self.pending.push_back(part);
+        self.pending_changes.push_back(part);
     }
 }
 
 /// Everything that the tasks have in common.
 #[derive(Debug)]
-pub(crate) struct BesideContext {
+pub(crate) struct EngineAgentContext {
     /// Settings.
-    pub settings: BesideSettings,
+    pub settings: EngineAgentSettings,
     /// Clock.
     pub clock: ProcessClock,
     /// Socket for hellos and digests.
-    pub socket: BesideSocket,
+    pub socket: DatagramSocket,
     /// Wakes the sending of digests: what a front tells of suspects goes to all others at
     /// once, as callers whose request has just failed ask the next front.
     pub digest_due: WakeSignal,
     /// Wakes the giving of orders.
     pub order_due: WakeSignal,
-    state: RefCell<BesideState>,
+    state: RefCell<EngineAgentState>,
     executor: LocalExecutor<'static>,
 }
 
-impl BesideContext {
+impl EngineAgentContext {
     /// A context that knows nothing yet.
     pub fn new(
-        settings: BesideSettings,
-        socket: BesideSocket,
+        settings: EngineAgentSettings,
+        socket: DatagramSocket,
     ) -> Rc<Self> {
-        Rc::new(BesideContext {
+        Rc::new(EngineAgentContext {
             settings,
             clock: ProcessClock::start(),
             socket,
             digest_due: WakeSignal::default(),
             order_due: WakeSignal::default(),
-            state: RefCell::new(BesideState::default()),
+            state: RefCell::new(EngineAgentState::default()),
             executor: LocalExecutor::new(),
         })
     }
@@ -302,7 +320,7 @@
     }
 
     /// The shared state; never held over a wait.
-    pub fn state(&self) -> RefMut<'_, BesideState> {
+    pub fn state(&self) -> RefMut<'_, EngineAgentState> {
         self.state.borrow_mut()
     }
 
--- a/agent/src/beside/beside_metrics.rs
+++ b/agent/src/beside/beside_metrics.rs
@@ -1,17 +1,17 @@
 use {
-    super::BesideContext,
+    super::EngineAgentContext,
     std::{collections::BTreeMap, fmt::Write},
 };
 
 /// Counters of one process, shown as text on request.
 #[derive(Debug, Default)]
-pub(crate) struct BesideMetrics {
+pub(crate) struct EngineAgentMetrics {
     counts: BTreeMap<(&'static str, String), u64>,
 }
 
-impl BesideMetrics {
+impl EngineAgentMetrics {
     /// Counts something under a label.
-    pub fn count(
+    pub fn increment(
         &mut self,
         name: &'static str,
         label: &str,
@@ -21,30 +21,30 @@
 }
 
 /// Tells the figures as text.
-pub(crate) fn tell_figures(
-    beside: &BesideContext,
+pub(crate) fn serve_metrics(
+    agent: &EngineAgentContext,
     _target: &str,
 ) -> (u16, Vec<u8>) {
-    (200, told(beside).into_bytes())
+    (200, render_metrics(agent).into_bytes())
 }
 
-fn told(beside: &BesideContext) -> String {
-    let state = beside.state();
+fn render_metrics(agent: &EngineAgentContext) -> String {
+    let state = agent.state();
     let mut text = String::new();
     // Writing to a string does not fail.
     for ((name, label), count) in &state.metrics.counts {
         let _ = writeln!(text, "pitchhitch_beside_{name}{{kind=\"{label}\"}} {count}");
     }
     let load = &state.load;
-    let figures = [
+    let gauges = [
         ("running", u64::from(load.running)),
         ("waiting", u64::from(load.waiting)),
         ("used_tokens", load.used_tokens),
         ("total_tokens", load.total_tokens),
         ("orders_taken", state.orders_taken),
-        ("kept_parts", state.kept().len() as u64),
+        ("kept_parts", state.cached_parts().len() as u64),
     ];
-    for (name, value) in figures {
+    for (name, value) in gauges {
         let _ = writeln!(text, "pitchhitch_beside_{name} {value}");
     }
     text
--- a/agent/src/beside/beside_process.rs
+++ b/agent/src/beside/beside_process.rs
@@ -1,75 +1,76 @@
 use {
     super::{
-        give_orders, hand_copy_on, hear_fronts, keep_state, read_stores, send_digests,
-        tell_figures, watch_engine, watch_kept, BesideContext, BesideSettings,
+        poll_cache_changes, poll_reports, poll_stores, receive_greetings, refresh_snapshot,
+        send_digests, send_orders, serve_metrics, serve_snapshot, EngineAgentContext,
+        EngineAgentSettings,
     },
     anyhow::Context,
     pitchhitch_http1::serve_small,
     pitchhitch_process::{flush_log, ProcessSignal, SignalWatch},
-    pitchhitch_wire::beside::BesideSocket,
+    pitchhitch_wire::beside::DatagramSocket,
     smol::Timer,
     std::time::Duration,
 };
 
 /// How often lines of the log are written out.
-const LOG_PAUSE: Duration = Duration::from_millis(250);
+const LOG_FLUSH_INTERVAL: Duration = Duration::from_millis(250);
 
 /// Runs the process beside an engine until it is asked to stop; `reload` reads
 /// the settings again.
 ///
 /// # Errors
 /// When an address cannot be bound or a signal cannot be watched.
-pub async fn run_beside(
-    settings: BesideSettings,
-    reload: &dyn Fn() -> Result<BesideSettings, String>,
+pub async fn run_engine_agent(
+    settings: EngineAgentSettings,
+    reload: &dyn Fn() -> Result<EngineAgentSettings, String>,
 ) -> anyhow::Result<()> {
     let mut signals = SignalWatch::start().context("cannot watch signals")?;
-    let socket = BesideSocket::bind(settings.listen).await;
+    let socket = DatagramSocket::bind(settings.listen).await;
     let socket = socket.with_context(|| format!("cannot listen on {}", settings.listen))?;
     let socket = socket.with_key(settings.peer_key);
-    let beside = BesideContext::new(settings, socket);
-    if let Some(metrics) = beside.settings.metrics {
-        beside.spawn(serve_small(metrics, beside.clone(), tell_figures).await?);
+    let agent = EngineAgentContext::new(settings, socket);
+    if let Some(metrics) = agent.settings.metrics {
+        agent.spawn(serve_small(metrics, agent.clone(), serve_metrics).await?);
     }
-    let listen = beside.settings.listen;
-    beside.spawn(serve_small(listen, beside.clone(), hand_copy_on).await?);
-    beside.spawn(keep_state(beside.clone()));
-    beside.spawn(watch_engine(beside.clone()));
-    beside.spawn(watch_kept(beside.clone()));
-    beside.spawn(hear_fronts(beside.clone()));
-    beside.spawn(send_digests(beside.clone()));
-    beside.spawn(give_orders(beside.clone()));
-    beside.spawn(read_stores(beside.clone()));
-    beside.spawn(async {
+    let listen = agent.settings.listen;
+    agent.spawn(serve_small(listen, agent.clone(), serve_snapshot).await?);
+    agent.spawn(refresh_snapshot(agent.clone()));
+    agent.spawn(poll_reports(agent.clone()));
+    agent.spawn(poll_cache_changes(agent.clone()));
+    agent.spawn(receive_greetings(agent.clone()));
+    agent.spawn(send_digests(agent.clone()));
+    agent.spawn(send_orders(agent.clone()));
+    agent.spawn(poll_stores(agent.clone()));
+    agent.spawn(async {
         loop {
-            Timer::after(LOG_PAUSE).await;
+            Timer::after(LOG_FLUSH_INTERVAL).await;
             flush_log();
         }
     });
     log::info!(
         event = "started",
-        beside = beside.settings.box_id.as_str(),
-        engine = beside.settings.engine.to_string().as_str(),
+        beside = agent.settings.box_id.as_str(),
+        engine = agent.settings.engine.to_string().as_str(),
         program = env!("CARGO_PKG_VERSION");
         ""
     );
-    let stopped = wait_for_stop(&beside, &mut signals, reload);
-    beside.run(stopped).await?;
-    log::info!(event = "stopped", beside = beside.settings.box_id.as_str(); "");
+    let stopped = wait_for_stop(&agent, &mut signals, reload);
+    agent.run(stopped).await?;
+    log::info!(event = "stopped", beside = agent.settings.box_id.as_str(); "");
     flush_log();
     Ok(())
 }
 
 /// New settings are checked and compared; what they change needs a restart.
 async fn wait_for_stop(
-    beside: &BesideContext,
+    agent: &EngineAgentContext,
     signals: &mut SignalWatch,
-    reload: &dyn Fn() -> Result<BesideSettings, String>,
+    reload: &dyn Fn() -> Result<EngineAgentSettings, String>,
 ) -> anyhow::Result<()> {
     while signals.next().await.context("cannot watch signals")? == ProcessSignal::Reload {
         match reload() {
             Ok(settings) => {
-                let changed = settings != beside.settings;
+                let changed = settings != agent.settings;
                 log::info!(event = "reload", changed = changed; "");
             }
             Err(error) => log::error!(event = "reload", error = error.as_str(); ""),
--- a/agent/src/beside/beside_settings.rs
+++ b/agent/src/beside/beside_settings.rs
@@ -9,7 +9,7 @@
 
 /// Settings of one process beside an engine, checked.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct BesideSettings {
+pub struct EngineAgentSettings {
     /// Id of the box.
     pub box_id: String,
     /// Failure domain that the box stands in.
@@ -28,7 +28,7 @@
     pub peer_key: Option<BeaconKey>,
 }
 
-impl BesideSettings {
+impl EngineAgentSettings {
     /// Reads the text of a settings file.
     ///
     /// # Errors
@@ -39,7 +39,7 @@
     ) -> Result<Self, SettingsErrors> {
         let mut reader = SettingsReader::parse(file, text)?;
         let secret = reader.optional_text("peer_secret");
-        let settings = BesideSettings {
+        let settings = EngineAgentSettings {
             box_id: reader.text("box_id"),
             failure_domain: reader.text("failure_domain"),
             engine: reader.address("engine"),
--- a/agent/src/beside/digest_sender.rs
+++ b/agent/src/beside/digest_sender.rs
@@ -1,25 +1,25 @@
 use {
-    super::{BesideContext, BesideState, QUIET_LIMIT},
+    super::{EngineAgentContext, EngineAgentState, MAX_DIGEST_INTERVAL},
     pitchhitch_core::{
         serving::{digest_interval, EngineLoad, ListedIncarnation, StoreProof, SuspectReport},
         time::Micros,
     },
     pitchhitch_process::to_duration,
-    pitchhitch_wire::beside::{DigestEcho, DigestPart, EngineDigest, FrontHello, WrittenDigest},
+    pitchhitch_wire::beside::{DigestEcho, DigestPart, EncodedDigest, EngineDigest, FrontGreeting},
     smol::Timer,
     std::{net::SocketAddr, rc::Rc, time::Duration},
 };
 
 /// Pause after a socket that failed.
-const FAILED_PAUSE: Duration = Duration::from_millis(45);
+const RETRY_DELAY: Duration = Duration::from_millis(45);
 /// Pause between two digests that tell what others have read, at least.
-const RELAY_PAUSE: Micros = Micros::from_millis(300);
+const FORWARD_INTERVAL: Micros = Micros::from_millis(300);
 /// Age up to which it is told what fronts have read at the platform's store.
-const PROOF_LIFE: Micros = Micros::from_secs(10);
+const PROOF_TTL: Micros = Micros::from_secs(10);
 /// Parts in one digest.
-const PARTS_LIMIT: usize = 400;
+const MAX_PARTS_PER_DIGEST: usize = 400;
 /// Suspects in one digest: some 100 bytes each.
-const SUSPECTS_LIMIT: usize = 100;
+const MAX_SUSPECTS_PER_DIGEST: usize = 100;
 
 /// Digests sent in this life.
 #[derive(Debug, Clone, Copy, Default)]
@@ -31,41 +31,47 @@
 }
 
 /// Takes what fronts say.
-pub(crate) async fn hear_fronts(beside: Rc<BesideContext>) {
-    let mut room = Vec::new();
+pub(crate) async fn receive_greetings(agent: Rc<EngineAgentContext>) {
+    let mut buffer = Vec::new();
     loop {
-        match beside.socket.receive_into::<FrontHello>(&mut room).await {
-            Ok((hello, from)) => {
-                let now = beside.now();
-                let mut state = beside.state();
-                let domain = &beside.settings.failure_domain;
-                let age = state.sent.greeting_age(hello.echo, now);
-                state.fronts.heard(from, &hello, age, now);
-                state.fronts.limit_starts(hello.start_limit);
-                state.keeper.heard(&hello, age, from, domain, now);
-                take_proofs(&mut state, &hello, age, now);
-                for store in &hello.watches {
-                    state.stores.ask(*store, now);
+        match agent
+            .socket
+            .receive_into::<FrontGreeting>(&mut buffer)
+            .await
+        {
+            Ok((greeting, from)) => {
+                let now = agent.now();
+                let mut state = agent.state();
+                let domain = &agent.settings.failure_domain;
+                let age = state.sent_digests.greeting_age(greeting.echo, now);
+                state.fronts.record_greeting(from, &greeting, age, now);
+                state.fronts.set_start_limit(greeting.start_limit);
+                state
+                    .snapshot_cache
+                    .record_offer(&greeting, age, from, domain, now);
+                record_proofs(&mut state, &greeting, age, now);
+                for store in &greeting.watches {
+                    state.stores.request(*store, now);
                 }
-                if hello.wants_suspects {
-                    state.suspect_askers.insert(from);
-                    beside.digest_due.wake();
+                if greeting.wants_suspects {
+                    state.suspect_requesters.insert(from);
+                    agent.digest_due.wake();
                 }
-                if hello.wants_all {
-                    state.newcomers.insert(from);
+                if greeting.wants_all {
+                    state.part_requesters.insert(from);
                 }
-                take_hello(&mut state, hello, age, now);
+                apply_greeting(&mut state, greeting, age, now);
                 if state.suspects.has_updates() {
-                    beside.digest_due.wake();
+                    agent.digest_due.wake();
                 }
-                if state.wants_order() {
-                    beside.order_due.wake();
+                if state.needs_order() {
+                    agent.order_due.wake();
                 }
             }
             Err(error) => {
                 let error = error.to_string();
                 log::warn!(event = "hello-failed", error = error.as_str(); "");
-                Timer::after(FAILED_PAUSE).await;
+                Timer::after(RETRY_DELAY).await;
             }
         }
     }
@@ -73,246 +79,264 @@
 
 /// Takes what a front has read at the platform's store. What may have waited here for any time
 /// proves nothing.
-fn take_proofs(
-    state: &mut BesideState,
-    hello: &FrontHello,
+fn record_proofs(
+    state: &mut EngineAgentState,
+    greeting: &FrontGreeting,
     age: Option<Micros>,
     now: Micros,
 ) {
     let Some(age) = age else {
         return;
     };
-    for proof in &hello.proofs {
+    for proof in &greeting.proofs {
         let sent_at = now.since(age + proof.age);
-        let book = state.proofs.entry(proof.table).or_default();
-        let is_news = book.record(proof, proof.source, sent_at);
-        state.has_fresh_proofs |= is_news;
+        let tracker = state.proofs.entry(proof.table).or_default();
+        let is_new = tracker.record(proof, proof.source, sent_at);
+        state.has_new_proofs |= is_new;
     }
 }
 
-fn take_hello(
-    state: &mut BesideState,
-    hello: FrontHello,
+fn apply_greeting(
+    state: &mut EngineAgentState,
+    greeting: FrontGreeting,
     age: Option<Micros>,
     now: Micros,
 ) {
-    for told in &hello.suspects {
-        state.suspects.merge_and_forward(told, now);
+    for report in &greeting.suspects {
+        state.suspects.merge_and_forward(report, now);
     }
-    let id = hello.engine_id.as_deref();
-    let life = ListedIncarnation {
-        born: hello.engine_born,
-        row: hello.engine_row,
+    let id = greeting.engine_id.as_deref();
+    let incarnation = ListedIncarnation {
+        born: greeting.engine_born,
+        row: greeting.engine_row,
     };
-    if let Some(id) = id.filter(|id| state.note_id(id, life)) {
+    if let Some(id) = id.filter(|id| state.record_engine_id(id, incarnation)) {
         log::info!(
             event = "engine-id",
             engine = id,
-            born = hello.engine_born.unwrap_or(0),
-            front = hello.front.as_str();
+            born = greeting.engine_born.unwrap_or(0),
+            front = greeting.front.as_str();
             ""
         );
     }
     if let Some(id) = id {
-        state.note_end(id, life, hello.is_leaving);
+        state.record_leaving(id, incarnation, greeting.is_leaving);
     }
-    for named in hello.wanted {
-        let wanted = state.wanted.entry(named.model.clone()).or_default();
+    for weights in greeting.wanted {
+        let wanted = state.wanted.entry(weights.model.clone()).or_default();
         // Hellos may overtake each other: a version never goes back.
-        if named.version < wanted.version {
+        if weights.version < wanted.version {
             continue;
         }
-        if named.version > wanted.version {
+        if weights.version > wanted.version {
             log::info!(
                 event = "weights-wanted",
-                model = named.model.as_str(),
-                version = named.version,
-                front = hello.front.as_str();
+                model = weights.model.as_str(),
+                version = weights.version,
+                front = greeting.front.as_str();
                 ""
             );
-            wanted.version = named.version;
+            wanted.version = weights.version;
             wanted.turn_at = None;
         }
         // A turn that was given long ago may be somebody else's now.
-        if let Some(age) = age.filter(|_| named.is_turn) {
+        if let Some(age) = age.filter(|_| weights.is_turn) {
             wanted.turn_at = wanted.turn_at.max(Some(now.since(age)));
         }
     }
 }
 
 /// Tells all fronts what the engine does.
-pub(crate) async fn send_digests(beside: Rc<BesideContext>) {
+pub(crate) async fn send_digests(agent: Rc<EngineAgentContext>) {
     let mut count = DigestCount::default();
-    let mut told = EngineLoad::default();
-    let mut told_at = Micros::ZERO;
-    let mut relayed_at = Micros::ZERO;
+    let mut last_load = EngineLoad::default();
+    let mut last_sent_at = Micros::ZERO;
+    let mut last_forwarded_at = Micros::ZERO;
     loop {
-        let pause = beside.state().digest_pause;
-        beside.digest_due.wait(to_duration(pause)).await;
-        let now = beside.now();
-        let fronts = beside.state().fronts.listening(now);
-        beside.state().digest_pause = digest_interval(fronts.len());
-        tell_suspects(&beside, &mut count, fronts.len() as u32).await;
-        tell_newcomers(&beside, &mut count, fronts.len() as u32).await;
-        announce(&beside, &mut count, fronts.len() as u32).await;
-        let load = beside.state().told_load();
-        let has_changes = beside.state().has_changes();
-        let is_news = load != told || has_changes || beside.state().suspects.has_updates();
-        if fronts.is_empty() || (!is_news && now.since(told_at) < QUIET_LIMIT) {
+        let interval = agent.state().digest_interval;
+        agent.digest_due.wait(to_duration(interval)).await;
+        let now = agent.now();
+        let fronts = agent.state().fronts.active(now);
+        agent.state().digest_interval = digest_interval(fronts.len());
+        send_all_suspects(&agent, &mut count, fronts.len() as u32).await;
+        send_all_parts(&agent, &mut count, fronts.len() as u32).await;
+        announce_engine(&agent, &mut count, fronts.len() as u32).await;
+        let load = agent.state().reported_load();
+        let has_changes = agent.state().has_changes();
+        let is_new = load != last_load || has_changes || agent.state().suspects.has_updates();
+        if fronts.is_empty() || (!is_new && now.since(last_sent_at) < MAX_DIGEST_INTERVAL) {
             continue;
         }
-        told = load;
-        told_at = now;
+        last_load = load;
+        last_sent_at = now;
         count.number += 1;
         count.changes += u64::from(has_changes);
-        let parts = take_pending(&beside);
-        let mut digest = make_digest(&beside, load, count, fronts.len() as u32, parts);
+        let parts = take_pending_changes(&agent);
+        let mut digest = build_digest(&agent, load, count, fronts.len() as u32, parts);
         digest.is_change = has_changes;
-        digest.suspects = beside.state().suspects.take_updates(SUSPECTS_LIMIT, now);
-        digest.forgets = std::mem::take(&mut beside.state().forgets);
-        let has_proofs = std::mem::take(&mut beside.state().has_fresh_proofs);
-        if has_proofs || now.since(relayed_at) >= relay_pause(pause) {
-            digest.proofs = told_proofs(&beside, now);
+        digest.suspects = agent
+            .state()
+            .suspects
+            .take_updates(MAX_SUSPECTS_PER_DIGEST, now);
+        digest.cache_reset = std::mem::take(&mut agent.state().has_cache_reset);
+        let has_proofs = std::mem::take(&mut agent.state().has_new_proofs);
+        if has_proofs || now.since(last_forwarded_at) >= forward_interval(interval) {
+            digest.proofs = proofs_to_forward(&agent, now);
         }
-        if now.since(relayed_at) >= relay_pause(pause) {
-            relayed_at = now;
-            digest.stores = beside.state().stores.news(relay_pause(pause), now);
+        if now.since(last_forwarded_at) >= forward_interval(interval) {
+            last_forwarded_at = now;
+            digest.stores = agent
+                .state()
+                .stores
+                .recent_updates(forward_interval(interval), now);
         }
-        send(&beside, &digest, &fronts).await;
+        send_digest(&agent, &digest, &fronts).await;
     }
 }
 
 /// Pause between two digests that tell what others have read.
-fn relay_pause(digest_pause: Micros) -> Micros {
-    RELAY_PAUSE.max(digest_pause)
+fn forward_interval(digest_interval: Micros) -> Micros {
+    FORWARD_INTERVAL.max(digest_interval)
 }
 
-fn told_proofs(
-    beside: &BesideContext,
+fn proofs_to_forward(
+    agent: &EngineAgentContext,
     now: Micros,
 ) -> Vec<StoreProof> {
-    let state = beside.state();
-    let books = state.proofs.iter();
-    books
-        .flat_map(|(table, book)| book.to_forward(*table, PROOF_LIFE, now))
+    let state = agent.state();
+    let trackers = state.proofs.iter();
+    trackers
+        .flat_map(|(table, tracker)| tracker.to_forward(*table, PROOF_TTL, now))
         .collect()
 }
 
 /// Tells fronts that have just come all that the engine keeps.
-async fn tell_newcomers(
-    beside: &BesideContext,
+async fn send_all_parts(
+    agent: &EngineAgentContext,
     count: &mut DigestCount,
     fronts: u32,
 ) {
-    let newcomers = std::mem::take(&mut beside.state().newcomers);
-    if newcomers.is_empty() {
+    let requesters = std::mem::take(&mut agent.state().part_requesters);
+    if requesters.is_empty() {
         return;
     }
-    let kept = beside.state().kept();
-    let load = beside.state().told_load();
-    let mut pieces: Vec<Vec<DigestPart>> = kept.chunks(PARTS_LIMIT).map(<[_]>::to_vec).collect();
-    if pieces.is_empty() {
-        pieces.push(Vec::new());
+    let parts = agent.state().cached_parts();
+    let load = agent.state().reported_load();
+    let mut chunks: Vec<Vec<DigestPart>> = parts
+        .chunks(MAX_PARTS_PER_DIGEST)
+        .map(<[_]>::to_vec)
+        .collect();
+    if chunks.is_empty() {
+        chunks.push(Vec::new());
     }
-    let last = pieces.len() - 1;
-    for (place, parts) in pieces.into_iter().enumerate() {
+    let last = chunks.len() - 1;
+    for (index, parts) in chunks.into_iter().enumerate() {
         count.number += 1;
-        let mut digest = make_digest(beside, load, *count, fronts, parts);
-        digest.is_whole = place == last;
-        let newcomers: Vec<SocketAddr> = newcomers.iter().copied().collect();
-        send(beside, &digest, &newcomers).await;
+        let mut digest = build_digest(agent, load, *count, fronts, parts);
+        digest.is_whole = index == last;
+        let requesters: Vec<SocketAddr> = requesters.iter().copied().collect();
+        send_digest(agent, &digest, &requesters).await;
     }
 }
 
 /// Tells fronts that have just started, or missed something, of all suspects.
-async fn tell_suspects(
-    beside: &BesideContext,
+async fn send_all_suspects(
+    agent: &EngineAgentContext,
     count: &mut DigestCount,
     fronts: u32,
 ) {
-    let askers = std::mem::take(&mut beside.state().suspect_askers);
-    if askers.is_empty() {
+    let requesters = std::mem::take(&mut agent.state().suspect_requesters);
+    if requesters.is_empty() {
         return;
     }
-    let now = beside.now();
-    let told = {
-        let mut state = beside.state();
+    let now = agent.now();
+    let reports = {
+        let mut state = agent.state();
         state.suspects.prune(now);
         state.suspects.reports(now)
     };
-    let load = beside.state().told_load();
-    let mut pieces: Vec<&[SuspectReport]> = told.chunks(SUSPECTS_LIMIT).collect();
-    if pieces.is_empty() {
-        pieces.push(&[]);
+    let load = agent.state().reported_load();
+    let mut chunks: Vec<&[SuspectReport]> = reports.chunks(MAX_SUSPECTS_PER_DIGEST).collect();
+    if chunks.is_empty() {
+        chunks.push(&[]);
     }
-    let last = pieces.len() - 1;
-    for (place, piece) in pieces.into_iter().enumerate() {
+    let last = chunks.len() - 1;
+    for (index, chunk) in chunks.into_iter().enumerate() {
         count.number += 1;
-        let mut digest = make_digest(beside, load, *count, fronts, Vec::new());
-        digest.suspects = piece.to_vec();
-        digest.has_all_suspects = place == last;
-        let askers: Vec<SocketAddr> = askers.iter().copied().collect();
-        send(beside, &digest, &askers).await;
+        let mut digest = build_digest(agent, load, *count, fronts, Vec::new());
+        digest.suspects = chunk.to_vec();
+        digest.has_all_suspects = index == last;
+        let requesters: Vec<SocketAddr> = requesters.iter().copied().collect();
+        send_digest(agent, &digest, &requesters).await;
     }
 }
 
 /// Tells fronts that greet no more which engine this is. Fronts that started while this box
 /// stood still know of no such engine until the list shows it: with the platform's store away
 /// it kept replaced weights for 27 s.
-async fn announce(
-    beside: &BesideContext,
+async fn announce_engine(
+    agent: &EngineAgentContext,
     count: &mut DigestCount,
     fronts: u32,
 ) {
-    let now = beside.now();
-    let Some((endpoint, silent)) = beside.state().announcement(now) else {
+    let now = agent.now();
+    let Some((endpoint, silent)) = agent.state().due_announcement(now) else {
         return;
     };
-    let load = beside.state().told_load();
+    let load = agent.state().reported_load();
     count.number += 1;
-    let mut digest = make_digest(beside, load, *count, fronts, Vec::new());
+    let mut digest = build_digest(agent, load, *count, fronts, Vec::new());
     digest.endpoint = Some(endpoint);
-    send(beside, &digest, &silent).await;
+    send_digest(agent, &digest, &silent).await;
 }
 
 /// Sends a digest to some fronts: it is written once, and each is told which of its greetings
 /// came last. One that is lost costs freshness only.
-async fn send(
-    beside: &BesideContext,
+async fn send_digest(
+    agent: &EngineAgentContext,
     digest: &EngineDigest,
     fronts: &[SocketAddr],
 ) {
-    let Ok(written) = WrittenDigest::new(digest) else {
+    let Ok(encoded) = EncodedDigest::new(digest) else {
         return;
     };
     for front in fronts {
-        let listening = digest.fronts as usize;
-        let echo = beside.state().fronts.echo(*front, listening, beside.now());
-        beside.state().metrics.count("digests", "sent");
-        let Ok(body) = written.told(echo) else {
+        let active_fronts = digest.fronts as usize;
+        let echo = agent
+            .state()
+            .fronts
+            .echo(*front, active_fronts, agent.now());
+        agent.state().metrics.increment("digests", "sent");
+        let Ok(body) = encoded.with_echo(echo) else {
             continue;
         };
-        if let Err(error) = beside.socket.send_body(body, *front).await {
+        if let Err(error) = agent.socket.send_body(body, *front).await {
             let error = error.to_string();
             log::debug!(event = "digest-failed", error = error.as_str(); "");
         }
     }
 }
 
-fn make_digest(
-    beside: &BesideContext,
+fn build_digest(
+    agent: &EngineAgentContext,
     load: EngineLoad,
     count: DigestCount,
     fronts: u32,
     parts: Vec<DigestPart>,
 ) -> EngineDigest {
-    let life = beside.clock.incarnation();
+    let incarnation = agent.clock.incarnation();
     let number = count.number;
-    let mut state = beside.state();
-    state.sent.note(DigestEcho { life, number }, beside.now());
+    let mut state = agent.state();
+    state.sent_digests.record(
+        DigestEcho {
+            incarnation,
+            number,
+        },
+        agent.now(),
+    );
     EngineDigest {
-        engine: beside.settings.engine,
-        life,
+        engine: agent.settings.engine,
+        incarnation,
         number,
         changes: count.changes,
         is_change: false,
@@ -321,7 +345,7 @@
         weights: state.weights.clone(),
         clock_ms: state.clock_ms,
         fronts,
-        forgets: false,
+        cache_reset: false,
         is_whole: false,
         parts,
         suspects: Vec::new(),
@@ -332,13 +356,13 @@
     }
 }
 
-fn take_pending(beside: &BesideContext) -> Vec<DigestPart> {
-    let mut state = beside.state();
-    let count = state.pending.len().min(PARTS_LIMIT);
-    state.pending.drain(..count).collect()
+fn take_pending_changes(agent: &EngineAgentContext) -> Vec<DigestPart> {
+    let mut state = agent.state();
+    let count = state.pending_changes.len().min(MAX_PARTS_PER_DIGEST);
+    state.pending_changes.drain(..count).collect()
 }
 
 /// Waits a span of the core.
-pub(crate) async fn pause(span: Micros) {
+pub(crate) async fn sleep(span: Micros) {
     Timer::after(to_duration(span)).await;
 }
--- a/agent/src/beside/engine_watch.rs
+++ b/agent/src/beside/engine_watch.rs
@@ -1,5 +1,5 @@
 use {
-    super::BesideContext,
+    super::EngineAgentContext,
     pitchhitch_http1::{HttpCall, HttpClient},
     pitchhitch_platform::{decode_report, EngineReport, REPORT_PATH},
     pitchhitch_process::to_duration,
@@ -8,13 +8,13 @@
 };
 
 /// Time limit of a report: the way is within the box.
-const REPORT_LIMIT: Duration = Duration::from_millis(250);
+const REPORT_TIMEOUT: Duration = Duration::from_millis(250);
 /// Reports in a row that fail before the engine is called silent.
-const SILENT_AFTER: u32 = 2;
+const SILENT_AFTER_FAILURES: u32 = 2;
 
 /// Reads the engine's report again and again.
-pub(crate) async fn watch_engine(beside: Rc<BesideContext>) {
-    let mut client = HttpClient::new(beside.settings.engine, REPORT_LIMIT);
+pub(crate) async fn poll_reports(agent: Rc<EngineAgentContext>) {
+    let mut client = HttpClient::new(agent.settings.engine, REPORT_TIMEOUT);
     let mut failures = 0;
     loop {
         let call = HttpCall {
@@ -23,38 +23,38 @@
             ..HttpCall::default()
         };
         let body = client.sound_body(call).await;
-        let report = body.and_then(|body| decode_report(&body, beside.now()).ok());
+        let report = body.and_then(|body| decode_report(&body, agent.now()).ok());
         match report {
             Some(report) => {
-                if failures >= SILENT_AFTER {
+                if failures >= SILENT_AFTER_FAILURES {
                     let clock_ms = report.clock_ms.map_or(-1, |clock| clock as i64);
                     log::info!(event = "engine-back", failures = failures, clock_ms = clock_ms; "");
                 }
                 failures = 0;
-                beside.state().metrics.count("reports", "sound");
-                take_report(&beside, report);
+                agent.state().metrics.increment("reports", "sound");
+                apply_report(&agent, report);
             }
             None => {
                 failures += 1;
-                beside.state().metrics.count("reports", "missed");
-                if failures == SILENT_AFTER {
+                agent.state().metrics.increment("reports", "missed");
+                if failures == SILENT_AFTER_FAILURES {
                     log::warn!(event = "engine-silent"; "");
                 }
-                beside.state().load.is_silent = failures >= SILENT_AFTER;
+                agent.state().load.is_silent = failures >= SILENT_AFTER_FAILURES;
             }
         }
-        let pause = beside.state().report_pause();
-        Timer::after(to_duration(pause)).await;
+        let interval = agent.state().report_interval();
+        Timer::after(to_duration(interval)).await;
     }
 }
 
-fn take_report(
-    beside: &BesideContext,
+fn apply_report(
+    agent: &EngineAgentContext,
     report: EngineReport,
 ) {
-    let now = beside.now();
-    let mut state = beside.state();
-    if !state.note_life(report.born, now) {
+    let now = agent.now();
+    let mut state = agent.state();
+    if !state.record_incarnation(report.born, now) {
         return;
     }
     if state.weights != report.weights {
@@ -66,7 +66,7 @@
     state.weights = report.weights;
     state.orders_taken = report.orders_taken;
     state.clock_ms = report.clock_ms;
-    if state.wants_order() {
-        beside.order_due.wake();
+    if state.needs_order() {
+        agent.order_due.wake();
     }
 }
--- a/agent/src/beside/front_contacts.rs
+++ b/agent/src/beside/front_contacts.rs
@@ -3,26 +3,26 @@
         serving::{GrantAllocator, SendGrant},
         time::Micros,
     },
-    pitchhitch_wire::beside::{FrontHello, GreetingEcho},
+    pitchhitch_wire::beside::{FrontGreeting, GreetingEcho},
     std::{collections::HashMap, net::SocketAddr},
 };
 
 /// Time for which a front that is not heard still gets digests, at least.
-const FRONT_LIFE: Micros = Micros::from_secs(5);
+const MIN_FRONT_TTL: Micros = Micros::from_secs(5);
 /// Time after which a front that greets no more is told which engine this is, at least: some
 /// greetings of its pace may get lost.
-const SILENT_AFTER: Micros = Micros::from_millis(1_500);
+const MIN_SILENCE: Micros = Micros::from_millis(1_500);
 /// Greetings of its pace that a front may miss until then.
-const GREETINGS_MISSED: u64 = 3;
+const MAX_MISSED_GREETINGS: u64 = 3;
 /// Time for which a front that is not heard is remembered, and how many fronts there may be
 /// for that. A box that stands still for longer is found by the list alone.
-const REMEMBER_FRONT: Micros = Micros::from_secs(60);
-const FRONTS_LIMIT: usize = 256;
+const FRONT_RETENTION: Micros = Micros::from_secs(60);
+const MAX_FRONTS: usize = 256;
 
 /// When a front was heard.
 #[derive(Debug, Clone, Copy)]
 struct FrontContact {
-    heard_at: Micros,
+    received_at: Micros,
     /// When it greeted at the latest, as far as is proven: greetings wait while this box
     /// stands still.
     greeted_at: Micros,
@@ -33,15 +33,15 @@
 }
 
 impl FrontContact {
-    fn life(&self) -> Micros {
-        FRONT_LIFE.max(Micros(self.again_within.0 * GREETINGS_MISSED))
+    fn ttl(&self) -> Micros {
+        MIN_FRONT_TTL.max(Micros(self.again_within.0 * MAX_MISSED_GREETINGS))
     }
 
     fn is_silent(
         &self,
         now: Micros,
     ) -> bool {
-        let limit = SILENT_AFTER.max(Micros(self.again_within.0 * GREETINGS_MISSED));
+        let limit = MIN_SILENCE.max(Micros(self.again_within.0 * MAX_MISSED_GREETINGS));
         now.since(self.greeted_at) >= limit
     }
 }
@@ -50,48 +50,48 @@
 #[derive(Debug, Default)]
 pub(crate) struct FrontContacts {
     fronts: HashMap<SocketAddr, FrontContact>,
-    limits_starts: bool,
+    has_start_limit: bool,
     grants: GrantAllocator<SocketAddr>,
 }
 
 impl FrontContacts {
     /// Notes a greeting that was on its way for `age` at most where that is known.
-    pub fn heard(
+    pub fn record_greeting(
         &mut self,
         front: SocketAddr,
-        hello: &FrontHello,
+        greeting: &FrontGreeting,
         age: Option<Micros>,
         now: Micros,
     ) {
         let is_new = !self.fronts.contains_key(&front);
-        if is_new && self.fronts.len() >= FRONTS_LIMIT {
+        if is_new && self.fronts.len() >= MAX_FRONTS {
             // Those that live are all told, however many; silent ones give way.
             self.fronts
-                .retain(|_, contact| now.since(contact.heard_at) < contact.life());
+                .retain(|_, contact| now.since(contact.received_at) < contact.ttl());
         }
         let known = self.fronts.get(&front);
         // A front that names no digest of ours yet has just come.
-        let proven_at = match hello.echo {
+        let sent_at = match greeting.echo {
             None => now,
             Some(_) => age.map_or(Micros::ZERO, |age| now.since(age)),
         };
         let contact = FrontContact {
-            heard_at: now,
-            greeted_at: known.map_or(proven_at, |known| known.greeted_at.max(proven_at)),
-            again_within: hello.again_within,
-            number: hello.number,
+            received_at: now,
+            greeted_at: known.map_or(sent_at, |known| known.greeted_at.max(sent_at)),
+            again_within: greeting.again_within,
+            number: greeting.number,
         };
         self.fronts.insert(front, contact);
     }
 
     /// Fronts that get digests.
-    pub fn listening(
+    pub fn active(
         &mut self,
         now: Micros,
     ) -> Vec<SocketAddr> {
         self.fronts
-            .retain(|_, contact| now.since(contact.heard_at) < REMEMBER_FRONT);
-        self.fronts_where(|contact| now.since(contact.heard_at) < contact.life())
+            .retain(|_, contact| now.since(contact.received_at) < FRONT_RETENTION);
+        self.filter_fronts(|contact| now.since(contact.received_at) < contact.ttl())
     }
 
     /// Fronts that greet no more.
@@ -99,20 +99,20 @@
         &self,
         now: Micros,
     ) -> Vec<SocketAddr> {
-        self.fronts_where(|contact| contact.is_silent(now))
+        self.filter_fronts(|contact| contact.is_silent(now))
     }
 
     /// The last greeting of a front, with what it may send while the engine starts slowly.
     pub fn echo(
         &mut self,
         front: SocketAddr,
-        listening: usize,
+        active_fronts: usize,
         now: Micros,
     ) -> Option<GreetingEcho> {
         let contact = self.fronts.get(&front)?;
-        let (number, age) = (contact.number, now.since(contact.heard_at));
-        let grant = match self.limits_starts {
-            true => self.grants.grant(front, listening, now),
+        let (number, age) = (contact.number, now.since(contact.received_at));
+        let grant = match self.has_start_limit {
+            true => self.grants.grant(front, active_fronts, now),
             false => SendGrant::default(),
         };
         Some(GreetingEcho { number, age, grant })
@@ -120,20 +120,20 @@
 
     /// Takes how many requests a second the engine may get from all fronts while it starts
     /// slowly; 0 where it never does.
-    pub fn limit_starts(
+    pub fn set_start_limit(
         &mut self,
         limit: u32,
     ) {
-        self.limits_starts = limit > 0;
+        self.has_start_limit = limit > 0;
         self.grants.set_limit(limit);
     }
 
-    fn fronts_where(
+    fn filter_fronts(
         &self,
-        holds: impl Fn(&FrontContact) -> bool,
+        predicate: impl Fn(&FrontContact) -> bool,
     ) -> Vec<SocketAddr> {
-        let fitting = self.fronts.iter().filter(|(_, contact)| holds(contact));
-        let mut fronts: Vec<SocketAddr> = fitting.map(|(front, _)| *front).collect();
+        let matching = self.fronts.iter().filter(|(_, contact)| predicate(contact));
+        let mut fronts: Vec<SocketAddr> = matching.map(|(front, _)| *front).collect();
         fronts.sort_unstable();
         fronts
     }
--- a/agent/src/beside/kept_watch.rs
+++ b/agent/src/beside/kept_watch.rs
@@ -1,5 +1,5 @@
 use {
-    super::BesideContext,
+    super::EngineAgentContext,
     pitchhitch_core::serving::NamespaceTag,
     pitchhitch_platform::{KeptChanges, KeptClient},
     pitchhitch_process::to_duration,
@@ -9,62 +9,62 @@
 };
 
 /// Time that a call is held while nothing changes.
-const HOLD: Duration = Duration::from_secs(1);
+const POLL_WAIT: Duration = Duration::from_secs(1);
 /// Pause after a call that failed.
-const FAILED_PAUSE: Duration = Duration::from_millis(400);
+const RETRY_DELAY: Duration = Duration::from_millis(400);
 /// Time limit of a call, beyond the time it is held.
-const CALL_LIMIT: Duration = Duration::from_millis(600);
+const EXTRA_TIMEOUT: Duration = Duration::from_millis(600);
 
 /// Follows what the engine keeps in its memory.
-pub(crate) async fn watch_kept(beside: Rc<BesideContext>) {
-    let mut client = KeptClient::new(beside.settings.engine, CALL_LIMIT);
+pub(crate) async fn poll_cache_changes(agent: Rc<EngineAgentContext>) {
+    let mut client = KeptClient::new(agent.settings.engine, EXTRA_TIMEOUT);
     let mut next = 0;
     let mut epoch = None;
-    let mut forgotten = 0;
+    let mut known_resets = 0;
     loop {
         // Changes count from the start of the engine's life.
-        if beside.state().forgotten != forgotten {
-            forgotten = beside.state().forgotten;
+        if agent.state().cache_resets != known_resets {
+            known_resets = agent.state().cache_resets;
             next = 0;
         }
         if epoch.is_some() {
-            let pause = beside.state().kept_pause();
-            Timer::after(to_duration(pause)).await;
+            let interval = agent.state().cache_poll_interval();
+            Timer::after(to_duration(interval)).await;
         }
-        let Ok(changes) = client.changes(next, HOLD).await else {
-            Timer::after(FAILED_PAUSE).await;
+        let Ok(changes) = client.changes(next, POLL_WAIT).await else {
+            Timer::after(RETRY_DELAY).await;
             continue;
         };
-        let now = beside.now();
-        if !beside.state().note_life(changes.born, now) {
-            Timer::after(FAILED_PAUSE).await;
+        let now = agent.now();
+        if !agent.state().record_incarnation(changes.born, now) {
+            Timer::after(RETRY_DELAY).await;
             continue;
         }
         if epoch.is_some_and(|epoch| epoch != changes.epoch) {
             log::info!(event = "engine-restarted", epoch = changes.epoch; "");
-            beside.state().forget();
+            agent.state().reset_cache();
         }
         epoch = Some(changes.epoch);
         // Asked from a number of the earlier life, it told only what is behind that.
-        if beside.state().forgotten != forgotten {
+        if agent.state().cache_resets != known_resets {
             continue;
         }
         next = changes.next;
-        take_changes(&beside, &changes);
+        apply_changes(&agent, &changes);
     }
 }
 
-fn take_changes(
-    beside: &BesideContext,
+fn apply_changes(
+    agent: &EngineAgentContext,
     changes: &KeptChanges,
 ) {
-    let mut state = beside.state();
+    let mut state = agent.state();
     if changes.has_gap {
         log::warn!(event = "kept-gap", next = changes.next; "");
     }
     for change in &changes.changes {
-        state.push_change(DigestPart {
-            wall: NamespaceTag::of(&change.salt),
+        state.record_change(DigestPart {
+            namespace: NamespaceTag::of(&change.salt),
             id: change.id,
             tokens: change.tokens,
         });
--- a/agent/src/beside/sent_digests.rs
+++ b/agent/src/beside/sent_digests.rs
@@ -4,7 +4,7 @@
 
 /// Digests whose time is remembered: some seconds' worth. A greeting that names an
 /// earlier one is too old to prove anything.
-const SENT_LIMIT: usize = 64;
+const MAX_SENT_DIGESTS: usize = 64;
 
 /// When the last digests were sent.
 #[derive(Debug, Default)]
@@ -14,12 +14,12 @@
 
 impl SentDigests {
     /// Notes a digest that is about to be sent.
-    pub fn note(
+    pub fn record(
         &mut self,
         digest: DigestEcho,
         now: Micros,
     ) {
-        if self.sent.len() >= SENT_LIMIT {
+        if self.sent.len() >= MAX_SENT_DIGESTS {
             self.sent.pop_front();
         }
         self.sent.push_back((digest, now));
--- a/agent/src/beside/state_keeper.rs
+++ b/agent/src/beside/state_keeper.rs
@@ -1,47 +1,47 @@
 use {
-    super::BesideContext,
+    super::EngineAgentContext,
     pitchhitch_core::{serving::EndpointNotice, time::Micros},
     pitchhitch_process::to_duration,
-    pitchhitch_wire::beside::{ask_state, FrontHello, HandedState, STATE_PATH},
+    pitchhitch_wire::beside::{fetch_snapshot, FrontGreeting, StateSnapshot, STATE_PATH},
     smol::Timer,
     std::{net::SocketAddr, rc::Rc, time::Duration},
 };
 
 /// Pause between two looks at whether the copy is behind: states change a few
 /// times a minute, and a copy is only needed when all fronts start anew.
-const LOOK_PAUSE: Micros = Micros::from_millis(1_000);
+const REFRESH_INTERVAL: Micros = Micros::from_millis(1_000);
 /// Time limit of a question to a front.
-const ASK_LIMIT: Duration = Duration::from_millis(400);
+const FETCH_TIMEOUT: Duration = Duration::from_millis(400);
 /// Time for which what a front said of its state counts.
-const OFFER_LIFE: Micros = Micros::from_millis(2_000);
+const OFFER_TTL: Micros = Micros::from_millis(2_000);
 /// By how much the reading behind the offer of a front in the own failure domain may be older than
 /// that of another: the bytes between domains cost more.
-const NEAR_WORTH: Micros = Micros::from_millis(300);
+const SAME_DOMAIN_BONUS: Micros = Micros::from_millis(300);
 
 /// A front that can hand its state on.
 #[derive(Debug, Clone, Copy)]
-struct StateOffer {
+struct SnapshotOffer {
     front: SocketAddr,
-    mark: u64,
-    heard_at: Micros,
+    content_hash: u64,
+    received_at: Micros,
     /// When the platform's store was asked for what it shows, at the latest.
     read_at: Micros,
-    is_near: bool,
+    is_same_domain: bool,
 }
 
-impl StateOffer {
+impl SnapshotOffer {
     /// Whether it is taken in the place of another one: the same front's, or one that goes by a
     /// reading which is not older. A front that the store turns away knows only what it was handed.
     fn replaces(
         &self,
-        known: &StateOffer,
+        current: &SnapshotOffer,
     ) -> bool {
-        self.front == known.front || self.worth() >= known.worth()
+        self.front == current.front || self.adjusted_read_at() >= current.adjusted_read_at()
     }
 
-    fn worth(&self) -> Micros {
-        match self.is_near {
-            true => self.read_at + NEAR_WORTH,
+    fn adjusted_read_at(&self) -> Micros {
+        match self.is_same_domain {
+            true => self.read_at + SAME_DOMAIN_BONUS,
             false => self.read_at,
         }
     }
@@ -50,105 +50,111 @@
 /// A copy of what fronts know, for those that start while the platform's store is
 /// away and no other front is left.
 #[derive(Debug, Default)]
-pub(crate) struct StateKeeper {
-    offer: Option<StateOffer>,
-    copy: Option<StateCopy>,
+pub(crate) struct SnapshotCache {
+    offer: Option<SnapshotOffer>,
+    cached: Option<CachedSnapshot>,
     /// What the last state that named the own engine said of it.
-    own: Option<EndpointNotice>,
+    own_endpoint: Option<EndpointNotice>,
 }
 
 /// A state that was taken from a front.
 #[derive(Debug)]
-struct StateCopy {
-    state: HandedState,
-    mark: u64,
+struct CachedSnapshot {
+    snapshot: StateSnapshot,
+    content_hash: u64,
     /// When its age was right, or before.
-    at: Micros,
+    aged_at: Micros,
     /// When it had come.
-    taken_at: Micros,
+    received_at: Micros,
 }
 
-impl StateCopy {
+impl CachedSnapshot {
     /// Takes that the same content was the newest so long ago.
-    fn prove(
+    fn confirm_age(
         &mut self,
         age: Micros,
         now: Micros,
     ) {
-        let passed = now.since(self.at);
-        if age < self.state.age + passed {
-            self.state.grow_older(passed);
-            self.state.age = age;
-            self.at = now;
+        let passed = now.since(self.aged_at);
+        if age < self.snapshot.age + passed {
+            self.snapshot.add_age(passed);
+            self.snapshot.age = age;
+            self.aged_at = now;
         }
     }
 }
 
-impl StateKeeper {
+impl SnapshotCache {
     /// Notes what a front says of its state; `sent_age` is for how long at most that was
     /// on its way.
-    pub fn heard(
+    pub fn record_offer(
         &mut self,
-        hello: &FrontHello,
+        greeting: &FrontGreeting,
         sent_age: Option<Micros>,
         from: SocketAddr,
         domain: &str,
         now: Micros,
     ) {
-        let Some((mark, age)) = hello.state else {
+        let Some((content_hash, age)) = greeting.state else {
             return;
         };
-        let offer = StateOffer {
+        let offer = SnapshotOffer {
             front: from,
-            mark,
-            heard_at: now,
+            content_hash,
+            received_at: now,
             read_at: now.since(age + sent_age.unwrap_or_default()),
-            is_near: hello.domain == domain,
+            is_same_domain: greeting.domain == domain,
         };
-        let same = self.copy.as_mut().filter(|copy| copy.mark == mark);
-        if let (Some(copy), Some(sent_age)) = (same, sent_age) {
-            copy.prove(age + sent_age, now);
+        let same = self
+            .cached
+            .as_mut()
+            .filter(|cached| cached.content_hash == content_hash);
+        if let (Some(cached), Some(sent_age)) = (same, sent_age) {
+            cached.confirm_age(age + sent_age, now);
         }
-        let known = self.offer.filter(|o| now.since(o.heard_at) < OFFER_LIFE);
-        if known.is_none_or(|known| offer.replaces(&known)) {
+        let current = self.offer.filter(|o| now.since(o.received_at) < OFFER_TTL);
+        if current.is_none_or(|current| offer.replaces(&current)) {
             self.offer = Some(offer);
         }
     }
 
     /// The front to ask for its state, where the copy is behind.
-    fn wanted(
+    fn fetch_source(
         &self,
         now: Micros,
     ) -> Option<SocketAddr> {
         let offer = self.offer?;
-        let is_fresh = now.since(offer.heard_at) < OFFER_LIFE;
-        let has_same = self.copy.as_ref().is_some_and(|c| c.mark == offer.mark);
-        (is_fresh && !has_same).then_some(offer.front)
+        let is_fresh = now.since(offer.received_at) < OFFER_TTL;
+        let is_current = self
+            .cached
+            .as_ref()
+            .is_some_and(|c| c.content_hash == offer.content_hash);
+        (is_fresh && !is_current).then_some(offer.front)
     }
 
     /// Keeps a state, unless the one that is kept has a newer configuration or newer
     /// weights: a front that has just started may have read rows that had gone back.
-    fn keep(
+    fn store(
         &mut self,
-        state: HandedState,
+        snapshot: StateSnapshot,
         is_own: impl Fn(&EndpointNotice) -> bool,
-        asked_at: Micros,
+        sent_at: Micros,
         now: Micros,
     ) -> bool {
-        let goes_back = |copy: &StateCopy| state.goes_back_from(&copy.state);
-        let is_news = !self.copy.as_ref().is_some_and(goes_back);
-        if is_news {
-            let own = state.endpoints.iter().find(|told| is_own(told));
-            self.own = own.cloned().or(self.own.take());
-            let mark = state.mark();
-            self.copy = Some(StateCopy {
-                state,
-                mark,
-                at: asked_at,
-                taken_at: now,
+        let is_older = |cached: &CachedSnapshot| snapshot.is_older_than(&cached.snapshot);
+        let is_newer = !self.cached.as_ref().is_some_and(is_older);
+        if is_newer {
+            let endpoint = snapshot.endpoints.iter().find(|endpoint| is_own(endpoint));
+            self.own_endpoint = endpoint.cloned().or(self.own_endpoint.take());
+            let content_hash = snapshot.content_hash();
+            self.cached = Some(CachedSnapshot {
+                snapshot,
+                content_hash,
+                aged_at: sent_at,
+                received_at: now,
             });
         }
-        is_news
+        is_newer
     }
 
     /// What the last state that named the own engine said of it, unless it left. A front
@@ -157,55 +163,55 @@
         &self,
         id: &str,
     ) -> Option<&EndpointNotice> {
-        self.own
+        self.own_endpoint
             .as_ref()
-            .filter(|own| own.id == id && !own.is_leaving)
+            .filter(|endpoint| endpoint.id == id && !endpoint.is_leaving)
     }
 
     /// The copy with its age as of now.
-    fn aged(
+    fn snapshot_at(
         &self,
         now: Micros,
-    ) -> Option<HandedState> {
-        let copy = self.copy.as_ref()?;
-        let mut state = copy.state.clone();
-        state.grow_older(now.since(copy.at));
-        state.live_on(now.since(copy.taken_at));
-        Some(state)
+    ) -> Option<StateSnapshot> {
+        let cached = self.cached.as_ref()?;
+        let mut snapshot = cached.snapshot.clone();
+        snapshot.add_age(now.since(cached.aged_at));
+        snapshot.add_store_uptime(now.since(cached.received_at));
+        Some(snapshot)
     }
 }
 
 /// Keeps the copy up with the fronts.
-pub(crate) async fn keep_state(beside: Rc<BesideContext>) {
+pub(crate) async fn refresh_snapshot(agent: Rc<EngineAgentContext>) {
     loop {
-        Timer::after(to_duration(LOOK_PAUSE)).await;
-        let wanted = beside.state().keeper.wanted(beside.now());
-        if let Some(front) = wanted {
-            ask_front(&beside, front).await;
+        Timer::after(to_duration(REFRESH_INTERVAL)).await;
+        let source = agent.state().snapshot_cache.fetch_source(agent.now());
+        if let Some(front) = source {
+            fetch_from(&agent, front).await;
         }
     }
 }
 
-async fn ask_front(
-    beside: &BesideContext,
+async fn fetch_from(
+    agent: &EngineAgentContext,
     front: SocketAddr,
 ) {
-    let asked_at = beside.now();
-    let key = beside.settings.peer_key.as_ref();
-    let Some(answer) = ask_state(front, ASK_LIMIT, key).await else {
+    let sent_at = agent.now();
+    let key = agent.settings.peer_key.as_ref();
+    let Some(response) = fetch_snapshot(front, FETCH_TIMEOUT, key).await else {
         return;
     };
     let address = front.to_string();
-    match answer.state {
-        Ok(state) => {
-            let version = state.version;
-            let taken = keep(beside, state, asked_at);
+    match response.snapshot {
+        Ok(snapshot) => {
+            let version = snapshot.version;
+            let taken = store_snapshot(agent, snapshot, sent_at);
             log::info!(
                 event = "state-kept",
                 front = address.as_str(),
                 version = version,
                 taken = taken,
-                bytes = answer.bytes;
+                bytes = response.bytes;
                 ""
             );
         }
@@ -216,29 +222,33 @@
     }
 }
 
-fn keep(
-    beside: &BesideContext,
-    handed: HandedState,
-    asked_at: Micros,
+fn store_snapshot(
+    agent: &EngineAgentContext,
+    snapshot: StateSnapshot,
+    sent_at: Micros,
 ) -> bool {
-    let mut state = beside.state();
+    let mut state = agent.state();
     let id = state.engine_id.clone();
-    let address = Some(beside.settings.engine);
-    let is_own = |told: &EndpointNotice| Some(&told.id) == id.as_ref() && told.address == address;
-    state.keeper.keep(handed, is_own, asked_at, beside.now())
+    let address = Some(agent.settings.engine);
+    let is_own = |endpoint: &EndpointNotice| {
+        Some(&endpoint.id) == id.as_ref() && endpoint.address == address
+    };
+    state
+        .snapshot_cache
+        .store(snapshot, is_own, sent_at, agent.now())
 }
 
 /// Hands the copy on to a front that asks.
-pub(crate) fn hand_copy_on(
-    beside: &BesideContext,
+pub(crate) fn serve_snapshot(
+    agent: &EngineAgentContext,
     target: &str,
 ) -> (u16, Vec<u8>) {
-    let state = beside.state().keeper.aged(beside.now());
-    let state = state.filter(|_| target == STATE_PATH);
-    let sealed = state.map(|state| state.seal(beside.settings.peer_key.as_ref()));
+    let snapshot = agent.state().snapshot_cache.snapshot_at(agent.now());
+    let snapshot = snapshot.filter(|_| target == STATE_PATH);
+    let sealed = snapshot.map(|snapshot| snapshot.seal(agent.settings.peer_key.as_ref()));
     match sealed {
         Some(Ok(bytes)) => {
-            beside.state().metrics.count("states", "told");
+            agent.state().metrics.increment("states", "told");
             (200, bytes)
         }
         // What was read from bytes can be written as bytes.
--- a/agent/src/beside/store_reader.rs
+++ b/agent/src/beside/store_reader.rs
@@ -1,9 +1,9 @@
 use {
-    super::BesideContext,
+    super::EngineAgentContext,
     pitchhitch_core::{serving::NamespaceTag, time::Micros},
     pitchhitch_platform::{KeptChanges, KeptClient, KeptFailure},
     pitchhitch_process::to_duration,
-    pitchhitch_wire::beside::{StoreNews, StorePart},
+    pitchhitch_wire::beside::{StorePart, StoreUpdate},
     smol::Timer,
     std::{
         collections::{BTreeMap, VecDeque},
@@ -14,37 +14,37 @@
 };
 
 /// Time for which a store is read after a front last asked for it.
-const ASKED_FOR: Micros = Micros::from_secs(6);
+const REQUEST_TTL: Micros = Micros::from_secs(6);
 /// Stores that one process reads at most.
-const STORES_LIMIT: usize = 16;
+const MAX_STORES: usize = 16;
 /// How often it is looked for new ones.
-const LOOK_PAUSE: Micros = Micros::from_millis(200);
+const REQUEST_CHECK_INTERVAL: Micros = Micros::from_millis(200);
 /// Time that a question for changes is held while there are none.
-const HOLD: Duration = Duration::from_millis(500);
+const POLL_WAIT: Duration = Duration::from_millis(500);
 /// Pause between two questions.
-const ASK_PAUSE: Micros = Micros::from_millis(200);
+const POLL_DELAY: Micros = Micros::from_millis(200);
 /// Pause after a question that failed.
-const FAILED_PAUSE: Micros = Micros::from_millis(400);
+const RETRY_DELAY: Micros = Micros::from_millis(400);
 /// Time limit of a question, beyond the time it is held.
-const CALL_LIMIT: Duration = Duration::from_millis(500);
+const EXTRA_TIMEOUT: Duration = Duration::from_millis(500);
 /// Digests in which a change is told: some may get lost.
-const TOLD_TIMES: u64 = 3;
+const DIGESTS_PER_CHANGE: u64 = 3;
 /// Age of an answer up to which it is told.
-const NEWS_LIFE: Micros = Micros::from_millis(1_500);
+const MAX_UPDATE_AGE: Micros = Micros::from_millis(1_500);
 /// Changes of one store that are told at most.
-const PARTS_LIMIT: usize = 400;
+const MAX_CHANGES: usize = 400;
 
 /// Stores of kept parts that are read for all fronts: each front by itself asked each store,
 /// which at a hundred fronts was most of what the stores could hold.
 #[derive(Debug, Default)]
-pub(crate) struct StoreReads {
-    asked: BTreeMap<SocketAddr, Micros>,
-    read: BTreeMap<SocketAddr, ReadStore>,
+pub(crate) struct PolledStores {
+    requested: BTreeMap<SocketAddr, Micros>,
+    polled: BTreeMap<SocketAddr, PolledStore>,
 }
 
 /// What was read of one store.
 #[derive(Debug)]
-struct ReadStore {
+struct PolledStore {
     epoch: u64,
     clock_ms: Option<u64>,
     sent_at: Micros,
@@ -54,13 +54,13 @@
     parts: VecDeque<(StorePart, Micros)>,
 }
 
-impl ReadStore {
-    fn news(
+impl PolledStore {
+    fn to_update(
         &self,
         store: SocketAddr,
         now: Micros,
-    ) -> StoreNews {
-        StoreNews {
+    ) -> StoreUpdate {
+        StoreUpdate {
             store,
             epoch: self.epoch,
             clock_ms: self.clock_ms,
@@ -75,12 +75,12 @@
     /// Drops what was told often enough, by digests with this pause.
     fn prune(
         &mut self,
-        pause: Micros,
+        digest_interval: Micros,
         now: Micros,
     ) {
-        let told_for = Micros(pause.0 * TOLD_TIMES);
-        let is_old = |(_, at): &(StorePart, Micros)| now.since(*at) > told_for;
-        while self.parts.len() > PARTS_LIMIT || self.parts.front().is_some_and(is_old) {
+        let report_period = Micros(digest_interval.0 * DIGESTS_PER_CHANGE);
+        let is_old = |(_, at): &(StorePart, Micros)| now.since(*at) > report_period;
+        while self.parts.len() > MAX_CHANGES || self.parts.front().is_some_and(is_old) {
             if let Some((part, _)) = self.parts.pop_front() {
                 self.from = part.number;
             }
@@ -88,53 +88,53 @@
     }
 }
 
-impl StoreReads {
+impl PolledStores {
     /// Takes that a front wants this store to be read.
-    pub fn ask(
+    pub fn request(
         &mut self,
         store: SocketAddr,
         now: Micros,
     ) {
-        if self.asked.len() < STORES_LIMIT || self.asked.contains_key(&store) {
-            self.asked.insert(store, now);
+        if self.requested.len() < MAX_STORES || self.requested.contains_key(&store) {
+            self.requested.insert(store, now);
         }
     }
 
     /// What has been read lately, for digests with this pause.
-    pub fn news(
+    pub fn recent_updates(
         &mut self,
-        pause: Micros,
+        digest_interval: Micros,
         now: Micros,
-    ) -> Vec<StoreNews> {
-        let mut news = Vec::new();
-        for (store, read) in &mut self.read {
-            read.prune(pause, now);
-            if now.since(read.answered_at) < NEWS_LIFE {
-                news.push(read.news(*store, now));
+    ) -> Vec<StoreUpdate> {
+        let mut updates = Vec::new();
+        for (store, polled_store) in &mut self.polled {
+            polled_store.prune(digest_interval, now);
+            if now.since(polled_store.answered_at) < MAX_UPDATE_AGE {
+                updates.push(polled_store.to_update(*store, now));
             }
         }
-        news
+        updates
     }
 
-    fn is_asked(
+    fn is_requested(
         &self,
         store: SocketAddr,
         now: Micros,
     ) -> bool {
-        let asked_at = self.asked.get(&store);
-        asked_at.is_some_and(|at| now.since(*at) < ASKED_FOR)
+        let requested_at = self.requested.get(&store);
+        requested_at.is_some_and(|at| now.since(*at) < REQUEST_TTL)
     }
 
-    fn take(
+    fn record_changes(
         &mut self,
         store: SocketAddr,
         changes: &KeptChanges,
         sent_at: Micros,
         now: Micros,
     ) {
-        let known = self.read.remove(&store);
+        let known = self.polled.remove(&store);
         let known = known.filter(|known| known.epoch == changes.epoch && !changes.has_gap);
-        let mut read = known.unwrap_or(ReadStore {
+        let mut polled_store = known.unwrap_or(PolledStore {
             epoch: changes.epoch,
             clock_ms: None,
             sent_at,
@@ -144,91 +144,95 @@
             next: changes.next,
             parts: VecDeque::new(),
         });
-        let is_known = |number: u64| number <= read.next;
-        let fresh = changes
+        let is_known = |number: u64| number <= polled_store.next;
+        let new_changes = changes
             .changes
             .iter()
             .filter(|change| !is_known(change.number));
-        let parts: Vec<StorePart> = fresh
+        let parts: Vec<StorePart> = new_changes
             .map(|change| StorePart {
                 number: change.number,
-                wall: NamespaceTag::of(&change.salt),
+                namespace: NamespaceTag::of(&change.salt),
                 id: change.id,
                 tokens: change.tokens,
             })
             .collect();
-        read.parts.extend(parts.into_iter().map(|part| (part, now)));
-        read.clock_ms = changes.clock_ms;
-        read.sent_at = sent_at;
-        read.answered_at = now;
-        read.next = changes.next;
-        self.read.insert(store, read);
+        polled_store
+            .parts
+            .extend(parts.into_iter().map(|part| (part, now)));
+        polled_store.clock_ms = changes.clock_ms;
+        polled_store.sent_at = sent_at;
+        polled_store.answered_at = now;
+        polled_store.next = changes.next;
+        self.polled.insert(store, polled_store);
     }
 
-    fn forget(
+    fn remove(
         &mut self,
         store: SocketAddr,
     ) {
-        self.read.remove(&store);
+        self.polled.remove(&store);
     }
 }
 
 /// Keeps a task for each store that fronts want to be read.
-pub(crate) async fn read_stores(beside: Rc<BesideContext>) {
-    let mut reading: BTreeMap<SocketAddr, ()> = BTreeMap::new();
+pub(crate) async fn poll_stores(agent: Rc<EngineAgentContext>) {
+    let mut polling: BTreeMap<SocketAddr, ()> = BTreeMap::new();
     loop {
-        Timer::after(to_duration(LOOK_PAUSE)).await;
-        let now = beside.now();
-        let asked: Vec<SocketAddr> = {
-            let mut state = beside.state();
-            let reads = &mut state.stores;
-            reads.asked.retain(|_, at| now.since(*at) < ASKED_FOR);
-            reads.asked.keys().copied().collect()
+        Timer::after(to_duration(REQUEST_CHECK_INTERVAL)).await;
+        let now = agent.now();
+        let requested: Vec<SocketAddr> = {
+            let mut state = agent.state();
+            let stores = &mut state.stores;
+            stores
+                .requested
+                .retain(|_, at| now.since(*at) < REQUEST_TTL);
+            stores.requested.keys().copied().collect()
         };
-        reading.retain(|store, ()| asked.contains(store));
-        for store in asked {
-            if reading.insert(store, ()).is_none() {
+        polling.retain(|store, ()| requested.contains(store));
+        for store in requested {
+            if polling.insert(store, ()).is_none() {
                 let address = store.to_string();
                 log::info!(event = "store-read", store = address.as_str(); "");
-                beside.spawn(read_store(beside.clone(), store));
+                agent.spawn(poll_store(agent.clone(), store));
             }
         }
     }
 }
 
-async fn read_store(
-    beside: Rc<BesideContext>,
+async fn poll_store(
+    agent: Rc<EngineAgentContext>,
     store: SocketAddr,
 ) {
-    let mut client = KeptClient::new(store, CALL_LIMIT);
+    let mut client = KeptClient::new(store, EXTRA_TIMEOUT);
     let mut next: Option<u64> = None;
-    while beside.state().stores.is_asked(store, beside.now()) {
-        let pause = match next {
+    while agent.state().stores.is_requested(store, agent.now()) {
+        let delay = match next {
             None => {
                 next = client.list().await.map(|list| list.next);
-                next.map_or(FAILED_PAUSE, |_| Micros::ZERO)
+                next.map_or(RETRY_DELAY, |_| Micros::ZERO)
             }
             Some(since) => {
-                let sent_at = beside.now();
-                let changes = client.changes(since, HOLD).await;
-                let now = beside.now();
-                let mut state = beside.state();
+                let sent_at = agent.now();
+                let changes = client.changes(since, POLL_WAIT).await;
+                let now = agent.now();
+                let mut state = agent.state();
                 match changes {
                     Ok(changes) => {
-                        state.stores.take(store, &changes, sent_at, now);
+                        state.stores.record_changes(store, &changes, sent_at, now);
                         next = Some(changes.next);
-                        ASK_PAUSE
+                        POLL_DELAY
                     }
-                    Err(KeptFailure::Busy) => FAILED_PAUSE,
+                    Err(KeptFailure::Busy) => RETRY_DELAY,
                     Err(KeptFailure::Silent) => {
-                        state.stores.forget(store);
+                        state.stores.remove(store);
                         next = None;
-                        FAILED_PAUSE
+                        RETRY_DELAY
                     }
                 }
             }
         };
-        Timer::after(to_duration(pause)).await;
+        Timer::after(to_duration(delay)).await;
     }
-    beside.state().stores.forget(store);
+    agent.state().stores.remove(store);
 }
--- a/agent/src/cli/agent_cli.rs
+++ b/agent/src/cli/agent_cli.rs
@@ -1,7 +1,7 @@
 use {
     super::run_agent,
     crate::{
-        beside::{run_beside, BesideSettings},
+        beside::{run_engine_agent, EngineAgentSettings},
         conf::AgentSettings,
     },
     getopts::{Matches, Options},
@@ -125,14 +125,14 @@
     file: &str,
     only_check: bool,
 ) -> Result<(), ExitCode> {
-    let read = || read_settings(file, BesideSettings::parse);
+    let read = || read_settings(file, EngineAgentSettings::parse);
     let settings = read().map_err(end_settings)?;
     if only_check {
         println!("{file}: no problems");
         return Ok(());
     }
     start_bounded_logging();
-    smol::block_on(run_beside(settings, &read)).map_err(end_failed)
+    smol::block_on(run_engine_agent(settings, &read)).map_err(end_failed)
 }
 
 fn read_settings<S, E: Display>(
--- a/entry/src/front/beside_link.rs
+++ b/entry/src/front/beside_link.rs
@@ -5,7 +5,7 @@
         time::Micros,
     },
     pitchhitch_process::to_duration,
-    pitchhitch_wire::beside::{BesideSocket, DigestEcho, FrontHello, WantedWeights},
+    pitchhitch_wire::beside::{DatagramSocket, DigestEcho, FrontGreeting, WantedWeights},
     std::{
         collections::{BTreeMap, BTreeSet},
         net::{IpAddr, SocketAddr},
@@ -36,7 +36,7 @@
 /// front wants their digests.
 pub(crate) async fn greet_engines(
     front: Rc<FrontContext>,
-    socket: BesideSocket,
+    socket: DatagramSocket,
 ) {
     let mut facts = GreetingFacts::default();
     loop {
@@ -99,7 +99,7 @@
     front: &FrontContext,
     facts: &GreetingFacts,
     now: Micros,
-) -> Vec<(SocketAddr, FrontHello)> {
+) -> Vec<(SocketAddr, FrontGreeting)> {
     let mut guard = front.state();
     let state = &mut *guard;
     let present = greeted_engines(state);
@@ -206,7 +206,7 @@
     key: EndpointKey,
     entry: &EndpointEntry,
     handed: Option<(u64, Micros)>,
-) -> FrontHello {
+) -> FrontGreeting {
     let turn = state.planner.turn(key);
     let is_leaving = !entry.may_be_present();
     let wanted = state
@@ -218,7 +218,7 @@
             version,
             is_turn: turn.is_some_and(|t| t.is_loading && t.model == model && t.version == version),
         });
-    FrontHello {
+    FrontGreeting {
         front: front.settings.box_id.clone(),
         number: 0,
         again_within: Micros::ZERO,
@@ -229,7 +229,7 @@
         engine_row: entry.incarnation.row,
         state: handed,
         echo: entry.incarnation.digest.map(|digest| DigestEcho {
-            life: digest.incarnation,
+            incarnation: digest.incarnation,
             number: digest.number,
         }),
         is_leaving,
--- a/entry/src/front/digest_watch.rs
+++ b/entry/src/front/digest_watch.rs
@@ -11,7 +11,7 @@
         time::Micros,
     },
     pitchhitch_process::to_duration,
-    pitchhitch_wire::beside::{BesideSocket, EngineDigest, GreetingEcho, ToldDigest},
+    pitchhitch_wire::beside::{DatagramSocket, DigestMessage, EngineDigest, GreetingEcho},
     smol::Timer,
     std::{
         hash::{DefaultHasher, Hash, Hasher},
@@ -34,7 +34,7 @@
 /// many tell.
 pub(crate) async fn hear_digests(
     front: Rc<FrontContext>,
-    socket: BesideSocket,
+    socket: DatagramSocket,
 ) {
     let mut room = Vec::new();
     let mut strangers = 0;
@@ -47,8 +47,8 @@
                 Timer::after(FAILED_PAUSE).await;
             }
         }
-        if socket.strangers() != strangers {
-            strangers = socket.strangers();
+        if socket.rejected_count() != strangers {
+            strangers = socket.rejected_count();
             front.metrics.count("digests", "stranger");
         }
     }
@@ -56,15 +56,15 @@
 
 async fn next_digest(
     front: &FrontContext,
-    socket: &BesideSocket,
+    socket: &DatagramSocket,
     room: &mut Vec<u8>,
-) -> io::Result<(ToldDigest, SocketAddr)> {
+) -> io::Result<(DigestMessage, SocketAddr)> {
     loop {
         let pause = digest_read_interval(front.state().book.len());
         if pause == Micros::ZERO {
             return socket.receive_into(room).await;
         }
-        if let Some(next) = socket.receive_now(room)? {
+        if let Some(next) = socket.try_receive(room)? {
             return Ok(next);
         }
         Timer::after(to_duration(pause)).await;
@@ -73,10 +73,10 @@
 
 fn hear(
     front: &FrontContext,
-    told: ToldDigest,
+    told: DigestMessage,
     from: SocketAddr,
 ) {
-    let ToldDigest { digest, echo } = told;
+    let DigestMessage { digest, echo } = told;
     note_beside(front, from);
     take_relayed(front, &digest, echo, from);
     let change = take_announced(front, &digest, from);
@@ -282,7 +282,7 @@
     now: Micros,
 ) -> DigestOrder {
     let mark = DigestPosition {
-        incarnation: digest.life,
+        incarnation: digest.incarnation,
         number: digest.number,
         changes: digest.changes,
         at: now,
@@ -342,11 +342,11 @@
     entry: &mut EndpointEntry,
     digest: &EngineDigest,
 ) {
-    if digest.forgets {
+    if digest.cache_reset {
         entry.parts.clear();
     }
     entry.is_mirrored |= digest.is_whole;
     for part in &digest.parts {
-        entry.parts.set(part.wall, part.id, part.tokens);
+        entry.parts.set(part.namespace, part.id, part.tokens);
     }
 }
--- a/entry/src/front/front_process.rs
+++ b/entry/src/front/front_process.rs
@@ -11,7 +11,7 @@
     },
     pitchhitch_http1::{serve_small, ByteLink, SilenceLimit},
     pitchhitch_process::{flush_log, to_duration, ProcessSignal, SignalWatch},
-    pitchhitch_wire::beside::BesideSocket,
+    pitchhitch_wire::beside::DatagramSocket,
     smol::{Async, Timer},
     std::{net::TcpListener, rc::Rc, time::Duration},
 };
@@ -50,7 +50,7 @@
     if let Some(metrics) = settings.metrics {
         front.spawn(serve_small(metrics, front.clone(), answer_metrics).await?);
     }
-    let socket = BesideSocket::bind(settings.digests).await;
+    let socket = DatagramSocket::bind(settings.digests).await;
     let socket = socket.with_context(|| format!("cannot listen on {}", settings.digests))?;
     let socket = socket.with_key(settings.peer_key);
     front.spawn(serve_small(settings.digests, front.clone(), answer_control).await?);
--- a/entry/src/front/peer_state.rs
+++ b/entry/src/front/peer_state.rs
@@ -9,7 +9,7 @@
     },
     pitchhitch_platform::decode_config,
     pitchhitch_process::to_duration,
-    pitchhitch_wire::beside::{ask_state, HandedState, STATE_PATH},
+    pitchhitch_wire::beside::{fetch_snapshot, StateSnapshot, STATE_PATH},
     smol::Timer,
     std::{collections::BTreeSet, net::SocketAddr, rc::Rc, time::Duration},
 };
@@ -42,15 +42,15 @@
 /// places.
 pub(super) fn state_mark(front: &FrontContext) -> Option<(u64, Micros)> {
     let state = textless_state(front)?;
-    Some((state.mark(), state.age))
+    Some((state.content_hash(), state.age))
 }
 
 /// What this front can hand on but for the text of the configuration.
-fn textless_state(front: &FrontContext) -> Option<HandedState> {
+fn textless_state(front: &FrontContext) -> Option<StateSnapshot> {
     let state = front.state();
     let config = state.config.as_ref().filter(|_| state.has_list)?;
     let now = front.now();
-    Some(HandedState {
+    Some(StateSnapshot {
         config: Vec::new(),
         version: config.version,
         age: state.trust.age(now)?,
@@ -58,14 +58,14 @@
         weights: state.planner.recent_publications(now),
         endpoints: state.book.notices(),
         evacuated: state.evacuations.domains().map(str::to_string).collect(),
-        lives: state.memory.store_uptimes(now),
+        store_uptimes: state.memory.store_uptimes(now),
     })
 }
 
 /// What this front can hand on.
-fn own_state(front: &FrontContext) -> Option<HandedState> {
+fn own_state(front: &FrontContext) -> Option<StateSnapshot> {
     let state = textless_state(front)?;
-    Some(HandedState {
+    Some(StateSnapshot {
         config: front.state().config_text.clone(),
         ..state
     })
@@ -224,11 +224,11 @@
 ) -> bool {
     let key = front.settings.peer_key.as_ref();
     let asked_at = front.now();
-    let Some(answer) = ask_state(peer, ASK_LIMIT, key).await else {
+    let Some(answer) = fetch_snapshot(peer, ASK_LIMIT, key).await else {
         return false;
     };
     let outcome = answer
-        .state
+        .snapshot
         .map_err(|error| error.to_string())
         .and_then(|state| take_state(front, state, asked_at));
     let (word, error) = match &outcome {
@@ -255,7 +255,7 @@
 /// lives, of which the least age counts, count from now.
 fn take_state(
     front: &FrontContext,
-    handed: HandedState,
+    handed: StateSnapshot,
     asked_at: Micros,
 ) -> Result<(), String> {
     let config = decode_config(&handed.config).map_err(|error| error.to_string())?;
@@ -288,7 +288,7 @@
         state.planner.record_publication(naming, asked_at, now);
     }
     // With the namings that the peer knows, as parts of replaced weights are not saved.
-    for life in &handed.lives {
+    for life in &handed.store_uptimes {
         state.memory.record_uptime(life, now);
     }
     let handed_at = asked_at.since(handed.age);
--- a/entry/src/front/store_watch.rs
+++ b/entry/src/front/store_watch.rs
@@ -6,7 +6,7 @@
     },
     pitchhitch_platform::{KeptChange, KeptClient, KeptFailure},
     pitchhitch_process::to_duration,
-    pitchhitch_wire::beside::StoreNews,
+    pitchhitch_wire::beside::StoreUpdate,
     smol::Timer,
     std::{collections::HashSet, net::SocketAddr, rc::Rc, time::Duration},
 };
@@ -158,7 +158,7 @@
 /// the store itself is asked. It was on its way for `way` at most.
 pub(super) fn take_store_news(
     state: &mut FrontState,
-    news: &StoreNews,
+    news: &StoreUpdate,
     way: Micros,
     now: Micros,
 ) {
@@ -176,7 +176,7 @@
     let clock_ms = news.clock_ms.map(|clock| clock + news.answered.as_millis());
     view.record_poll_report(clock_ms, sent_at, now);
     for part in news.parts.iter().filter(|part| part.number > known) {
-        view.set_part(part.wall, part.id, part.tokens);
+        view.set_part(part.namespace, part.id, part.tokens);
     }
     view.next_change = Some(known.max(news.next));
 }
--- a/wire/src/beside/beside_socket.rs
+++ b/wire/src/beside/beside_socket.rs
@@ -16,28 +16,28 @@
 };
 
 /// Longest datagram, in bytes.
-const DATAGRAM_LIMIT: usize = 60 << 10;
+const MAX_DATAGRAM_BYTES: usize = 60 << 10;
 /// Bytes of the keyed hash behind a message.
 const HASH_BYTES: usize = 16;
 
 /// Sends and takes datagrams of one kind each way.
 #[derive(Debug, Clone)]
-pub struct BesideSocket {
+pub struct DatagramSocket {
     socket: UdpSocket,
     key: Option<BeaconKey>,
-    strangers: Arc<AtomicU64>,
+    rejected: Arc<AtomicU64>,
 }
 
-impl BesideSocket {
+impl DatagramSocket {
     /// Binds to an address.
     ///
     /// # Errors
     /// When the address cannot be bound.
     pub async fn bind(address: SocketAddr) -> io::Result<Self> {
-        Ok(BesideSocket {
+        Ok(DatagramSocket {
             socket: UdpSocket::bind(address).await?,
             key: None,
-            strangers: Arc::default(),
+            rejected: Arc::default(),
         })
     }
 
@@ -47,7 +47,7 @@
         self,
         key: Option<BeaconKey>,
     ) -> Self {
-        BesideSocket { key, ..self }
+        DatagramSocket { key, ..self }
     }
 
     /// Where it is bound.
@@ -59,8 +59,8 @@
     }
 
     /// Datagrams that were dropped: of strangers, or cut.
-    pub fn strangers(&self) -> u64 {
-        self.strangers.load(Ordering::Relaxed)
+    pub fn rejected_count(&self) -> u64 {
+        self.rejected.load(Ordering::Relaxed)
     }
 
     /// Sends a message; it may be lost.
@@ -106,12 +106,12 @@
     /// When the socket fails.
     pub async fn receive_into<T: DeserializeOwned>(
         &self,
-        room: &mut Vec<u8>,
+        buffer: &mut Vec<u8>,
     ) -> io::Result<(T, SocketAddr)> {
-        room.resize(DATAGRAM_LIMIT, 0);
+        buffer.resize(MAX_DATAGRAM_BYTES, 0);
         loop {
-            let (count, from) = self.socket.recv_from(room).await?;
-            if let Some(message) = self.read(&room[..count]) {
+            let (count, from) = self.socket.recv_from(buffer).await?;
+            if let Some(message) = self.decode(&buffer[..count]) {
                 return Ok((message, from));
             }
         }
@@ -121,41 +121,41 @@
     ///
     /// # Errors
     /// When the socket fails.
-    pub fn receive_now<T: DeserializeOwned>(
+    pub fn try_receive<T: DeserializeOwned>(
         &self,
-        room: &mut Vec<u8>,
+        buffer: &mut Vec<u8>,
     ) -> io::Result<Option<(T, SocketAddr)>> {
-        room.resize(DATAGRAM_LIMIT, 0);
+        buffer.resize(MAX_DATAGRAM_BYTES, 0);
         // Asked without the reactor, which would wake the process for each one that comes.
         let socket: Arc<Async<std::net::UdpSocket>> = self.socket.clone().into();
         loop {
-            let (count, from) = match socket.get_ref().recv_from(room) {
+            let (count, from) = match socket.get_ref().recv_from(buffer) {
                 Ok(received) => received,
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => return Ok(None),
                 Err(error) => return Err(error),
             };
-            if let Some(message) = self.read(&room[..count]) {
+            if let Some(message) = self.decode(&buffer[..count]) {
                 return Ok(Some((message, from)));
             }
         }
     }
 
     /// Reads a datagram; one that is none of ours is counted.
-    fn read<T: DeserializeOwned>(
+    fn decode<T: DeserializeOwned>(
         &self,
         datagram: &[u8],
     ) -> Option<T> {
         let message = self
-            .proven(datagram)
+            .authenticated_body(datagram)
             .and_then(|body| decode_body(body).ok());
         if message.is_none() {
-            self.strangers.fetch_add(1, Ordering::Relaxed);
+            self.rejected.fetch_add(1, Ordering::Relaxed);
         }
         message
     }
 
     /// The message in a datagram, where it is one of ours.
-    fn proven<'a>(
+    fn authenticated_body<'a>(
         &self,
         datagram: &'a [u8],
     ) -> Option<&'a [u8]> {
@@ -163,11 +163,11 @@
             return Some(datagram);
         };
         let length = datagram.len().checked_sub(HASH_BYTES)?;
-        let (body, found) = datagram.split_at(length);
+        let (body, received_hash) = datagram.split_at(length);
         let hash = key.hash(body);
         // Whoever guesses byte by byte has no more than the time of one datagram to go by.
-        let differs = hash.as_bytes()[..HASH_BYTES].iter().zip(found);
-        let difference = differs.fold(0, |sum, (one, other)| sum | (one ^ other));
+        let byte_pairs = hash.as_bytes()[..HASH_BYTES].iter().zip(received_hash);
+        let difference = byte_pairs.fold(0, |sum, (one, other)| sum | (one ^ other));
         (difference == 0).then_some(body)
     }
 }
--- a/wire/src/beside/engine_digest.rs
+++ b/wire/src/beside/engine_digest.rs
@@ -1,5 +1,5 @@
 use {
-    super::{grouped_parts, StoreNews},
+    super::{grouped_parts, StoreUpdate},
     pitchhitch_core::serving::{
         EndpointNotice, EngineLoad, NamespaceTag, PartId, StoreProof, SuspectReport,
     },
@@ -11,7 +11,8 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DigestPart {
     /// Wall inside which it is shared.
-    pub wall: NamespaceTag,
+    #[serde(rename = "wall")]
+    pub namespace: NamespaceTag,
     /// Part.
     pub id: PartId,
     /// Tokens that are kept now.
@@ -24,7 +25,8 @@
     /// Where the engine answers.
     pub engine: SocketAddr,
     /// Life of the sender; it rises with each.
-    pub life: u64,
+    #[serde(rename = "life")]
+    pub incarnation: u64,
     /// Number of this digest in that life.
     pub number: u64,
     /// Digests with changes of parts so far in that life, this one included.
@@ -42,7 +44,8 @@
     /// Fronts that the sender hears.
     pub fronts: u32,
     /// Whether the engine has forgotten all that it kept before these parts.
-    pub forgets: bool,
+    #[serde(rename = "forgets")]
+    pub cache_reset: bool,
     /// Whether this ends the telling of all that the engine keeps.
     pub is_whole: bool,
     /// Parts that changed, or some of all.
@@ -58,5 +61,5 @@
     /// What fronts have read at the platform's store.
     pub proofs: Vec<StoreProof>,
     /// What the sender has read of stores of kept parts.
-    pub stores: Vec<StoreNews>,
+    pub stores: Vec<StoreUpdate>,
 }
--- a/wire/src/beside/front_hello.rs
+++ b/wire/src/beside/front_hello.rs
@@ -23,14 +23,15 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DigestEcho {
     /// Life of the sender of the digest.
-    pub life: u64,
+    #[serde(rename = "life")]
+    pub incarnation: u64,
     /// Number of the digest in that life.
     pub number: u64,
 }
 
 /// What a front tells the process beside an engine; it also asks for digests.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct FrontHello {
+pub struct FrontGreeting {
     /// Box of the front.
     pub front: String,
     /// Number of this greeting; it rises, and several processes may get the same.
--- a/wire/src/beside/grouped_parts.rs
+++ b/wire/src/beside/grouped_parts.rs
@@ -12,24 +12,30 @@
     parts: &[DigestPart],
     serializer: S,
 ) -> Result<S::Ok, S::Error> {
-    let mut walls: Vec<(NamespaceTag, Vec<(PartId, u32)>)> = Vec::new();
+    let mut groups: Vec<(NamespaceTag, Vec<(PartId, u32)>)> = Vec::new();
     for part in parts {
-        let known = walls.iter_mut().find(|(wall, _)| *wall == part.wall);
-        match known {
+        let group = groups
+            .iter_mut()
+            .find(|(namespace, _)| *namespace == part.namespace);
+        match group {
             Some((_, parts)) => parts.push((part.id, part.tokens)),
-            None => walls.push((part.wall, vec![(part.id, part.tokens)])),
+            None => groups.push((part.namespace, vec![(part.id, part.tokens)])),
         }
     }
-    walls.serialize(serializer)
+    groups.serialize(serializer)
 }
 
 /// Reads what [`serialize`] wrote.
 pub(super) fn deserialize<'de, D: Deserializer<'de>>(
     deserializer: D
 ) -> Result<Vec<DigestPart>, D::Error> {
-    let walls: Vec<(NamespaceTag, Vec<(PartId, u32)>)> = Vec::deserialize(deserializer)?;
-    let parts = walls.into_iter().flat_map(|(wall, parts)| {
-        let part = move |(id, tokens)| DigestPart { wall, id, tokens };
+    let groups: Vec<(NamespaceTag, Vec<(PartId, u32)>)> = Vec::deserialize(deserializer)?;
+    let parts = groups.into_iter().flat_map(|(namespace, parts)| {
+        let part = move |(id, tokens)| DigestPart {
+            namespace,
+            id,
+            tokens,
+        };
         parts.into_iter().map(part)
     });
     Ok(parts.collect())
--- a/wire/src/beside/handed_state.rs
+++ b/wire/src/beside/handed_state.rs
@@ -21,7 +21,7 @@
 /// It is only ever a copy with an age: whoever takes it counts the age on, takes
 /// nothing that is older than its own, and goes by the store once that answers.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct HandedState {
+pub struct StateSnapshot {
     /// Configuration, as the store holds it.
     pub config: Vec<u8>,
     /// Version of the configuration.
@@ -38,63 +38,73 @@
     /// Failure domains that get nothing new.
     pub evacuated: Vec<String>,
     /// Lives of the stores of kept parts.
-    pub lives: Vec<StoreUptime>,
+    #[serde(rename = "lives")]
+    pub store_uptimes: Vec<StoreUptime>,
 }
 
 /// Why bytes are no state of one of ours.
 #[derive(Debug, Error, PartialEq, Eq)]
-pub enum StateError {
+pub enum SnapshotError {
     /// The keyed hash is missing or wrong.
     #[error("the keyed hash is missing or wrong; do all settings name the same peer_secret?")]
-    Unsealed,
+    InvalidHash,
     /// The bytes are no state.
     #[error("the state cannot be read: {0}; do all boxes run the same build?")]
     Malformed(String),
 }
 
-impl HandedState {
+impl StateSnapshot {
     /// Makes it older: at most `span` has passed since its ages were right. The stores' lives
     /// stay, as least ages must not grow by more than has passed ([`Self::live_on`]).
-    pub fn grow_older(
+    pub fn add_age(
         &mut self,
         span: Micros,
     ) {
         self.age = self.age + span;
-        for naming in &mut self.weights {
-            naming.age = naming.age.map(|age| age + span);
+        for publication in &mut self.weights {
+            publication.age = publication.age.map(|age| age + span);
         }
     }
 
     /// Lets the stores' lives last on: at least `span` has passed since they were right.
-    pub fn live_on(
+    pub fn add_store_uptime(
         &mut self,
         span: Micros,
     ) {
-        for life in &mut self.lives {
-            life.lasted = life.lasted + span;
+        for uptime in &mut self.store_uptimes {
+            uptime.lasted = uptime.lasted + span;
         }
     }
 
     /// Whether another state has a newer configuration, or newer weights of some model.
-    pub fn goes_back_from(
+    pub fn is_older_than(
         &self,
-        other: &HandedState,
+        other: &StateSnapshot,
     ) -> bool {
-        let newest = |state: &HandedState, model: &str| {
-            let namings = state.weights.iter().filter(|told| told.model == model);
-            namings.map(|told| told.version).max()
+        let newest_version = |state: &StateSnapshot, model: &str| {
+            let publications = state
+                .weights
+                .iter()
+                .filter(|publication| publication.model == model);
+            publications.map(|publication| publication.version).max()
         };
-        let mut models = other.weights.iter().map(|told| told.model.as_str());
+        let mut models = other
+            .weights
+            .iter()
+            .map(|publication| publication.model.as_str());
         self.version < other.version
-            || models.any(|model| newest(self, model) < newest(other, model))
+            || models.any(|model| newest_version(self, model) < newest_version(other, model))
     }
 
     /// A number that differs where the content does; ages do not count, nor do lives of
     /// stores: fronts learn of a new one one by one, and each copy would be pulled anew.
-    pub fn mark(&self) -> u64 {
-        let weights = self.weights.iter().map(|n| (&n.model, n.version));
+    pub fn content_hash(&self) -> u64 {
+        let weights = self
+            .weights
+            .iter()
+            .map(|publication| (&publication.model, publication.version));
         let weights: Vec<_> = weights.collect();
-        let ageless = (
+        let content = (
             &self.version,
             &self.era,
             weights,
@@ -102,7 +112,7 @@
             &self.evacuated,
         );
         // What cannot be written has no number of its own, and is not asked for.
-        let Ok(bytes) = encode_body(&ageless) else {
+        let Ok(bytes) = encode_body(&content) else {
             return 0;
         };
         stable_hash(bytes)
@@ -115,8 +125,8 @@
     pub fn seal(
         &self,
         key: Option<&BeaconKey>,
-    ) -> Result<Vec<u8>, StateError> {
-        let mut bytes = encode_body(self).map_err(|e| StateError::Malformed(e.to_string()))?;
+    ) -> Result<Vec<u8>, SnapshotError> {
+        let mut bytes = encode_body(self).map_err(|e| SnapshotError::Malformed(e.to_string()))?;
         if let Some(key) = key {
             let hash = key.hash(&bytes);
             bytes.extend_from_slice(hash.as_bytes());
@@ -131,26 +141,26 @@
     pub fn open(
         bytes: &[u8],
         key: Option<&BeaconKey>,
-    ) -> Result<Self, StateError> {
+    ) -> Result<Self, SnapshotError> {
         let body = match key {
             None => bytes,
-            Some(key) => checked_body(bytes, key)?,
+            Some(key) => verified_body(bytes, key)?,
         };
-        decode_body(body).map_err(|e| StateError::Malformed(e.to_string()))
+        decode_body(body).map_err(|e| SnapshotError::Malformed(e.to_string()))
     }
 }
 
-fn checked_body<'a>(
+fn verified_body<'a>(
     bytes: &'a [u8],
     key: &BeaconKey,
-) -> Result<&'a [u8], StateError> {
+) -> Result<&'a [u8], SnapshotError> {
     let length = bytes.len().checked_sub(HASH_BYTES);
-    let (body, found) = bytes.split_at(length.ok_or(StateError::Unsealed)?);
+    let (body, received_hash) = bytes.split_at(length.ok_or(SnapshotError::InvalidHash)?);
     let mut hash = [0; HASH_BYTES];
-    hash.copy_from_slice(found);
+    hash.copy_from_slice(received_hash);
     // Comparing two blake3 hashes takes the same time wherever they differ.
     match key.hash(body) == blake3::Hash::from(hash) {
         true => Ok(body),
-        false => Err(StateError::Unsealed),
+        false => Err(SnapshotError::InvalidHash),
     }
 }
--- a/wire/src/beside/state_question.rs
+++ b/wire/src/beside/state_question.rs
@@ -1,5 +1,5 @@
 use {
-    super::{HandedState, StateError, STATE_PATH},
+    super::{SnapshotError, StateSnapshot, STATE_PATH},
     crate::beacon::BeaconKey,
     pitchhitch_http1::{HttpCall, HttpClient},
     std::{net::SocketAddr, time::Duration},
@@ -7,29 +7,29 @@
 
 /// What a process told when it was asked for its state.
 #[derive(Debug)]
-pub struct StateAnswer {
+pub struct SnapshotResponse {
     /// The state, where it is one of ours.
-    pub state: Result<HandedState, StateError>,
+    pub snapshot: Result<StateSnapshot, SnapshotError>,
     /// Length of the answer.
     pub bytes: usize,
 }
 
 /// Asks a process for its state; `None` where it has none, or does not answer within
-/// `limit`.
-pub async fn ask_state(
+/// `timeout`.
+pub async fn fetch_snapshot(
     address: SocketAddr,
-    limit: Duration,
+    timeout: Duration,
     key: Option<&BeaconKey>,
-) -> Option<StateAnswer> {
-    let mut client = HttpClient::new(address, limit);
+) -> Option<SnapshotResponse> {
+    let mut client = HttpClient::new(address, timeout);
     let call = HttpCall {
         method: "GET",
         target: STATE_PATH,
         ..HttpCall::default()
     };
     let body = client.sound_body(call).await?;
-    Some(StateAnswer {
-        state: HandedState::open(&body, key),
+    Some(SnapshotResponse {
+        snapshot: StateSnapshot::open(&body, key),
         bytes: body.len(),
     })
 }
--- a/wire/src/beside/store_news.rs
+++ b/wire/src/beside/store_news.rs
@@ -13,7 +13,8 @@
     /// Number of the change at the store.
     pub number: u64,
     /// Wall inside which it is shared.
-    pub wall: NamespaceTag,
+    #[serde(rename = "wall")]
+    pub namespace: NamespaceTag,
     /// Part.
     pub id: PartId,
     /// Tokens that are kept now.
@@ -22,7 +23,7 @@
 
 /// What the process beside an engine has read of a store of kept parts, for all fronts.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct StoreNews {
+pub struct StoreUpdate {
     /// Where the store answers.
     pub store: SocketAddr,
     /// Which of its lives it is.
--- a/wire/src/beside/told_digest.rs
+++ b/wire/src/beside/told_digest.rs
@@ -19,7 +19,7 @@
 
 /// A digest as one front is told it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ToldDigest {
+pub struct DigestMessage {
     /// The digest, the same for all.
     pub digest: EngineDigest,
     /// The last greeting of this front.
@@ -28,22 +28,22 @@
 
 /// A digest that is written once for all fronts.
 #[derive(Debug, Clone)]
-pub struct WrittenDigest(Vec<u8>);
+pub struct EncodedDigest(Vec<u8>);
 
-impl WrittenDigest {
+impl EncodedDigest {
     /// Writes a digest.
     ///
     /// # Errors
     /// [`FrameError::Malformed`] where it cannot be written.
     pub fn new(digest: &EngineDigest) -> Result<Self, FrameError> {
-        encode_body(digest).map(WrittenDigest)
+        encode_body(digest).map(EncodedDigest)
     }
 
     /// The bytes of a [`ToldDigest`] with this digest: its fields follow each other.
     ///
     /// # Errors
     /// [`FrameError::Malformed`] where it cannot be written.
-    pub fn told(
+    pub fn with_echo(
         &self,
         echo: Option<GreetingEcho>,
     ) -> Result<Vec<u8>, FrameError> {
--- a/wire/tests/handed_state.rs
+++ b/wire/tests/handed_state.rs
@@ -5,10 +5,10 @@
         serving::{StoreUptime, WeightPublication},
         time::Micros,
     },
-    pitchhitch_wire::beside::HandedState,
+    pitchhitch_wire::beside::StateSnapshot,
 };
 
-fn naming(
+fn publication(
     model: &str,
     version: u64,
     age_ms: Option<u64>,
@@ -21,70 +21,76 @@
     }
 }
 
-fn state(weights: Vec<WeightPublication>) -> HandedState {
-    HandedState {
+fn snapshot(weights: Vec<WeightPublication>) -> StateSnapshot {
+    StateSnapshot {
         version: 4,
         age: Micros::from_millis(100),
         era: None,
         weights,
-        ..HandedState::default()
+        ..StateSnapshot::default()
     }
 }
 
 /// All ages grow, and the mark stays, as nothing else has changed.
 #[test]
 fn ages_grow() {
-    let young = state(vec![naming("m", 2, Some(300)), naming("n", 7, None)]);
+    let young = snapshot(vec![
+        publication("m", 2, Some(300)),
+        publication("n", 7, None),
+    ]);
     let mut old = young.clone();
-    old.grow_older(Micros::from_millis(2_000));
+    old.add_age(Micros::from_millis(2_000));
     assert_eq!(old.age, Micros::from_millis(2_100));
     assert_eq!(
         old.weights,
-        vec![naming("m", 2, Some(2_300)), naming("n", 7, None)]
+        vec![publication("m", 2, Some(2_300)), publication("n", 7, None)]
+    );
+    assert_eq!(old.content_hash(), young.content_hash());
+    assert_ne!(
+        snapshot(vec![publication("m", 3, None)]).content_hash(),
+        young.content_hash()
     );
-    assert_eq!(old.mark(), young.mark());
-    assert_ne!(state(vec![naming("m", 3, None)]).mark(), young.mark());
 }
 
 /// A state goes back where any of its models has older weights, or its configuration is
 /// older.
 #[test]
 fn older_goes_back() {
-    let both = state(vec![
-        naming("m", 2, None),
-        naming("m", 1, None),
-        naming("n", 7, None),
+    let both = snapshot(vec![
+        publication("m", 2, None),
+        publication("m", 1, None),
+        publication("n", 7, None),
     ]);
-    let newer = state(vec![naming("m", 3, None), naming("n", 7, None)]);
-    let lacking = state(vec![naming("m", 3, None)]);
-    assert!(!newer.goes_back_from(&both) && both.goes_back_from(&newer));
-    assert!(lacking.goes_back_from(&both) && !both.goes_back_from(&both));
-    let before = HandedState {
+    let newer = snapshot(vec![publication("m", 3, None), publication("n", 7, None)]);
+    let missing_model = snapshot(vec![publication("m", 3, None)]);
+    assert!(!newer.is_older_than(&both) && both.is_older_than(&newer));
+    assert!(missing_model.is_older_than(&both) && !both.is_older_than(&both));
+    let older_config = StateSnapshot {
         version: 3,
         ..newer.clone()
     };
-    assert!(before.goes_back_from(&newer) && !newer.goes_back_from(&before));
+    assert!(older_config.is_older_than(&newer) && !newer.is_older_than(&older_config));
 }
 
 /// Lives of stores last on by what has passed at least: a span that may be too long makes
 /// all else older, and not them. No copy is pulled anew for them.
 #[test]
 fn lives_last_on() {
-    let life = |lasted_ms| StoreUptime {
+    let uptime = |uptime_ms| StoreUptime {
         address: ([10, 9, 0, 1], 1).into(),
         epoch: 7,
-        lasted: Micros::from_millis(lasted_ms),
+        lasted: Micros::from_millis(uptime_ms),
     };
-    let young = HandedState {
+    let young = StateSnapshot {
         evacuated: Vec::new(),
-        lives: vec![life(300)],
-        ..state(Vec::new())
+        store_uptimes: vec![uptime(300)],
+        ..snapshot(Vec::new())
     };
     let mut old = young.clone();
-    old.grow_older(Micros::from_millis(2_000));
-    assert_eq!(old.lives, vec![life(300)]);
-    old.live_on(Micros::from_millis(1_500));
-    assert_eq!(old.lives, vec![life(1_800)]);
-    assert_eq!(old.mark(), young.mark());
-    assert_eq!(young.mark(), state(Vec::new()).mark());
+    old.add_age(Micros::from_millis(2_000));
+    assert_eq!(old.store_uptimes, vec![uptime(300)]);
+    old.add_store_uptime(Micros::from_millis(1_500));
+    assert_eq!(old.store_uptimes, vec![uptime(1_800)]);
+    assert_eq!(old.content_hash(), young.content_hash());
+    assert_eq!(young.content_hash(), snapshot(Vec::new()).content_hash());
 }
