--- a/agent/src/beside/kept_watch.rs
+++ b/agent/src/engine_agent/cache_poller.rs
@@ -3,7 +3,7 @@
     pitchhitch_core::serving::NamespaceTag,
     pitchhitch_platform::{KeptChanges, KeptClient},
     pitchhitch_process::to_duration,
-    pitchhitch_wire::beside::DigestPart,
+    pitchhitch_wire::engine_agent::DigestPart,
     smol::Timer,
     std::{rc::Rc, time::Duration},
 };
--- a/agent/src/beside/digest_sender.rs
+++ b/agent/src/engine_agent/digest_sender.rs
@@ -5,7 +5,9 @@
         time::Micros,
     },
     pitchhitch_process::to_duration,
-    pitchhitch_wire::beside::{DigestEcho, DigestPart, EncodedDigest, EngineDigest, FrontGreeting},
+    pitchhitch_wire::engine_agent::{
+        DigestEcho, DigestPart, EncodedDigest, EngineDigest, FrontGreeting,
+    },
     smol::Timer,
     std::{net::SocketAddr, rc::Rc, time::Duration},
 };
--- a/agent/src/beside/beside_context.rs
+++ b/agent/src/engine_agent/engine_agent_context.rs
@@ -11,7 +11,7 @@
         time::Micros,
     },
     pitchhitch_process::{ProcessClock, WakeSignal},
-    pitchhitch_wire::beside::{DatagramSocket, DigestPart},
+    pitchhitch_wire::engine_agent::{DatagramSocket, DigestPart},
     smol::LocalExecutor,
     std::{
         cell::{RefCell, RefMut},
--- a/agent/src/beside/beside_process.rs
+++ b/agent/src/engine_agent/engine_agent_process.rs
@@ -7,7 +7,7 @@
     anyhow::Context,
     pitchhitch_http1::serve_small,
     pitchhitch_process::{flush_log, ProcessSignal, SignalWatch},
-    pitchhitch_wire::beside::DatagramSocket,
+    pitchhitch_wire::engine_agent::DatagramSocket,
     smol::Timer,
     std::time::Duration,
 };
--- a/agent/src/beside/front_contacts.rs
+++ b/agent/src/engine_agent/front_contacts.rs
@@ -3,7 +3,7 @@
         serving::{GrantAllocator, SendGrant},
         time::Micros,
     },
-    pitchhitch_wire::beside::{FrontGreeting, GreetingEcho},
+    pitchhitch_wire::engine_agent::{FrontGreeting, GreetingEcho},
     std::{collections::HashMap, net::SocketAddr},
 };
 
--- /dev/null
+++ b/agent/src/engine_agent/mod.rs
@@ -0,0 +1,23 @@
+//! The process beside an engine on the platform: out of the path of requests,
+//! it tells the fronts what the engine does, and is the only one that gives the
+//! engine orders.
+
+mod cache_poller;
+mod digest_sender;
+mod engine_agent_context;
+mod engine_agent_metrics;
+mod engine_agent_process;
+mod engine_agent_settings;
+mod front_contacts;
+mod order_sender;
+mod report_poller;
+mod sent_digests;
+mod snapshot_cache;
+mod store_poller;
+
+pub(crate) use {
+    cache_poller::*, digest_sender::*, engine_agent_context::*, engine_agent_metrics::*,
+    front_contacts::*, order_sender::*, report_poller::*, sent_digests::*, snapshot_cache::*,
+    store_poller::*,
+};
+pub use {engine_agent_process::*, engine_agent_settings::*};
--- a/agent/src/beside/sent_digests.rs
+++ b/agent/src/engine_agent/sent_digests.rs
@@ -1,5 +1,6 @@
 use {
-    pitchhitch_core::time::Micros, pitchhitch_wire::beside::DigestEcho, std::collections::VecDeque,
+    pitchhitch_core::time::Micros, pitchhitch_wire::engine_agent::DigestEcho,
+    std::collections::VecDeque,
 };
 
 /// Digests whose time is remembered: some seconds' worth. A greeting that names an
--- a/agent/src/beside/state_keeper.rs
+++ b/agent/src/engine_agent/snapshot_cache.rs
@@ -2,7 +2,7 @@
     super::EngineAgentContext,
     pitchhitch_core::{serving::EndpointNotice, time::Micros},
     pitchhitch_process::to_duration,
-    pitchhitch_wire::beside::{fetch_snapshot, FrontGreeting, StateSnapshot, STATE_PATH},
+    pitchhitch_wire::engine_agent::{fetch_snapshot, FrontGreeting, StateSnapshot, STATE_PATH},
     smol::Timer,
     std::{net::SocketAddr, rc::Rc, time::Duration},
 };
--- a/agent/src/beside/store_reader.rs
+++ b/agent/src/engine_agent/store_poller.rs
@@ -3,7 +3,7 @@
     pitchhitch_core::{serving::NamespaceTag, time::Micros},
     pitchhitch_platform::{KeptChanges, KeptClient, KeptFailure},
     pitchhitch_process::to_duration,
-    pitchhitch_wire::beside::{StorePart, StoreUpdate},
+    pitchhitch_wire::engine_agent::{StorePart, StoreUpdate},
     smol::Timer,
     std::{
         collections::{BTreeMap, VecDeque},
--- a/agent/src/lib.rs
+++ b/agent/src/lib.rs
@@ -2,11 +2,11 @@
 //! its orders and the carrier of its kept pieces.
 
 pub mod beacons;
-pub mod beside;
 pub mod cli;
 pub mod conf;
 pub mod control;
 pub mod endpoint;
+pub mod engine_agent;
 pub mod gate;
 pub mod links;
 pub mod moves;
--- a/entry/src/front/beside_link.rs
+++ b/entry/src/front/beside_link.rs
@@ -5,7 +5,7 @@
         time::Micros,
     },
     pitchhitch_process::to_duration,
-    pitchhitch_wire::beside::{DatagramSocket, DigestEcho, FrontGreeting, WantedWeights},
+    pitchhitch_wire::engine_agent::{DatagramSocket, DigestEcho, FrontGreeting, WantedWeights},
     std::{
         collections::{BTreeMap, BTreeSet},
         net::{IpAddr, SocketAddr},
--- a/entry/src/front/digest_watch.rs
+++ b/entry/src/front/digest_watch.rs
@@ -11,7 +11,7 @@
         time::Micros,
     },
     pitchhitch_process::to_duration,
-    pitchhitch_wire::beside::{DatagramSocket, DigestMessage, EngineDigest, GreetingEcho},
+    pitchhitch_wire::engine_agent::{DatagramSocket, DigestMessage, EngineDigest, GreetingEcho},
     smol::Timer,
     std::{
         hash::{DefaultHasher, Hash, Hasher},
--- a/entry/src/front/front_process.rs
+++ b/entry/src/front/front_process.rs
@@ -11,7 +11,7 @@
     },
     pitchhitch_http1::{serve_small, ByteLink, SilenceLimit},
     pitchhitch_process::{flush_log, to_duration, ProcessSignal, SignalWatch},
-    pitchhitch_wire::beside::DatagramSocket,
+    pitchhitch_wire::engine_agent::DatagramSocket,
     smol::{Async, Timer},
     std::{net::TcpListener, rc::Rc, time::Duration},
 };
--- a/entry/src/front/peer_state.rs
+++ b/entry/src/front/peer_state.rs
@@ -9,7 +9,7 @@
     },
     pitchhitch_platform::decode_config,
     pitchhitch_process::to_duration,
-    pitchhitch_wire::beside::{fetch_snapshot, StateSnapshot, STATE_PATH},
+    pitchhitch_wire::engine_agent::{fetch_snapshot, StateSnapshot, STATE_PATH},
     smol::Timer,
     std::{collections::BTreeSet, net::SocketAddr, rc::Rc, time::Duration},
 };
--- a/entry/src/front/store_watch.rs
+++ b/entry/src/front/store_watch.rs
@@ -6,7 +6,7 @@
     },
     pitchhitch_platform::{KeptChange, KeptClient, KeptFailure},
     pitchhitch_process::to_duration,
-    pitchhitch_wire::beside::StoreUpdate,
+    pitchhitch_wire::engine_agent::StoreUpdate,
     smol::Timer,
     std::{collections::HashSet, net::SocketAddr, rc::Rc, time::Duration},
 };
--- a/entry/src/front/suspect_desk.rs
+++ b/entry/src/front/suspect_desk.rs
@@ -1,7 +1,7 @@
 use {
     super::{hand_state_on, FrontContext},
     pitchhitch_core::serving::{RequestFingerprint, SuspectStatus},
-    pitchhitch_wire::{beacon::BeaconKey, beside::STATE_PATH},
+    pitchhitch_wire::{beacon::BeaconKey, engine_agent::STATE_PATH},
     serde::{Deserialize, Serialize},
 };
 
--- /dev/null
+++ b/wire/src/engine_agent/mod.rs
@@ -0,0 +1,16 @@
+//! Datagrams between fronts and the processes beside engines. Each stands for
+//! itself: one that is lost costs freshness, never correctness.
+
+mod datagram_socket;
+mod digest_message;
+mod engine_digest;
+mod front_greeting;
+mod grouped_parts;
+mod snapshot_client;
+mod state_snapshot;
+mod store_update;
+
+pub use {
+    datagram_socket::*, digest_message::*, engine_digest::*, front_greeting::*, snapshot_client::*,
+    state_snapshot::*, store_update::*,
+};
--- a/wire/tests/beside_socket.rs
+++ b/wire/tests/datagram_socket.rs
@@ -7,10 +7,10 @@
     },
     pitchhitch_wire::{
         beacon::BeaconKey,
-        beside::{
+        codec::{decode_body, encode_body},
+        engine_agent::{
             DatagramSocket, DigestMessage, DigestPart, EncodedDigest, EngineDigest, GreetingEcho,
         },
-        codec::{decode_body, encode_body},
     },
     smol::{future::or, Timer},
     std::{
--- a/wire/tests/handed_state.rs
+++ b/wire/tests/state_snapshot.rs
@@ -5,7 +5,7 @@
         serving::{StoreUptime, WeightPublication},
         time::Micros,
     },
-    pitchhitch_wire::beside::StateSnapshot,
+    pitchhitch_wire::engine_agent::StateSnapshot,
 };
 
 fn publication(
