--- a/agent/src/cli/agent_cli.rs
+++ b/agent/src/cli/agent_cli.rs
@@ -1,7 +1,7 @@
 use {
     super::run_agent,
     crate::{
-        beside::{run_engine_agent, EngineAgentSettings},
+        engine_agent::{run_engine_agent, EngineAgentSettings},
         conf::AgentSettings,
     },
     getopts::{Matches, Options},
--- a/agent/src/beside/beside_process.rs
+++ b/agent/src/engine_agent/engine_agent_process.rs
@@ -6,7 +6,7 @@
     anyhow::Context,
     pitchhitch_http1::serve_paths,
     pitchhitch_process::{flush_log, ProcessSignal, SignalListener},
-    pitchhitch_wire::beside::DatagramSocket,
+    pitchhitch_wire::engine_agent::DatagramSocket,
     smol::Timer,
     std::time::Duration,
 };
--- a/agent/src/beside/store_reader.rs
+++ b/agent/src/engine_agent/store_poller.rs
@@ -3,7 +3,7 @@
     pitchhitch_core::{serving::NamespaceTag, time::Micros},
     pitchhitch_platform::{KvChanges, KvClient, KvError},
     pitchhitch_process::to_duration,
-    pitchhitch_wire::beside::{StoreUpdate, StorePart},
+    pitchhitch_wire::engine_agent::{StoreUpdate, StorePart},
     smol::Timer,
     std::{
         collections::{BTreeMap, VecDeque},
