--- a/wire/src/engine_agent/datagram_socket.rs
+++ b/wire/src/engine_agent/datagram_socket.rs
@@ -15,12 +15,12 @@
     },
 };
 
-/// Longest datagram, in bytes.
+/// Size of the receive buffer; longer datagrams are truncated and then rejected.
 const MAX_DATAGRAM_BYTES: usize = 60 << 10;
-/// Bytes of the keyed hash behind a message.
+/// Bytes of the keyed hash appended to a message.
 const HASH_BYTES: usize = 16;
 
-/// Sends and takes datagrams of one kind each way.
+/// UDP socket that sends and receives encoded messages, authenticated if a key is set.
 #[derive(Debug, Clone)]
 pub struct DatagramSocket {
     socket: UdpSocket,
@@ -32,7 +32,7 @@
     /// Binds to an address.
     ///
     /// # Errors
-    /// When the address cannot be bound.
+    /// If the address cannot be bound.
     pub async fn bind(address: SocketAddr) -> io::Result<Self> {
         Ok(DatagramSocket {
             socket: UdpSocket::bind(address).await?,
@@ -41,7 +41,7 @@
         })
     }
 
-    /// The same, where a key proves messages to be of one of ours.
+    /// Sets the key that authenticates messages as sent by a process of this installation.
     #[must_use]
     pub fn with_key(
         self,
@@ -50,15 +50,15 @@
         DatagramSocket { key, ..self }
     }
 
-    /// Where it is bound.
+    /// Bound address.
     ///
     /// # Errors
-    /// When the system does not tell.
+    /// If the system call fails.
     pub fn local_address(&self) -> io::Result<SocketAddr> {
         self.socket.local_addr()
     }
 
-    /// Datagrams that were dropped: of strangers, or cut.
+    /// Datagrams rejected because they lack a valid hash or cannot be decoded.
     pub fn rejected_count(&self) -> u64 {
         self.rejected.load(Ordering::Relaxed)
     }
@@ -66,7 +66,7 @@
     /// Sends a message; it may be lost.
     ///
     /// # Errors
-    /// When the message is too long or the system refuses it.
+    /// If the message is too long or the system refuses it.
     pub async fn send<T: Serialize>(
         &self,
         message: &T,
@@ -76,10 +76,10 @@
         self.send_body(body, to).await
     }
 
-    /// Sends a message that is written already.
+    /// Sends an already encoded message.
     ///
     /// # Errors
-    /// When the message is too long or the system refuses it.
+    /// If the message is too long or the system refuses it.
     pub async fn send_body(
         &self,
         mut body: Vec<u8>,
@@ -92,18 +92,18 @@
         self.socket.send_to(&body, to).await.map(|_| ())
     }
 
-    /// Waits for a message; datagrams that are none are passed over.
+    /// Waits for a message and skips rejected datagrams.
     ///
     /// # Errors
-    /// When the socket fails.
+    /// If the socket fails.
     pub async fn receive<T: DeserializeOwned>(&self) -> io::Result<(T, SocketAddr)> {
         self.receive_into(&mut Vec::new()).await
     }
 
-    /// The same with room that is used again, as many come each second.
+    /// Like [`Self::receive`] with a reused buffer, as many messages arrive each second.
     ///
     /// # Errors
-    /// When the socket fails.
+    /// If the socket fails.
     pub async fn receive_into<T: DeserializeOwned>(
         &self,
         buffer: &mut Vec<u8>,
@@ -117,16 +117,16 @@
         }
     }
 
-    /// The message that has come already, if any.
+    /// Returns a message that has already arrived, if any.
     ///
     /// # Errors
-    /// When the socket fails.
+    /// If the socket fails.
     pub fn try_receive<T: DeserializeOwned>(
         &self,
         buffer: &mut Vec<u8>,
     ) -> io::Result<Option<(T, SocketAddr)>> {
         buffer.resize(MAX_DATAGRAM_BYTES, 0);
-        // Asked without the reactor, which would wake the process for each one that comes.
+        // Bypasses the reactor, which would wake the process for each datagram.
         let socket: Arc<Async<std::net::UdpSocket>> = self.socket.clone().into();
         loop {
             let (count, from) = match socket.get_ref().recv_from(buffer) {
@@ -140,7 +140,7 @@
         }
     }
 
-    /// Reads a datagram; one that is none of ours is counted.
+    /// Decodes a datagram; counts it as rejected if it is invalid.
     fn decode<T: DeserializeOwned>(
         &self,
         datagram: &[u8],
@@ -154,7 +154,7 @@
         message
     }
 
-    /// The message in a datagram, where it is one of ours.
+    /// Body of a datagram, if its hash is valid or no key is set.
     fn authenticated_body<'a>(
         &self,
         datagram: &'a [u8],
@@ -165,7 +165,8 @@
         let length = datagram.len().checked_sub(HASH_BYTES)?;
         let (body, received_hash) = datagram.split_at(length);
         let hash = key.hash(body);
-        // Whoever guesses byte by byte has no more than the time of one datagram to go by.
+        // Compares in constant time: the time of a comparison must not help to guess the hash byte
+        // by byte.
         let byte_pairs = hash.as_bytes()[..HASH_BYTES].iter().zip(received_hash);
         let difference = byte_pairs.fold(0, |sum, (one, other)| sum | (one ^ other));
         (difference == 0).then_some(body)
--- a/wire/src/engine_agent/digest_message.rs
+++ b/wire/src/engine_agent/digest_message.rs
@@ -5,44 +5,44 @@
     serde::{Deserialize, Serialize},
 };
 
-/// The last greeting of a front that was heard when a digest was sent to it: the digest cannot
-/// have been sent before that.
+/// Latest greeting received from a front when a digest was sent to it; the digest was therefore
+/// sent after that greeting.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct GreetingEcho {
-    /// Number of the greeting.
+    /// Sequence number of the greeting.
     pub number: u64,
-    /// Time since it had come.
+    /// Time since the greeting was received.
     pub age: Micros,
-    /// What the front may send while the engine starts slowly.
+    /// Request rate granted to the front while the engine is in slow start.
     pub grant: SendGrant,
 }
 
-/// A digest as one front is told it.
+/// Digest as sent to one front.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DigestMessage {
-    /// The digest, the same for all.
+    /// The digest, which is the same for all fronts.
     pub digest: EngineDigest,
-    /// The last greeting of this front.
+    /// Latest greeting received from this front.
     pub echo: Option<GreetingEcho>,
 }
 
-/// A digest that is written once for all fronts.
+/// Digest that is encoded once for all fronts.
 #[derive(Debug, Clone)]
 pub struct EncodedDigest(Vec<u8>);
 
 impl EncodedDigest {
-    /// Writes a digest.
+    /// Encodes a digest.
     ///
     /// # Errors
-    /// [`FrameError::Malformed`] where it cannot be written.
+    /// [`FrameError::Malformed`] if it cannot be encoded.
     pub fn new(digest: &EngineDigest) -> Result<Self, FrameError> {
         encode_body(digest).map(EncodedDigest)
     }
 
-    /// The bytes of a [`ToldDigest`] with this digest: its fields follow each other.
+    /// Encodes a [`DigestMessage`] with this digest: the encoded fields follow each other.
     ///
     /// # Errors
-    /// [`FrameError::Malformed`] where it cannot be written.
+    /// [`FrameError::Malformed`] if it cannot be encoded.
     pub fn with_echo(
         &self,
         echo: Option<GreetingEcho>,
--- a/wire/src/engine_agent/engine_digest.rs
+++ b/wire/src/engine_agent/engine_digest.rs
@@ -7,59 +7,59 @@
     std::net::SocketAddr,
 };
 
-/// A part of a prompt that an engine keeps, or no longer.
+/// Prompt part that an engine caches or has evicted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DigestPart {
-    /// Wall inside which it is shared.
+    /// Cache namespace in which the part is shared.
     #[serde(rename = "wall")]
     pub namespace: NamespaceTag,
-    /// Part.
+    /// Id of the part.
     pub id: PartId,
-    /// Tokens that are kept now.
+    /// Tokens that are cached now; 0 if evicted.
     pub tokens: u32,
 }
 
-/// What the process beside an engine tells the fronts of it.
+/// State of an engine, as its agent reports it to the fronts.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EngineDigest {
-    /// Where the engine answers.
+    /// Address of the engine.
     pub engine: SocketAddr,
-    /// Life of the sender; it rises with each.
+    /// Incarnation of the sender; it increases with each start.
     #[serde(rename = "life")]
     pub incarnation: u64,
-    /// Number of this digest in that life.
+    /// Sequence number of this digest within the incarnation.
     pub number: u64,
-    /// Digests with changes of parts so far in that life, this one included.
+    /// Digests with part changes so far in this incarnation, including this one.
     pub changes: u64,
-    /// Whether it is one of them; those that tell all that is kept are not.
+    /// Whether this digest contains part changes; digests that list all cached parts don't.
     pub is_change: bool,
-    /// Start of the engine's life, in milliseconds since 1970, where it tells that.
+    /// Start of the engine's incarnation, in milliseconds since 1970, if the engine reports it.
     pub born: Option<u64>,
-    /// Load of the engine; its time is the sender's and means nothing here.
+    /// Load of the engine; its timestamp is zero, as the sender's clock means nothing to others.
     pub load: EngineLoad,
-    /// Models and versions of their weights.
+    /// Models and their weight versions.
     pub weights: Vec<(String, u64)>,
     /// Time on the engines' clock, in milliseconds.
     pub clock_ms: Option<u64>,
-    /// Fronts that the sender hears.
+    /// Number of fronts that greet the sender.
     pub fronts: u32,
-    /// Whether the engine has forgotten all that it kept before these parts.
+    /// Whether the engine lost its cache before these changes.
     #[serde(rename = "forgets")]
     pub cache_reset: bool,
-    /// Whether this ends the telling of all that the engine keeps.
+    /// Whether this is the last digest of a list of all cached parts.
     pub is_whole: bool,
-    /// Parts that changed, or some of all.
+    /// Changed parts, or a section of the list of all cached parts.
     #[serde(with = "grouped_parts")]
     pub parts: Vec<DigestPart>,
-    /// Requests under which endpoints ended, as fronts told.
+    /// Suspect requests that fronts reported: endpoints crashed while running them.
     pub suspects: Vec<SuspectReport>,
-    /// Whether this ends the telling of all such requests that are known.
+    /// Whether this is the last digest of a list of all known suspect requests.
     pub has_all_suspects: bool,
-    /// What fronts knew of the engine; told only to those that greet no more, as they
-    /// may have started anew and know of no such engine.
+    /// Last known list entry of the engine. Sent only to fronts that no longer greet: they may have
+    /// restarted and not know the engine.
     pub endpoint: Option<EndpointNotice>,
-    /// What fronts have read at the platform's store.
+    /// Results of fronts' reads of the platform store.
     pub proofs: Vec<StoreProof>,
-    /// What the sender has read of stores of kept parts.
+    /// What the sender has polled from KV stores.
     pub stores: Vec<StoreUpdate>,
 }
--- a/wire/src/engine_agent/front_greeting.rs
+++ b/wire/src/engine_agent/front_greeting.rs
@@ -7,64 +7,64 @@
     std::net::SocketAddr,
 };
 
-/// Weights that an engine should have.
+/// Weight version that an engine is to have.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WantedWeights {
     /// Model.
     pub model: String,
     /// Version.
     pub version: u64,
-    /// Whether it is this engine's turn to load them.
+    /// Whether it is this engine's turn to load it.
     pub is_turn: bool,
 }
 
-/// The last digest that a front had heard when it wrote a greeting: it cannot have been
-/// written before that was sent.
+/// Latest digest that a front had received when it wrote a greeting; the greeting was therefore
+/// written after that digest was sent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DigestEcho {
-    /// Life of the sender of the digest.
+    /// Incarnation of the sender of the digest.
     #[serde(rename = "life")]
     pub incarnation: u64,
-    /// Number of the digest in that life.
+    /// Sequence number of the digest within the incarnation.
     pub number: u64,
 }
 
-/// What a front tells the process beside an engine; it also asks for digests.
+/// Message of a front to the agent of an engine; it also subscribes the front to digests.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FrontGreeting {
-    /// Box of the front.
+    /// Id of the front's box.
     pub front: String,
-    /// Number of this greeting; it rises, and several processes may get the same.
+    /// Increasing sequence number; greetings to several agents may share it.
     pub number: u64,
-    /// Time in which the next one comes.
+    /// Time within which the next greeting follows.
     pub again_within: Micros,
-    /// Id of the engine, as the platform lists it.
+    /// Id of the engine on the platform's endpoint list.
     pub engine_id: Option<String>,
-    /// Start of its life that is listed, in milliseconds since 1970, where that is told.
+    /// Start of the listed incarnation, in milliseconds since 1970, if reported.
     pub engine_born: Option<u64>,
-    /// Position of its last row in the list; none where a peer told of it.
+    /// Store position of its latest row; unset if another front reported the engine.
     pub engine_row: StorePosition,
-    /// Whether the engine leaves: it loads nothing any more, and nobody is told of it.
+    /// Whether the engine is leaving: it loads no more weights and is not announced to fronts.
     pub is_leaving: bool,
-    /// Weights that the engine should have.
+    /// Weight versions that the engine is to have.
     pub wanted: Vec<WantedWeights>,
     /// Failure domain of the front.
     pub domain: String,
-    /// Mark and age of the state that it can hand on.
+    /// Content hash and age of the state snapshot that the front can serve.
     pub state: Option<(u64, Micros)>,
-    /// Last digest that the front has heard of this engine.
+    /// Latest digest that the front has received for this engine.
     pub echo: Option<DigestEcho>,
-    /// Requests under which endpoints ended, to be told to all fronts.
+    /// Suspect requests to forward to all fronts: endpoints crashed while running them.
     pub suspects: Vec<SuspectReport>,
-    /// Whether the front wants to be told of all such requests.
+    /// Whether the front requests all known suspect requests.
     pub wants_suspects: bool,
-    /// Whether the front wants to be told all that the engine keeps.
+    /// Whether the front requests the list of all cached parts.
     pub wants_all: bool,
-    /// What the front has read at the platform's store, to be told to all fronts.
+    /// Results of the front's reads of the platform store, to forward to all fronts.
     pub proofs: Vec<StoreProof>,
-    /// Requests a second that the engine may get from all fronts while it starts slowly; 0 where
-    /// it never does.
+    /// Requests per second that all fronts together may send to the engine in slow start; 0 if it
+    /// has no slow start.
     pub start_limit: u32,
-    /// Stores of kept parts to be read for all fronts.
+    /// KV stores to poll on behalf of all fronts.
     pub watches: Vec<SocketAddr>,
 }
--- a/wire/src/engine_agent/grouped_parts.rs
+++ b/wire/src/engine_agent/grouped_parts.rs
@@ -1,5 +1,5 @@
-//! Parts in a digest, written wall by wall: most are inside one or two, and a wall's tag takes
-//! as many bytes as all else of a part.
+//! Encodes the parts of a digest grouped by cache namespace: most belong to one or two namespaces,
+//! and a namespace tag takes as many bytes as the rest of a part.
 
 use {
     super::DigestPart,
@@ -7,7 +7,7 @@
     serde::{Deserialize, Deserializer, Serialize, Serializer},
 };
 
-/// Writes parts; those of one wall keep their order.
+/// Serializes parts; the order within a namespace is kept.
 pub(super) fn serialize<S: Serializer>(
     parts: &[DigestPart],
     serializer: S,
@@ -25,7 +25,7 @@
     groups.serialize(serializer)
 }
 
-/// Reads what [`serialize`] wrote.
+/// Deserializes the output of [`serialize`].
 pub(super) fn deserialize<'de, D: Deserializer<'de>>(
     deserializer: D
 ) -> Result<Vec<DigestPart>, D::Error> {
--- a/wire/src/engine_agent/mod.rs
+++ b/wire/src/engine_agent/mod.rs
@@ -1,5 +1,5 @@
-//! Datagrams between fronts and the processes beside engines. Each stands for
-//! itself: one that is lost costs freshness, never correctness.
+//! Datagrams between fronts and the agents of engines. Each datagram is self-contained: a lost one
+//! makes knowledge less fresh, never wrong.
 
 mod datagram_socket;
 mod digest_message;
--- a/wire/src/engine_agent/snapshot_client.rs
+++ b/wire/src/engine_agent/snapshot_client.rs
@@ -5,16 +5,16 @@
     std::{net::SocketAddr, time::Duration},
 };
 
-/// What a process told when it was asked for its state.
+/// Response to a request for a state snapshot.
 #[derive(Debug)]
 pub struct SnapshotResponse {
-    /// The state, where it is one of ours.
+    /// The snapshot, if it is valid.
     pub snapshot: Result<StateSnapshot, SnapshotError>,
-    /// Length of the answer.
+    /// Length of the response body, in bytes.
     pub bytes: usize,
 }
 
-/// Asks a process for its state; `None` where it has none, or does not answer within
+/// Requests the state snapshot of a process; `None` if it has none or does not respond within
 /// `timeout`.
 pub async fn fetch_snapshot(
     address: SocketAddr,
--- a/wire/src/engine_agent/state_snapshot.rs
+++ b/wire/src/engine_agent/state_snapshot.rs
@@ -11,51 +11,51 @@
     thiserror::Error,
 };
 
-/// Path at which a process hands its state on.
+/// HTTP path at which a process serves its state snapshot.
 pub const STATE_PATH: &str = "/state";
-/// Bytes of the keyed hash behind a state.
+/// Bytes of the keyed hash appended to a snapshot.
 const HASH_BYTES: usize = 32;
 
-/// What a front knows from the platform's store, for one that cannot reach it.
+/// What a front knows from the platform store, for a process that cannot reach the store.
 ///
-/// It is only ever a copy with an age: whoever takes it counts the age on, takes
-/// nothing that is older than its own, and goes by the store once that answers.
+/// A snapshot is a copy with an age. Its receiver keeps adding to the age, accepts nothing older
+/// than its own knowledge, and relies on the store as soon as that answers.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StateSnapshot {
-    /// Configuration, as the store holds it.
+    /// Configuration, as stored.
     pub config: Vec<u8>,
     /// Version of the configuration.
     pub version: u64,
-    /// Time since the reading that showed it to be the newest was sent.
+    /// Time since the read request was sent that showed the configuration to be the newest.
     pub age: Micros,
-    /// Era of the platform's store in which that was; it is not told by a front that was only
-    /// handed its knowledge.
+    /// Era of the platform store at that read; unset by a front that has its knowledge from another
+    /// snapshot only.
     pub era: Option<StoreEra>,
-    /// Named weights, the newest of each model among them.
+    /// Published weight versions, including the newest of each model.
     pub weights: Vec<WeightPublication>,
-    /// Endpoints, those that leave included.
+    /// Endpoints, including those that are leaving.
     pub endpoints: Vec<EndpointNotice>,
-    /// Failure domains that get nothing new.
+    /// Evacuated failure domains, which get no new work.
     pub evacuated: Vec<String>,
-    /// Lives of the stores of kept parts.
+    /// Uptimes of the KV stores.
     #[serde(rename = "lives")]
     pub store_uptimes: Vec<StoreUptime>,
 }
 
-/// Why bytes are no state of one of ours.
+/// Reason why received bytes are not accepted as a snapshot.
 #[derive(Debug, Error, PartialEq, Eq)]
 pub enum SnapshotError {
     /// The keyed hash is missing or wrong.
     #[error("the keyed hash is missing or wrong; do all settings name the same peer_secret?")]
     InvalidHash,
-    /// The bytes are no state.
+    /// The bytes cannot be decoded, or the snapshot cannot be encoded.
     #[error("the state cannot be read: {0}; do all boxes run the same build?")]
     Malformed(String),
 }
 
 impl StateSnapshot {
-    /// Makes it older: at most `span` has passed since its ages were right. The stores' lives
-    /// stay, as least ages must not grow by more than has passed ([`Self::live_on`]).
+    /// Adds `span`, an upper bound of the time since the ages were valid, to all ages. Uptimes of
+    /// stores are lower bounds and don't change; [`Self::add_store_uptime`] adds to them.
     pub fn add_age(
         &mut self,
         span: Micros,
@@ -66,7 +66,7 @@
         }
     }
 
-    /// Lets the stores' lives last on: at least `span` has passed since they were right.
+    /// Adds `span`, a lower bound of the time since they were valid, to the uptimes of stores.
     pub fn add_store_uptime(
         &mut self,
         span: Micros,
@@ -76,7 +76,7 @@
         }
     }
 
-    /// Whether another state has a newer configuration, or newer weights of some model.
+    /// Whether `other` has a newer configuration, or newer weights of any model.
     pub fn is_older_than(
         &self,
         other: &StateSnapshot,
@@ -96,8 +96,8 @@
             || models.any(|model| newest_version(self, model) < newest_version(other, model))
     }
 
-    /// A number that differs where the content does; ages do not count, nor do lives of
-    /// stores: fronts learn of a new one one by one, and each copy would be pulled anew.
+    /// Hash of the content without ages and uptimes of stores: fronts learn of a restarted store at
+    /// different times, and each copy would be fetched again.
     pub fn content_hash(&self) -> u64 {
         let weights = self
             .weights
@@ -111,17 +111,17 @@
             &self.endpoints,
             &self.evacuated,
         );
-        // What cannot be written has no number of its own, and is not asked for.
+        // Content that cannot be encoded has no hash of its own and is not requested.
         let Ok(bytes) = encode_body(&content) else {
             return 0;
         };
         stable_hash(bytes)
     }
 
-    /// The state as bytes, with a keyed hash where a key is set.
+    /// Encodes the snapshot, followed by a keyed hash if a key is set.
     ///
     /// # Errors
-    /// [`StateError::Malformed`] where it is too long.
+    /// [`SnapshotError::Malformed`] if it is too long.
     pub fn seal(
         &self,
         key: Option<&BeaconKey>,
@@ -134,10 +134,10 @@
         Ok(bytes)
     }
 
-    /// Reads a state; where a key is set, only one that carries its hash.
+    /// Decodes a snapshot; if a key is set, its keyed hash must be valid.
     ///
     /// # Errors
-    /// [`StateError`] for anything else.
+    /// [`SnapshotError`] for anything else.
     pub fn open(
         bytes: &[u8],
         key: Option<&BeaconKey>,
@@ -158,7 +158,7 @@
     let (body, received_hash) = bytes.split_at(length.ok_or(SnapshotError::InvalidHash)?);
     let mut hash = [0; HASH_BYTES];
     hash.copy_from_slice(received_hash);
-    // Comparing two blake3 hashes takes the same time wherever they differ.
+    // The comparison of two blake3 hashes takes constant time.
     match key.hash(body) == blake3::Hash::from(hash) {
         true => Ok(body),
         false => Err(SnapshotError::InvalidHash),
--- a/wire/src/engine_agent/store_update.rs
+++ b/wire/src/engine_agent/store_update.rs
@@ -7,37 +7,37 @@
     std::net::SocketAddr,
 };
 
-/// A part that a store keeps, or no longer.
+/// Prompt part that a KV store has stored or deleted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StorePart {
-    /// Number of the change at the store.
+    /// Sequence number of the change at the store.
     pub number: u64,
-    /// Wall inside which it is shared.
+    /// Cache namespace in which the part is shared.
     #[serde(rename = "wall")]
     pub namespace: NamespaceTag,
-    /// Part.
+    /// Id of the part.
     pub id: PartId,
-    /// Tokens that are kept now.
+    /// Tokens that are stored now; 0 if deleted.
     pub tokens: u32,
 }
 
-/// What the process beside an engine has read of a store of kept parts, for all fronts.
+/// What the agent of an engine has polled from a KV store on behalf of all fronts.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StoreUpdate {
-    /// Where the store answers.
+    /// Address of the store.
     pub store: SocketAddr,
-    /// Which of its lives it is.
+    /// Epoch, which identifies the store's incarnation.
     pub epoch: u64,
-    /// Time on the engines' clock at its last answer, in milliseconds.
+    /// Time on the engines' clock at its last response, in milliseconds.
     pub clock_ms: Option<u64>,
-    /// Time since that answer.
+    /// Time since that response.
     pub answered: Micros,
-    /// Time since the question was sent that it answered.
+    /// Time since the request for that response was sent.
     pub age: Micros,
-    /// Number behind which all changes are told here.
+    /// Sequence number after which this update contains all changes.
     pub from: u64,
-    /// Where changes go on.
+    /// Sequence number from which to continue.
     pub next: u64,
-    /// Changes, in order; earlier news has told some of them.
+    /// Changes, in order; earlier updates contained some of them.
     pub parts: Vec<StorePart>,
 }
--- a/wire/tests/datagram_socket.rs
+++ b/wire/tests/datagram_socket.rs
@@ -1,4 +1,4 @@
-//! Datagrams between fronts and the processes beside engines.
+//! Datagrams between fronts and the agents of engines: authentication and encoding.
 
 use {
     pitchhitch_core::{
@@ -31,7 +31,7 @@
     socket.local_address().expect("bound")
 }
 
-/// The next message, or nothing within a moment.
+/// Next message, if one arrives within 300 ms.
 fn next_message(socket: &DatagramSocket) -> Option<Message> {
     let received = async {
         socket
@@ -75,7 +75,7 @@
     assert_eq!(receiver.rejected_count(), 2);
 }
 
-/// Cut, changed and overlong datagrams are dropped, and the next sound one is taken.
+/// Truncated, changed and overlong datagrams are rejected, and the next valid one is received.
 #[test]
 fn damaged_dropped() {
     let receiver = socket(Some("a secret"));
@@ -116,8 +116,8 @@
     smol::block_on(or(received, timeout))
 }
 
-/// A digest that is written once for all is read as one that is written for one front, and
-/// parts keep their order inside each wall.
+/// A digest that is encoded once for all fronts decodes like one encoded for a single front, and
+/// parts keep their order within each cache namespace.
 #[test]
 fn digest_written_once() {
     let part = |namespace, id: &str, tokens| DigestPart {
--- a/wire/tests/state_snapshot.rs
+++ b/wire/tests/state_snapshot.rs
@@ -1,4 +1,4 @@
-//! What one process hands another of its knowledge: ages, marks and what goes back.
+//! State snapshots: ages, uptimes of stores, content hashes and which of two is older.
 
 use {
     pitchhitch_core::{
@@ -31,7 +31,7 @@
     }
 }
 
-/// All ages grow, and the mark stays, as nothing else has changed.
+/// All ages increase; the content hash stays the same as nothing else has changed.
 #[test]
 fn ages_grow() {
     let young = snapshot(vec![
@@ -52,8 +52,7 @@
     );
 }
 
-/// A state goes back where any of its models has older weights, or its configuration is
-/// older.
+/// A snapshot is older if any of its models has older or no weights, or its configuration is older.
 #[test]
 fn older_goes_back() {
     let both = snapshot(vec![
@@ -72,8 +71,9 @@
     assert!(older_config.is_older_than(&newer) && !newer.is_older_than(&older_config));
 }
 
-/// Lives of stores last on by what has passed at least: a span that may be too long makes
-/// all else older, and not them. No copy is pulled anew for them.
+/// Uptimes of stores are lower bounds: only time that has certainly passed is added to them, not
+/// the upper bound that is added to ages. They don't change the content hash, so that no copy is
+/// fetched again because of them.
 #[test]
 fn lives_last_on() {
     let uptime = |uptime_ms| StoreUptime {
