--- a/agent/src/engine_agent/cache_poller.rs
+++ b/agent/src/engine_agent/cache_poller.rs
@@ -8,21 +8,21 @@
     std::{rc::Rc, time::Duration},
 };
 
-/// Time that a call is held while nothing changes.
+/// Time for which the engine holds a poll while nothing changes.
 const POLL_WAIT: Duration = Duration::from_secs(1);
-/// Pause after a call that failed.
+/// Delay after a failed poll.
 const RETRY_DELAY: Duration = Duration::from_millis(400);
-/// Time limit of a call, beyond the time it is held.
+/// Timeout of a poll, in addition to the time for which it is held.
 const EXTRA_TIMEOUT: Duration = Duration::from_millis(600);
 
-/// Follows what the engine keeps in its memory.
+/// Polls the changes of the engine's cache.
 pub(crate) async fn poll_cache_changes(agent: Rc<EngineAgentContext>) {
     let mut client = KeptClient::new(agent.settings.engine, EXTRA_TIMEOUT);
     let mut next = 0;
     let mut epoch = None;
     let mut known_resets = 0;
     loop {
-        // Changes count from the start of the engine's life.
+        // Changes are numbered from the start of the engine's incarnation.
         if agent.state().cache_resets != known_resets {
             known_resets = agent.state().cache_resets;
             next = 0;
@@ -45,7 +45,8 @@
             agent.state().reset_cache();
         }
         epoch = Some(changes.epoch);
-        // Asked from a number of the earlier life, it told only what is behind that.
+        // The request started at a change number of the earlier incarnation, so the response lacks
+        // the changes up to that number.
         if agent.state().cache_resets != known_resets {
             continue;
         }
--- a/agent/src/engine_agent/digest_sender.rs
+++ b/agent/src/engine_agent/digest_sender.rs
@@ -12,27 +12,28 @@
     std::{net::SocketAddr, rc::Rc, time::Duration},
 };
 
-/// Pause after a socket that failed.
+/// Delay after a socket error.
 const RETRY_DELAY: Duration = Duration::from_millis(45);
-/// Pause between two digests that tell what others have read, at least.
+/// Minimum interval between digests that repeat what fronts or this agent have read from stores.
+/// New reads of the platform store are forwarded at once.
 const FORWARD_INTERVAL: Micros = Micros::from_millis(300);
-/// Age up to which it is told what fronts have read at the platform's store.
+/// Maximum age of forwarded results of reads of the platform store.
 const PROOF_TTL: Micros = Micros::from_secs(10);
-/// Parts in one digest.
+/// Maximum number of parts in one digest.
 const MAX_PARTS_PER_DIGEST: usize = 400;
-/// Suspects in one digest: some 100 bytes each.
+/// Maximum number of suspect requests in one digest; each takes about 100 bytes.
 const MAX_SUSPECTS_PER_DIGEST: usize = 100;
 
-/// Digests sent in this life.
+/// Digests sent in this incarnation.
 #[derive(Debug, Clone, Copy, Default)]
 struct DigestCount {
     /// All of them.
     number: u64,
-    /// Those with changes of parts.
+    /// Those with part changes.
     changes: u64,
 }
 
-/// Takes what fronts say.
+/// Receives and processes greetings of fronts.
 pub(crate) async fn receive_greetings(agent: Rc<EngineAgentContext>) {
     let mut buffer = Vec::new();
     loop {
@@ -79,8 +80,8 @@
     }
 }
 
-/// Takes what a front has read at the platform's store. What may have waited here for any time
-/// proves nothing.
+/// Records a front's reads of the platform store. A greeting of unknown age is ignored: it may have
+/// waited in the socket for any time and proves nothing.
 fn record_proofs(
     state: &mut EngineAgentState,
     greeting: &FrontGreeting,
@@ -126,7 +127,7 @@
     }
     for weights in greeting.wanted {
         let wanted = state.wanted.entry(weights.model.clone()).or_default();
-        // Hellos may overtake each other: a version never goes back.
+        // Greetings may arrive out of order: a version never decreases.
         if weights.version < wanted.version {
             continue;
         }
@@ -141,14 +142,14 @@
             wanted.version = weights.version;
             wanted.turn_at = None;
         }
-        // A turn that was given long ago may be somebody else's now.
+        // A turn that was assigned long ago may by now be another engine's.
         if let Some(age) = age.filter(|_| weights.is_turn) {
             wanted.turn_at = wanted.turn_at.max(Some(now.since(age)));
         }
     }
 }
 
-/// Tells all fronts what the engine does.
+/// Sends digests of the engine's state to all active fronts.
 pub(crate) async fn send_digests(agent: Rc<EngineAgentContext>) {
     let mut count = DigestCount::default();
     let mut last_load = EngineLoad::default();
@@ -196,7 +197,7 @@
     }
 }
 
-/// Pause between two digests that tell what others have read.
+/// Interval between digests that forward what fronts or this agent have read from stores.
 fn forward_interval(digest_interval: Micros) -> Micros {
     FORWARD_INTERVAL.max(digest_interval)
 }
@@ -212,7 +213,7 @@
         .collect()
 }
 
-/// Tells fronts that have just come all that the engine keeps.
+/// Sends the list of all cached parts to the fronts that requested it.
 async fn send_all_parts(
     agent: &EngineAgentContext,
     count: &mut DigestCount,
@@ -241,7 +242,8 @@
     }
 }
 
-/// Tells fronts that have just started, or missed something, of all suspects.
+/// Sends all suspect requests to the fronts that requested them, as they have just started or
+/// missed a digest.
 async fn send_all_suspects(
     agent: &EngineAgentContext,
     count: &mut DigestCount,
@@ -273,9 +275,9 @@
     }
 }
 
-/// Tells fronts that greet no more which engine this is. Fronts that started while this box
-/// stood still know of no such engine until the list shows it: with the platform's store away
-/// it kept replaced weights for 27 s.
+/// Announces the engine to fronts that no longer greet. Fronts that started while this box was
+/// paused don't know the engine until it appears on the platform's list: with the platform store
+/// unreachable, the engine kept outdated weights for 27 s.
 async fn announce_engine(
     agent: &EngineAgentContext,
     count: &mut DigestCount,
@@ -292,8 +294,8 @@
     send_digest(agent, &digest, &silent).await;
 }
 
-/// Sends a digest to some fronts: it is written once, and each is told which of its greetings
-/// came last. One that is lost costs freshness only.
+/// Sends a digest to fronts. It is encoded once, with an echo of the latest greeting added for each
+/// front. A lost digest makes a front's knowledge less fresh, never wrong.
 async fn send_digest(
     agent: &EngineAgentContext,
     digest: &EngineDigest,
@@ -364,7 +366,7 @@
     state.pending_changes.drain(..count).collect()
 }
 
-/// Waits a span of the core.
+/// Sleeps for `span`.
 pub(crate) async fn sleep(span: Micros) {
     Timer::after(to_duration(span)).await;
 }
--- a/agent/src/engine_agent/engine_agent_context.rs
+++ b/agent/src/engine_agent/engine_agent_context.rs
@@ -22,79 +22,80 @@
     },
 };
 
-/// Pause between two such words.
+/// Minimum interval between announcements of the engine to fronts that no longer greet.
 const ANNOUNCE_INTERVAL: Micros = Micros::from_secs(1);
-/// Changes of kept parts that wait for the next digest at most.
+/// Maximum number of cache changes that wait for the next digest.
 const MAX_PENDING_CHANGES: usize = 4_000;
 
-/// Longest time between two digests, unless the pause is longer: fronts take silence for a sign.
+/// Maximum time between two digests, unless the digest interval is longer: fronts treat missing
+/// digests as a sign of failure.
 pub(crate) const MAX_DIGEST_INTERVAL: Micros = Micros::from_millis(250);
-/// Reports that are read for one digest, and how often at least and at most.
+/// Reports polled per digest, and the minimum and maximum interval between them.
 const REPORTS_PER_DIGEST: u64 = 3;
 const REPORT_INTERVAL_RANGE: (Micros, Micros) = (Micros::from_millis(90), Micros::from_millis(200));
-/// How often it is looked at least and at most what the engine keeps.
+/// Minimum and maximum interval between polls of the engine's cache changes.
 const CACHE_POLL_INTERVAL_RANGE: (Micros, Micros) =
     (Micros::from_millis(30), Micros::from_millis(150));
 
-/// Weights that the engine should have, and whether it may load them now.
+/// Weight version that the engine is to have, and whether it may load it now.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub(crate) struct WantedVersion {
     /// Version.
     pub version: u64,
-    /// When a front last said that it is the engine's turn.
+    /// When a front last reported that it is the engine's turn to load it.
     pub turn_at: Option<Micros>,
 }
 
-/// What the tasks share.
+/// Mutable state shared by the tasks.
 #[derive(Debug, Default)]
 pub(crate) struct EngineAgentState {
-    /// Load of the engine, at its last report.
+    /// Load in the engine's latest report.
     pub load: EngineLoad,
-    /// Models and versions of their weights, at the last report.
+    /// Models and their weight versions in the latest report.
     pub weights: Vec<(String, u64)>,
-    /// Orders that the engine has taken, at the last report.
+    /// Orders that the engine had accepted at its latest report.
     pub orders_taken: u64,
-    /// Time on the engines' clock, in milliseconds, at the last report.
+    /// Time on the engines' clock in the latest report, in milliseconds.
     pub clock_ms: Option<u64>,
-    /// Id of the engine, as fronts tell it.
+    /// Id of the engine, as reported by fronts.
     pub engine_id: Option<String>,
-    /// The life that they mean by it.
+    /// Incarnation to which that id refers.
     pub id_incarnation: ListedIncarnation,
-    /// Engine that leaves, and what is meant by its id as above.
+    /// Id of the engine that is leaving, and the incarnation to which the id refers.
     pub leaving: Option<(String, ListedIncarnation)>,
-    /// Start of the engine's life, as it tells it itself.
+    /// Start of the engine's incarnation, as the engine reports it.
     pub born: Option<u64>,
-    /// What it tells of lives that were born earlier.
+    /// Distinguishes late reports of an earlier incarnation from a clock that was set back.
     pub incarnation_tracker: IncarnationTracker,
-    /// Times that the engine was found to have forgotten what it kept.
+    /// Number of times that the engine lost its cache.
     pub cache_resets: u64,
-    /// When digests were sent.
+    /// Send times of recent digests.
     pub sent_digests: SentDigests,
-    /// Copy of what fronts know.
+    /// Copy of the fronts' state snapshot.
     pub snapshot_cache: SnapshotCache,
-    /// Wanted weights by model.
+    /// Wanted weight version of each model.
     pub wanted: BTreeMap<String, WantedVersion>,
-    /// Changes of kept parts that no digest has told yet.
+    /// Cache changes that no digest has reported yet.
     pub pending_changes: VecDeque<DigestPart>,
-    /// Whether the engine has forgotten what it kept before those.
+    /// Whether the engine lost its cache before those changes.
     pub has_cache_reset: bool,
-    /// Requests under which endpoints ended: a copy that outlives the fronts.
+    /// Suspect requests: a copy that survives restarts of all fronts.
     pub suspects: SuspectTracker,
     /// Counters.
     pub metrics: EngineAgentMetrics,
-    /// Fronts that want to be told of all suspects.
+    /// Fronts that requested all known suspect requests.
     pub suspect_requesters: BTreeSet<SocketAddr>,
-    /// Fronts that want to be told all that the engine keeps.
+    /// Fronts that requested the list of all cached parts.
     pub part_requesters: BTreeSet<SocketAddr>,
-    /// Fronts that greet.
+    /// Fronts that send greetings.
     pub fronts: FrontContacts,
-    /// Pause between two digests, by how many fronts there are.
+    /// Interval between digests, which depends on the number of fronts.
     pub digest_interval: Micros,
-    /// What fronts have read at the platform's store, by table.
+    /// Results of fronts' reads of the platform store, by table.
     pub proofs: BTreeMap<ProvenTable, ProofTracker>,
-    /// Whether one of them has come since the last digest.
+    /// Whether a new result has arrived since the last digest.
     pub has_new_proofs: bool,
-    /// Stores of kept parts that are read for all fronts.
+    /// KV stores that are polled on behalf of all fronts.
     pub stores: PolledStores,
     announced_at: Option<Micros>,
     silent_fronts: usize,
@@ -102,7 +103,7 @@
 }
 
 impl EngineAgentState {
-    /// Load of the engine as it is told: the time of the report means nothing to others.
+    /// Load of the engine as sent to fronts: the report's local timestamp means nothing to others.
     pub fn reported_load(&self) -> EngineLoad {
         EngineLoad {
             at: Micros::ZERO,
@@ -112,7 +113,7 @@
         }
     }
 
-    /// Whether weights are wanted that the engine does not have.
+    /// Whether the engine lacks a wanted weight version.
     pub fn needs_order(&self) -> bool {
         let mut weights = self.weights.iter();
         weights.any(|(model, version)| {
@@ -122,7 +123,8 @@
         })
     }
 
-    /// Pause between two reports; from the engine's own box they cost it nothing.
+    /// Interval between polls of the engine's report; the agent runs on the engine's box, so they
+    /// cost the engine nothing.
     pub fn report_interval(&self) -> Micros {
         let (min, max) = REPORT_INTERVAL_RANGE;
         Micros(self.digest_interval.0 / REPORTS_PER_DIGEST)
@@ -130,8 +132,8 @@
             .min(max)
     }
 
-    /// Pause between two looks at what the engine keeps. Calls that may be held have no price; a
-    /// busy engine exchanges what it does not use within a third of a second.
+    /// Interval between polls of the engine's cache changes. Long polls cost the engine nothing; a
+    /// busy engine replaces unused parts within a third of a second.
     pub fn cache_poll_interval(&self) -> Micros {
         let (min, max) = CACHE_POLL_INTERVAL_RANGE;
         Micros(self.digest_interval.0 / REPORTS_PER_DIGEST)
@@ -139,7 +141,7 @@
             .min(max)
     }
 
-    /// All that the engine keeps.
+    /// All parts that the engine caches.
     pub fn cached_parts(&self) -> Vec<DigestPart> {
         let parts = self
             .cached_parts
@@ -152,7 +154,7 @@
         parts.collect()
     }
 
-    /// The engine keeps nothing of what it kept before.
+    /// Records that the engine lost its cache.
     pub fn reset_cache(&mut self) {
         self.cache_resets += 1;
         self.cached_parts.clear();
@@ -160,8 +162,8 @@
         self.has_cache_reset = true;
     }
 
-    /// Takes which life the engine tells of; false where that one is over, and what
-    /// came with it says nothing.
+    /// Records the incarnation that an engine's response belongs to. Returns false if that
+    /// incarnation has ended; the response is then to be ignored.
     pub fn record_incarnation(
         &mut self,
         born: Option<u64>,
@@ -174,7 +176,7 @@
         self.born = born.or(self.born);
         if order == IncarnationOrder::Later {
             log::info!(event = "engine-reborn", born = born.unwrap_or(0); "");
-            // The next report tells these of the life that has begun.
+            // The next report contains these values for the new incarnation.
             self.load = EngineLoad::default();
             self.weights.clear();
             self.orders_taken = 0;
@@ -183,9 +185,9 @@
         true
     }
 
-    /// Takes which engine a front means; true where that is news. Fronts that lag
-    /// still mean the one that was at the address before: the one born later counts,
-    /// or the one whose row was written last.
+    /// Records the engine id in a front's greeting; returns true if it is new. Fronts that lag
+    /// behind still send the id of the previous engine at the address: the id of the engine that
+    /// was born later is used or, with equal start times, of the one whose row was written last.
     pub fn record_engine_id(
         &mut self,
         id: &str,
@@ -205,8 +207,8 @@
         is_new
     }
 
-    /// Takes what a front says of an engine's end. Fronts that lag still mean that it
-    /// serves; only a later row or life takes the end back.
+    /// Records whether an engine is leaving, as a front reports it. Fronts that lag behind still
+    /// report it as serving; only a later row or incarnation revokes the leaving.
     pub fn record_leaving(
         &mut self,
         id: &str,
@@ -226,13 +228,13 @@
         }
     }
 
-    /// Whether what the engine keeps has changed since the last digest.
+    /// Whether the engine's cache has changed since the last digest.
     pub fn has_changes(&self) -> bool {
         self.has_cache_reset || !self.pending_changes.is_empty()
     }
 
-    /// What fronts knew of the engine, and those that greet no more, where it is time to
-    /// tell them.
+    /// Last known list entry of the engine and the fronts that no longer greet, if an announcement
+    /// to them is due.
     pub fn due_announcement(
         &mut self,
         now: Micros,
@@ -262,12 +264,12 @@
         Some((notice, silent))
     }
 
-    /// Notes a change of what the engine keeps.
+    /// Records a change of the engine's cache.
     pub fn record_change(
         &mut self,
         part: DigestPart,
     ) {
-        // Without fronts to tell, the oldest are of no use any more.
+        // With no fronts to report to, the oldest changes are of no use.
         if self.pending_changes.len() >= MAX_PENDING_CHANGES {
             self.pending_changes.pop_front();
         }
@@ -279,26 +281,26 @@
     }
 }
 
-/// Everything that the tasks have in common.
+/// Context shared by all tasks.
 #[derive(Debug)]
 pub(crate) struct EngineAgentContext {
     /// Settings.
     pub settings: EngineAgentSettings,
     /// Clock.
     pub clock: ProcessClock,
-    /// Socket for hellos and digests.
+    /// Socket for greetings and digests.
     pub socket: DatagramSocket,
-    /// Wakes the sending of digests: what a front tells of suspects goes to all others at
-    /// once, as callers whose request has just failed ask the next front.
+    /// Wakes the digest sender: suspect requests that a front reports are forwarded to all others
+    /// at once, as callers whose request has just failed retry at another front.
     pub digest_due: WakeSignal,
-    /// Wakes the giving of orders.
+    /// Wakes the order sender.
     pub order_due: WakeSignal,
     state: RefCell<EngineAgentState>,
     executor: LocalExecutor<'static>,
 }
 
 impl EngineAgentContext {
-    /// A context that knows nothing yet.
+    /// Creates a context with empty state.
     pub fn new(
         settings: EngineAgentSettings,
         socket: DatagramSocket,
@@ -319,12 +321,12 @@
         self.clock.now()
     }
 
-    /// The shared state; never held over a wait.
+    /// Borrows the shared state; never held across an await.
     pub fn state(&self) -> RefMut<'_, EngineAgentState> {
         self.state.borrow_mut()
     }
 
-    /// Runs a task until it ends by itself.
+    /// Spawns a task that runs until it ends by itself.
     pub fn spawn(
         &self,
         task: impl Future<Output = ()> + 'static,
--- a/agent/src/engine_agent/engine_agent_metrics.rs
+++ b/agent/src/engine_agent/engine_agent_metrics.rs
@@ -3,14 +3,14 @@
     std::{collections::BTreeMap, fmt::Write},
 };
 
-/// Counters of one process, shown as text on request.
+/// Counters of the process, served as text.
 #[derive(Debug, Default)]
 pub(crate) struct EngineAgentMetrics {
     counts: BTreeMap<(&'static str, String), u64>,
 }
 
 impl EngineAgentMetrics {
-    /// Counts something under a label.
+    /// Increments the counter with this name and label.
     pub fn increment(
         &mut self,
         name: &'static str,
@@ -20,7 +20,7 @@
     }
 }
 
-/// Tells the figures as text.
+/// Serves the metrics as text.
 pub(crate) fn serve_metrics(
     agent: &EngineAgentContext,
     _target: &str,
--- a/agent/src/engine_agent/engine_agent_process.rs
+++ b/agent/src/engine_agent/engine_agent_process.rs
@@ -12,14 +12,13 @@
     std::time::Duration,
 };
 
-/// How often lines of the log are written out.
+/// Interval at which buffered log lines are written.
 const LOG_FLUSH_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Runs the process beside an engine until it is asked to stop; `reload` reads
-/// the settings again.
+/// Runs the agent of an engine until a stop signal; `reload` reads the settings again.
 ///
 /// # Errors
-/// When an address cannot be bound or a signal cannot be watched.
+/// If an address cannot be bound or signals cannot be watched.
 pub async fn run_engine_agent(
     settings: EngineAgentSettings,
     reload: &dyn Fn() -> Result<EngineAgentSettings, String>,
@@ -61,7 +60,8 @@
     Ok(())
 }
 
-/// New settings are checked and compared; what they change needs a restart.
+/// Waits for a stop signal. On a reload signal, checks the new settings and logs whether they
+/// differ; a change takes effect at the next restart only.
 async fn wait_for_stop(
     agent: &EngineAgentContext,
     signals: &mut SignalWatch,
--- a/agent/src/engine_agent/engine_agent_settings.rs
+++ b/agent/src/engine_agent/engine_agent_settings.rs
@@ -7,32 +7,32 @@
     std::net::SocketAddr,
 };
 
-/// Settings of one process beside an engine, checked.
+/// Validated settings of the agent of an engine.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct EngineAgentSettings {
     /// Id of the box.
     pub box_id: String,
-    /// Failure domain that the box stands in.
+    /// Failure domain of the box.
     pub failure_domain: String,
-    /// Where the engine answers.
+    /// Address of the engine.
     pub engine: SocketAddr,
-    /// Where fronts are heard.
+    /// Address for greetings (UDP) and for requests for the state snapshot (TCP).
     pub listen: SocketAddr,
-    /// Where the platform's store answers.
+    /// Address of the platform store.
     pub store: SocketAddr,
-    /// Where metrics are read.
+    /// Address at which metrics are served, if any.
     pub metrics: Option<SocketAddr>,
-    /// Gap that engines are owed between orders of two boxes.
+    /// Minimum gap that engines require between orders of two boxes.
     pub order_gap: Micros,
-    /// Key that proves handed state to be of one of ours, where a secret is set.
+    /// Key that authenticates datagrams and state snapshots, if a secret is set.
     pub peer_key: Option<BeaconKey>,
 }
 
 impl EngineAgentSettings {
-    /// Reads the text of a settings file.
+    /// Parses the text of a settings file.
     ///
     /// # Errors
-    /// [`SettingsErrors`] with everything that is wrong in it.
+    /// [`SettingsErrors`] with all problems found.
     pub fn parse(
         file: &str,
         text: &str,
--- a/agent/src/engine_agent/front_contacts.rs
+++ b/agent/src/engine_agent/front_contacts.rs
@@ -7,28 +7,29 @@
     std::{collections::HashMap, net::SocketAddr},
 };
 
-/// Time for which a front that is not heard still gets digests, at least.
+/// Minimum time after the last greeting for which a front still gets digests.
 const MIN_FRONT_TTL: Micros = Micros::from_secs(5);
-/// Time after which a front that greets no more is told which engine this is, at least: some
-/// greetings of its pace may get lost.
+/// Minimum time without greetings after which the engine is announced to a front; some greetings
+/// may get lost.
 const MIN_SILENCE: Micros = Micros::from_millis(1_500);
-/// Greetings of its pace that a front may miss until then.
+/// Announced greeting intervals that may pass before either happens, if that takes longer.
 const MAX_MISSED_GREETINGS: u64 = 3;
-/// Time for which a front that is not heard is remembered, and how many fronts there may be
-/// for that. A box that stands still for longer is found by the list alone.
+/// Time after the last greeting for which a front is remembered, and the number of fronts above
+/// which inactive ones are removed earlier. After a longer pause of this box, fronts find the
+/// engine only by the platform's list.
 const FRONT_RETENTION: Micros = Micros::from_secs(60);
 const MAX_FRONTS: usize = 256;
 
-/// When a front was heard.
+/// Latest greeting of a front.
 #[derive(Debug, Clone, Copy)]
 struct FrontContact {
     received_at: Micros,
-    /// When it greeted at the latest, as far as is proven: greetings wait while this box
-    /// stands still.
+    /// Lower bound of the time when the latest greeting was sent: greetings wait in the socket
+    /// while this box is paused.
     greeted_at: Micros,
-    /// Time in which it said that it greets again.
+    /// Time within which the front announced its next greeting.
     again_within: Micros,
-    /// Number of its last greeting.
+    /// Sequence number of the latest greeting.
     number: u64,
 }
 
@@ -46,7 +47,7 @@
     }
 }
 
-/// Fronts that greet the process beside an engine.
+/// Fronts that send greetings to the agent of an engine.
 #[derive(Debug, Default)]
 pub(crate) struct FrontContacts {
     fronts: HashMap<SocketAddr, FrontContact>,
@@ -55,7 +56,7 @@
 }
 
 impl FrontContacts {
-    /// Notes a greeting that was on its way for `age` at most where that is known.
+    /// Records a greeting that was sent at most `age` ago, if that is known.
     pub fn record_greeting(
         &mut self,
         front: SocketAddr,
@@ -65,12 +66,12 @@
     ) {
         let is_new = !self.fronts.contains_key(&front);
         if is_new && self.fronts.len() >= MAX_FRONTS {
-            // Those that live are all told, however many; silent ones give way.
+            // Active fronts all get digests, however many there are; inactive ones are removed.
             self.fronts
                 .retain(|_, contact| now.since(contact.received_at) < contact.ttl());
         }
         let known = self.fronts.get(&front);
-        // A front that names no digest of ours yet has just come.
+        // A front that has not received any of our digests has just started.
         let sent_at = match greeting.echo {
             None => now,
             Some(_) => age.map_or(Micros::ZERO, |age| now.since(age)),
@@ -84,7 +85,7 @@
         self.fronts.insert(front, contact);
     }
 
-    /// Fronts that get digests.
+    /// Active fronts, which get digests.
     pub fn active(
         &mut self,
         now: Micros,
@@ -94,7 +95,7 @@
         self.filter_fronts(|contact| now.since(contact.received_at) < contact.ttl())
     }
 
-    /// Fronts that greet no more.
+    /// Fronts that no longer greet.
     pub fn silent(
         &self,
         now: Micros,
@@ -102,7 +103,8 @@
         self.filter_fronts(|contact| contact.is_silent(now))
     }
 
-    /// The last greeting of a front, with what it may send while the engine starts slowly.
+    /// Echo of a front's latest greeting, with the request rate granted to it while the engine is
+    /// in slow start.
     pub fn echo(
         &mut self,
         front: SocketAddr,
@@ -118,8 +120,8 @@
         Some(GreetingEcho { number, age, grant })
     }
 
-    /// Takes how many requests a second the engine may get from all fronts while it starts
-    /// slowly; 0 where it never does.
+    /// Sets the requests per second that all fronts together may send to the engine in slow start;
+    /// 0 if it has no slow start.
     pub fn set_start_limit(
         &mut self,
         limit: u32,
--- a/agent/src/engine_agent/mod.rs
+++ b/agent/src/engine_agent/mod.rs
@@ -1,6 +1,5 @@
-//! The process beside an engine on the platform: out of the path of requests,
-//! it tells the fronts what the engine does, and is the only one that gives the
-//! engine orders.
+//! The agent process of an engine on the platform. It is not in the path of requests: it reports
+//! the engine's state to the fronts and is the only process that gives the engine orders.
 
 mod cache_poller;
 mod digest_sender;
--- a/agent/src/engine_agent/order_sender.rs
+++ b/agent/src/engine_agent/order_sender.rs
@@ -12,23 +12,25 @@
     std::{rc::Rc, time::Duration},
 };
 
-/// How often it is looked whether an order is due, while the engine lacks weights.
+/// Interval of checks whether an order is due while the engine lacks a wanted version.
 const CHECK_INTERVAL: Micros = Micros::from_millis(60);
-/// Longest wait for weights that it lacks; only ends the task's wait, and nothing else.
+/// Maximum wait for a wake-up while the engine lacks no wanted version; its end only causes another
+/// check.
 const MAX_ORDER_WAIT: Duration = Duration::from_secs(60);
-/// Time for which a front's word that it is the engine's turn holds.
+/// Time for which a front's report that it is the engine's turn is valid.
 const TURN_TTL: Micros = Micros::from_millis(1_300);
-/// Time limit of an order; it may be carried out later all the same.
+/// Timeout of an order; the engine may still execute it later.
 const ORDER_TIMEOUT: Duration = Duration::from_millis(500);
-/// Pause after an order: the engine's reports show what became of it.
+/// Delay after an order, until the engine's reports show its effect.
 const ORDER_DELAY: Micros = Micros::from_millis(350);
-/// Time limit of a call of the platform's store.
+/// Timeout of a request to the platform store.
 const STORE_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// Pauses between tries to get a number: they double from the first to the last.
+/// Minimum and maximum delay between attempts to acquire the right to give orders; the delay
+/// doubles with each attempt.
 const RETRY_DELAY_RANGE: (Micros, Micros) = (Micros::from_millis(300), Micros::from_secs(4));
 
-/// Gives the engine its orders. Where this process is not heard for long, a front may take that
-/// over, so it looks whose right it is before each.
+/// Gives the engine its orders. A front may take over the right to do so if it receives no digests
+/// from this process for long, so the holder of the right is checked before each order.
 pub(crate) async fn send_orders(agent: Rc<EngineAgentContext>) {
     let settings = &agent.settings;
     let mut store = StoreClient::new(settings.store, STORE_TIMEOUT);
@@ -47,7 +49,7 @@
             true => confirmed_token(&agent, &mut store, &mut right).await,
             false => None,
         };
-        // What was due may not be any more.
+        // The order may no longer be due after the check.
         let Some((order, engine_id)) = token.and_then(|token| due_order(&agent, token)) else {
             continue;
         };
@@ -81,8 +83,8 @@
     agent.state().metrics.increment("orders", &outcome);
 }
 
-/// Takes the right to give the engine its orders; a write whose answer is lost is settled by
-/// reading.
+/// Acquires the right to give the engine orders. After a write without a response, the row is read
+/// again.
 async fn acquire_right(
     agent: &EngineAgentContext,
     store: &mut StoreClient,
@@ -111,7 +113,8 @@
     }
 }
 
-/// Replaces the row, also one of an earlier life of this process: its number is to rise.
+/// Replaces the row, even one written by an earlier incarnation of this process: the fencing token
+/// has to increase.
 async fn try_acquire(
     agent: &EngineAgentContext,
     store: &mut StoreClient,
@@ -125,8 +128,9 @@
     Ok(position)
 }
 
-/// The number under which an order may be given now, once it is sure whose right that is. While
-/// the store is away, nobody takes it over.
+/// Fencing token for an order that may be given now, after a check of who holds the right. While
+/// the store is unreachable, no other process can take over the right, so the token is used
+/// unchecked.
 async fn confirmed_token(
     agent: &EngineAgentContext,
     store: &mut StoreClient,
@@ -155,7 +159,7 @@
     log::warn!(event = "store-lost", watch = "fence", error = error.as_str(); "");
 }
 
-/// The order that the engine should get now, and the engine's id.
+/// Order that is due for the engine now, and the engine's id.
 fn due_order(
     agent: &EngineAgentContext,
     fence: u64,
--- a/agent/src/engine_agent/report_poller.rs
+++ b/agent/src/engine_agent/report_poller.rs
@@ -7,12 +7,12 @@
     std::{rc::Rc, time::Duration},
 };
 
-/// Time limit of a report: the way is within the box.
+/// Timeout of a report request, which stays within the box.
 const REPORT_TIMEOUT: Duration = Duration::from_millis(250);
-/// Reports in a row that fail before the engine is called silent.
+/// Successive failed requests after which the engine counts as silent.
 const SILENT_AFTER_FAILURES: u32 = 2;
 
-/// Reads the engine's report again and again.
+/// Polls the engine's report.
 pub(crate) async fn poll_reports(agent: Rc<EngineAgentContext>) {
     let mut client = HttpClient::new(agent.settings.engine, REPORT_TIMEOUT);
     let mut failures = 0;
--- a/agent/src/engine_agent/sent_digests.rs
+++ b/agent/src/engine_agent/sent_digests.rs
@@ -3,18 +3,18 @@
     std::collections::VecDeque,
 };
 
-/// Digests whose time is remembered: some seconds' worth. A greeting that names an
-/// earlier one is too old to prove anything.
+/// Number of digests whose send times are remembered, which covers some seconds. A greeting that
+/// echoes an earlier digest is too old to prove anything.
 const MAX_SENT_DIGESTS: usize = 64;
 
-/// When the last digests were sent.
+/// Send times of recent digests.
 #[derive(Debug, Default)]
 pub(crate) struct SentDigests {
     sent: VecDeque<(DigestEcho, Micros)>,
 }
 
 impl SentDigests {
-    /// Notes a digest that is about to be sent.
+    /// Records a digest that is about to be sent.
     pub fn record(
         &mut self,
         digest: DigestEcho,
@@ -26,9 +26,9 @@
         self.sent.push_back((digest, now));
     }
 
-    /// For how long at most a greeting can have been on its way that names the last digest
-    /// its sender had heard. Counted from its receipt alone, one that waited while this
-    /// process stood still would pass for new.
+    /// Upper bound of the time since a greeting was sent, given the latest digest that its sender
+    /// had received. If the age were counted from the receipt, a greeting that waited while this
+    /// process was paused would look new.
     pub fn greeting_age(
         &self,
         echo: Option<DigestEcho>,
--- a/agent/src/engine_agent/snapshot_cache.rs
+++ b/agent/src/engine_agent/snapshot_cache.rs
@@ -7,31 +7,31 @@
     std::{net::SocketAddr, rc::Rc, time::Duration},
 };
 
-/// Pause between two looks at whether the copy is behind: states change a few
-/// times a minute, and a copy is only needed when all fronts start anew.
+/// Interval of checks whether the copy is outdated: snapshots change a few times a minute, and the
+/// copy is needed only if all fronts restart.
 const REFRESH_INTERVAL: Micros = Micros::from_millis(1_000);
-/// Time limit of a question to a front.
+/// Timeout of a request to a front.
 const FETCH_TIMEOUT: Duration = Duration::from_millis(400);
-/// Time for which what a front said of its state counts.
+/// Time for which a front's offer of its snapshot is valid.
 const OFFER_TTL: Micros = Micros::from_millis(2_000);
-/// By how much the reading behind the offer of a front in the own failure domain may be older than
-/// that of another: the bytes between domains cost more.
+/// By how much the store read behind an offer from the own failure domain may be older than that of
+/// another offer: traffic between domains costs more.
 const SAME_DOMAIN_BONUS: Micros = Micros::from_millis(300);
 
-/// A front that can hand its state on.
+/// A front's offer to serve its state snapshot.
 #[derive(Debug, Clone, Copy)]
 struct SnapshotOffer {
     front: SocketAddr,
     content_hash: u64,
     received_at: Micros,
-    /// When the platform's store was asked for what it shows, at the latest.
+    /// Lower bound of the time of the platform store read that the snapshot is based on.
     read_at: Micros,
     is_same_domain: bool,
 }
 
 impl SnapshotOffer {
-    /// Whether it is taken in the place of another one: the same front's, or one that goes by a
-    /// reading which is not older. A front that the store turns away knows only what it was handed.
+    /// Whether this offer replaces another one: it is from the same front, or based on a store read
+    /// that is not older. A front that the store rejects knows only the snapshots of others.
     fn replaces(
         &self,
         current: &SnapshotOffer,
@@ -47,29 +47,29 @@
     }
 }
 
-/// A copy of what fronts know, for those that start while the platform's store is
-/// away and no other front is left.
+/// Copy of a front's state snapshot, for fronts that start while the platform store is unreachable
+/// and no other front is running.
 #[derive(Debug, Default)]
 pub(crate) struct SnapshotCache {
     offer: Option<SnapshotOffer>,
     cached: Option<CachedSnapshot>,
-    /// What the last state that named the own engine said of it.
+    /// Entry of the own engine in the latest snapshot that contained it.
     own_endpoint: Option<EndpointNotice>,
 }
 
-/// A state that was taken from a front.
+/// Snapshot that was fetched from a front.
 #[derive(Debug)]
 struct CachedSnapshot {
     snapshot: StateSnapshot,
     content_hash: u64,
-    /// When its age was right, or before.
+    /// Time to which the ages in the snapshot refer, or earlier.
     aged_at: Micros,
-    /// When it had come.
+    /// When the snapshot was received.
     received_at: Micros,
 }
 
 impl CachedSnapshot {
-    /// Takes that the same content was the newest so long ago.
+    /// Records that the same content was still the newest `age` ago.
     fn confirm_age(
         &mut self,
         age: Micros,
@@ -85,8 +85,8 @@
 }
 
 impl SnapshotCache {
-    /// Notes what a front says of its state; `sent_age` is for how long at most that was
-    /// on its way.
+    /// Records a front's offer of its snapshot, which was sent at most `sent_age` ago, if that is
+    /// known.
     pub fn record_offer(
         &mut self,
         greeting: &FrontGreeting,
@@ -118,7 +118,7 @@
         }
     }
 
-    /// The front to ask for its state, where the copy is behind.
+    /// Front from which to fetch a snapshot, if the copy is outdated.
     fn fetch_source(
         &self,
         now: Micros,
@@ -132,8 +132,8 @@
         (is_fresh && !is_current).then_some(offer.front)
     }
 
-    /// Keeps a state, unless the one that is kept has a newer configuration or newer
-    /// weights: a front that has just started may have read rows that had gone back.
+    /// Stores a snapshot unless the current copy has a newer configuration or newer weights: a
+    /// front that has just started may have read outdated rows. Returns whether it was stored.
     fn store(
         &mut self,
         snapshot: StateSnapshot,
@@ -157,8 +157,8 @@
         is_newer
     }
 
-    /// What the last state that named the own engine said of it, unless it left. A front
-    /// that started while this box stood still tells of no such engine.
+    /// Entry of the own engine in the latest snapshot that contained it, unless the engine left.
+    /// Snapshots of a front that started while this box was paused don't contain the engine.
     pub fn own_endpoint(
         &self,
         id: &str,
@@ -168,7 +168,7 @@
             .filter(|endpoint| endpoint.id == id && !endpoint.is_leaving)
     }
 
-    /// The copy with its age as of now.
+    /// Copy with its ages and uptimes as of now.
     fn snapshot_at(
         &self,
         now: Micros,
@@ -181,7 +181,7 @@
     }
 }
 
-/// Keeps the copy up with the fronts.
+/// Keeps the copy up to date with the fronts' snapshots.
 pub(crate) async fn refresh_snapshot(agent: Rc<EngineAgentContext>) {
     loop {
         Timer::after(to_duration(REFRESH_INTERVAL)).await;
@@ -238,7 +238,7 @@
         .store(snapshot, is_own, sent_at, agent.now())
 }
 
-/// Hands the copy on to a front that asks.
+/// Serves the copy to a front that requests it.
 pub(crate) fn serve_snapshot(
     agent: &EngineAgentContext,
     target: &str,
@@ -251,7 +251,7 @@
             agent.state().metrics.increment("states", "told");
             (200, bytes)
         }
-        // What was read from bytes can be written as bytes.
+        // Sealing does not fail for a snapshot that was decoded from bytes.
         Some(Err(_)) | None => (503, Vec::new()),
     }
 }
--- a/agent/src/engine_agent/store_poller.rs
+++ b/agent/src/engine_agent/store_poller.rs
@@ -13,36 +13,36 @@
     },
 };
 
-/// Time for which a store is read after a front last asked for it.
+/// Time for which a store is polled after the last request of a front.
 const REQUEST_TTL: Micros = Micros::from_secs(6);
-/// Stores that one process reads at most.
+/// Maximum number of stores that one process polls.
 const MAX_STORES: usize = 16;
-/// How often it is looked for new ones.
+/// Interval of checks for newly requested stores.
 const REQUEST_CHECK_INTERVAL: Micros = Micros::from_millis(200);
-/// Time that a question for changes is held while there are none.
+/// Time for which a store holds a poll while nothing changes.
 const POLL_WAIT: Duration = Duration::from_millis(500);
-/// Pause between two questions.
+/// Delay between two polls.
 const POLL_DELAY: Micros = Micros::from_millis(200);
-/// Pause after a question that failed.
+/// Delay after a failed poll.
 const RETRY_DELAY: Micros = Micros::from_millis(400);
-/// Time limit of a question, beyond the time it is held.
+/// Timeout of a poll, in addition to the time for which it is held.
 const EXTRA_TIMEOUT: Duration = Duration::from_millis(500);
-/// Digests in which a change is told: some may get lost.
+/// Number of digests that contain a change: some may get lost.
 const DIGESTS_PER_CHANGE: u64 = 3;
-/// Age of an answer up to which it is told.
+/// Time after a store's latest response for which updates about it are sent.
 const MAX_UPDATE_AGE: Micros = Micros::from_millis(1_500);
-/// Changes of one store that are told at most.
+/// Maximum number of changes in the update of one store.
 const MAX_CHANGES: usize = 400;
 
-/// Stores of kept parts that are read for all fronts: each front by itself asked each store,
-/// which at a hundred fronts was most of what the stores could hold.
+/// KV stores that are polled on behalf of all fronts. When each front polled each store itself, a
+/// hundred fronts used most of the polls that the stores could hold at once.
 #[derive(Debug, Default)]
 pub(crate) struct PolledStores {
     requested: BTreeMap<SocketAddr, Micros>,
     polled: BTreeMap<SocketAddr, PolledStore>,
 }
 
-/// What was read of one store.
+/// Latest responses of one store.
 #[derive(Debug)]
 struct PolledStore {
     epoch: u64,
@@ -72,7 +72,7 @@
         }
     }
 
-    /// Drops what was told often enough, by digests with this pause.
+    /// Removes changes that enough digests, sent at this interval, have contained.
     fn prune(
         &mut self,
         digest_interval: Micros,
@@ -89,7 +89,7 @@
 }
 
 impl PolledStores {
-    /// Takes that a front wants this store to be read.
+    /// Records a front's request to poll this store.
     pub fn request(
         &mut self,
         store: SocketAddr,
@@ -100,7 +100,7 @@
         }
     }
 
-    /// What has been read lately, for digests with this pause.
+    /// Updates of stores that responded recently, for digests sent at this interval.
     pub fn recent_updates(
         &mut self,
         digest_interval: Micros,
@@ -139,7 +139,7 @@
             clock_ms: None,
             sent_at,
             answered_at: now,
-            // What came before is not known here: whoever lacks it asks the store.
+            // Earlier changes are unknown here: a front that lacks them polls the store itself.
             from: changes.next,
             next: changes.next,
             parts: VecDeque::new(),
@@ -175,7 +175,7 @@
     }
 }
 
-/// Keeps a task for each store that fronts want to be read.
+/// Runs a polling task for each store that fronts requested.
 pub(crate) async fn poll_stores(agent: Rc<EngineAgentContext>) {
     let mut polling: BTreeMap<SocketAddr, ()> = BTreeMap::new();
     loop {
