--- a/agent/src/engine_agent/digest_sender.rs
+++ b/agent/src/engine_agent/digest_sender.rs
@@ -197,7 +197,7 @@
     }
 }
 
-/// Interval between digests that forward what fronts or this agent have read from stores.
+/// Interval between digests that repeat what fronts or this agent have read from stores.
 fn forward_interval(digest_interval: Micros) -> Micros {
     FORWARD_INTERVAL.max(digest_interval)
 }
--- a/agent/src/engine_agent/engine_agent_context.rs
+++ b/agent/src/engine_agent/engine_agent_context.rs
@@ -218,7 +218,7 @@
         let is_known = self
             .leaving
             .as_ref()
-            .is_some_and(|(leaving, _)| leaving == id);
+            .is_some_and(|(leaving_id, _)| leaving_id == id);
         let leaving = self.leaving.as_ref().map(|(_, leaving)| leaving);
         let is_later = leaving.is_none_or(|leaving| incarnation.is_later_than(leaving));
         if is_leaving && (!is_known || is_later) {
@@ -248,7 +248,7 @@
         if self
             .leaving
             .as_ref()
-            .is_some_and(|(leaving, _)| leaving == id)
+            .is_some_and(|(leaving_id, _)| leaving_id == id)
         {
             return None;
         }
--- a/agent/src/engine_agent/snapshot_cache.rs
+++ b/agent/src/engine_agent/snapshot_cache.rs
@@ -24,7 +24,8 @@
     front: SocketAddr,
     content_hash: u64,
     received_at: Micros,
-    /// Lower bound of the time of the platform store read that the snapshot is based on.
+    /// Time of the platform store read that the snapshot is based on; a greeting of unknown age
+    /// counts as just sent.
     read_at: Micros,
     is_same_domain: bool,
 }
