--- a/agent/src/engine_agent/engine_agent_process.rs
+++ b/agent/src/engine_agent/engine_agent_process.rs
@@ -1,7 +1,8 @@
 use {
     super::{
-        send_orders, serve_snapshot, receive_greetings, refresh_snapshot, poll_stores, send_digests,
-        serve_metrics, poll_reports, poll_cache_changes, EngineAgentContext, EngineAgentSettings,
+        poll_cache_changes, poll_reports, poll_stores, receive_greetings, refresh_snapshot,
+        send_digests, send_orders, serve_metrics, serve_snapshot, EngineAgentContext,
+        EngineAgentSettings,
     },
     anyhow::Context,
     pitchhitch_http1::serve_paths,
@@ -11,14 +12,13 @@
     std::time::Duration,
 };
 
-/// How often lines of the log are written out.
+/// Interval at which buffered log lines are written.
 const LOG_FLUSH_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Runs the process beside an engine until it is asked to stop; `reload` reads
-/// the settings again.
+/// Runs the agent of an engine until a stop signal; `reload` reads the settings again.
 ///
 /// # Errors
-/// When an address cannot be bound or a signal cannot be watched.
+/// If an address cannot be bound or signals cannot be watched.
 pub async fn run_engine_agent(
     settings: EngineAgentSettings,
     reload: &dyn Fn() -> Result<EngineAgentSettings, String>,
@@ -60,7 +60,8 @@
     Ok(())
 }
 
-/// New settings are checked and compared; what they change needs a restart.
+/// Waits for a stop signal. On a reload signal, checks the new settings and logs whether they
+/// differ; a change takes effect at the next restart only.
 async fn wait_for_stop(
     agent: &EngineAgentContext,
     signals: &mut SignalListener,
