--- a/agent/src/engine_agent/order_sender.rs
+++ b/agent/src/engine_agent/order_sender.rs
@@ -6,7 +6,7 @@
     },
     pitchhitch_http1::HttpClient,
     pitchhitch_platform::{
-        read_order_row, send_order, acquire_order_row, OrderResponse, StoreClient, StoreError,
+        acquire_order_row, read_order_row, send_order, OrderResponse, StoreClient, StoreError,
         WeightOrder,
     },
     std::{rc::Rc, time::Duration},
@@ -123,7 +123,8 @@
     let settings = &agent.settings;
     let row = read_order_row(store, settings.engine).await?;
     let sent_at = agent.now();
-    let position = acquire_order_row(store, settings.engine, row.as_ref(), &settings.box_id).await?;
+    let position =
+        acquire_order_row(store, settings.engine, row.as_ref(), &settings.box_id).await?;
     right.on_row_written(position, sent_at, agent.now());
     Ok(position)
 }
--- a/agent/src/engine_agent/report_poller.rs
+++ b/agent/src/engine_agent/report_poller.rs
@@ -1,6 +1,6 @@
 use {
     super::EngineAgentContext,
-    pitchhitch_http1::{HttpRequest, HttpClient},
+    pitchhitch_http1::{HttpClient, HttpRequest},
     pitchhitch_platform::{decode_report, EngineReport, REPORT_PATH},
     pitchhitch_process::to_duration,
     smol::Timer,
--- a/wire/src/engine_agent/snapshot_client.rs
+++ b/wire/src/engine_agent/snapshot_client.rs
@@ -1,7 +1,7 @@
 use {
     super::{SnapshotError, StateSnapshot, STATE_PATH},
     crate::beacon::BeaconKey,
-    pitchhitch_http1::{HttpRequest, HttpClient},
+    pitchhitch_http1::{HttpClient, HttpRequest},
     std::{net::SocketAddr, time::Duration},
 };
 
