--- a/entry/src/front/caller_conn.rs
+++ b/entry/src/front/caller_conn.rs
@@ -1,5 +1,5 @@
 use {
-    super::{run_request, FrontContext, RequestEnd},
+    super::{run_request, ConnectionReuse, FrontContext},
     futures_lite::future::or,
     pitchhitch_core::{
         serving::{CallerLimits, RefusalKind},
@@ -15,54 +15,54 @@
 };
 
 /// Longest time between two pieces of a body.
-const BODY_PAUSE: Micros = Micros::from_secs(5);
+const BODY_READ_TIMEOUT: Micros = Micros::from_secs(5);
 /// How often a resting connection looks whether the process stops.
-const STOP_CHECK: Micros = Micros::from_millis(500);
+const STOP_CHECK_INTERVAL: Micros = Micros::from_millis(500);
 /// Bytes of bodies that are held for each megabyte of the process: a fifth, as
 /// each is also copied once on its way to an endpoint.
 const BODY_BYTES_PER_MB: u64 = 200_000;
 /// Bodies below this are taken in any case, in bytes.
-const SMALL_BODY: u64 = 64 << 10;
+const ALWAYS_ACCEPTED_BYTES: u64 = 64 << 10;
 /// Time for a refusal to go out before the connection closes.
-const LAST_WORD: Micros = Micros::from_secs(1);
+const REFUSAL_WRITE_TIMEOUT: Micros = Micros::from_secs(1);
 
 /// A request that has come whole.
 #[derive(Debug)]
-pub(crate) struct WholeRequest {
+pub(crate) struct ReceivedRequest {
     /// Head.
     pub head: RequestHead,
     /// Body, out of its framing.
     pub body: Vec<u8>,
     /// When its first byte was seen.
-    pub came_at: Micros,
+    pub arrived_at: Micros,
 }
 
-enum Arrival {
-    Whole(WholeRequest),
-    Refused(RefusalKind),
-    End,
+enum ReadOutcome {
+    Request(ReceivedRequest),
+    Rejected(RefusalKind),
+    Closed,
 }
 
 /// Serves the requests of one connection, one after another.
 pub(crate) async fn serve_caller(
     front: Rc<FrontContext>,
-    mut link: ByteLink,
+    mut connection: ByteLink,
 ) {
     loop {
         let limits = limits(&front);
-        match next_request(&front, &mut link, &limits).await {
-            Arrival::Whole(request) => {
-                let held = request.body.len() as u64;
-                front.state().took(held);
-                let end = run_request(&front, &mut link, request).await;
-                front.state().gave_back(held);
-                if end == RequestEnd::Close {
+        match read_request(&front, &mut connection, &limits).await {
+            ReadOutcome::Request(request) => {
+                let body_bytes = request.body.len() as u64;
+                front.state().took(body_bytes);
+                let end = run_request(&front, &mut connection, request).await;
+                front.state().gave_back(body_bytes);
+                if end == ConnectionReuse::Close {
                     return;
                 }
-                link.shrink();
+                connection.shrink();
             }
-            Arrival::Refused(kind) => return refuse(&front, &mut link, kind).await,
-            Arrival::End => return,
+            ReadOutcome::Rejected(kind) => return refuse(&front, &mut connection, kind).await,
+            ReadOutcome::Closed => return,
         }
     }
 }
@@ -75,103 +75,105 @@
         .map_or_else(CallerLimits::default, |config| config.limits)
 }
 
-async fn next_request(
+async fn read_request(
     front: &FrontContext,
-    link: &mut ByteLink,
+    connection: &mut ByteLink,
     limits: &CallerLimits,
-) -> Arrival {
-    if link.unused().is_empty() && !wait_for_first_byte(front, link, limits.idle_timeout).await {
-        return Arrival::End;
+) -> ReadOutcome {
+    if connection.unused().is_empty()
+        && !wait_for_first_byte(front, connection, limits.idle_timeout).await
+    {
+        return ReadOutcome::Closed;
     }
-    let came_at = front.now();
-    let head = match within(
+    let arrived_at = front.now();
+    let head = match with_timeout(
         limits.header_timeout,
-        read_head(link, limits.max_header_bytes),
+        read_head(connection, limits.max_header_bytes),
     )
     .await
     {
         Some(Ok(Some(head))) => head,
-        Some(Ok(None)) => return Arrival::End,
-        Some(Err(kind)) => return Arrival::Refused(kind),
-        None => return Arrival::Refused(RefusalKind::SlowRequest),
+        Some(Ok(None)) => return ReadOutcome::Closed,
+        Some(Err(kind)) => return ReadOutcome::Rejected(kind),
+        None => return ReadOutcome::Rejected(RefusalKind::SlowRequest),
     };
-    if !has_room(front, &head) {
-        return Arrival::Refused(RefusalKind::Overloaded);
+    if !has_capacity(front, &head) {
+        return ReadOutcome::Rejected(RefusalKind::Overloaded);
     }
-    match read_body(link, &head, limits).await {
-        Ok(Some(body)) => Arrival::Whole(WholeRequest {
+    match read_body(connection, &head, limits).await {
+        Ok(Some(body)) => ReadOutcome::Request(ReceivedRequest {
             head,
             body,
-            came_at,
+            arrived_at,
         }),
-        Ok(None) => Arrival::End,
-        Err(kind) => Arrival::Refused(kind),
+        Ok(None) => ReadOutcome::Closed,
+        Err(kind) => ReadOutcome::Rejected(kind),
     }
 }
 
 /// Whether the process has memory for the body that the head tells of, beside
 /// those it holds: over its limit it would be ended.
-fn has_room(
+fn has_capacity(
     front: &FrontContext,
     head: &RequestHead,
 ) -> bool {
-    let told = head
+    let content_length = head
         .fields
         .text("content-length")
         .and_then(|text| text.parse().ok());
-    let wanted: u64 = told.unwrap_or(0);
-    let room = front.settings.memory_mb * BODY_BYTES_PER_MB;
-    wanted < SMALL_BODY || front.state().body_bytes + wanted <= room
+    let body_bytes: u64 = content_length.unwrap_or(0);
+    let capacity = front.settings.memory_mb * BODY_BYTES_PER_MB;
+    body_bytes < ALWAYS_ACCEPTED_BYTES || front.state().body_bytes + body_bytes <= capacity
 }
 
 /// False where the connection ends, rests for too long or the process stops.
 async fn wait_for_first_byte(
     front: &FrontContext,
-    link: &mut ByteLink,
-    idle_time: Micros,
+    connection: &mut ByteLink,
+    idle_timeout: Micros,
 ) -> bool {
-    let rests_since = front.now();
+    let idle_since = front.now();
     loop {
-        let read = within(STOP_CHECK, link.read_more()).await;
+        let read = with_timeout(STOP_CHECK_INTERVAL, connection.read_more()).await;
         match read {
             Some(Ok(count)) => return count > 0,
             Some(Err(_)) => return false,
             None => {}
         }
-        let rested = front.now().since(rests_since);
-        let is_over = rested > idle_time || front.state().closes_idle;
+        let idle_for = front.now().since(idle_since);
+        let must_close = idle_for > idle_timeout || front.state().closes_idle;
         // The last look is at the socket: a request that is there is served.
-        if is_over && link.idle_state() != IdleState::Unasked {
+        if must_close && connection.idle_state() != IdleState::Unasked {
             return false;
         }
-        if !link.unused().is_empty() {
+        if !connection.unused().is_empty() {
             return true;
         }
     }
 }
 
 async fn read_head(
-    link: &mut ByteLink,
+    connection: &mut ByteLink,
     limit: usize,
 ) -> Result<Option<RequestHead>, RefusalKind> {
     loop {
-        match read_request_head(link.unused(), limit) {
+        match read_request_head(connection.unused(), limit) {
             Ok(Some((head, length))) => {
-                link.use_up(length);
+                connection.use_up(length);
                 return Ok(Some(head));
             }
             Ok(None) => {}
             Err(HeadError::TooLong) => return Err(RefusalKind::HeadTooLong),
             Err(_) => return Err(RefusalKind::BadRequest),
         }
-        if !matches!(link.read_more().await, Ok(count) if count > 0) {
+        if !matches!(connection.read_more().await, Ok(count) if count > 0) {
             return Ok(None);
         }
     }
 }
 
 async fn read_body(
-    link: &mut ByteLink,
+    connection: &mut ByteLink,
     head: &RequestHead,
     limits: &CallerLimits,
 ) -> Result<Option<Vec<u8>>, RefusalKind> {
@@ -181,22 +183,22 @@
     }
     let mut decoder = BodyDecoder::new(framing);
     let mut body = Vec::new();
-    if !decoder.is_done() && link.unused().is_empty() && waits_to_send(head) {
-        let word = link.write_all(b"HTTP/1.1 100 Continue\r\n\r\n").await;
-        if word.is_err() {
+    if !decoder.is_done() && connection.unused().is_empty() && waits_to_send(head) {
+        let written = connection.write_all(b"HTTP/1.1 100 Continue\r\n\r\n").await;
+        if written.is_err() {
             return Ok(None);
         }
     }
     loop {
-        let used = decoder.decode(link.unused(), &mut body);
-        link.use_up(used.map_err(|_| RefusalKind::BadRequest)?);
+        let used = decoder.decode(connection.unused(), &mut body);
+        connection.use_up(used.map_err(|_| RefusalKind::BadRequest)?);
         if body.len() > limits.max_body_bytes {
             return Err(RefusalKind::BodyTooLong);
         }
         if decoder.is_done() {
             return Ok(Some(body));
         }
-        match within(BODY_PAUSE, link.read_more()).await {
+        match with_timeout(BODY_READ_TIMEOUT, connection.read_more()).await {
             Some(Ok(count)) if count > 0 => {}
             Some(_) => return Ok(None),
             None => return Err(RefusalKind::SlowRequest),
@@ -206,25 +208,25 @@
 
 async fn refuse(
     front: &FrontContext,
-    link: &mut ByteLink,
+    connection: &mut ByteLink,
     kind: RefusalKind,
 ) {
-    let row = kind.response();
-    log::info!(event = "refused", kind = row.code, status = row.status; "");
-    front.metrics.count("refused", row.code);
-    let answer = encode_refusal(kind, &row, "", true);
+    let response = kind.response();
+    log::info!(event = "refused", kind = response.code, status = response.status; "");
+    front.metrics.count("refused", response.code);
+    let bytes = encode_refusal(kind, &response, "", true);
     // A caller that does not read its refusal gets none.
-    let _ = within(LAST_WORD, link.write_all(&answer)).await;
+    let _ = with_timeout(REFUSAL_WRITE_TIMEOUT, connection.write_all(&bytes)).await;
 }
 
 /// Waits at most so long.
-pub(crate) async fn within<T>(
+pub(crate) async fn with_timeout<T>(
     limit: Micros,
-    work: impl std::future::Future<Output = T>,
+    future: impl std::future::Future<Output = T>,
 ) -> Option<T> {
-    let late = async {
+    let timed_out = async {
         Timer::after(to_duration(limit)).await;
         None
     };
-    or(async { Some(work.await) }, late).await
+    or(async { Some(future.await) }, timed_out).await
 }
--- a/entry/src/front/digest_watch.rs
+++ b/entry/src/front/digest_watch.rs
@@ -1,6 +1,6 @@
 use {
     super::{
-        is_engine, learn_weights, log_changes, reader_number, take_store_news, FrontContext,
+        is_engine, log_changes, reader_number, take_store_news, update_weights, FrontContext,
         FrontState, TableProofs,
     },
     pitchhitch_core::{
@@ -334,7 +334,7 @@
                 ""
             );
         }
-        learn_weights(entry, model, *version, "digest");
+        update_weights(entry, model, *version, "digest");
     }
 }
 
--- a/entry/src/front/event_splitter.rs
+++ b/entry/src/front/event_splitter.rs
@@ -1,39 +1,39 @@
 /// Longest event that is held until it is whole, in bytes.
-const EVENT_LIMIT: usize = 1 << 20;
+const MAX_EVENT_BYTES: usize = 1 << 20;
 
 /// Cuts a stream into whole events: a part of one is never passed on.
 #[derive(Debug, Default)]
 pub(crate) struct EventSplitter {
-    held: Vec<u8>,
+    buffer: Vec<u8>,
     last_id: Option<String>,
     version: Option<u64>,
 }
 
 impl EventSplitter {
     /// Takes bytes of the stream and gives back the events that are whole now.
-    pub fn take(
+    pub fn feed(
         &mut self,
         bytes: &[u8],
     ) -> Vec<u8> {
-        self.held.extend_from_slice(bytes);
-        let end = match whole_length(&self.held) {
-            0 if self.held.len() > EVENT_LIMIT => self.held.len(),
+        self.buffer.extend_from_slice(bytes);
+        let end = match complete_length(&self.buffer) {
+            0 if self.buffer.len() > MAX_EVENT_BYTES => self.buffer.len(),
             end => end,
         };
-        let rest = self.held.split_off(end);
-        let events = std::mem::replace(&mut self.held, rest);
-        self.read_marks(&events);
+        let partial_event = self.buffer.split_off(end);
+        let events = std::mem::replace(&mut self.buffer, partial_event);
+        self.parse_fields(&events);
         events
     }
 
     /// What is held of an event that is not whole.
-    pub fn rest(&self) -> &[u8] {
-        &self.held
+    pub fn partial_event(&self) -> &[u8] {
+        &self.buffer
     }
 
     /// Forgets what is held: the stream goes on elsewhere.
-    pub fn drop_rest(&mut self) {
-        self.held.clear();
+    pub fn discard_partial(&mut self) {
+        self.buffer.clear();
     }
 
     /// Id of the last whole event.
@@ -46,7 +46,7 @@
         self.version
     }
 
-    fn read_marks(
+    fn parse_fields(
         &mut self,
         events: &[u8],
     ) {
@@ -62,7 +62,7 @@
 }
 
 /// Length of the whole events at the beginning.
-fn whole_length(bytes: &[u8]) -> usize {
+fn complete_length(bytes: &[u8]) -> usize {
     let mut end = bytes.len();
     while end >= 2 {
         let Some(at) = bytes[..end].iter().rposition(|byte| *byte == b'\n') else {
--- a/entry/src/front/front_process.rs
+++ b/entry/src/front/front_process.rs
@@ -1,7 +1,7 @@
 use {
     super::{
-        answer_control, ask_peers, greet_engines, hear_digests, keep_held, serve_caller, stand_in,
-        stay_told, tend_endpoints, tend_parts, watch_list, watch_operator, watch_stores,
+        ask_peers, greet_engines, handle_control, hear_digests, keep_held, serve_caller, stand_in,
+        stay_told, tend_endpoints, track_engines, watch_list, watch_operator, watch_stores,
         FrontContext, FrontSettings,
     },
     anyhow::Context,
@@ -53,9 +53,9 @@
     let socket = BesideSocket::bind(settings.digests).await;
     let socket = socket.with_context(|| format!("cannot listen on {}", settings.digests))?;
     let socket = socket.with_key(settings.peer_key);
-    front.spawn(serve_small(settings.digests, front.clone(), answer_control).await?);
+    front.spawn(serve_small(settings.digests, front.clone(), handle_control).await?);
     if let Some(control) = settings.control {
-        front.spawn(serve_small(control, front.clone(), answer_control).await?);
+        front.spawn(serve_small(control, front.clone(), handle_control).await?);
     }
     front.spawn(ask_peers(front.clone()));
     front.spawn(stay_told(front.clone()));
@@ -65,7 +65,7 @@
     front.spawn(watch_operator(front.clone()));
     front.spawn(watch_list(front.clone()));
     front.spawn(tend_endpoints(front.clone()));
-    front.spawn(tend_parts(front.clone()));
+    front.spawn(track_engines(front.clone()));
     front.spawn(keep_held(front.clone()));
     front.spawn(watch_stores(front.clone()));
     front.spawn(stand_in(front.clone()));
--- a/entry/src/front/front_state.rs
+++ b/entry/src/front/front_state.rs
@@ -1,5 +1,5 @@
 use {
-    super::{is_engine, EndProbe, FrontSettings, GreetingPlan, LinkPool, StoreReaders},
+    super::{is_engine, ConnectionPool, ExitProbe, FrontSettings, GreetingPlan, StoreReaders},
     pitchhitch_core::{
         serving::{
             AdmissionController, CacheNamespace, EndpointEntry, EndpointKey, EndpointRegistry,
@@ -62,9 +62,9 @@
     /// Named weights and whose turn it is to load them.
     pub planner: SwapPlanner,
     /// Unused connections.
-    pub pool: LinkPool,
+    pub pool: ConnectionPool,
     /// Whether endpoints that broke connections off have ended.
-    pub ends: HashMap<EndpointKey, EndProbe>,
+    pub ends: HashMap<EndpointKey, ExitProbe>,
     /// Requests under which endpoints ended.
     pub suspects: SuspectTracker,
     /// Runs of such requests.
@@ -115,7 +115,7 @@
             memory: StoreDirectory::without(settings.left_out),
             reads: FetchCompletion::default(),
             planner: SwapPlanner::default(),
-            pool: LinkPool::default(),
+            pool: ConnectionPool::default(),
             ends: HashMap::new(),
             suspects: SuspectTracker::default(),
             trials: TrialTable::default(),
--- a/entry/src/front/held_rows.rs
+++ b/entry/src/front/held_rows.rs
@@ -1,5 +1,5 @@
 use {
-    super::{note_contact, note_position, CallLimit, FrontContext},
+    super::{note_contact, note_position, CallTimeout, FrontContext},
     pitchhitch_core::{serving::SuspectReport, time::Micros},
     pitchhitch_platform::{RowPage, RowTable, RowValue, StoreClient, StoreError},
     pitchhitch_process::{to_duration, wall_seconds},
@@ -30,13 +30,13 @@
 /// Reads which requests are held back, then writes each change of those that this front
 /// holds back itself.
 pub(super) async fn keep_held(front: Rc<FrontContext>) {
-    let mut limit = CallLimit::default();
-    let mut client = StoreClient::new(front.settings.store, limit.next());
+    let mut limit = CallTimeout::default();
+    let mut client = StoreClient::new(front.settings.store, limit.timeout());
     let mut is_lost = false;
     let mut has_row = loop {
-        client.set_limit(limit.next());
+        client.set_limit(limit.timeout());
         let read = client.read_all(RowTable::Own).await;
-        limit.note(&read);
+        limit.record(&read);
         let noted =
             read.and_then(|page| note_position(&front, "held", page.position).map(|()| page));
         if let Ok(page) = noted {
@@ -121,7 +121,7 @@
 async fn write_row(
     front: &FrontContext,
     client: &mut StoreClient,
-    limit: &mut CallLimit,
+    limit: &mut CallTimeout,
 ) -> Result<(), StoreError> {
     let now = front.now();
     let suspects = {
@@ -137,9 +137,9 @@
         suspects,
     };
     let bytes = encode_body(&row).map_err(|e| StoreError::Unreadable(e.to_string()))?;
-    client.set_limit(limit.next());
+    client.set_limit(limit.timeout());
     let written = client.put(&own_key(front), &bytes).await;
-    limit.note(&written);
+    limit.record(&written);
     written?;
     log::info!(event = "held-written", outcome = "done", held = count; "");
     Ok(())
--- a/entry/src/front/link_pool.rs
+++ b/entry/src/front/link_pool.rs
@@ -5,26 +5,26 @@
 };
 
 /// Time for which an unused connection is kept where the endpoint does not say.
-const USUAL_KEEP: Micros = Micros::from_secs(4);
+const DEFAULT_KEEP_ALIVE: Micros = Micros::from_secs(4);
 /// Time before the endpoint's own limit at which a connection is not used any
 /// more, so that a request does not cross its end.
-const KEEP_MARGIN: Micros = Micros::from_millis(700);
+const KEEP_ALIVE_MARGIN: Micros = Micros::from_millis(700);
 /// Unused connections that are kept for one endpoint.
-const KEPT_LINKS: usize = 64;
+const MAX_IDLE_PER_ENDPOINT: usize = 64;
 
 #[derive(Debug)]
-struct IdleLink {
-    link: ByteLink,
-    use_until: Micros,
+struct IdleConnection {
+    connection: ByteLink,
+    usable_until: Micros,
 }
 
 /// Connections to endpoints that have no request on them.
 #[derive(Debug, Default)]
-pub(crate) struct LinkPool {
-    idle: HashMap<EndpointKey, Vec<IdleLink>>,
+pub(crate) struct ConnectionPool {
+    idle: HashMap<EndpointKey, Vec<IdleConnection>>,
 }
 
-impl LinkPool {
+impl ConnectionPool {
     /// Takes a connection that can be used, the one used last first.
     pub fn take(
         &mut self,
@@ -32,9 +32,10 @@
         now: Micros,
     ) -> Option<ByteLink> {
         let idle = self.idle.get_mut(&key)?;
-        while let Some(mut kept) = idle.pop() {
-            if now < kept.use_until && kept.link.idle_state() == IdleState::Quiet {
-                return Some(kept.link);
+        while let Some(mut candidate) = idle.pop() {
+            if now < candidate.usable_until && candidate.connection.idle_state() == IdleState::Quiet
+            {
+                return Some(candidate.connection);
             }
         }
         None
@@ -47,37 +48,39 @@
         now: Micros,
     ) -> bool {
         let idle = self.idle.get(&key);
-        idle.is_some_and(|idle| idle.iter().any(|kept| now < kept.use_until))
+        idle.is_some_and(|idle| idle.iter().any(|candidate| now < candidate.usable_until))
     }
 
     /// Keeps a connection whose request is over.
     pub fn put(
         &mut self,
         key: EndpointKey,
-        mut link: ByteLink,
-        keeps_for: Option<Micros>,
+        mut connection: ByteLink,
+        keep_alive: Option<Micros>,
         now: Micros,
     ) {
         let idle = self.idle.entry(key).or_default();
-        if idle.len() >= KEPT_LINKS || !link.unused().is_empty() {
+        if idle.len() >= MAX_IDLE_PER_ENDPOINT || !connection.unused().is_empty() {
             return;
         }
-        link.shrink();
-        let keep = keeps_for.unwrap_or(USUAL_KEEP).since(KEEP_MARGIN);
-        idle.push(IdleLink {
-            link,
-            use_until: now + keep,
+        connection.shrink();
+        let usable_for = keep_alive
+            .unwrap_or(DEFAULT_KEEP_ALIVE)
+            .since(KEEP_ALIVE_MARGIN);
+        idle.push(IdleConnection {
+            connection,
+            usable_until: now + usable_for,
         });
     }
 
     /// Closes what is too old, and all for endpoints that `is_known` denies.
-    pub fn sweep(
+    pub fn remove_expired(
         &mut self,
         now: Micros,
         is_known: impl Fn(EndpointKey) -> bool,
     ) {
         self.idle.retain(|key, idle| {
-            idle.retain(|kept| now < kept.use_until);
+            idle.retain(|candidate| now < candidate.usable_until);
             !idle.is_empty() && is_known(*key)
         });
     }
--- a/entry/src/front/list_watch.rs
+++ b/entry/src/front/list_watch.rs
@@ -1,6 +1,6 @@
 use {
     super::{
-        ask_returned, begin_slow_start, note_contact, note_position, CallLimit, ForeignRows,
+        begin_slow_start, note_contact, note_position, probe_rejoined, CallTimeout, ForeignRows,
         FrontContext, ReadWait,
     },
     pitchhitch_core::{
@@ -26,8 +26,8 @@
 
 /// Keeps the list of endpoints fresh.
 pub(crate) async fn watch_list(front: Rc<FrontContext>) {
-    let mut limit = CallLimit::default();
-    let mut client = StoreClient::new(front.settings.store, limit.next());
+    let mut limit = CallTimeout::default();
+    let mut client = StoreClient::new(front.settings.store, limit.timeout());
     let mut foreign = ForeignRows::new("list");
     let mut seen: Option<StorePosition> = None;
     let mut is_lost = false;
@@ -48,7 +48,7 @@
             wait.wait(&front).await;
         }
         sent_at = front.now();
-        client.set_limit(limit.next());
+        client.set_limit(limit.timeout());
         let read = match seen {
             Some(after) => {
                 client
@@ -57,7 +57,7 @@
             }
             None => client.read_all(RowTable::Endpoints).await,
         };
-        limit.note(&read);
+        limit.record(&read);
         let now = front.now();
         if read.is_err() || now.since(sent_at) > SLOW_LOOK {
             trouble_at = Some(now);
@@ -105,7 +105,7 @@
 /// Asks endpoints that came back, and forgets those that are over.
 pub(crate) async fn tend_endpoints(front: Rc<FrontContext>) {
     loop {
-        ask_returned(&front);
+        probe_rejoined(&front);
         tidy(&front);
         front.rest(TEND_PAUSE).await;
     }
@@ -271,6 +271,8 @@
     state.book.prune(now);
     state.suspects.prune(now);
     let book = &state.book;
-    state.pool.sweep(now, |key| book.get(key).is_some());
+    state
+        .pool
+        .remove_expired(now, |key| book.get(key).is_some());
     state.ends.retain(|key, _| book.get(*key).is_some());
 }
--- a/entry/src/front/offer.rs
+++ b/entry/src/front/offer.rs
@@ -7,14 +7,14 @@
 };
 
 /// Longest head of an answer, in bytes.
-const HEAD_LIMIT: usize = 32 << 10;
+const MAX_HEAD_BYTES: usize = 32 << 10;
 /// Answers to other requests that are passed over before the connection is
 /// given up.
-const SURPLUS_LIMIT: u32 = 2;
+const MAX_STRAY_RESPONSES: u32 = 2;
 
 /// Why an endpoint gave no answer that can be used.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum OfferFailure {
+pub(crate) enum ExchangeFailure {
     /// Nothing was sent.
     NotSent,
     /// The connection ended; the endpoint may have run the request.
@@ -31,32 +31,32 @@
 
 /// A connection to an endpoint with one request on it.
 #[derive(Debug)]
-pub(crate) struct OpenOffer {
+pub(crate) struct EndpointExchange {
     /// Connection.
-    pub link: ByteLink,
+    pub connection: ByteLink,
     /// Whether all of the request went out.
-    pub is_sent_whole: bool,
+    pub is_fully_sent: bool,
     /// Whether the connection can take another request.
-    pub is_kept: bool,
+    pub is_reusable: bool,
     /// Time for which the endpoint keeps it, where it says so.
-    pub keeps_for: Option<Micros>,
+    pub keep_alive: Option<Micros>,
 }
 
-impl OpenOffer {
+impl EndpointExchange {
     /// An offer on a connection that has nothing else on it.
-    pub fn new(link: ByteLink) -> Self {
-        OpenOffer {
-            link,
-            is_sent_whole: false,
-            is_kept: false,
-            keeps_for: None,
+    pub fn new(connection: ByteLink) -> Self {
+        EndpointExchange {
+            connection,
+            is_fully_sent: false,
+            is_reusable: false,
+            keep_alive: None,
         }
     }
 }
 
 /// The head of an answer to the request.
 #[derive(Debug)]
-pub(crate) struct OfferAnswer {
+pub(crate) struct EndpointResponse {
     /// Head.
     pub head: AnswerHead,
     /// What it says.
@@ -68,39 +68,39 @@
 /// Sends a request and waits for the head of its answer.
 ///
 /// Returns also whether a byte may have reached the endpoint.
-pub(crate) async fn send_offer(
-    offer: &mut OpenOffer,
+pub(crate) async fn send_request(
+    exchange: &mut EndpointExchange,
     bytes: &[u8],
     request_id: &str,
     caller: &mut ByteLink,
     timer: &mut DeadlineTimer,
-) -> (Result<OfferAnswer, OfferFailure>, bool) {
+) -> (Result<EndpointResponse, ExchangeFailure>, bool) {
     let mut sent = 0;
-    let mut surplus = 0;
+    let mut stray_responses = 0;
     loop {
         if sent < bytes.len() {
-            match offer.link.try_write(&bytes[sent..]) {
+            match exchange.connection.try_write(&bytes[sent..]) {
                 Ok(count) => sent += count,
-                Err(_) if sent == 0 => return (Err(OfferFailure::NotSent), false),
+                Err(_) if sent == 0 => return (Err(ExchangeFailure::NotSent), false),
                 // What it answered before it closed may still be there.
                 Err(_) => sent = bytes.len(),
             }
-            offer.is_sent_whole = sent == bytes.len();
+            exchange.is_fully_sent = sent == bytes.len();
         }
         let wants_write = sent < bytes.len();
-        match wait_for_endpoint(&offer.link, wants_write, caller, timer).await {
-            WakeReason::Writable => continue,
-            WakeReason::CallerGone => return (Err(OfferFailure::CallerGone), sent > 0),
-            WakeReason::Late => return (Err(OfferFailure::Late), sent > 0),
-            WakeReason::Endpoint => {}
+        match wait_for_endpoint(&exchange.connection, wants_write, caller, timer).await {
+            WakeReason::EndpointWritable => continue,
+            WakeReason::CallerGone => return (Err(ExchangeFailure::CallerGone), sent > 0),
+            WakeReason::TimedOut => return (Err(ExchangeFailure::Late), sent > 0),
+            WakeReason::EndpointReadable => {}
         }
-        match offer.link.try_read() {
+        match exchange.connection.try_read() {
             Ok(None) => continue,
-            Ok(Some(0)) | Err(_) => return (Err(OfferFailure::Lost), sent > 0),
+            Ok(Some(0)) | Err(_) => return (Err(ExchangeFailure::Lost), sent > 0),
             Ok(Some(_)) => {}
         }
-        match next_answer(offer, request_id, &mut surplus, caller, timer).await {
-            Ok(Some(answer)) => return (Ok(answer), true),
+        match next_response(exchange, request_id, &mut stray_responses, caller, timer).await {
+            Ok(Some(response)) => return (Ok(response), true),
             Ok(None) => {}
             Err(failure) => return (Err(failure), true),
         }
@@ -108,69 +108,79 @@
 }
 
 /// The answer to the request, if its head is there; others are passed over.
-async fn next_answer(
-    offer: &mut OpenOffer,
+async fn next_response(
+    exchange: &mut EndpointExchange,
     request_id: &str,
-    surplus: &mut u32,
+    stray_responses: &mut u32,
     caller: &mut ByteLink,
     timer: &mut DeadlineTimer,
-) -> Result<Option<OfferAnswer>, OfferFailure> {
+) -> Result<Option<EndpointResponse>, ExchangeFailure> {
     loop {
-        let found = read_answer_head(offer.link.unused(), HEAD_LIMIT);
-        let Some((head, length)) = found.map_err(|_| OfferFailure::Garbled)? else {
+        let parsed = read_answer_head(exchange.connection.unused(), MAX_HEAD_BYTES);
+        let Some((head, length)) = parsed.map_err(|_| ExchangeFailure::Garbled)? else {
             return Ok(None);
         };
-        offer.link.use_up(length);
+        exchange.connection.use_up(length);
         if head.status < 200 {
             continue;
         }
         let marks = decode_marks(&head);
         let framing = BodyFraming::of_answer(head.status, &head.fields);
-        let framing = framing.map_err(|_| OfferFailure::Garbled)?;
+        let framing = framing.map_err(|_| ExchangeFailure::Garbled)?;
         if marks.request_id.as_deref() == Some(request_id) {
-            return Ok(Some(OfferAnswer {
+            return Ok(Some(EndpointResponse {
                 head,
                 marks,
                 framing,
             }));
         }
-        *surplus += 1;
-        let is_bounded = framing != BodyFraming::UntilClose;
-        if !is_bounded || *surplus > SURPLUS_LIMIT || marks.request_id.is_none() {
-            return Err(OfferFailure::Garbled);
+        *stray_responses += 1;
+        let has_known_end = framing != BodyFraming::UntilClose;
+        if !has_known_end || *stray_responses > MAX_STRAY_RESPONSES || marks.request_id.is_none() {
+            return Err(ExchangeFailure::Garbled);
         }
-        read_rest(offer, framing, &mut Vec::new(), usize::MAX, caller, timer).await?;
+        read_response_body(
+            exchange,
+            framing,
+            &mut Vec::new(),
+            usize::MAX,
+            caller,
+            timer,
+        )
+        .await?;
     }
 }
 
 /// Reads the body of an answer to its end; true where it is whole and not over
 /// `limit` bytes.
-pub(crate) async fn read_rest(
-    offer: &mut OpenOffer,
+pub(crate) async fn read_response_body(
+    exchange: &mut EndpointExchange,
     framing: BodyFraming,
     body: &mut Vec<u8>,
     limit: usize,
     caller: &mut ByteLink,
     timer: &mut DeadlineTimer,
-) -> Result<(), OfferFailure> {
+) -> Result<(), ExchangeFailure> {
     let mut decoder = BodyDecoder::new(framing);
     loop {
-        let used = decoder.decode(offer.link.unused(), body);
-        offer.link.use_up(used.map_err(|_| OfferFailure::Garbled)?);
+        let consumed = decoder.decode(exchange.connection.unused(), body);
+        exchange
+            .connection
+            .use_up(consumed.map_err(|_| ExchangeFailure::Garbled)?);
         if decoder.is_done() {
             return Ok(());
         }
         if body.len() > limit {
-            return Err(OfferFailure::Garbled);
+            return Err(ExchangeFailure::Garbled);
         }
-        match wait_for_endpoint(&offer.link, false, caller, timer).await {
-            WakeReason::Late => return Err(OfferFailure::Late),
-            WakeReason::CallerGone => return Err(OfferFailure::CallerGone),
-            WakeReason::Endpoint | WakeReason::Writable => {}
+        match wait_for_endpoint(&exchange.connection, false, caller, timer).await {
+            WakeReason::TimedOut => return Err(ExchangeFailure::Late),
+            WakeReason::CallerGone => return Err(ExchangeFailure::CallerGone),
+            WakeReason::EndpointReadable | WakeReason::EndpointWritable => {}
         }
-        match offer.link.try_read() {
+        match exchange.connection.try_read() {
             Ok(Some(0)) if decoder.is_endless() => return Ok(()),
-            Ok(Some(0)) | Err(_) => return Err(OfferFailure::Lost),
+            Ok(Some(0)) | Err(_) => return Err(ExchangeFailure::Lost),
             Ok(_) => {}
         }
     }
--- a/entry/src/front/operator_watch.rs
+++ b/entry/src/front/operator_watch.rs
@@ -1,7 +1,7 @@
 use {
     super::{
-        are_held, note_contact, note_position, own_tier, take_evacuations, CallLimit, ForeignRows,
-        FrontContext, ReadWait,
+        are_held, note_contact, note_position, own_tier, take_evacuations, CallTimeout,
+        ForeignRows, FrontContext, ReadWait,
     },
     futures_lite::future::or,
     pitchhitch_core::{
@@ -26,8 +26,8 @@
 
 /// Keeps the configuration fresh.
 pub(crate) async fn watch_operator(front: Rc<FrontContext>) {
-    let mut limit = CallLimit::default();
-    let mut client = StoreClient::new(front.settings.store, limit.next());
+    let mut limit = CallTimeout::default();
+    let mut client = StoreClient::new(front.settings.store, limit.timeout());
     let mut foreign = ForeignRows::new("operator");
     let mut seen: Option<StorePosition> = None;
     let mut mark = TableChecksum::default();
@@ -39,10 +39,10 @@
             read_wait(&front, sent_at, is_lost).wait(&front).await;
         }
         sent_at = front.now();
-        client.set_limit(limit.next());
-        let hold = limit.hold(to_duration(config_hold(&front, sent_at)));
+        client.set_limit(limit.timeout());
+        let hold = limit.poll_wait(to_duration(config_hold(&front, sent_at)));
         let read = read_operator(&front, &mut client, seen, hold).await;
-        limit.note(&read);
+        limit.record(&read);
         let outcome = match read {
             Ok(page) => note_position(&front, "operator", page.position).map(|()| {
                 if seen.replace(page.position).is_none() {
--- a/entry/src/front/orphan_engine.rs
+++ b/entry/src/front/orphan_engine.rs
@@ -1,5 +1,5 @@
 use {
-    super::{learn_weights, FrontContext},
+    super::{update_weights, FrontContext},
     pitchhitch_core::{
         serving::{EndpointKey, EngineLoad, OrderRight, SwapTurn},
         time::Micros,
@@ -250,6 +250,6 @@
         ..report.load
     });
     for (model, version) in &report.weights {
-        learn_weights(entry, model, *version, "report");
+        update_weights(entry, model, *version, "report");
     }
 }
--- a/entry/src/front/part_freeing.rs
+++ b/entry/src/front/part_freeing.rs
@@ -9,43 +9,48 @@
 };
 
 /// Parts freed by one call.
-const FREE_LIMIT: usize = 200;
+const MAX_PARTS_PER_CALL: usize = 200;
 /// Pause between two calls that free.
-const FREE_PAUSE: Micros = Micros::from_millis(300);
+const RECLAIM_INTERVAL: Micros = Micros::from_millis(300);
 /// Pause while no weights have been replaced.
-const CALM_PAUSE: Micros = Micros::from_millis(900);
+const IDLE_INTERVAL: Micros = Micros::from_millis(900);
 /// Looks that find parts held in a row before it is told: each proof lags a little.
-const HELD_LOOKS: u32 = 5;
+const MIN_DRAINING_POLLS: u32 = 5;
 
 /// Keeps it known which engines there are, whose fetches parts are held for.
-pub(crate) async fn tend_parts(front: Rc<FrontContext>) {
+pub(crate) async fn track_engines(front: Rc<FrontContext>) {
     loop {
-        front.rest(FREE_PAUSE).await;
-        note_engines(&front);
+        front.rest(RECLAIM_INTERVAL).await;
+        update_engines(&front);
     }
 }
 
 /// Frees parts that were made under weights which nobody fetches for any more.
-pub(super) async fn free_old_parts(
+pub(super) async fn reclaim_outdated_parts(
     front: Rc<FrontContext>,
     address: SocketAddr,
 ) {
     let mut client = KeptClient::new(address, CALL_LIMIT);
-    let mut held_looks = 0;
+    let mut draining_polls = 0;
     while has_view(&front, address) {
-        front.rest(free_pause(&front)).await;
-        let Some(OldParts { parts, epoch, held }) = old_parts(&front, address) else {
+        front.rest(reclaim_interval(&front)).await;
+        let Some(OutdatedParts {
+            parts,
+            epoch,
+            draining,
+        }) = find_outdated_parts(&front, address)
+        else {
             continue;
         };
-        let was_told = held_looks >= HELD_LOOKS;
-        held_looks = held.as_ref().map_or(0, |_| held_looks + 1);
-        if was_told != (held_looks >= HELD_LOOKS) {
-            log_held(&front, address, held.as_ref());
+        let was_logged = draining_polls >= MIN_DRAINING_POLLS;
+        draining_polls = draining.as_ref().map_or(0, |_| draining_polls + 1);
+        if was_logged != (draining_polls >= MIN_DRAINING_POLLS) {
+            log_draining(&front, address, draining.as_ref());
         }
         if parts.is_empty() {
             continue;
         }
-        let clock_ms = store_clock(&front, address);
+        let clock_ms = store_clock_ms(&front, address);
         let is_freed = client.free(&parts, epoch).await;
         log::info!(
             event = "kept-free",
@@ -59,9 +64,9 @@
         if is_freed {
             let mut state = front.state();
             for (salt, id) in &parts {
-                let wall = state.wall(salt);
+                let namespace = state.wall(salt);
                 if let Some(view) = state.memory.view_mut(address) {
-                    view.set_part(wall, *id, 0);
+                    view.set_part(namespace, *id, 0);
                 }
             }
         }
@@ -69,19 +74,23 @@
 }
 
 /// Pause until it is looked for parts to be freed: few weights are replaced.
-fn free_pause(front: &FrontContext) -> Micros {
-    let walls = front.state().walls();
+fn reclaim_interval(front: &FrontContext) -> Micros {
+    let namespaces = front.state().walls();
     let state = front.state();
-    let is_old =
-        |wall: &CacheNamespace| state.planner.published_version(&wall.model) > Some(wall.version);
-    match walls.iter().any(|(wall, _)| is_old(wall)) {
-        true => FREE_PAUSE,
-        false => CALM_PAUSE,
+    let is_outdated = |namespace: &CacheNamespace| {
+        state.planner.published_version(&namespace.model) > Some(namespace.version)
+    };
+    match namespaces
+        .iter()
+        .any(|(namespace, _)| is_outdated(namespace))
+    {
+        true => RECLAIM_INTERVAL,
+        false => IDLE_INTERVAL,
     }
 }
 
 /// Takes which engines there are: those of which nothing is heard count as well.
-fn note_engines(front: &FrontContext) {
+fn update_engines(front: &FrontContext) {
     let now = front.now();
     let mut guard = front.state();
     let state = &mut *guard;
@@ -109,26 +118,34 @@
     state.reads.prune(now);
 }
 
-fn log_held(
+fn log_draining(
     front: &FrontContext,
     address: SocketAddr,
-    held: Option<&CacheNamespace>,
+    draining: Option<&CacheNamespace>,
 ) {
     let state = front.state();
-    let last = held.map(|wall| state.reads.oldest_proven(&wall.model, wall.version));
-    let last: Vec<String> = last.iter().flatten().map(SocketAddr::to_string).collect();
+    let waits_for = draining.map(|namespace| {
+        state
+            .reads
+            .oldest_proven(&namespace.model, namespace.version)
+    });
+    let waits_for: Vec<String> = waits_for
+        .iter()
+        .flatten()
+        .map(SocketAddr::to_string)
+        .collect();
     log::info!(
         event = "kept-held",
         store = address.to_string().as_str(),
-        held = held.is_some(),
-        version = held.map_or(0, |wall| wall.version),
-        waits_for = last.join(",").as_str();
+        held = draining.is_some(),
+        version = draining.map_or(0, |namespace| namespace.version),
+        waits_for = waits_for.join(",").as_str();
         ""
     );
 }
 
 /// Time on the engines' clock, to set a free beside the times that fetches were given.
-fn store_clock(
+fn store_clock_ms(
     front: &FrontContext,
     address: SocketAddr,
 ) -> Option<u64> {
@@ -138,47 +155,58 @@
 }
 
 /// Parts at a store whose weights have been replaced.
-struct OldParts {
+struct OutdatedParts {
     /// Those that are freed now.
     parts: Vec<(String, PartId)>,
     /// Life of the store that this is known of.
     epoch: u64,
     /// Weights of some that are held until engines prove that they are done.
-    held: Option<CacheNamespace>,
+    draining: Option<CacheNamespace>,
 }
 
-fn old_parts(
+fn find_outdated_parts(
     front: &FrontContext,
     address: SocketAddr,
-) -> Option<OldParts> {
+) -> Option<OutdatedParts> {
     let now = front.now();
     let mut guard = front.state();
     if !guard.has_list {
         // Nobody knows yet which engines may have been told.
         return None;
     }
-    let walls = guard.walls();
+    let namespaces = guard.walls();
     let state = &mut *guard;
     let (planner, reads) = (&state.planner, &state.reads);
     let view = state.memory.view_mut(address)?;
     let epoch = view.epoch()?;
     let clock_ms = view.latest_clock_ms(now);
     let mut parts = Vec::new();
-    let mut held = None;
-    for (wall, tag) in walls {
-        if planner.published_version(&wall.model) <= Some(wall.version) {
+    let mut draining = None;
+    for (namespace, tag) in namespaces {
+        if planner.published_version(&namespace.model) <= Some(namespace.version) {
             continue;
         }
-        let salt = wall.salt();
-        let over_ms = reads.completed_until_ms(&wall.model, wall.version);
+        let salt = namespace.salt();
+        let completed_until_ms = reads.completed_until_ms(&namespace.model, namespace.version);
         for id in view.parts.parts_in(tag) {
-            match planner.reclaim_state(&wall.model, wall.version, id, over_ms, clock_ms, now) {
+            match planner.reclaim_state(
+                &namespace.model,
+                namespace.version,
+                id,
+                completed_until_ms,
+                clock_ms,
+                now,
+            ) {
                 ReclaimState::Fetchable => {}
-                ReclaimState::Draining => held = Some(wall.clone()),
+                ReclaimState::Draining => draining = Some(namespace.clone()),
                 ReclaimState::Reclaimable => parts.push((salt.clone(), id)),
             }
         }
     }
-    parts.truncate(FREE_LIMIT);
-    Some(OldParts { parts, epoch, held })
+    parts.truncate(MAX_PARTS_PER_CALL);
+    Some(OutdatedParts {
+        parts,
+        epoch,
+        draining,
+    })
 }
--- a/entry/src/front/plain_answer.rs
+++ b/entry/src/front/plain_answer.rs
@@ -1,5 +1,5 @@
 use {
-    super::{read_rest, OfferAnswer, OfferFailure, OpenOffer},
+    super::{read_response_body, EndpointExchange, EndpointResponse, ExchangeFailure},
     pitchhitch_http1::{BodyFraming, ByteLink},
     pitchhitch_platform::{encode_answer_head, AnswerLength},
     pitchhitch_process::DeadlineTimer,
@@ -7,11 +7,11 @@
 
 /// Longest answer that is held until it is whole, in bytes. The usual plain
 /// services answer with 5 kB at most.
-const HELD_LIMIT: usize = 8 << 20;
+const MAX_BUFFERED_BYTES: usize = 8 << 20;
 
 /// An answer that has come whole, ready to go to the caller.
 #[derive(Debug)]
-pub(crate) struct WholeAnswer {
+pub(crate) struct BufferedResponse {
     /// Status code.
     pub status: u16,
     /// Head and body as the caller gets them.
@@ -19,29 +19,37 @@
 }
 
 /// Reads an answer to its end, so that a part of one never looks whole.
-pub(crate) async fn read_plain_answer(
-    offer: &mut OpenOffer,
-    answer: &OfferAnswer,
+pub(crate) async fn read_plain_response(
+    exchange: &mut EndpointExchange,
+    response: &EndpointResponse,
     has_no_body: bool,
     closes: bool,
     caller: &mut ByteLink,
     timer: &mut DeadlineTimer,
-) -> Result<WholeAnswer, OfferFailure> {
+) -> Result<BufferedResponse, ExchangeFailure> {
     let framing = if has_no_body {
         BodyFraming::Empty
     } else {
-        answer.framing
+        response.framing
     };
     let mut body = Vec::new();
-    read_rest(offer, framing, &mut body, HELD_LIMIT, caller, timer).await?;
+    read_response_body(
+        exchange,
+        framing,
+        &mut body,
+        MAX_BUFFERED_BYTES,
+        caller,
+        timer,
+    )
+    .await?;
     let length = match framing {
         BodyFraming::Empty => AnswerLength::Without,
         _ => AnswerLength::Known(body.len()),
     };
-    let mut bytes = encode_answer_head(&answer.head, length, closes);
+    let mut bytes = encode_answer_head(&response.head, length, closes);
     bytes.extend_from_slice(&body);
-    Ok(WholeAnswer {
-        status: answer.head.status,
+    Ok(BufferedResponse {
+        status: response.head.status,
         bytes,
     })
 }
--- a/entry/src/front/request_answer.rs
+++ b/entry/src/front/request_answer.rs
@@ -1,7 +1,7 @@
 use {
     super::{
-        read_plain_answer, read_rest, relay_stream, write_to_caller, OfferAnswer, OfferFailure,
-        OpenOffer, RelayNews, RequestRun, TryEnd,
+        read_plain_response, read_response_body, relay_stream, write_to_caller, AttemptOutcome,
+        EndpointExchange, EndpointResponse, ExchangeFailure, RelayEvent, RequestRun,
     },
     pitchhitch_core::{serving::EndpointChoice, time::Micros},
     pitchhitch_http1::BodyFraming,
@@ -10,149 +10,165 @@
 
 impl RequestRun<'_> {
     /// Takes what an endpoint answers to its end.
-    pub(super) async fn take_answer(
+    pub(super) async fn handle_response(
         &mut self,
         choice: &EndpointChoice,
         ticket: u64,
         sent_at: Micros,
-        offer: &mut OpenOffer,
-        answer: OfferAnswer,
-    ) -> TryEnd {
-        if let (Some(version), Some(prompt)) = (answer.marks.version, &self.ask.prompt) {
-            self.learn_version(choice, &prompt.model.clone(), version);
+        exchange: &mut EndpointExchange,
+        response: EndpointResponse,
+    ) -> AttemptOutcome {
+        if let (Some(version), Some(prompt)) = (response.marks.version, &self.info.prompt) {
+            self.record_version(choice, &prompt.model.clone(), version);
         }
-        if answer.marks.is_not_run {
-            self.may_have_run -= 1;
-            self.learn_refusal(choice, &answer);
-            return self.pass_over(offer, &answer).await;
+        if response.marks.is_not_run {
+            self.possible_runs -= 1;
+            self.record_refusal(choice, &response);
+            return self.discard_response(exchange, &response).await;
         }
-        let is_success = (200..300).contains(&answer.head.status);
-        let is_own = answer.marks.is_signed && !answer.marks.is_encoded;
-        if is_success && !is_own {
-            return TryEnd::Broken(OfferFailure::Garbled);
+        let is_success = (200..300).contains(&response.head.status);
+        let is_verified = response.marks.is_signed && !response.marks.is_encoded;
+        if is_success && !is_verified {
+            return AttemptOutcome::Broken(ExchangeFailure::Garbled);
         }
         if is_success && self.route().is_stream {
             return self
-                .take_stream(choice, ticket, sent_at, offer, &answer)
+                .handle_stream(choice, ticket, sent_at, exchange, &response)
                 .await;
         }
-        if self.progress.is_begun {
-            return TryEnd::Broken(OfferFailure::Lost);
+        if self.progress.is_head_sent {
+            return AttemptOutcome::Broken(ExchangeFailure::Lost);
         }
         let has_no_body = self.request.head.method == "HEAD";
         let closes = self.closes();
         let caller = &mut *self.caller;
-        let whole =
-            read_plain_answer(offer, &answer, has_no_body, closes, caller, &mut self.timer).await;
-        match whole {
-            Ok(whole) => {
+        let buffered = read_plain_response(
+            exchange,
+            &response,
+            has_no_body,
+            closes,
+            caller,
+            &mut self.timer,
+        )
+        .await;
+        match buffered {
+            Ok(buffered) => {
                 self.progress.closes = closes;
-                self.keep_link(offer, &answer);
-                if whole.status >= 500 {
-                    return TryEnd::Failed(whole);
+                self.mark_reusable(exchange, &response);
+                if buffered.status >= 500 {
+                    return AttemptOutcome::Failed(buffered);
                 }
-                self.began_at = Some(self.front.now());
-                match write_to_caller(self.caller, &whole.bytes, &mut self.timer).await {
-                    true => TryEnd::Delivered(whole.status),
-                    false => TryEnd::CallerGone,
+                self.response_started_at = Some(self.front.now());
+                match write_to_caller(self.caller, &buffered.bytes, &mut self.timer).await {
+                    true => AttemptOutcome::Delivered(buffered.status),
+                    false => AttemptOutcome::CallerGone,
                 }
             }
-            Err(OfferFailure::CallerGone) => TryEnd::CallerGone,
-            Err(failure) => TryEnd::Broken(failure),
+            Err(ExchangeFailure::CallerGone) => AttemptOutcome::CallerGone,
+            Err(failure) => AttemptOutcome::Broken(failure),
         }
     }
 
-    pub(super) async fn take_stream(
+    pub(super) async fn handle_stream(
         &mut self,
         choice: &EndpointChoice,
         ticket: u64,
         sent_at: Micros,
-        offer: &mut OpenOffer,
-        answer: &OfferAnswer,
-    ) -> TryEnd {
+        exchange: &mut EndpointExchange,
+        response: &EndpointResponse,
+    ) -> AttemptOutcome {
         let front = self.front;
-        let is_prompt = self.ask.prompt.is_some() && !self.progress.is_begun;
-        let to_read = choice.ahead_tokens + f64::from(choice.prefill_tokens);
-        let is_first = is_prompt && self.sends == 1;
-        let mut began = None;
+        let is_prompt = self.info.prompt.is_some() && !self.progress.is_head_sent;
+        let prefill_tokens = choice.ahead_tokens + f64::from(choice.prefill_tokens);
+        let is_first_send = is_prompt && self.sends == 1;
+        let mut first_event_at = None;
         let mut version = None;
-        let mut tell = |news| match news {
-            RelayNews::Begun => {
+        let mut on_event = |event| match event {
+            RelayEvent::FirstEvent => {
                 let now = front.now();
-                began = Some(now);
+                first_event_at = Some(now);
                 let mut state = front.state();
                 state.book.record_first_token(choice.key, ticket);
                 state.trials.record_first_event(ticket, now);
-                if is_first {
-                    let took = now.since(sent_at).as_millis() as f64;
+                if is_first_send {
+                    let latency_ms = now.since(sent_at).as_millis() as f64;
                     state
                         .pace
-                        .record_first_token(to_read, took - choice.plan.fetch_ms);
+                        .record_first_token(prefill_tokens, latency_ms - choice.plan.fetch_ms);
                 }
             }
-            RelayNews::Version(new) => version = Some(new),
+            RelayEvent::VersionChanged(new) => version = Some(new),
         };
-        self.progress.splitter.drop_rest();
-        if !self.progress.is_begun {
+        self.progress.splitter.discard_partial();
+        if !self.progress.is_head_sent {
             self.progress.closes = self.closes();
         }
         let caller = &mut *self.caller;
         let progress = &mut self.progress;
-        let ends_at = self.ends_at;
-        let left = || to_duration(ends_at.since(front.now()));
+        let deadline = self.deadline;
+        let time_left = || to_duration(deadline.since(front.now()));
         let timer = &mut self.timer;
-        let end = relay_stream(offer, answer, progress, caller, timer, &left, &mut tell).await;
-        self.run.began_at = began;
-        self.began_at = self.began_at.or(began);
-        if let (Some(version), Some(prompt)) = (version, &self.ask.prompt) {
-            self.learn_version(choice, &prompt.model.clone(), version);
+        let result = relay_stream(
+            exchange,
+            response,
+            progress,
+            caller,
+            timer,
+            &time_left,
+            &mut on_event,
+        )
+        .await;
+        self.latest_run.first_event_at = first_event_at;
+        self.response_started_at = self.response_started_at.or(first_event_at);
+        if let (Some(version), Some(prompt)) = (version, &self.info.prompt) {
+            self.record_version(choice, &prompt.model.clone(), version);
         }
-        match end {
+        match result {
             Ok(()) => {
-                self.keep_link(offer, answer);
-                TryEnd::Delivered(answer.head.status)
+                self.mark_reusable(exchange, response);
+                AttemptOutcome::Delivered(response.head.status)
             }
-            Err(OfferFailure::CallerGone) => TryEnd::CallerGone,
-            Err(failure) => TryEnd::Broken(failure),
+            Err(ExchangeFailure::CallerGone) => AttemptOutcome::CallerGone,
+            Err(failure) => AttemptOutcome::Broken(failure),
         }
     }
 
-    pub(super) async fn pass_over(
+    pub(super) async fn discard_response(
         &mut self,
-        offer: &mut OpenOffer,
-        answer: &OfferAnswer,
-    ) -> TryEnd {
+        exchange: &mut EndpointExchange,
+        response: &EndpointResponse,
+    ) -> AttemptOutcome {
         let mut body = Vec::new();
         let caller = &mut *self.caller;
-        let rest = read_rest(
-            offer,
-            answer.framing,
+        let rest = read_response_body(
+            exchange,
+            response.framing,
             &mut body,
             usize::MAX,
             caller,
             &mut self.timer,
         );
         match rest.await {
-            Ok(()) => self.keep_link(offer, answer),
-            Err(OfferFailure::CallerGone) => return TryEnd::CallerGone,
+            Ok(()) => self.mark_reusable(exchange, response),
+            Err(ExchangeFailure::CallerGone) => return AttemptOutcome::CallerGone,
             // The proof has come; only the connection is of no more use.
             Err(_) => {}
         }
-        TryEnd::NotRun
+        AttemptOutcome::NotRun
     }
 
     /// Keeps the connection for the next request, where nothing is left on it.
-    pub(super) fn keep_link(
+    pub(super) fn mark_reusable(
         &self,
-        offer: &mut OpenOffer,
-        answer: &OfferAnswer,
+        exchange: &mut EndpointExchange,
+        response: &EndpointResponse,
     ) {
-        let is_over = offer.is_sent_whole && offer.link.unused().is_empty();
-        let ends = answer.marks.closes || answer.framing == BodyFraming::UntilClose;
-        if !is_over || ends {
+        let is_drained = exchange.is_fully_sent && exchange.connection.unused().is_empty();
+        let ends = response.marks.closes || response.framing == BodyFraming::UntilClose;
+        if !is_drained || ends {
             return;
         }
-        offer.is_kept = true;
-        offer.keeps_for = answer.marks.keeps_for;
+        exchange.is_reusable = true;
+        exchange.keep_alive = response.marks.keeps_for;
     }
 }
--- a/entry/src/front/request_choice.rs
+++ b/entry/src/front/request_choice.rs
@@ -1,5 +1,5 @@
 use {
-    super::{FrontState, RequestRun, USUAL_PATIENCE},
+    super::{FrontState, RequestRun, DEFAULT_CALLER_TIMEOUT},
     pitchhitch_core::{
         serving::{
             pick_endpoint, unit_fraction, AdmissionDecision, AdmissionRequest, AllowedRegions,
@@ -12,14 +12,14 @@
 };
 
 /// The least urgent rank that engines know.
-const LOWEST_RANK: u8 = 9;
+const LOWEST_PRIORITY: u8 = 9;
 /// When callers come back that no endpoint bears yet, after the first one may be sent to: they are
 /// spread over a while.
-const SLOW_START_BACK: Micros = Micros::from_millis(50);
-const SLOW_START_SPREAD: Micros = Micros::from_millis(600);
+const SLOW_START_RETRY_DELAY: Micros = Micros::from_millis(50);
+const SLOW_START_RETRY_JITTER: Micros = Micros::from_millis(600);
 
 impl RequestRun<'_> {
-    pub(super) fn wall(
+    pub(super) fn cache_namespace(
         &self,
         version: u64,
     ) -> CacheNamespace {
@@ -28,7 +28,7 @@
         CacheNamespace {
             version,
             model: self
-                .ask
+                .info
                 .prompt
                 .as_ref()
                 .map_or_else(String::new, |p| p.model.clone()),
@@ -37,54 +37,56 @@
     }
 
     /// Rank of the request: the organisation's goes before the route's.
-    pub(super) fn rank(&self) -> u8 {
+    pub(super) fn priority(&self) -> u8 {
         let organisation = self.organisation();
-        let rank = organisation.and_then(|organisation| organisation.priority);
-        rank.unwrap_or(self.route().priority).min(LOWEST_RANK)
+        let priority = organisation.and_then(|organisation| organisation.priority);
+        priority
+            .unwrap_or(self.route().priority)
+            .min(LOWEST_PRIORITY)
     }
 
     /// Decides whether a prompt goes to the endpoint that is best for it. The next
     /// best is not asked: it would read what this one keeps, and fall behind as well.
-    pub(super) fn judge_admission(
+    pub(super) fn decide_admission(
         &self,
         choice: &EndpointChoice,
     ) -> AdmissionDecision {
-        let Some(prompt) = self.ask.prompt.as_ref().filter(|_| self.is_weighed()) else {
+        let Some(prompt) = self.info.prompt.as_ref().filter(|_| self.can_be_refused()) else {
             return AdmissionDecision::Admitted;
         };
         let mut guard = self.front.state();
         let state = &mut *guard;
-        let ask = self.admission_ask();
+        let request = self.admission_request();
         let admission = &mut state.admission;
-        admission.record(&ask, prompt.tokens_in, choice.prefill_tokens);
-        admission.decide(&ask, &state.pace, choice)
+        admission.record(&request, prompt.tokens_in, choice.prefill_tokens);
+        admission.decide(&request, &state.pace, choice)
     }
 
     /// Whether it may be refused for load: what was sent has its place, and a suspect runs
     /// where it has to.
-    fn is_weighed(&self) -> bool {
-        self.sends == 0 && self.trial.is_none()
+    fn can_be_refused(&self) -> bool {
+        self.sends == 0 && self.suspect_crashes.is_none()
     }
 
     /// When a caller that was refused for load should come back.
-    pub(super) fn come_back(
+    pub(super) fn retry_after(
         &self,
         choice: &EndpointChoice,
     ) -> Micros {
         let state = self.front.state();
-        let spread = unit_fraction(self.spread);
+        let jitter = unit_fraction(self.id_hash);
         state
             .admission
-            .retry_after(&self.admission_ask(), &state.pace, choice, spread)
+            .retry_after(&self.admission_request(), &state.pace, choice, jitter)
     }
 
-    fn admission_ask(&self) -> AdmissionRequest<'_> {
+    fn admission_request(&self) -> AdmissionRequest<'_> {
         let route = self.route();
         AdmissionRequest {
             route: &route.name,
-            priority: self.rank(),
+            priority: self.priority(),
             target_latency: route.target_latency,
-            time_left: self.ask.time_left.unwrap_or(USUAL_PATIENCE),
+            time_left: self.info.time_left.unwrap_or(DEFAULT_CALLER_TIMEOUT),
         }
     }
 
@@ -97,29 +99,29 @@
         let mut guard = front.state();
         let state = &mut *guard;
         let now = front.now();
-        let outlooks = self.outlooks(state, now);
-        let starts_slowly = self.starts_slowly();
-        let is_alone = self.trial.is_some_and(|crashes| crashes > 1);
-        let barred = state.trials.full_endpoints(is_alone, now);
+        let availability = self.version_availability(state, now);
+        let has_slow_start = self.has_slow_start();
+        let is_alone = self.suspect_crashes.is_some_and(|crashes| crashes > 1);
+        let excluded = state.trials.full_endpoints(is_alone, now);
         let trial = self
-            .trial
-            .and(self.known_as)
+            .suspect_crashes
+            .and(self.cached_fingerprint)
             .map(|fingerprint| TrialRequest {
                 request_hash: fingerprint.number(),
                 is_alone,
-                excluded: &barred,
+                excluded: &excluded,
                 // What has ended two is not tried on the last one.
                 min_endpoints: if is_alone { 2 } else { 1 },
             });
-        let ask = PickRequest {
+        let request = PickRequest {
             service: &self.service,
             domain: &front.settings.failure_domain,
-            prompt: self.ask.prompt.as_ref(),
-            priority: self.rank(),
+            prompt: self.info.prompt.as_ref(),
+            priority: self.priority(),
             tried: &self.tried,
             trial,
             is_eligible: &|entry| {
-                state.is_open(entry, starts_slowly, now) && self.may_lie_in(&entry.domain)
+                state.is_open(entry, has_slow_start, now) && self.is_region_allowed(&entry.domain)
             },
             is_connected: &|key| state.pool.has_open(key, now),
             estimator: &state.pace,
@@ -127,59 +129,59 @@
             disabled: front.settings.left_out,
             now,
         };
-        pick_endpoint(&state.book, &ask, &outlooks)
+        pick_endpoint(&state.book, &request, &availability)
     }
 
     /// Whether endpoints of its service are limited right after their start.
-    fn starts_slowly(&self) -> bool {
+    fn has_slow_start(&self) -> bool {
         self.config.slow_start(&self.service).is_some()
     }
 
     /// Whether it may run, and its state may be kept, in a failure domain.
-    pub(super) fn may_lie_in(
+    pub(super) fn is_region_allowed(
         &self,
         domain: &str,
     ) -> bool {
         let organisation = self.organisation();
-        let homes = AllowedRegions {
+        let regions = AllowedRegions {
             route: &self.route().allowed_regions,
             organisation: organisation.map_or(&[], |organisation| &organisation.allowed_regions),
         };
-        homes.is_unrestricted() || homes.allows(self.front.settings.region(domain))
+        regions.is_unrestricted() || regions.allows(self.front.settings.region(domain))
     }
 
     /// When a caller should come back that only endpoints could serve which have just started;
     /// `None` where there are none.
-    pub(super) fn slow_start_back(&self) -> Option<Micros> {
-        if !self.starts_slowly() {
+    pub(super) fn slow_start_retry_after(&self) -> Option<Micros> {
+        if !self.has_slow_start() {
             return None;
         }
         let front = self.front;
         let now = front.now();
         let state = front.state();
-        let is_waited_for = |entry: &&EndpointEntry| {
+        let is_starting = |entry: &&EndpointEntry| {
             entry.service == self.service
                 && entry.status != EndpointStatus::Leaving
-                && self.may_lie_in(&entry.domain)
+                && self.is_region_allowed(&entry.domain)
                 && state.is_open(entry, false, now)
                 && !state.is_open(entry, true, now)
         };
         let entries = state.book.iter().map(|(_, entry)| entry);
-        let waits: Vec<Micros> = entries
-            .filter(is_waited_for)
+        let delays: Vec<Micros> = entries
+            .filter(is_starting)
             .map(|entry| entry.slow_start.admits_after(now))
             .collect();
-        let spread = (unit_fraction(self.spread) * SLOW_START_SPREAD.0 as f64) as u64;
-        let back = *waits.iter().min()? + SLOW_START_BACK + Micros(spread);
+        let jitter = (unit_fraction(self.id_hash) * SLOW_START_RETRY_JITTER.0 as f64) as u64;
+        let retry_after = *delays.iter().min()? + SLOW_START_RETRY_DELAY + Micros(jitter);
         log::info!(
             event = "slow-start",
-            request = self.ask.request_id.as_str(),
+            request = self.info.request_id.as_str(),
             service = self.service.as_str(),
-            endpoints = waits.len(),
-            back_ms = back.as_millis();
+            endpoints = delays.len(),
+            back_ms = retry_after.as_millis();
             ""
         );
-        Some(back)
+        Some(retry_after)
     }
 
     fn weight_bounds(
@@ -188,7 +190,7 @@
         now: Micros,
     ) -> WeightBounds {
         let limit = self.front.settings.weights_limit;
-        let prompt = self.ask.prompt.as_ref();
+        let prompt = self.info.prompt.as_ref();
         prompt.map_or_else(WeightBounds::default, |prompt| {
             state.planner.bounds(&prompt.model, limit, now)
         })
@@ -196,12 +198,12 @@
 
     /// Where the parts of the prompt are kept, for each version that some
     /// engine has.
-    pub(super) fn outlooks(
+    pub(super) fn version_availability(
         &self,
         state: &mut FrontState,
         now: Micros,
     ) -> Vec<VersionAvailability> {
-        let (Some(prompt), Some(group)) = (&self.ask.prompt, self.group()) else {
+        let (Some(prompt), Some(group)) = (&self.info.prompt, self.group()) else {
             return Vec::new();
         };
         let versions = state
@@ -211,24 +213,24 @@
         let mut versions: Vec<u64> = versions.collect();
         versions.sort_unstable();
         versions.dedup();
-        let mut outlooks = Vec::new();
+        let mut availability = Vec::new();
         for version in versions {
-            let namespace = state.wall(&self.wall(version).salt());
+            let namespace = state.wall(&self.cache_namespace(version).salt());
             let parts =
                 state
                     .memory
                     .locate_parts(&state.book, group, namespace, &prompt.parts, now);
-            outlooks.push(VersionAvailability {
+            availability.push(VersionAvailability {
                 version,
                 namespace,
-                parts: self.allowed(state, version, parts, now),
+                parts: self.retain_fetchable_sources(state, version, parts, now),
             });
         }
-        outlooks
+        availability
     }
 
     /// Leaves stores out where they may be freeing the part.
-    pub(super) fn allowed(
+    pub(super) fn retain_fetchable_sources(
         &self,
         state: &FrontState,
         version: u64,
@@ -236,16 +238,15 @@
         now: Micros,
     ) -> Vec<PartAvailability> {
         let model = self
-            .ask
+            .info
             .prompt
             .as_ref()
             .map_or("", |prompt| prompt.model.as_str());
         let proven_at = state.trust.proven_at();
-        for outlook in &mut parts {
-            let id = outlook.part.id;
+        for part in &mut parts {
+            let id = part.part.id;
             if !state.planner.may_fetch(model, version, id, proven_at, now) {
-                outlook
-                    .sources
+                part.sources
                     .retain(|source| !matches!(source.location, PartLocation::Store(_)));
             }
         }
--- a/entry/src/front/request_lessons.rs
+++ b/entry/src/front/request_lessons.rs
@@ -1,5 +1,5 @@
 use {
-    super::{learn_weights, FrontState, OfferAnswer, RequestRun},
+    super::{update_weights, EndpointResponse, FrontState, RequestRun},
     pitchhitch_core::{
         serving::{EndpointChoice, EndpointRejoin, EndpointStatus},
         time::Micros,
@@ -9,26 +9,29 @@
 impl RequestRun<'_> {
     /// Whether the endpoint still lives the life in which it was chosen: requests that
     /// a crash broke off took the engine that had started again out for seconds.
-    pub(super) fn is_of_life(
+    pub(super) fn is_same_incarnation(
         &self,
         state: &FrontState,
         choice: &EndpointChoice,
     ) -> bool {
         let entry = state.book.get(choice.key);
-        entry.is_some_and(|entry| entry.incarnation.ended == self.run.life)
+        entry.is_some_and(|entry| entry.incarnation.ended == self.latest_run.incarnation)
     }
 
-    pub(super) fn judge(
+    pub(super) fn record_outcome(
         &self,
         choice: &EndpointChoice,
-        is_sound: bool,
+        is_success: bool,
     ) {
         let front = self.front;
         let mut state = front.state();
-        if !self.is_of_life(&state, choice) {
+        if !self.is_same_incarnation(&state, choice) {
             return;
         }
-        if state.book.record_outcome(choice.key, is_sound, front.now()) {
+        if state
+            .book
+            .record_outcome(choice.key, is_success, front.now())
+        {
             let id = state
                 .book
                 .get(choice.key)
@@ -40,7 +43,7 @@
 
     /// Notes that an endpoint is done with the request, and for how long a prompt
     /// held memory there.
-    pub(super) fn learn_ended(
+    pub(super) fn record_ended(
         &self,
         choice: &EndpointChoice,
         ticket: u64,
@@ -49,43 +52,43 @@
         let mut state = self.front.state();
         state.book.record_ended(choice.key, ticket);
         state.trials.end(ticket);
-        let (Some(prompt), Some(_)) = (&self.ask.prompt, self.began_at) else {
+        let (Some(prompt), Some(_)) = (&self.info.prompt, self.response_started_at) else {
             return;
         };
-        let held = self.front.now().since(sent_at).as_millis() as f64;
-        state.pace.record_ended(prompt.tokens_in, held);
+        let held_ms = self.front.now().since(sent_at).as_millis() as f64;
+        state.pace.record_ended(prompt.tokens_in, held_ms);
     }
 
-    pub(super) fn learn_version(
+    pub(super) fn record_version(
         &self,
         choice: &EndpointChoice,
         model: &str,
         version: u64,
     ) {
         let mut state = self.front.state();
-        if !self.is_of_life(&state, choice) {
+        if !self.is_same_incarnation(&state, choice) {
             return;
         }
         if let Some(entry) = state.book.get_mut(choice.key) {
-            learn_weights(entry, model, version, "answer");
+            update_weights(entry, model, version, "answer");
         }
     }
 
-    pub(super) fn learn_refusal(
+    pub(super) fn record_refusal(
         &self,
         choice: &EndpointChoice,
-        answer: &OfferAnswer,
+        response: &EndpointResponse,
     ) {
         let mut state = self.front.state();
         let Some(entry) = state.book.get_mut(choice.key) else {
             return;
         };
-        let other = answer
+        let other = response
             .marks
             .endpoint_id
             .as_ref()
             .filter(|id| **id != entry.id);
-        if let Some(other) = other.filter(|_| answer.marks.is_misdirected) {
+        if let Some(other) = other.filter(|_| response.marks.is_misdirected) {
             log::warn!(
                 event = "endpoint-replaced",
                 endpoint = entry.id.as_str(),
--- a/entry/src/front/request_log.rs
+++ b/entry/src/front/request_log.rs
@@ -6,18 +6,18 @@
 impl RequestRun<'_> {
     /// The shared parts and what becomes of them: kept, fetched from a store or an
     /// engine, or read.
-    pub(super) fn told_parts(
+    pub(super) fn describe_parts(
         &self,
         choice: &EndpointChoice,
     ) -> String {
         let parts = self
-            .ask
+            .info
             .prompt
             .as_ref()
             .map_or(&[][..], |prompt| &prompt.parts);
-        let mut told = String::new();
-        for (place, part) in parts[..parts.len().saturating_sub(1)].iter().enumerate() {
-            let sign = match choice.plan.parts.get(place) {
+        let mut text = String::new();
+        for (index, part) in parts[..parts.len().saturating_sub(1)].iter().enumerate() {
+            let sign = match choice.plan.parts.get(index) {
                 None => 'r',
                 Some(fetch) if fetch.is_cached => 'k',
                 Some(fetch) => match &fetch.source {
@@ -25,13 +25,13 @@
                     _ => 'f',
                 },
             };
-            let comma = if place == 0 { "" } else { "," };
-            told.push_str(&format!("{comma}{}:{sign}", part.id));
+            let comma = if index == 0 { "" } else { "," };
+            text.push_str(&format!("{comma}{}:{sign}", part.id));
         }
-        told
+        text
     }
 
-    pub(super) fn log_try(
+    pub(super) fn log_attempt(
         &self,
         choice: &EndpointChoice,
         outcome: &str,
@@ -55,7 +55,7 @@
         let load = entry.and_then(|entry| entry.load.as_ref());
         log::info!(
             event = "try",
-            request = self.ask.request_id.as_str(),
+            request = self.info.request_id.as_str(),
             endpoint = entry.map_or("", |entry| entry.id.as_str()),
             outcome = outcome,
             cause = cause,
@@ -72,11 +72,11 @@
             kept = choice.plan.cached_tokens,
             fetched = choice.plan.fetched_tokens,
             fetch_ms = choice.plan.fetch_ms as u64,
-            parts = self.told_parts(choice).as_str(),
+            parts = self.describe_parts(choice).as_str(),
             fetch_until_ms = fetch_until_ms.map_or(-1, |until| until as i64),
             weights = choice.version.unwrap_or(0),
-            named = self.named_version(&state).unwrap_or(0),
-            named_age_ms = self.named_age(&state, now).map_or(-1, |age| age.as_millis() as i64),
+            named = self.published_version(&state).unwrap_or(0),
+            named_age_ms = self.published_age(&state, now).map_or(-1, |age| age.as_millis() as i64),
             of = choice.candidates,
             lacking = state.admission.memory_shortage(),
             token_us = (state.pace.token_ms() * 1_000.0) as u64,
@@ -86,23 +86,23 @@
         front.metrics.count("tries", outcome);
     }
 
-    fn named_version(
+    fn published_version(
         &self,
         state: &FrontState,
     ) -> Option<u64> {
         state
             .planner
-            .published_version(&self.ask.prompt.as_ref()?.model)
+            .published_version(&self.info.prompt.as_ref()?.model)
     }
 
-    fn named_age(
+    fn published_age(
         &self,
         state: &FrontState,
         now: Micros,
     ) -> Option<Micros> {
         state
             .planner
-            .published_age(&self.ask.prompt.as_ref()?.model, now)
+            .published_age(&self.info.prompt.as_ref()?.model, now)
     }
 
     pub(super) fn log_end(
@@ -112,23 +112,23 @@
     ) {
         let front = self.front;
         let now = front.now();
-        let came_at = self.request.came_at;
-        let first = self.began_at.map(|at| at.since(came_at));
+        let arrived_at = self.request.arrived_at;
+        let first = self.response_started_at.map(|at| at.since(arrived_at));
         log::info!(
             event = "end",
-            request = self.ask.request_id.as_str(),
+            request = self.info.request_id.as_str(),
             route = self.route().name.as_str(),
             outcome = outcome,
             status = status,
             sends = self.sends,
             first_ms = first.map_or(-1, |first| first.as_millis() as i64),
-            took_ms = now.since(came_at).as_millis(),
+            took_ms = now.since(arrived_at).as_millis(),
             writes = self.progress.writes,
             config = self.config.version;
             ""
         );
         front.metrics.count("requests", outcome);
-        front.metrics.time("took", now.since(came_at).0);
+        front.metrics.time("took", now.since(arrived_at).0);
         if let Some(first) = first {
             front.metrics.time("first", first.0);
         }
--- a/entry/src/front/request_moves.rs
+++ b/entry/src/front/request_moves.rs
@@ -8,14 +8,14 @@
 };
 
 /// Taken off the time that an endpoint gets, for the way there and back.
-const TRANSIT: Micros = Micros::from_millis(4);
+const TRANSIT_TIME: Micros = Micros::from_millis(4);
 
 /// What a request makes an engine fetch and save.
 #[derive(Debug, Default)]
-pub(super) struct PartMoves {
+pub(super) struct PartTransfers {
     fetch: Vec<Option<PartAddress>>,
     save: Vec<Option<PartAddress>>,
-    pub(super) until_ms: Option<u64>,
+    pub(super) fetch_until_ms: Option<u64>,
 }
 
 impl RequestRun<'_> {
@@ -23,112 +23,114 @@
     pub(super) fn encode(
         &self,
         choice: &EndpointChoice,
-        moves: &PartMoves,
+        transfers: &PartTransfers,
     ) -> Vec<u8> {
         let front = self.front;
         let now = front.now();
         let state = front.state();
         let entry = state.book.get(choice.key);
         let organisation = self.organisation();
-        let is_engine = self.ask.prompt.is_some();
+        let is_engine = self.info.prompt.is_some();
         // Without a known version nothing may be shared: not even with others
         // of which no more is known.
         let salt = match choice.version {
-            Some(version) => self.wall(version).salt(),
-            None => self.ask.request_id.clone(),
+            Some(version) => self.cache_namespace(version).salt(),
+            None => self.info.request_id.clone(),
         };
-        let left = self.ends_at.since(now);
+        let time_left = self.deadline.since(now);
         let order = SendOrder {
             endpoint_id: entry.map_or("", |entry| entry.id.as_str()),
-            patience: left.since(TRANSIT).max(Micros::from_millis(1)),
+            patience: time_left.since(TRANSIT_TIME).max(Micros::from_millis(1)),
             organisation: organisation.map(|organisation| organisation.name.as_str()),
-            priority: is_engine.then(|| self.rank()),
+            priority: is_engine.then(|| self.priority()),
             version: choice.version.filter(|_| is_engine),
             salt: Some(salt.as_str()).filter(|_| is_engine),
-            fetch: &moves.fetch,
-            save: &moves.save,
-            fetch_until_ms: moves.until_ms,
+            fetch: &transfers.fetch,
+            save: &transfers.save,
+            fetch_until_ms: transfers.fetch_until_ms,
             last_event: self
                 .progress
                 .splitter
                 .last_id()
-                .filter(|_| self.progress.is_begun),
+                .filter(|_| self.progress.is_head_sent),
         };
         encode_request(&self.request.head, &self.request.body, &order)
     }
 
     /// What the engine fetches before it reads, and saves once it has read; nothing
     /// for what is no prompt, or for weights that are not known.
-    pub(super) fn moves_for(
+    pub(super) fn transfers_for(
         &self,
         choice: &EndpointChoice,
-    ) -> PartMoves {
+    ) -> PartTransfers {
         let now = self.front.now();
         let mut state = self.front.state();
-        match (&self.ask.prompt, choice.version) {
+        match (&self.info.prompt, choice.version) {
             (Some(prompt), Some(version)) => {
-                self.plan_moves(&mut state, prompt, choice, version, now)
+                self.plan_transfers(&mut state, prompt, choice, version, now)
             }
-            _ => PartMoves::default(),
+            _ => PartTransfers::default(),
         }
     }
 
-    fn plan_moves(
+    fn plan_transfers(
         &self,
         state: &mut FrontState,
         prompt: &PromptInfo,
         choice: &EndpointChoice,
         version: u64,
         now: Micros,
-    ) -> PartMoves {
-        let wall = state.wall(&self.wall(version).salt());
-        let mut moves = PartMoves::default();
+    ) -> PartTransfers {
+        let namespace = state.wall(&self.cache_namespace(version).salt());
+        let mut transfers = PartTransfers::default();
         for fetch in &choice.plan.parts {
             let Some((source, _)) = &fetch.source else {
-                moves.fetch.push(None);
+                transfers.fetch.push(None);
                 continue;
             };
             let is_store = matches!(source.location, PartLocation::Store(_));
             let mut until = None;
-            if let PartLocation::Store(place) = source.location {
-                let view = state.memory.view_at(place);
+            if let PartLocation::Store(store_index) = source.location {
+                let view = state.memory.view_at(store_index);
                 until = view.and_then(|view| view.fetch_until_ms(now));
                 if until.is_none() {
                     // Without a time it would be fetched whenever its turn comes.
-                    moves.fetch.push(None);
+                    transfers.fetch.push(None);
                     continue;
                 }
             }
-            moves.fetch.push(Some(PartAddress {
+            transfers.fetch.push(Some(PartAddress {
                 address: source.address,
                 tokens: is_store.then_some(fetch.part.tokens),
             }));
-            moves.until_ms = match (moves.until_ms, until) {
+            transfers.fetch_until_ms = match (transfers.fetch_until_ms, until) {
                 (Some(before), Some(until)) => Some(before.min(until)),
                 (before, until) => until.or(before),
             };
         }
-        moves.fetch.resize(prompt.parts.len(), None);
+        transfers.fetch.resize(prompt.parts.len(), None);
         state.memory.record_fetches(&choice.plan, now);
         let is_newest = state
             .planner
             .published_version(&prompt.model)
-            .is_none_or(|named| version >= named);
+            .is_none_or(|published| version >= published);
         if is_newest {
-            let may_keep = |store: &KvStore| self.may_lie_in(&store.domain);
-            let saves = state.memory.plan_saves(wall, &prompt.parts, &may_keep, now);
+            let may_store = |store: &KvStore| self.is_region_allowed(&store.domain);
+            let saves = state
+                .memory
+                .plan_saves(namespace, &prompt.parts, &may_store, now);
             let address = |address| PartAddress {
                 address,
                 tokens: None,
             };
-            moves.save = saves.into_iter().map(|save| save.map(address)).collect();
-            moves.save.resize(prompt.parts.len(), None);
+            transfers.save = saves.into_iter().map(|save| save.map(address)).collect();
+            transfers.save.resize(prompt.parts.len(), None);
         }
         // Others of this box that come meanwhile go where these parts will be.
         let capacity = self.group().map_or(0, |group| group.capacity_tokens);
         if let Some(entry) = state.book.get_mut(choice.key) {
-            entry.parts.touch(wall, &prompt.parts, capacity);
+            entry.parts.touch(namespace, &prompt.parts, capacity);
         }
-        moves
+        transfers
     }
 }
--- a/entry/src/front/request_run.rs
+++ b/entry/src/front/request_run.rs
@@ -1,7 +1,7 @@
 use {
     super::{
-        admit, refuse, write_to_caller, FrontContext, LatestRun, OfferFailure, OwnRefusal,
-        StreamProgress, TrialTurn, TryEnd, WholeAnswer, WholeRequest,
+        admit, refuse, write_to_caller, AttemptOutcome, BufferedResponse, ExchangeFailure,
+        FrontContext, LatestRun, ReceivedRequest, RequestRefusal, SendPermission, StreamProgress,
     },
     pitchhitch_core::{
         serving::{
@@ -18,21 +18,21 @@
 };
 
 /// Time that a caller waits where it does not say.
-pub(super) const USUAL_PATIENCE: Micros = Micros::from_secs(30);
+pub(super) const DEFAULT_CALLER_TIMEOUT: Micros = Micros::from_secs(30);
 /// Endpoints that may prove that they did not run a request, beyond those that
 /// may run it.
-const PROVEN_LIMIT: u32 = 2;
+const MAX_UNEXECUTED_SENDS: u32 = 2;
 
 /// Longest wait for stores to answer after a standstill, and the pause between
 /// two looks: a store answers within some milliseconds, unless the box is busy.
-const SETTLE_LIMIT: Micros = Micros::from_millis(150);
-const SETTLE_PAUSE: Micros = Micros::from_millis(10);
+const STORE_WAIT_TIMEOUT: Micros = Micros::from_millis(150);
+const STORE_POLL_INTERVAL: Micros = Micros::from_millis(10);
 
 /// What becomes of the caller's connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum RequestEnd {
+pub(crate) enum ConnectionReuse {
     /// It takes the next request.
-    Keep,
+    KeepAlive,
     /// It is closed.
     Close,
 }
@@ -41,150 +41,150 @@
 pub(super) struct RequestRun<'a> {
     pub(super) front: &'a FrontContext,
     pub(super) caller: &'a mut ByteLink,
-    pub(super) request: &'a WholeRequest,
-    pub(super) ask: RequestInfo,
+    pub(super) request: &'a ReceivedRequest,
+    pub(super) info: RequestInfo,
     pub(super) config: Rc<ServingConfig>,
-    pub(super) place: ResolvedRequest,
+    pub(super) resolved: ResolvedRequest,
     pub(super) service: String,
-    pub(super) spread: u64,
-    pub(super) ends_at: Micros,
+    pub(super) id_hash: u64,
+    pub(super) deadline: Micros,
     pub(super) timer: DeadlineTimer,
     pub(super) tried: Vec<EndpointKey>,
     /// The latest run.
-    pub(super) run: LatestRun,
+    pub(super) latest_run: LatestRun,
     /// Fingerprint, once it was asked for.
-    pub(super) known_as: Option<RequestFingerprint>,
+    pub(super) cached_fingerprint: Option<RequestFingerprint>,
     /// Endpoints that ended under the request, where that makes it a suspect.
-    pub(super) trial: Option<u32>,
+    pub(super) suspect_crashes: Option<u32>,
     pub(super) sends: u32,
-    pub(super) may_have_run: u32,
+    pub(super) possible_runs: u32,
     pub(super) progress: StreamProgress,
-    pub(super) began_at: Option<Micros>,
-    pub(super) asked_close: bool,
+    pub(super) response_started_at: Option<Micros>,
+    pub(super) close_requested: bool,
 }
 
 /// Serves one request.
 pub(crate) async fn run_request(
     front: &FrontContext,
     caller: &mut ByteLink,
-    request: WholeRequest,
-) -> RequestEnd {
-    let ask = decode_ask(&request.head);
-    let admitted = admit(front, &ask);
+    request: ReceivedRequest,
+) -> ConnectionReuse {
+    let info = decode_ask(&request.head);
+    let admitted = admit(front, &info);
     let closes = front.state().stops_since.is_some()
         || request.head.fields.has_word("connection", "close")
         || !request.head.is_current;
-    let (config, place) = match admitted {
+    let (config, resolved) = match admitted {
         Ok(admitted) => admitted,
         Err(kind) => {
-            let refusal = OwnRefusal {
+            let refusal = RequestRefusal {
                 kind,
-                come_back: None,
+                retry_after: None,
                 closes,
-                came_at: request.came_at,
+                arrived_at: request.arrived_at,
                 sends: 0,
             };
-            return refuse(front, caller, &ask, refusal).await;
+            return refuse(front, caller, &info, refusal).await;
         }
     };
-    let route = &config.routes[place.route];
-    let patience = ask.time_left.unwrap_or(USUAL_PATIENCE);
-    let ends_at = request.came_at + patience.min(route.time_limit);
-    let spread = spread_number(&ask.request_id);
-    let service = route.target(spread).unwrap_or_default().to_string();
-    let left = ends_at.since(front.now());
+    let route = &config.routes[resolved.route];
+    let caller_timeout = info.time_left.unwrap_or(DEFAULT_CALLER_TIMEOUT);
+    let deadline = request.arrived_at + caller_timeout.min(route.time_limit);
+    let id_hash = fnv1a_hash(&info.request_id);
+    let service = route.target(id_hash).unwrap_or_default().to_string();
+    let time_left = deadline.since(front.now());
     front.state().meter(&service).record_request(front.now());
     let mut run = RequestRun {
         front,
         caller,
         request: &request,
         service,
-        spread,
-        ends_at,
-        timer: DeadlineTimer::after(front.clock, to_duration(left)),
+        id_hash,
+        deadline,
+        timer: DeadlineTimer::after(front.clock, to_duration(time_left)),
         tried: Vec::new(),
-        run: LatestRun::default(),
-        known_as: None,
-        trial: None,
+        latest_run: LatestRun::default(),
+        cached_fingerprint: None,
+        suspect_crashes: None,
         sends: 0,
-        may_have_run: 0,
+        possible_runs: 0,
         progress: StreamProgress::default(),
-        began_at: None,
-        asked_close: closes,
-        ask,
+        response_started_at: None,
+        close_requested: closes,
+        info,
         config: config.clone(),
-        place,
+        resolved,
     };
     run.serve().await
 }
 
-pub(super) fn spread_number(request_id: &str) -> u64 {
+pub(super) fn fnv1a_hash(text: &str) -> u64 {
     let mix = |hash: u64, byte: u8| (hash ^ u64::from(byte)).wrapping_mul(0x0000_0100_0000_01b3);
-    let hash = request_id.bytes().fold(0xcbf2_9ce4_8422_2325, mix);
+    let hash = text.bytes().fold(0xcbf2_9ce4_8422_2325, mix);
     hash ^ (hash >> 32)
 }
 
 impl RequestRun<'_> {
     pub(super) fn route(&self) -> &ServedRoute {
-        &self.config.routes[self.place.route]
+        &self.config.routes[self.resolved.route]
     }
 
     /// The organisation, where the request has one.
     pub(super) fn organisation(&self) -> Option<&Organisation> {
-        let place = self.place.organisation?;
-        Some(&self.config.organisations[place])
+        let index = self.resolved.organisation?;
+        Some(&self.config.organisations[index])
     }
 
     /// Whether the caller's connection ends with this request.
     pub(super) fn closes(&self) -> bool {
-        self.asked_close || self.front.state().stops_since.is_some()
+        self.close_requested || self.front.state().stops_since.is_some()
     }
 
     /// After a standstill all requests of that time come at once; where stores
     /// are about to answer, prompts wait a moment for that instead of reading
     /// what is kept there. A front that has just started waits to be told of suspects.
-    async fn settle(&self) {
-        let is_prompt = self.ask.prompt.is_some();
-        let from = self.front.now();
+    async fn wait_for_state(&self) {
+        let is_prompt = self.info.prompt.is_some();
+        let started_at = self.front.now();
         loop {
             let now = self.front.now();
-            let waits_for_stores = {
+            let awaits_stores = {
                 let state = self.front.state();
-                is_prompt && now.since(from) < SETTLE_LIMIT && state.is_unsettled(now)
+                is_prompt && now.since(started_at) < STORE_WAIT_TIMEOUT && state.is_unsettled(now)
             };
-            if !waits_for_stores && !self.front.state().awaits_suspects(now) {
+            if !awaits_stores && !self.front.state().awaits_suspects(now) {
                 return;
             }
-            Timer::after(to_duration(SETTLE_PAUSE)).await;
+            Timer::after(to_duration(STORE_POLL_INTERVAL)).await;
         }
     }
 
-    pub(super) async fn serve(&mut self) -> RequestEnd {
-        self.settle().await;
+    pub(super) async fn serve(&mut self) -> ConnectionReuse {
+        self.wait_for_state().await;
         let mut last_failure = RefusalKind::NoEndpoint;
-        let mut held_answer: Option<WholeAnswer> = None;
-        let mut come_back = None;
+        let mut failed_response: Option<BufferedResponse> = None;
+        let mut retry_after = None;
         loop {
-            if self.front.now() >= self.ends_at {
-                last_failure = match self.may_have_run {
+            if self.front.now() >= self.deadline {
+                last_failure = match self.possible_runs {
                     0 => RefusalKind::NeverSent,
                     _ => RefusalKind::TimedOut,
                 };
                 break;
             }
-            match self.wait_for_turn().await {
-                TrialTurn::Free => {}
-                TrialTurn::Refused(kind, back) => {
-                    last_failure = match self.may_have_run {
+            match self.wait_for_permission().await {
+                SendPermission::Granted => {}
+                SendPermission::Refused(kind, delay) => {
+                    last_failure = match self.possible_runs {
                         0 => kind,
                         _ => RefusalKind::EndpointLost,
                     };
-                    come_back = Some(back).filter(|_| self.may_have_run == 0);
+                    retry_after = Some(delay).filter(|_| self.possible_runs == 0);
                     break;
                 }
-                TrialTurn::CallerGone => {
+                SendPermission::CallerGone => {
                     self.log_end("caller-gone", 0);
-                    return RequestEnd::Close;
+                    return ConnectionReuse::Close;
                 }
             }
             // A repeat is taken from the budget only where somebody can get it.
@@ -192,110 +192,110 @@
                 if self.sends > 0 {
                     break;
                 }
-                come_back = self.slow_start_back();
-                if come_back.is_some() {
+                retry_after = self.slow_start_retry_after();
+                if retry_after.is_some() {
                     last_failure = RefusalKind::Overloaded;
                 }
                 break;
             };
-            if self.sends > 0 && !self.may_send_again() {
+            if self.sends > 0 && !self.acquire_retry() {
                 break;
             }
-            let verdict = self.judge_admission(&choice);
-            if verdict != AdmissionDecision::Admitted {
-                self.log_try(&choice, verdict.as_str(), "");
+            let decision = self.decide_admission(&choice);
+            if decision != AdmissionDecision::Admitted {
+                self.log_attempt(&choice, decision.as_str(), "");
                 last_failure = RefusalKind::Overloaded;
-                come_back = Some(self.come_back(&choice));
+                retry_after = Some(self.retry_after(&choice));
                 break;
             }
-            let place = self.reserve(&choice);
-            let Some(mut offer) = self.open(&choice).await else {
-                self.release(&choice, &place);
+            let slot = self.reserve(&choice);
+            let Some(mut exchange) = self.open_exchange(&choice).await else {
+                self.release(&choice, &slot);
                 self.tried.push(choice.key);
                 continue;
             };
-            let end = self.try_endpoint(&choice, &place, &mut offer).await;
-            self.give_back(&choice, offer);
+            let outcome = self.attempt(&choice, &slot, &mut exchange).await;
+            self.return_connection(&choice, exchange);
             self.tried.push(choice.key);
-            match end {
-                TryEnd::Delivered(status) => return self.delivered(status),
-                TryEnd::CallerGone => {
+            match outcome {
+                AttemptOutcome::Delivered(status) => return self.finish_delivered(status),
+                AttemptOutcome::CallerGone => {
                     self.log_end("caller-gone", 0);
-                    return RequestEnd::Close;
+                    return ConnectionReuse::Close;
                 }
-                TryEnd::NotRun => {
-                    last_failure = match self.may_have_run {
+                AttemptOutcome::NotRun => {
+                    last_failure = match self.possible_runs {
                         0 => RefusalKind::EndpointRefused,
                         _ => RefusalKind::EndpointLost,
                     };
                 }
-                TryEnd::Failed(answer) => {
-                    if !self.can_repeat() {
-                        return self.deliver_whole(answer).await;
+                AttemptOutcome::Failed(response) => {
+                    if !self.can_retry() {
+                        return self.deliver_buffered(response).await;
                     }
-                    held_answer = Some(answer);
+                    failed_response = Some(response);
                 }
-                TryEnd::Broken(failure) => {
-                    if failure == OfferFailure::Lost {
-                        self.note_lost(&choice).await;
+                AttemptOutcome::Broken(failure) => {
+                    if failure == ExchangeFailure::Lost {
+                        self.record_lost_run(&choice).await;
                     }
-                    last_failure = self.failure_kind(failure);
-                    if failure == OfferFailure::Late || !self.can_repeat() {
+                    last_failure = self.refusal_kind(failure);
+                    if failure == ExchangeFailure::Late || !self.can_retry() {
                         break;
                     }
                 }
             }
         }
-        if self.progress.is_begun {
+        if self.progress.is_head_sent {
             // The caller must see that the stream is cut.
             self.log_end("cut", 0);
-            return RequestEnd::Close;
+            return ConnectionReuse::Close;
         }
-        if let Some(answer) = held_answer {
-            return self.deliver_whole(answer).await;
+        if let Some(response) = failed_response {
+            return self.deliver_buffered(response).await;
         }
-        let came_at = self.request.came_at;
+        let arrived_at = self.request.arrived_at;
         let closes = self.closes();
         refuse(
             self.front,
             self.caller,
-            &self.ask,
-            OwnRefusal {
+            &self.info,
+            RequestRefusal {
                 kind: last_failure,
-                come_back,
+                retry_after,
                 closes,
-                came_at,
+                arrived_at,
                 sends: self.sends,
             },
         )
         .await
     }
 
-    pub(super) fn failure_kind(
+    pub(super) fn refusal_kind(
         &self,
-        failure: OfferFailure,
+        failure: ExchangeFailure,
     ) -> RefusalKind {
         match failure {
-            OfferFailure::NotSent if self.may_have_run == 0 => RefusalKind::EndpointRefused,
-            OfferFailure::Late if self.may_have_run == 0 => RefusalKind::NeverSent,
-            OfferFailure::Late => RefusalKind::TimedOut,
-            OfferFailure::Garbled => RefusalKind::BadAnswer,
-            OfferFailure::NotSent
-            | OfferFailure::Lost
-            | OfferFailure::Overdue
-            | OfferFailure::CallerGone => RefusalKind::EndpointLost,
+            ExchangeFailure::NotSent if self.possible_runs == 0 => RefusalKind::EndpointRefused,
+            ExchangeFailure::Late if self.possible_runs == 0 => RefusalKind::NeverSent,
+            ExchangeFailure::Late => RefusalKind::TimedOut,
+            ExchangeFailure::Garbled => RefusalKind::BadAnswer,
+            ExchangeFailure::NotSent
+            | ExchangeFailure::Lost
+            | ExchangeFailure::Overdue
+            | ExchangeFailure::CallerGone => RefusalKind::EndpointLost,
         }
     }
 
     /// Whether a request that may have run can run once more.
-    pub(super) fn can_repeat(&self) -> bool {
-        let is_allowed = self.may_have_run == 0 || self.route().retry.allows_rerun();
-        is_allowed && self.may_have_run < self.route().max_endpoints
+    pub(super) fn can_retry(&self) -> bool {
+        let is_allowed = self.possible_runs == 0 || self.route().retry.allows_rerun();
+        is_allowed && self.possible_runs < self.route().max_endpoints
     }
 
     /// Takes a further send from the budget.
-    pub(super) fn may_send_again(&mut self) -> bool {
-        if !self.can_repeat() || self.sends >= self.route().max_endpoints + PROVEN_LIMIT {
+    pub(super) fn acquire_retry(&mut self) -> bool {
+        if !self.can_retry() || self.sends >= self.route().max_endpoints + MAX_UNEXECUTED_SENDS {
             return false;
         }
         let front = self.front;
@@ -304,28 +304,28 @@
         let meter = state.meter(&self.service);
         let now = front.now();
         // The clock starts with the process.
-        let lived = now;
-        meter.try_acquire(&front.settings.repeats, fronts, lived, now)
+        let uptime = now;
+        meter.try_acquire(&front.settings.repeats, fronts, uptime, now)
     }
 
-    pub(super) async fn deliver_whole(
+    pub(super) async fn deliver_buffered(
         &mut self,
-        answer: WholeAnswer,
-    ) -> RequestEnd {
-        match write_to_caller(self.caller, &answer.bytes, &mut self.timer).await {
-            true => self.delivered(answer.status),
-            false => RequestEnd::Close,
+        response: BufferedResponse,
+    ) -> ConnectionReuse {
+        match write_to_caller(self.caller, &response.bytes, &mut self.timer).await {
+            true => self.finish_delivered(response.status),
+            false => ConnectionReuse::Close,
         }
     }
 
-    pub(super) fn delivered(
+    pub(super) fn finish_delivered(
         &self,
         status: u16,
-    ) -> RequestEnd {
+    ) -> ConnectionReuse {
         self.log_end("answered", status);
-        match self.progress.closes || self.asked_close {
-            true => RequestEnd::Close,
-            false => RequestEnd::Keep,
+        match self.progress.closes || self.close_requested {
+            true => ConnectionReuse::Close,
+            false => ConnectionReuse::KeepAlive,
         }
     }
 }
--- a/entry/src/front/request_try.rs
+++ b/entry/src/front/request_try.rs
@@ -1,5 +1,8 @@
 use {
-    super::{send_offer, LatestRun, OfferFailure, OpenOffer, PartMoves, RequestRun, WholeAnswer},
+    super::{
+        send_request, BufferedResponse, EndpointExchange, ExchangeFailure, LatestRun,
+        PartTransfers, RequestRun,
+    },
     pitchhitch_core::{
         serving::{EndpointChoice, EndpointStatus, PendingPrefill},
         time::Micros,
@@ -11,16 +14,16 @@
 
 /// Longest wait for a connection to an endpoint: a way takes a millisecond or
 /// two, and nothing has been sent yet.
-const OPEN_LIMIT: Micros = Micros::from_millis(250);
+const CONNECT_TIMEOUT: Micros = Micros::from_millis(250);
 
 /// What is counted for a request at the endpoint that it is about to be sent to.
-pub(super) struct ReservedPlace {
+pub(super) struct ReservedSlot {
     ticket: u64,
-    moves: PartMoves,
+    transfers: PartTransfers,
 }
 
 /// What one endpoint made of the request.
-pub(super) enum TryEnd {
+pub(super) enum AttemptOutcome {
     /// The caller has its answer, whole.
     Delivered(u16),
     /// The caller has gone.
@@ -28,29 +31,29 @@
     /// The endpoint proved that it did not run the request.
     NotRun,
     /// The endpoint answered with a failure of its own, whole.
-    Failed(WholeAnswer),
+    Failed(BufferedResponse),
     /// There is no answer that can be used.
-    Broken(OfferFailure),
+    Broken(ExchangeFailure),
 }
 
 impl RequestRun<'_> {
     /// A connection to the endpoint, if it still may get requests then.
-    pub(super) async fn open(
+    pub(super) async fn open_exchange(
         &mut self,
         choice: &EndpointChoice,
-    ) -> Option<OpenOffer> {
+    ) -> Option<EndpointExchange> {
         let front = self.front;
-        let kept = front.state().pool.take(choice.key, front.now());
-        let link = match kept {
-            Some(link) => link,
+        let pooled = front.state().pool.take(choice.key, front.now());
+        let connection = match pooled {
+            Some(connection) => connection,
             None => {
                 let address = front.state().book.get(choice.key)?.address;
                 front.metrics.count("links", "opened");
-                match ByteLink::open(address, to_duration(OPEN_LIMIT)).await {
-                    Ok(link) => link,
+                match ByteLink::open(address, to_duration(CONNECT_TIMEOUT)).await {
+                    Ok(connection) => connection,
                     Err(error) => {
-                        self.judge(choice, false);
-                        self.log_try(choice, "no-connection", &error.to_string());
+                        self.record_outcome(choice, false);
+                        self.log_attempt(choice, "no-connection", &error.to_string());
                         return None;
                     }
                 }
@@ -58,7 +61,7 @@
         };
         let state = front.state();
         let entry = state.book.get(choice.key)?;
-        (entry.status != EndpointStatus::Leaving).then(|| OpenOffer::new(link))
+        (entry.status != EndpointStatus::Leaving).then(|| EndpointExchange::new(connection))
     }
 
     /// Counts the request at the endpoint before a connection is there: requests that
@@ -67,19 +70,20 @@
     pub(super) fn reserve(
         &mut self,
         choice: &EndpointChoice,
-    ) -> ReservedPlace {
+    ) -> ReservedSlot {
         let front = self.front;
-        let moves = self.moves_for(choice);
+        let transfers = self.transfers_for(choice);
         let mut state = front.state();
         let entry = state.book.get(choice.key);
-        self.run = LatestRun {
-            life: entry.map_or(0, |entry| entry.incarnation.ended),
+        self.latest_run = LatestRun {
+            incarnation: entry.map_or(0, |entry| entry.incarnation.ended),
             born: entry.and_then(|entry| entry.incarnation.born),
-            known_crashes: self.trial.unwrap_or(0),
+            known_crashes: self.suspect_crashes.unwrap_or(0),
             ..LatestRun::default()
         };
         let ticket = state.ticket();
-        if let (Some(crashes), Some(fingerprint)) = (self.trial, self.known_as) {
+        if let (Some(crashes), Some(fingerprint)) = (self.suspect_crashes, self.cached_fingerprint)
+        {
             let is_alone = crashes > 1;
             state
                 .trials
@@ -88,12 +92,12 @@
         let work = PendingPrefill {
             ticket,
             tokens: choice.prefill_tokens,
-            memory_tokens: self.ask.prompt.as_ref().map_or(0, |p| p.tokens_in),
-            priority: self.rank(),
+            memory_tokens: self.info.prompt.as_ref().map_or(0, |p| p.tokens_in),
+            priority: self.priority(),
             sent_at: front.now(),
         };
         state.book.record_sent(choice.key, work);
-        ReservedPlace { ticket, moves }
+        ReservedSlot { ticket, transfers }
     }
 
     /// Takes back what was counted for a request that is not sent, and the parts that
@@ -101,90 +105,90 @@
     pub(super) fn release(
         &self,
         choice: &EndpointChoice,
-        place: &ReservedPlace,
+        slot: &ReservedSlot,
     ) {
         let mut guard = self.front.state();
         let state = &mut *guard;
-        state.book.record_ended(choice.key, place.ticket);
-        state.book.record_unsent(choice.key, place.ticket);
-        state.trials.end(place.ticket);
-        let (Some(prompt), Some(version)) = (&self.ask.prompt, choice.version) else {
+        state.book.record_ended(choice.key, slot.ticket);
+        state.book.record_unsent(choice.key, slot.ticket);
+        state.trials.end(slot.ticket);
+        let (Some(prompt), Some(version)) = (&self.info.prompt, choice.version) else {
             return;
         };
-        let wall = state.wall(&self.wall(version).salt());
+        let wall = state.wall(&self.cache_namespace(version).salt());
         let planned = &choice.plan.parts;
-        let is_kept = |at: usize| planned.get(at).is_some_and(|fetch| fetch.is_cached);
+        let is_cached = |index: usize| planned.get(index).is_some_and(|fetch| fetch.is_cached);
         if let Some(entry) = state.book.get_mut(choice.key) {
-            for (at, part) in prompt.parts.iter().enumerate() {
-                if !is_kept(at) {
+            for (index, part) in prompt.parts.iter().enumerate() {
+                if !is_cached(index) {
                     entry.parts.set(wall, part.id, 0);
                 }
             }
         }
     }
 
-    pub(super) async fn try_endpoint(
+    pub(super) async fn attempt(
         &mut self,
         choice: &EndpointChoice,
-        place: &ReservedPlace,
-        offer: &mut OpenOffer,
-    ) -> TryEnd {
+        slot: &ReservedSlot,
+        exchange: &mut EndpointExchange,
+    ) -> AttemptOutcome {
         let front = self.front;
-        let ticket = place.ticket;
-        let bytes = self.encode(choice, &place.moves);
+        let ticket = slot.ticket;
+        let bytes = self.encode(choice, &slot.transfers);
         let sent_at = front.now();
-        self.run.sent_at = sent_at;
+        self.latest_run.sent_at = sent_at;
         front
             .state()
             .book
             .record_written(choice.key, ticket, sent_at);
-        if let Some(prompt) = &self.ask.prompt {
-            let unread = choice.prefill_tokens;
+        if let Some(prompt) = &self.info.prompt {
+            let prefill_tokens = choice.prefill_tokens;
             let mut state = front.state();
             state
                 .pace
-                .record_sent(prompt.tokens_in, unread, prompt.tokens_out);
+                .record_sent(prompt.tokens_in, prefill_tokens, prompt.tokens_out);
         }
         self.sends += 1;
-        self.log_send(choice, "sent", "", place.moves.until_ms);
-        let request_id = self.ask.request_id.clone();
-        self.timer.set_after(self.begin_time(choice));
-        let (answer, may_have_run) =
-            send_offer(offer, &bytes, &request_id, self.caller, &mut self.timer).await;
-        self.may_have_run += u32::from(may_have_run);
-        let end = match answer {
-            Ok(answer) => {
-                self.take_answer(choice, ticket, sent_at, offer, answer)
+        self.log_send(choice, "sent", "", slot.transfers.fetch_until_ms);
+        let request_id = self.info.request_id.clone();
+        self.timer.set_after(self.first_event_timeout(choice));
+        let (response, may_have_run) =
+            send_request(exchange, &bytes, &request_id, self.caller, &mut self.timer).await;
+        self.possible_runs += u32::from(may_have_run);
+        let outcome = match response {
+            Ok(response) => {
+                self.handle_response(choice, ticket, sent_at, exchange, response)
                     .await
             }
-            Err(OfferFailure::CallerGone) => TryEnd::CallerGone,
-            Err(failure) => TryEnd::Broken(failure),
+            Err(ExchangeFailure::CallerGone) => AttemptOutcome::CallerGone,
+            Err(failure) => AttemptOutcome::Broken(failure),
         };
         self.timer.set_after(self.time_left());
-        let end = match end {
-            TryEnd::Broken(OfferFailure::Late) if front.now() < self.ends_at => {
-                TryEnd::Broken(OfferFailure::Overdue)
+        let outcome = match outcome {
+            AttemptOutcome::Broken(ExchangeFailure::Late) if front.now() < self.deadline => {
+                AttemptOutcome::Broken(ExchangeFailure::Overdue)
             }
-            end => end,
+            outcome => outcome,
         };
-        self.learn_ended(choice, ticket, sent_at);
-        self.after_try(choice, &end);
-        end
+        self.record_ended(choice, ticket, sent_at);
+        self.record_attempt(choice, &outcome);
+        outcome
     }
 
     /// Time that is left for the request.
     fn time_left(&self) -> Duration {
-        to_duration(self.ends_at.since(self.front.now()))
+        to_duration(self.deadline.since(self.front.now()))
     }
 
     /// Time in which the endpoint must begin a stream. A stream that waits at an engine for
     /// longer would begin on weights that newer ones have replaced for too long.
-    fn begin_time(
+    fn first_event_timeout(
         &self,
         choice: &EndpointChoice,
     ) -> Duration {
         let front = self.front;
-        let (Some(prompt), Some(version)) = (&self.ask.prompt, choice.version) else {
+        let (Some(prompt), Some(version)) = (&self.info.prompt, choice.version) else {
             return self.time_left();
         };
         if !self.route().is_stream {
@@ -199,43 +203,46 @@
         })
     }
 
-    pub(super) fn after_try(
+    pub(super) fn record_attempt(
         &mut self,
         choice: &EndpointChoice,
-        end: &TryEnd,
+        outcome: &AttemptOutcome,
     ) {
-        match end {
-            TryEnd::Delivered(status) => {
-                self.judge(choice, true);
+        match outcome {
+            AttemptOutcome::Delivered(status) => {
+                self.record_outcome(choice, true);
                 if (200..300).contains(status) {
-                    self.note_answered();
+                    self.record_answered();
                 }
             }
-            TryEnd::CallerGone => {}
-            TryEnd::NotRun => self.log_try(choice, "not-run", ""),
-            TryEnd::Failed(answer) => {
-                self.judge(choice, false);
-                self.log_try(choice, "failed", &answer.status.to_string());
+            AttemptOutcome::CallerGone => {}
+            AttemptOutcome::NotRun => self.log_attempt(choice, "not-run", ""),
+            AttemptOutcome::Failed(response) => {
+                self.record_outcome(choice, false);
+                self.log_attempt(choice, "failed", &response.status.to_string());
             }
-            TryEnd::Broken(failure) => {
-                self.judge(choice, false);
-                self.log_try(choice, "broken", &format!("{failure:?}"));
+            AttemptOutcome::Broken(failure) => {
+                self.record_outcome(choice, false);
+                self.log_attempt(choice, "broken", &format!("{failure:?}"));
             }
         }
     }
 
     /// Gives a connection that can take another request to the pool.
-    pub(super) fn give_back(
+    pub(super) fn return_connection(
         &self,
         choice: &EndpointChoice,
-        offer: OpenOffer,
+        exchange: EndpointExchange,
     ) {
         let front = self.front;
         let mut state = front.state();
-        if offer.is_kept && self.is_of_life(&state, choice) {
-            state
-                .pool
-                .put(choice.key, offer.link, offer.keeps_for, front.now());
+        if exchange.is_reusable && self.is_same_incarnation(&state, choice) {
+            state.pool.put(
+                choice.key,
+                exchange.connection,
+                exchange.keep_alive,
+                front.now(),
+            );
         }
     }
 }
--- a/entry/src/front/return_check.rs
+++ b/entry/src/front/return_check.rs
@@ -7,32 +7,32 @@
 };
 
 /// Time limit of a question; it waits for a slot of the endpoint like a request.
-const CALL_LIMIT: Duration = Duration::from_millis(1_500);
+const HEALTH_TIMEOUT: Duration = Duration::from_millis(1_500);
 
 /// Asks endpoints whose entries went and came back whether they serve: heartbeats
 /// that got lost look like an endpoint that left, and a heartbeat that was carried
 /// out late looks like one that came back.
-pub(super) fn ask_returned(front: &Rc<FrontContext>) {
+pub(super) fn probe_rejoined(front: &Rc<FrontContext>) {
     let now = front.now();
-    let questions = front.state().book.due_probes(now);
-    for question in questions {
-        front.spawn(ask(front.clone(), question));
+    let probes = front.state().book.due_probes(now);
+    for probe in probes {
+        front.spawn(probe_endpoint(front.clone(), probe));
     }
 }
 
-async fn ask(
+async fn probe_endpoint(
     front: Rc<FrontContext>,
-    question: RejoinProbe,
+    probe: RejoinProbe,
 ) {
-    let path = health_path(&front, &question.service);
+    let path = health_path(&front, &probe.service);
     let status = match &path {
-        Some(path) => health_status(&question, path).await,
+        Some(path) => health_status(&probe, path).await,
         None => None,
     };
     let serves = status == Some(200);
     log::info!(
         event = "endpoint-returned",
-        endpoint = question.id.as_str(),
+        endpoint = probe.id.as_str(),
         status = status.unwrap_or(0),
         serves = serves;
         ""
@@ -40,7 +40,7 @@
     front.metrics.count("links", "health");
     let now = front.now();
     let mut state = front.state();
-    let change = state.book.record_probe(question.key, serves, now);
+    let change = state.book.record_probe(probe.key, serves, now);
     drop(state);
     let changes: Vec<_> = change.into_iter().collect();
     log_changes(&front, &changes);
@@ -56,15 +56,19 @@
 
 /// Status of its answer; an endpoint of another id at the address says no.
 async fn health_status(
-    question: &RejoinProbe,
+    probe: &RejoinProbe,
     path: &str,
 ) -> Option<u16> {
-    let mut client = HttpClient::new(question.address, CALL_LIMIT);
-    let call = HttpCall {
+    let mut client = HttpClient::new(probe.address, HEALTH_TIMEOUT);
+    let request = HttpCall {
         method: "GET",
         target: path,
-        fields: vec![instance_field(&question.id)],
+        fields: vec![instance_field(&probe.id)],
         ..HttpCall::default()
     };
-    client.call(call).await.ok().map(|answer| answer.status)
+    client
+        .call(request)
+        .await
+        .ok()
+        .map(|response| response.status)
 }
--- a/entry/src/front/store_readers.rs
+++ b/entry/src/front/store_readers.rs
@@ -1,5 +1,5 @@
 use {
-    super::{spread_number, FrontContext, FrontState},
+    super::{fnv1a_hash, FrontContext, FrontState},
     pitchhitch_core::{
         serving::{
             reader_draw, stable_fraction, ProofTracker, ProvenTable, ReaderTier, StoreProof,
@@ -154,7 +154,7 @@
 
 /// The number under which this front's readings are told.
 pub(super) fn reader_number(front: &FrontContext) -> u32 {
-    spread_number(&front.settings.box_id) as u32
+    fnv1a_hash(&front.settings.box_id) as u32
 }
 
 /// How soon this front reads a table itself.
--- a/entry/src/front/store_watch.rs
+++ b/entry/src/front/store_watch.rs
@@ -1,5 +1,5 @@
 use {
-    super::{free_old_parts, FrontContext, FrontState},
+    super::{reclaim_outdated_parts, FrontContext, FrontState},
     pitchhitch_core::{
         serving::{PollPlan, StoreView},
         time::Micros,
@@ -53,7 +53,7 @@
         for address in known {
             if watched.insert(address) {
                 front.spawn(watch_store(front.clone(), address));
-                front.spawn(free_old_parts(front.clone(), address));
+                front.spawn(reclaim_outdated_parts(front.clone(), address));
             }
         }
         Timer::after(to_duration(STORES_PAUSE)).await;
--- a/entry/src/front/stream_relay.rs
+++ b/entry/src/front/stream_relay.rs
@@ -1,7 +1,7 @@
 use {
     super::{
-        wait_for_endpoint, write_to_caller, EventSplitter, OfferAnswer, OfferFailure, OpenOffer,
-        WakeReason,
+        wait_for_endpoint, write_to_caller, EndpointExchange, EndpointResponse, EventSplitter,
+        ExchangeFailure, WakeReason,
     },
     pitchhitch_http1::{write_chunk, BodyDecoder, ByteLink, LAST_CHUNK},
     pitchhitch_platform::{encode_answer_head, AnswerLength},
@@ -15,7 +15,7 @@
     /// Cuts the stream into events.
     pub splitter: EventSplitter,
     /// Whether the caller has got the head.
-    pub is_begun: bool,
+    pub is_head_sent: bool,
     /// Whether the connection to the caller ends with the stream.
     pub closes: bool,
     /// Writes to the caller.
@@ -24,11 +24,11 @@
 
 /// What a piece of a stream tells its request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum RelayNews {
+pub(crate) enum RelayEvent {
     /// The first events have come.
-    Begun,
+    FirstEvent,
     /// The weights have changed under the stream.
-    Version(u64),
+    VersionChanged(u64),
 }
 
 /// Passes a stream on, event by event, until it ends.
@@ -36,77 +36,80 @@
 /// A part of an event never goes out, except at the sound end of a stream. Once the first
 /// events have come the stream has the time that is `left` for the request.
 pub(crate) async fn relay_stream(
-    offer: &mut OpenOffer,
-    answer: &OfferAnswer,
+    exchange: &mut EndpointExchange,
+    response: &EndpointResponse,
     progress: &mut StreamProgress,
     caller: &mut ByteLink,
     timer: &mut DeadlineTimer,
-    left: &dyn Fn() -> Duration,
-    tell: &mut dyn FnMut(RelayNews),
-) -> Result<(), OfferFailure> {
-    let mut decoder = BodyDecoder::new(answer.framing);
+    time_left: &dyn Fn() -> Duration,
+    on_event: &mut dyn FnMut(RelayEvent),
+) -> Result<(), ExchangeFailure> {
+    let mut decoder = BodyDecoder::new(response.framing);
     let mut piece = Vec::new();
     let mut is_first = true;
     loop {
         piece.clear();
-        let used = decoder.decode(offer.link.unused(), &mut piece);
-        offer.link.use_up(used.map_err(|_| OfferFailure::Garbled)?);
+        let consumed = decoder.decode(exchange.connection.unused(), &mut piece);
+        exchange
+            .connection
+            .use_up(consumed.map_err(|_| ExchangeFailure::Garbled)?);
         let before = progress.splitter.version();
-        let mut events = progress.splitter.take(&piece);
+        let mut events = progress.splitter.feed(&piece);
         if let Some(version) = progress.splitter.version().filter(|v| Some(*v) != before) {
-            tell(RelayNews::Version(version));
+            on_event(RelayEvent::VersionChanged(version));
         }
         if is_first && !events.is_empty() {
             is_first = false;
-            timer.set_after(left());
-            tell(RelayNews::Begun);
+            timer.set_after(time_left());
+            on_event(RelayEvent::FirstEvent);
         }
         let is_done = decoder.is_done();
         if is_done {
-            events.extend_from_slice(progress.splitter.rest());
+            events.extend_from_slice(progress.splitter.partial_event());
         }
         if !events.is_empty() || is_done {
-            pass_on(&events, is_done, answer, progress, caller, timer).await?;
+            forward_events(&events, is_done, response, progress, caller, timer).await?;
         }
         if is_done {
             return Ok(());
         }
-        match wait_for_endpoint(&offer.link, false, caller, timer).await {
-            WakeReason::Late => return Err(OfferFailure::Late),
-            WakeReason::CallerGone => return Err(OfferFailure::CallerGone),
-            WakeReason::Endpoint | WakeReason::Writable => {}
+        match wait_for_endpoint(&exchange.connection, false, caller, timer).await {
+            WakeReason::TimedOut => return Err(ExchangeFailure::Late),
+            WakeReason::CallerGone => return Err(ExchangeFailure::CallerGone),
+            WakeReason::EndpointReadable | WakeReason::EndpointWritable => {}
         }
-        match offer.link.try_read() {
+        match exchange.connection.try_read() {
             Ok(Some(0)) if decoder.is_endless() => {
-                let rest = progress.splitter.rest().to_vec();
-                return pass_on(&rest, true, answer, progress, caller, timer).await;
+                let partial_event = progress.splitter.partial_event().to_vec();
+                return forward_events(&partial_event, true, response, progress, caller, timer)
+                    .await;
             }
-            Ok(Some(0)) | Err(_) => return Err(OfferFailure::Lost),
+            Ok(Some(0)) | Err(_) => return Err(ExchangeFailure::Lost),
             Ok(_) => {}
         }
     }
 }
 
-async fn pass_on(
+async fn forward_events(
     events: &[u8],
-    is_end: bool,
-    answer: &OfferAnswer,
+    is_last: bool,
+    response: &EndpointResponse,
     progress: &mut StreamProgress,
     caller: &mut ByteLink,
     timer: &mut DeadlineTimer,
-) -> Result<(), OfferFailure> {
+) -> Result<(), ExchangeFailure> {
     let mut out = Vec::with_capacity(events.len() + 32);
-    if !progress.is_begun {
-        progress.is_begun = true;
-        out = encode_answer_head(&answer.head, AnswerLength::Chunks, progress.closes);
+    if !progress.is_head_sent {
+        progress.is_head_sent = true;
+        out = encode_answer_head(&response.head, AnswerLength::Chunks, progress.closes);
     }
     write_chunk(&mut out, events);
-    if is_end {
+    if is_last {
         out.extend_from_slice(LAST_CHUNK);
     }
     progress.writes += 1;
     match write_to_caller(caller, &out, timer).await {
         true => Ok(()),
-        false => Err(OfferFailure::CallerGone),
+        false => Err(ExchangeFailure::CallerGone),
     }
 }
--- a/entry/src/front/suspect_desk.rs
+++ b/entry/src/front/suspect_desk.rs
@@ -39,37 +39,37 @@
 }
 
 /// Answers other processes and operators.
-pub(super) fn answer_control(
+pub(super) fn handle_control(
     front: &FrontContext,
     target: &str,
 ) -> (u16, Vec<u8>) {
     match target {
         STATE_PATH => hand_state_on(front, target),
-        SUSPECTS_PATH => tell_suspects(front),
+        SUSPECTS_PATH => list_suspects(front),
         _ => match target.strip_prefix(RELEASE_PREFIX) {
-            Some(rest) => release(front, target, rest),
+            Some(suffix) => release(front, target, suffix),
             None => (404, Vec::new()),
         },
     }
 }
 
-fn tell_suspects(front: &FrontContext) -> (u16, Vec<u8>) {
+fn list_suspects(front: &FrontContext) -> (u16, Vec<u8>) {
     let now = front.now();
     let state = front.state();
-    let suspects = state.suspects.reports(now).into_iter().map(|told| {
-        let standing = state.suspects.status(told.fingerprint, 0.0, now);
-        let (word, left) = match standing {
+    let suspects = state.suspects.reports(now).into_iter().map(|report| {
+        let status = state.suspects.status(report.fingerprint, 0.0, now);
+        let (label, left) = match status {
             SuspectStatus::Clear => ("clear", None),
             SuspectStatus::Suspect(_) => ("suspect", None),
             SuspectStatus::Resting(left) => ("resting", Some(left)),
             SuspectStatus::Held(left) => ("held", Some(left)),
         };
-        let last = told.crashes.iter().map(|crash| crash.ended).min();
+        let last = report.crashes.iter().map(|crash| crash.ended).min();
         SuspectRow {
-            fingerprint: told.fingerprint.to_string(),
-            standing: word.to_string(),
+            fingerprint: report.fingerprint.to_string(),
+            standing: label.to_string(),
             left_ms: left.map(|left| left.as_millis()),
-            crashes: told.crashes.len(),
+            crashes: report.crashes.len(),
             last_crash_ms: last.map(|age| age.as_millis()),
         }
     });
@@ -82,18 +82,18 @@
 fn release(
     front: &FrontContext,
     target: &str,
-    rest: &str,
+    suffix: &str,
 ) -> (u16, Vec<u8>) {
-    let named = rest.split('/').next().unwrap_or_default();
-    let Some(fingerprint) = RequestFingerprint::parse(named) else {
+    let text = suffix.split('/').next().unwrap_or_default();
+    let Some(fingerprint) = RequestFingerprint::parse(text) else {
         return (400, b"that is no fingerprint\n".to_vec());
     };
-    if target != release_path(named, front.settings.peer_key.as_ref()) {
+    if target != release_path(text, front.settings.peer_key.as_ref()) {
         return (403, b"the keyed hash is missing or wrong\n".to_vec());
     }
     let now = front.now();
     let is_known = front.state().suspects.release(fingerprint, now);
-    log::info!(event = "suspect-released", fingerprint = named, known = is_known; "");
+    log::info!(event = "suspect-released", fingerprint = text, known = is_known; "");
     if !is_known {
         return (404, b"nothing is known of it here\n".to_vec());
     }
--- a/entry/src/front/wake_reason.rs
+++ b/entry/src/front/wake_reason.rs
@@ -6,19 +6,19 @@
 };
 
 /// Bytes of further requests that a caller may send ahead.
-const AHEAD_LIMIT: usize = 64 << 10;
+const MAX_PIPELINED_BYTES: usize = 64 << 10;
 
 /// Why a request's task goes on.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum WakeReason {
     /// The endpoint has sent something, or has closed.
-    Endpoint,
+    EndpointReadable,
     /// The endpoint takes more of the request.
-    Writable,
+    EndpointWritable,
     /// The caller has closed its connection.
     CallerGone,
     /// The time of the request is over.
-    Late,
+    TimedOut,
 }
 
 /// Waits for the endpoint, and notices a caller that goes.
@@ -29,23 +29,23 @@
     timer: &mut DeadlineTimer,
 ) -> WakeReason {
     loop {
-        let watches = caller.unused().len() < AHEAD_LIMIT;
-        let woken = poll_fn(|context| {
+        let reads_caller = caller.unused().len() < MAX_PIPELINED_BYTES;
+        let wake = poll_fn(|context| {
             if endpoint.poll_readable(context).is_ready() {
-                return Poll::Ready(Some(WakeReason::Endpoint));
+                return Poll::Ready(Some(WakeReason::EndpointReadable));
             }
             if wants_write && endpoint.poll_writable(context).is_ready() {
-                return Poll::Ready(Some(WakeReason::Writable));
+                return Poll::Ready(Some(WakeReason::EndpointWritable));
             }
-            if watches && caller.poll_readable(context).is_ready() {
+            if reads_caller && caller.poll_readable(context).is_ready() {
                 return Poll::Ready(None);
             }
             match Pin::new(&mut *timer).poll(context) {
-                Poll::Ready(_) => Poll::Ready(Some(WakeReason::Late)),
+                Poll::Ready(_) => Poll::Ready(Some(WakeReason::TimedOut)),
                 Poll::Pending => Poll::Pending,
             }
         });
-        if let Some(reason) = woken.await {
+        if let Some(reason) = wake.await {
             return reason;
         }
         // What the caller sends ahead waits; its end does not.
@@ -67,10 +67,10 @@
         Ok(count) => count,
         Err(_) => return false,
     };
-    let late = async {
+    let timed_out = async {
         timer.await;
         false
     };
     let rest = async { caller.write_all(&bytes[sent..]).await.is_ok() };
-    futures_lite::future::or(rest, late).await
+    futures_lite::future::or(rest, timed_out).await
 }
--- a/entry/src/front/weight_lesson.rs
+++ b/entry/src/front/weight_lesson.rs
@@ -1,7 +1,7 @@
 use pitchhitch_core::serving::EndpointEntry;
 
 /// Takes that an engine has some weights; `source` says who told it, for the log.
-pub(super) fn learn_weights(
+pub(super) fn update_weights(
     entry: &mut EndpointEntry,
     model: &str,
     version: u64,
