--- a/entry/src/front/digest_watch.rs
+++ b/entry/src/front/digest_watch.rs
@@ -1,6 +1,6 @@
 use {
     super::{
-        is_engine, learn_weights, log_changes, reader_number, take_store_news, FrontContext,
+        is_engine, update_weights, log_changes, reader_number, take_store_news, FrontContext,
         FrontState, TableProofs,
     },
     pitchhitch_core::{
@@ -334,7 +334,7 @@
                 ""
             );
         }
-        learn_weights(entry, model, *version, "digest");
+        update_weights(entry, model, *version, "digest");
     }
 }
 
