--- a/entry/src/front/mod.rs
+++ b/entry/src/front/mod.rs
@@ -5,7 +5,7 @@
 //! path and the controllers are tasks of one executor and share plain state.
 
 mod beside_link;
-mod call_limit;
+mod call_timeout;
 mod caller_conn;
 mod digest_watch;
 mod end_probe;
@@ -57,9 +57,9 @@
     store_readers::*, store_watch::*, stream_relay::*, suspect_desk::*, wake_reason::*,
 };
 use {
-    call_limit::*, evacuations::*, foreign_rows::*, greeting_plan::*, held_rows::*, order_lease::*,
-    orphan_engine::*, part_freeing::*, peer_state::*, request_admit::*, request_moves::*,
-    request_trial::*, request_try::*, return_check::*, run_lost::*, slow_starts::*,
-    store_watchers::*, weight_lesson::*,
+    call_timeout::*, evacuations::*, foreign_rows::*, greeting_plan::*, held_rows::*,
+    order_lease::*, orphan_engine::*, part_freeing::*, peer_state::*, request_admit::*,
+    request_moves::*, request_trial::*, request_try::*, return_check::*, run_lost::*,
+    slow_starts::*, store_watchers::*, weight_lesson::*,
 };
 pub use {front_process::*, front_settings::*};
