--- a/entry/src/front/mod.rs
+++ b/entry/src/front/mod.rs
@@ -8,9 +8,9 @@
 mod call_timeout;
 mod caller_conn;
 mod digest_watch;
-mod end_probe;
 mod evacuations;
 mod event_splitter;
+mod exit_probe;
 mod foreign_rows;
 mod front_context;
 mod front_metrics;
@@ -51,7 +51,7 @@
 mod weight_lesson;
 
 pub(crate) use {
-    beside_link::*, caller_conn::*, digest_watch::*, end_probe::*, event_splitter::*,
+    beside_link::*, caller_conn::*, digest_watch::*, event_splitter::*, exit_probe::*,
     front_context::*, front_metrics::*, front_state::*, link_pool::*, list_watch::*, offer::*,
     operator_watch::*, order_substitute::*, plain_answer::*, request_run::*, store_contact::*,
     store_readers::*, store_watch::*, stream_relay::*, suspect_desk::*, wake_reason::*,
