--- a/entry/src/front/mod.rs
+++ b/entry/src/front/mod.rs
@@ -7,6 +7,7 @@
 mod beside_link;
 mod call_timeout;
 mod caller_conn;
+mod connection_pool;
 mod digest_watch;
 mod evacuations;
 mod event_splitter;
@@ -19,7 +20,6 @@
 mod front_state;
 mod greeting_plan;
 mod held_rows;
-mod link_pool;
 mod list_watch;
 mod offer;
 mod operator_watch;
@@ -51,8 +51,8 @@
 mod weight_lesson;
 
 pub(crate) use {
-    beside_link::*, caller_conn::*, digest_watch::*, event_splitter::*, exit_probe::*,
-    front_context::*, front_metrics::*, front_state::*, link_pool::*, list_watch::*, offer::*,
+    beside_link::*, caller_conn::*, connection_pool::*, digest_watch::*, event_splitter::*,
+    exit_probe::*, front_context::*, front_metrics::*, front_state::*, list_watch::*, offer::*,
     operator_watch::*, order_substitute::*, plain_answer::*, request_run::*, store_contact::*,
     store_readers::*, store_watch::*, stream_relay::*, suspect_desk::*, wake_reason::*,
 };
