--- a/entry/src/front/mod.rs
+++ b/entry/src/front/mod.rs
@@ -9,6 +9,7 @@
 mod caller_conn;
 mod connection_pool;
 mod digest_watch;
+mod endpoint_exchange;
 mod evacuations;
 mod event_splitter;
 mod exit_probe;
@@ -21,7 +22,6 @@
 mod greeting_plan;
 mod held_rows;
 mod list_watch;
-mod offer;
 mod operator_watch;
 mod order_lease;
 mod order_substitute;
@@ -51,10 +51,11 @@
 mod weight_lesson;
 
 pub(crate) use {
-    beside_link::*, caller_conn::*, connection_pool::*, digest_watch::*, event_splitter::*,
-    exit_probe::*, front_context::*, front_metrics::*, front_state::*, list_watch::*, offer::*,
-    operator_watch::*, order_substitute::*, plain_answer::*, request_run::*, store_contact::*,
-    store_readers::*, store_watch::*, stream_relay::*, suspect_desk::*, wake_reason::*,
+    beside_link::*, caller_conn::*, connection_pool::*, digest_watch::*, endpoint_exchange::*,
+    event_splitter::*, exit_probe::*, front_context::*, front_metrics::*, front_state::*,
+    list_watch::*, operator_watch::*, order_substitute::*, plain_answer::*, request_run::*,
+    store_contact::*, store_readers::*, store_watch::*, stream_relay::*, suspect_desk::*,
+    wake_reason::*,
 };
 use {
     call_timeout::*, evacuations::*, foreign_rows::*, greeting_plan::*, held_rows::*,
