--- a/entry/src/front/mod.rs
+++ b/entry/src/front/mod.rs
@@ -26,7 +26,7 @@
 mod order_lease;
 mod order_substitute;
 mod orphan_engine;
-mod part_freeing;
+mod part_reclaim;
 mod peer_state;
 mod plain_answer;
 mod request_admit;
@@ -59,7 +59,7 @@
 };
 use {
     call_timeout::*, evacuations::*, foreign_rows::*, greeting_plan::*, held_rows::*,
-    order_lease::*, orphan_engine::*, part_freeing::*, peer_state::*, request_admit::*,
+    order_lease::*, orphan_engine::*, part_reclaim::*, peer_state::*, request_admit::*,
     request_moves::*, request_trial::*, request_try::*, return_check::*, run_lost::*,
     slow_starts::*, store_watchers::*, weight_lesson::*,
 };
