--- a/entry/src/front/mod.rs
+++ b/entry/src/front/mod.rs
@@ -28,7 +28,7 @@
 mod orphan_engine;
 mod part_reclaim;
 mod peer_state;
-mod plain_answer;
+mod plain_response;
 mod request_admit;
 mod request_answer;
 mod request_choice;
@@ -53,7 +53,7 @@
 pub(crate) use {
     beside_link::*, caller_conn::*, connection_pool::*, digest_watch::*, endpoint_exchange::*,
     event_splitter::*, exit_probe::*, front_context::*, front_metrics::*, front_state::*,
-    list_watch::*, operator_watch::*, order_substitute::*, plain_answer::*, request_run::*,
+    list_watch::*, operator_watch::*, order_substitute::*, plain_response::*, request_run::*,
     store_contact::*, store_readers::*, store_watch::*, stream_relay::*, suspect_desk::*,
     wake_reason::*,
 };
