--- a/entry/src/front/mod.rs
+++ b/entry/src/front/mod.rs
@@ -31,7 +31,7 @@
 mod plain_response;
 mod request_admit;
 mod request_choice;
-mod request_lessons;
+mod request_feedback;
 mod request_log;
 mod request_moves;
 mod request_response;
