--- a/entry/src/front/mod.rs
+++ b/entry/src/front/mod.rs
@@ -33,9 +33,9 @@
 mod request_choice;
 mod request_feedback;
 mod request_log;
-mod request_moves;
 mod request_response;
 mod request_run;
+mod request_transfers;
 mod request_trial;
 mod request_try;
 mod return_check;
@@ -60,7 +60,7 @@
 use {
     call_timeout::*, evacuations::*, foreign_rows::*, greeting_plan::*, held_rows::*,
     order_lease::*, orphan_engine::*, part_reclaim::*, peer_state::*, request_admit::*,
-    request_moves::*, request_trial::*, request_try::*, return_check::*, run_lost::*,
+    request_transfers::*, request_trial::*, request_try::*, return_check::*, run_lost::*,
     slow_starts::*, store_watchers::*, weight_lesson::*,
 };
 pub use {front_process::*, front_settings::*};
