--- a/entry/src/front/mod.rs
+++ b/entry/src/front/mod.rs
@@ -30,6 +30,7 @@
 mod peer_state;
 mod plain_response;
 mod request_admit;
+mod request_attempt;
 mod request_choice;
 mod request_feedback;
 mod request_log;
@@ -37,7 +38,6 @@
 mod request_run;
 mod request_transfers;
 mod request_trial;
-mod request_try;
 mod return_check;
 mod run_lost;
 mod slow_starts;
@@ -60,7 +60,7 @@
 use {
     call_timeout::*, evacuations::*, foreign_rows::*, greeting_plan::*, held_rows::*,
     order_lease::*, orphan_engine::*, part_reclaim::*, peer_state::*, request_admit::*,
-    request_transfers::*, request_trial::*, request_try::*, return_check::*, run_lost::*,
+    request_attempt::*, request_transfers::*, request_trial::*, return_check::*, run_lost::*,
     slow_starts::*, store_watchers::*, weight_lesson::*,
 };
 pub use {front_process::*, front_settings::*};
