--- a/entry/src/front/mod.rs
+++ b/entry/src/front/mod.rs
@@ -29,6 +29,7 @@
 mod part_reclaim;
 mod peer_state;
 mod plain_response;
+mod rejoin_probe;
 mod request_admit;
 mod request_attempt;
 mod request_choice;
@@ -38,7 +39,6 @@
 mod request_run;
 mod request_transfers;
 mod request_trial;
-mod return_check;
 mod run_lost;
 mod slow_starts;
 mod store_contact;
@@ -59,8 +59,8 @@
 };
 use {
     call_timeout::*, evacuations::*, foreign_rows::*, greeting_plan::*, held_rows::*,
-    order_lease::*, orphan_engine::*, part_reclaim::*, peer_state::*, request_admit::*,
-    request_attempt::*, request_transfers::*, request_trial::*, return_check::*, run_lost::*,
+    order_lease::*, orphan_engine::*, part_reclaim::*, peer_state::*, rejoin_probe::*,
+    request_admit::*, request_attempt::*, request_transfers::*, request_trial::*, run_lost::*,
     slow_starts::*, store_watchers::*, weight_lesson::*,
 };
 pub use {front_process::*, front_settings::*};
