--- a/entry/src/front/mod.rs
+++ b/entry/src/front/mod.rs
@@ -22,6 +22,7 @@
 mod greeting_plan;
 mod held_rows;
 mod list_watch;
+mod lost_run;
 mod operator_watch;
 mod order_lease;
 mod order_substitute;
@@ -39,7 +40,6 @@
 mod request_run;
 mod request_transfers;
 mod request_trial;
-mod run_lost;
 mod slow_starts;
 mod store_contact;
 mod store_readers;
@@ -58,9 +58,9 @@
     wake_reason::*,
 };
 use {
-    call_timeout::*, evacuations::*, foreign_rows::*, greeting_plan::*, held_rows::*,
+    call_timeout::*, evacuations::*, foreign_rows::*, greeting_plan::*, held_rows::*, lost_run::*,
     order_lease::*, orphan_engine::*, part_reclaim::*, peer_state::*, rejoin_probe::*,
-    request_admit::*, request_attempt::*, request_transfers::*, request_trial::*, run_lost::*,
-    slow_starts::*, store_watchers::*, weight_lesson::*,
+    request_admit::*, request_attempt::*, request_transfers::*, request_trial::*, slow_starts::*,
+    store_watchers::*, weight_lesson::*,
 };
 pub use {front_process::*, front_settings::*};
