--- a/entry/src/front/mod.rs
+++ b/entry/src/front/mod.rs
@@ -8,6 +8,7 @@
 mod call_timeout;
 mod caller_conn;
 mod connection_pool;
+mod control_handler;
 mod digest_watch;
 mod endpoint_exchange;
 mod evacuations;
@@ -46,15 +47,14 @@
 mod store_watch;
 mod store_watchers;
 mod stream_relay;
-mod suspect_desk;
 mod wake_reason;
 mod weight_lesson;
 
 pub(crate) use {
-    beside_link::*, caller_conn::*, connection_pool::*, digest_watch::*, endpoint_exchange::*,
-    event_splitter::*, exit_probe::*, front_context::*, front_metrics::*, front_state::*,
-    list_watch::*, operator_watch::*, order_substitute::*, plain_response::*, request_run::*,
-    store_contact::*, store_readers::*, store_watch::*, stream_relay::*, suspect_desk::*,
+    beside_link::*, caller_conn::*, connection_pool::*, control_handler::*, digest_watch::*,
+    endpoint_exchange::*, event_splitter::*, exit_probe::*, front_context::*, front_metrics::*,
+    front_state::*, list_watch::*, operator_watch::*, order_substitute::*, plain_response::*,
+    request_run::*, store_contact::*, store_readers::*, store_watch::*, stream_relay::*,
     wake_reason::*,
 };
 use {
