--- a/entry/src/front/mod.rs
+++ b/entry/src/front/mod.rs
@@ -48,7 +48,7 @@
 mod store_watchers;
 mod stream_relay;
 mod wake_reason;
-mod weight_lesson;
+mod weight_update;
 
 pub(crate) use {
     beside_link::*, caller_conn::*, connection_pool::*, control_handler::*, digest_watch::*,
@@ -61,6 +61,6 @@
     call_timeout::*, evacuations::*, foreign_rows::*, greeting_plan::*, held_rows::*, lost_run::*,
     order_lease::*, orphan_engine::*, part_reclaim::*, peer_state::*, rejoin_probe::*,
     request_admit::*, request_attempt::*, request_transfers::*, request_trial::*, slow_starts::*,
-    store_watchers::*, weight_lesson::*,
+    store_watchers::*, weight_update::*,
 };
 pub use {front_process::*, front_settings::*};
