--- a/entry/src/front/mod.rs
+++ b/entry/src/front/mod.rs
@@ -5,12 +5,15 @@
 //! path and the controllers are tasks of one executor and share plain state.
 
 mod beside_link;
-mod call_limit;
+mod call_timeout;
 mod caller_conn;
+mod connection_pool;
+mod control_handler;
 mod digest_watch;
-mod end_probe;
+mod endpoint_exchange;
 mod evacuations;
 mod event_splitter;
+mod exit_probe;
 mod foreign_rows;
 mod front_context;
 mod front_metrics;
@@ -19,47 +22,45 @@
 mod front_state;
 mod greeting_plan;
 mod held_rows;
-mod link_pool;
 mod list_watch;
-mod offer;
+mod lost_run;
 mod operator_watch;
 mod order_lease;
 mod order_substitute;
 mod orphan_engine;
-mod part_freeing;
+mod part_reclaim;
 mod peer_state;
-mod plain_answer;
+mod plain_response;
+mod rejoin_probe;
 mod request_admit;
-mod request_answer;
+mod request_attempt;
 mod request_choice;
-mod request_lessons;
+mod request_feedback;
 mod request_log;
-mod request_moves;
+mod request_response;
 mod request_run;
+mod request_transfers;
 mod request_trial;
-mod request_try;
-mod return_check;
-mod run_lost;
 mod slow_starts;
 mod store_contact;
 mod store_readers;
 mod store_watch;
 mod store_watchers;
 mod stream_relay;
-mod suspect_desk;
 mod wake_reason;
-mod weight_lesson;
+mod weight_update;
 
 pub(crate) use {
-    beside_link::*, caller_conn::*, digest_watch::*, end_probe::*, event_splitter::*,
-    front_context::*, front_metrics::*, front_state::*, link_pool::*, list_watch::*, offer::*,
-    operator_watch::*, order_substitute::*, plain_answer::*, request_run::*, store_contact::*,
-    store_readers::*, store_watch::*, stream_relay::*, suspect_desk::*, wake_reason::*,
+    beside_link::*, caller_conn::*, connection_pool::*, control_handler::*, digest_watch::*,
+    endpoint_exchange::*, event_splitter::*, exit_probe::*, front_context::*, front_metrics::*,
+    front_state::*, list_watch::*, operator_watch::*, order_substitute::*, plain_response::*,
+    request_run::*, store_contact::*, store_readers::*, store_watch::*, stream_relay::*,
+    wake_reason::*,
 };
 use {
-    call_limit::*, evacuations::*, foreign_rows::*, greeting_plan::*, held_rows::*, order_lease::*,
-    orphan_engine::*, part_freeing::*, peer_state::*, request_admit::*, request_moves::*,
-    request_trial::*, request_try::*, return_check::*, run_lost::*, slow_starts::*,
-    store_watchers::*, weight_lesson::*,
+    call_timeout::*, evacuations::*, foreign_rows::*, greeting_plan::*, held_rows::*, lost_run::*,
+    order_lease::*, orphan_engine::*, part_reclaim::*, peer_state::*, rejoin_probe::*,
+    request_admit::*, request_attempt::*, request_transfers::*, request_trial::*, slow_starts::*,
+    store_watchers::*, weight_update::*,
 };
 pub use {front_process::*, front_settings::*};
