--- a/entry/src/front/call_timeout.rs
+++ b/entry/src/front/call_timeout.rs
@@ -3,24 +3,24 @@
     pitchhitch_process::to_duration, std::time::Duration,
 };
 
-/// Time limit of a call while the store answers: its answers took up to a second
-/// where it was slow, and such a one is slow for many seconds.
+/// Timeout of a call while the store responds. A slow store took up to 1 s for a response, and
+/// stays slow for many seconds.
 const DEFAULT_TIMEOUT: Micros = Micros::from_millis(1_500);
-/// Time limit of the call after the first that failed; it doubles up to the usual one, so that
-/// a store that is slow is still read. A call that was sent just before the store came back
-/// is lost with all of its limit.
+/// Timeout of the call after the first failure. It doubles with each failure up to the default,
+/// so that a slow store can still be read. It starts short because a call sent just before the
+/// store recovers is lost and uses up its whole timeout.
 const INITIAL_RETRY_TIMEOUT: Micros = Micros::from_millis(400);
-/// Doublings that are counted.
+/// Limit of the doublings, which keeps the shift from overflowing.
 const MAX_DOUBLINGS: u32 = 4;
 
-/// How long a watch lets its calls to the platform's store take.
+/// Timeout of the calls of one watcher to the platform's store, adapted to recent failures.
 #[derive(Debug, Clone, Copy, Default)]
 pub(super) struct CallTimeout {
     failures: u32,
 }
 
 impl CallTimeout {
-    /// Notes how a call ended.
+    /// Records the outcome of a call.
     pub fn record<T>(
         &mut self,
         outcome: &Result<T, StoreError>,
@@ -33,7 +33,7 @@
         };
     }
 
-    /// Limit of the next call.
+    /// Timeout of the next call.
     pub fn timeout(&self) -> Duration {
         let timeout = match self.failures {
             0 => DEFAULT_TIMEOUT,
@@ -43,9 +43,9 @@
         to_duration(timeout)
     }
 
-    /// For how long the next question may be held at the store. One that is lost is to
-    /// answer at once: that proves how fresh the keys are, and a held question that was sent
-    /// just before the store came back hung for three seconds more.
+    /// How long the store may hold the next long poll open. After a failure it must respond at
+    /// once: the response proves how fresh the keys are, and a long poll sent just before the
+    /// store recovered hung for three seconds more.
     pub fn poll_wait(
         &self,
         default_wait: Duration,
--- a/entry/src/front/caller_conn.rs
+++ b/entry/src/front/caller_conn.rs
@@ -14,26 +14,25 @@
     std::rc::Rc,
 };
 
-/// Longest time between two pieces of a body.
+/// Timeout between two reads of a body.
 const BODY_READ_TIMEOUT: Micros = Micros::from_secs(5);
-/// How often a resting connection looks whether the process stops.
+/// Interval at which an idle connection checks whether the process is stopping.
 const STOP_CHECK_INTERVAL: Micros = Micros::from_millis(500);
-/// Bytes of bodies that are held for each megabyte of the process: a fifth, as
-/// each is also copied once on its way to an endpoint.
+/// Bytes of bodies that may be in memory for each megabyte of the process's memory limit: a
+/// fifth, since each body is also copied once when it is sent to an endpoint.
 const BODY_BYTES_PER_MB: u64 = 200_000;
-/// Bodies below this are taken in any case, in bytes.
+/// Bodies smaller than this are accepted regardless of memory use, in bytes.
 const ALWAYS_ACCEPTED_BYTES: u64 = 64 << 10;
-/// Time for a refusal to go out before the connection closes.
+/// Timeout of writing a refusal before the connection is closed.
 const REFUSAL_WRITE_TIMEOUT: Micros = Micros::from_secs(1);
 
-/// A request that has come whole.
+/// A request that has been received completely.
 #[derive(Debug)]
 pub(crate) struct ReceivedRequest {
-    /// Head.
     pub head: RequestHead,
-    /// Body, out of its framing.
+    /// Body, with its transfer framing removed.
     pub body: Vec<u8>,
-    /// When its first byte was seen.
+    /// When its first byte was received.
     pub arrived_at: Micros,
 }
 
@@ -43,7 +42,7 @@
     Closed,
 }
 
-/// Serves the requests of one connection, one after another.
+/// Serves the requests of one connection sequentially.
 pub(crate) async fn serve_caller(
     front: Rc<FrontContext>,
     mut connection: ByteLink,
@@ -111,8 +110,8 @@
     }
 }
 
-/// Whether the process has memory for the body that the head tells of, beside
-/// those it holds: over its limit it would be ended.
+/// Whether the body announced by the head fits into memory beside those already held. A process
+/// that exceeds its memory limit is killed.
 fn has_capacity(
     front: &FrontContext,
     head: &RequestHead,
@@ -126,7 +125,7 @@
     body_bytes < ALWAYS_ACCEPTED_BYTES || front.state().body_bytes + body_bytes <= capacity
 }
 
-/// False where the connection ends, rests for too long or the process stops.
+/// Returns false if the connection closes, is idle for too long or the process is stopping.
 async fn wait_for_first_byte(
     front: &FrontContext,
     connection: &mut ByteLink,
@@ -142,7 +141,7 @@
         }
         let idle_for = front.now().since(idle_since);
         let must_close = idle_for > idle_timeout || front.state().closes_idle;
-        // The last look is at the socket: a request that is there is served.
+        // Checks the socket last: a request that has already arrived is still served.
         if must_close && connection.idle_state() != IdleState::Unasked {
             return false;
         }
@@ -215,11 +214,11 @@
     log::info!(event = "refused", kind = response.code, status = response.status; "");
     front.metrics.count("refused", response.code);
     let bytes = encode_refusal(kind, &response, "", true);
-    // A caller that does not read its refusal gets none.
+    // A caller that does not read its refusal in time does not get it.
     let _ = with_timeout(REFUSAL_WRITE_TIMEOUT, connection.write_all(&bytes)).await;
 }
 
-/// Waits at most so long.
+/// Runs a future; `None` if it takes longer than `limit`.
 pub(crate) async fn with_timeout<T>(
     limit: Micros,
     future: impl std::future::Future<Output = T>,
--- a/entry/src/front/connection_pool.rs
+++ b/entry/src/front/connection_pool.rs
@@ -4,12 +4,11 @@
     std::collections::HashMap,
 };
 
-/// Time for which an unused connection is kept where the endpoint does not say.
+/// Keep-alive time of an idle connection if the endpoint does not state one.
 const DEFAULT_KEEP_ALIVE: Micros = Micros::from_secs(4);
-/// Time before the endpoint's own limit at which a connection is not used any
-/// more, so that a request does not cross its end.
+/// Subtracted from the keep-alive time, so that no request is sent while the endpoint closes the
+/// connection.
 const KEEP_ALIVE_MARGIN: Micros = Micros::from_millis(700);
-/// Unused connections that are kept for one endpoint.
 const MAX_IDLE_PER_ENDPOINT: usize = 64;
 
 #[derive(Debug)]
@@ -18,14 +17,14 @@
     usable_until: Micros,
 }
 
-/// Connections to endpoints that have no request on them.
+/// Idle connections to endpoints.
 #[derive(Debug, Default)]
 pub(crate) struct ConnectionPool {
     idle: HashMap<EndpointKey, Vec<IdleConnection>>,
 }
 
 impl ConnectionPool {
-    /// Takes a connection that can be used, the one used last first.
+    /// Takes a usable connection out of the pool, the most recently used one first.
     pub fn take(
         &mut self,
         key: EndpointKey,
@@ -41,7 +40,7 @@
         None
     }
 
-    /// Whether a connection to an endpoint is open that can be used.
+    /// Whether the pool has a usable connection to an endpoint.
     pub fn has_open(
         &self,
         key: EndpointKey,
@@ -51,7 +50,8 @@
         idle.is_some_and(|idle| idle.iter().any(|candidate| now < candidate.usable_until))
     }
 
-    /// Keeps a connection whose request is over.
+    /// Adds a connection whose request has ended. It is closed if the pool is full or unread bytes
+    /// are left on it.
     pub fn put(
         &mut self,
         key: EndpointKey,
@@ -73,7 +73,7 @@
         });
     }
 
-    /// Closes what is too old, and all for endpoints that `is_known` denies.
+    /// Closes expired connections, and all to endpoints for which `is_known` returns false.
     pub fn remove_expired(
         &mut self,
         now: Micros,
--- a/entry/src/front/control_handler.rs
+++ b/entry/src/front/control_handler.rs
@@ -5,28 +5,27 @@
     serde::{Deserialize, Serialize},
 };
 
-/// Path at which a front tells of requests under which endpoints ended.
+/// Path at which a front lists requests under which endpoints crashed.
 pub(crate) const SUSPECTS_PATH: &str = "/suspects";
-/// Beginning of the path at which one is let go: its fingerprint follows and, where a
-/// secret is set, a slash and the keyed hash of the path before it.
+/// Prefix of the path that releases one of them. Its fingerprint follows and, if a secret is set,
+/// a slash and the keyed hash of the path up to there.
 const RELEASE_PREFIX: &str = "/suspects/release/";
 
-/// One request under which endpoints ended, as operators see it.
+/// One request under which endpoints crashed, as shown to operators.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct SuspectRow {
-    /// Fingerprint.
     pub fingerprint: String,
-    /// How it stands: `held`, `resting`, `suspect` or `clear`.
+    /// Its status: `held`, `resting`, `suspect` or `clear`.
     pub standing: String,
-    /// Time for which it stays so, in milliseconds, where that is known.
+    /// Remaining time in this status in milliseconds, if known.
     pub left_ms: Option<u64>,
-    /// Ends of endpoints under it that are known.
+    /// Number of known crashes of endpoints under it.
     pub crashes: usize,
-    /// Time since the last one, in milliseconds.
+    /// Time since the last crash in milliseconds.
     pub last_crash_ms: Option<u64>,
 }
 
-/// The path that lets a request go.
+/// The path that releases a request.
 pub(crate) fn release_path(
     fingerprint: &str,
     key: Option<&BeaconKey>,
@@ -38,7 +37,7 @@
     }
 }
 
-/// Answers other processes and operators.
+/// Handles control requests of other processes and operators.
 pub(super) fn handle_control(
     front: &FrontContext,
     target: &str,
@@ -86,16 +85,19 @@
 ) -> (u16, Vec<u8>) {
     let text = suffix.split('/').next().unwrap_or_default();
     let Some(fingerprint) = RequestFingerprint::parse(text) else {
-        return (400, b"that is no fingerprint\n".to_vec());
+        return (
+            400,
+            b"invalid fingerprint: expected 32 hexadecimal digits\n".to_vec(),
+        );
     };
     if target != release_path(text, front.settings.peer_key.as_ref()) {
-        return (403, b"the keyed hash is missing or wrong\n".to_vec());
+        return (403, b"missing or invalid keyed hash\n".to_vec());
     }
     let now = front.now();
     let is_known = front.state().suspects.release(fingerprint, now);
     log::info!(event = "suspect-released", fingerprint = text, known = is_known; "");
     if !is_known {
-        return (404, b"nothing is known of it here\n".to_vec());
+        return (404, b"no suspect request has this fingerprint\n".to_vec());
     }
     front.greeting_due.wake();
     front.held_due.wake();
--- a/entry/src/front/endpoint_exchange.rs
+++ b/entry/src/front/endpoint_exchange.rs
@@ -6,44 +6,42 @@
     pitchhitch_process::DeadlineTimer,
 };
 
-/// Longest head of an answer, in bytes.
+/// Longest head of a response, in bytes.
 const MAX_HEAD_BYTES: usize = 32 << 10;
-/// Answers to other requests that are passed over before the connection is
-/// given up.
+/// Responses to other requests that are skipped before the connection is abandoned.
 const MAX_STRAY_RESPONSES: u32 = 2;
 
-/// Why an endpoint gave no answer that can be used.
+/// Why an exchange yielded no usable response.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum ExchangeFailure {
     /// Nothing was sent.
     NotSent,
-    /// The connection ended; the endpoint may have run the request.
+    /// The connection was closed; the endpoint may have run the request.
     Lost,
-    /// The bytes are no answer to this request.
+    /// The bytes received are not a response to this request.
     Garbled,
-    /// The time of the request is over.
+    /// The deadline of the request has passed.
     Late,
-    /// The time of the endpoint's weights is over, and it has not begun.
+    /// The endpoint's weights expired before it sent the first event.
     Overdue,
-    /// The caller has gone.
+    /// The caller closed its connection.
     CallerGone,
 }
 
-/// A connection to an endpoint with one request on it.
+/// One request on a connection to an endpoint.
 #[derive(Debug)]
 pub(crate) struct EndpointExchange {
-    /// Connection.
     pub connection: ByteLink,
-    /// Whether all of the request went out.
+    /// Whether the request was sent completely.
     pub is_fully_sent: bool,
-    /// Whether the connection can take another request.
+    /// Whether the connection can be used for another request.
     pub is_reusable: bool,
-    /// Time for which the endpoint keeps it, where it says so.
+    /// Keep-alive time that the endpoint stated, if any.
     pub keep_alive: Option<Micros>,
 }
 
 impl EndpointExchange {
-    /// An offer on a connection that has nothing else on it.
+    /// An exchange on an idle connection.
     pub fn new(connection: ByteLink) -> Self {
         EndpointExchange {
             connection,
@@ -54,20 +52,19 @@
     }
 }
 
-/// The head of an answer to the request.
+/// The response to the request, without its body.
 #[derive(Debug)]
 pub(crate) struct EndpointResponse {
-    /// Head.
     pub head: AnswerHead,
-    /// What it says.
+    /// Headers that the front interprets.
     pub marks: AnswerMarks,
-    /// Framing of its body.
+    /// Framing of the body.
     pub framing: BodyFraming,
 }
 
-/// Sends a request and waits for the head of its answer.
+/// Sends a request and waits for the head of its response.
 ///
-/// Returns also whether a byte may have reached the endpoint.
+/// Also returns whether any byte may have reached the endpoint.
 pub(crate) async fn send_request(
     exchange: &mut EndpointExchange,
     bytes: &[u8],
@@ -82,7 +79,7 @@
             match exchange.connection.try_write(&bytes[sent..]) {
                 Ok(count) => sent += count,
                 Err(_) if sent == 0 => return (Err(ExchangeFailure::NotSent), false),
-                // What it answered before it closed may still be there.
+                // A response sent before the endpoint closed the connection may still be readable.
                 Err(_) => sent = bytes.len(),
             }
             exchange.is_fully_sent = sent == bytes.len();
@@ -107,7 +104,7 @@
     }
 }
 
-/// The answer to the request, if its head is there; others are passed over.
+/// The response to the request, once its head has arrived; responses to other requests are skipped.
 async fn next_response(
     exchange: &mut EndpointExchange,
     request_id: &str,
@@ -151,8 +148,11 @@
     }
 }
 
-/// Reads the body of an answer to its end; true where it is whole and not over
-/// `limit` bytes.
+/// Reads the body of a response to its end.
+///
+/// # Errors
+/// If the body is incomplete or malformed, exceeds `limit` bytes, or the deadline passes or the
+/// caller leaves meanwhile.
 pub(crate) async fn read_response_body(
     exchange: &mut EndpointExchange,
     framing: BodyFraming,
--- a/entry/src/front/event_splitter.rs
+++ b/entry/src/front/event_splitter.rs
@@ -1,7 +1,8 @@
-/// Longest event that is held until it is whole, in bytes.
+/// Longest event that is buffered until it is complete, in bytes. A longer one is passed on in
+/// pieces.
 const MAX_EVENT_BYTES: usize = 1 << 20;
 
-/// Cuts a stream into whole events: a part of one is never passed on.
+/// Splits a stream of server-sent events, so that only complete events are passed on.
 #[derive(Debug, Default)]
 pub(crate) struct EventSplitter {
     buffer: Vec<u8>,
@@ -10,7 +11,7 @@
 }
 
 impl EventSplitter {
-    /// Takes bytes of the stream and gives back the events that are whole now.
+    /// Adds bytes of the stream and returns the events that are complete now.
     pub fn feed(
         &mut self,
         bytes: &[u8],
@@ -26,22 +27,22 @@
         events
     }
 
-    /// What is held of an event that is not whole.
+    /// Bytes of the event that is not complete yet.
     pub fn partial_event(&self) -> &[u8] {
         &self.buffer
     }
 
-    /// Forgets what is held: the stream goes on elsewhere.
+    /// Discards the incomplete event: another endpoint continues the stream.
     pub fn discard_partial(&mut self) {
         self.buffer.clear();
     }
 
-    /// Id of the last whole event.
+    /// Id of the last complete event.
     pub fn last_id(&self) -> Option<&str> {
         self.last_id.as_deref()
     }
 
-    /// Version of the weights that the stream told last.
+    /// Version of the weights that the stream reported last.
     pub fn version(&self) -> Option<u64> {
         self.version
     }
@@ -61,7 +62,7 @@
     }
 }
 
-/// Length of the whole events at the beginning.
+/// Length of the complete events at the beginning of `bytes`.
 fn complete_length(bytes: &[u8]) -> usize {
     let mut end = bytes.len();
     while end >= 2 {
--- a/entry/src/front/exit_probe.rs
+++ b/entry/src/front/exit_probe.rs
@@ -7,21 +7,21 @@
     std::io::ErrorKind,
 };
 
-/// Longest wait for a connection: a box that is cut off or without power says nothing,
-/// and that proves no end.
+/// Connect timeout. A box that is disconnected or without power does not respond at all, and that
+/// does not prove that the endpoint has exited.
 const PROBE_TIMEOUT: Micros = Micros::from_millis(120);
-/// Time for which a new connection must stay open: an endpoint that is about to end may
-/// still take one.
+/// Time for which a new connection must stay open: an endpoint that is about to exit may still
+/// accept one.
 const MIN_OPEN_TIME: Micros = Micros::from_millis(25);
-/// Pause between two looks at what another request finds out.
+/// Interval between two checks for the outcome of another request's probe.
 const POLL_INTERVAL: Micros = Micros::from_millis(4);
-/// Time for which an end holds for further requests of the same life.
+/// How long an exit is assumed for further requests to the same incarnation.
 const EXITED_TTL: Micros = Micros::from_secs(2);
-/// Time for which it holds that an endpoint goes on: for what broke off in the same moment.
-/// It may end a moment later.
+/// How long an endpoint is assumed to be running. It covers only requests that are broken off at
+/// the same moment, since the endpoint may exit a moment later.
 const RUNNING_TTL: Micros = Micros::from_millis(60);
 
-/// What is known of whether an endpoint has ended, by asking for a connection.
+/// Outcome of a connection attempt that shows whether an endpoint has exited.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct ExitProbe {
     incarnation: u32,
@@ -30,7 +30,7 @@
 }
 
 impl ExitProbe {
-    /// Whether it answers for a run of this life that broke off now.
+    /// Whether the outcome holds for a run of this incarnation that is broken off now.
     fn applies_to(
         &self,
         incarnation: u32,
@@ -44,10 +44,9 @@
     }
 }
 
-/// Whether the endpoint that has just broken a connection off has ended: nobody takes
-/// connections there. A broken connection alone shows nothing, as links are reset and
-/// answers break off at endpoints that go on. All requests that it breaks off together
-/// share one question.
+/// Whether an endpoint that has just broken off a connection has exited, i.e. refuses connections.
+/// A broken connection alone proves nothing: connections are reset and responses break off at
+/// endpoints that keep running. Requests that are broken off together share one probe.
 pub(super) async fn has_exited(
     front: &FrontContext,
     key: EndpointKey,
@@ -64,7 +63,7 @@
         )
     };
     match (is_replaced, is_probed) {
-        // It has started again, as the list or the process beside it told first.
+        // The endpoint list or its agent has already reported a restart.
         (true, _) => true,
         (false, true) => await_outcome(front, key).await,
         (false, false) => run_probe(front, key, incarnation).await,
--- a/entry/src/front/lost_run.rs
+++ b/entry/src/front/lost_run.rs
@@ -9,29 +9,29 @@
     },
 };
 
-/// Time after its first event from which a run is not taken for what ended its endpoint:
-/// what does, does so when it begins.
+/// A run is not blamed for a crash of its endpoint this long after its first event: a request that
+/// crashes an endpoint does so when it starts to run.
 const CRASH_WINDOW: Micros = Micros::from_millis(1_000);
 
-/// Time that a run must have had before its endpoint ended: what came a moment before has
-/// hardly been read.
+/// A run is blamed for a crash only if it was sent at least this long before: the endpoint has
+/// hardly read a request that it received later.
 const MIN_RUN_TIME: Micros = Micros::from_millis(15);
 
 /// The latest run of a request.
 #[derive(Debug, Clone, Copy, Default)]
 pub(super) struct LatestRun {
-    /// Lives of the endpoint that had ended when it was chosen.
+    /// Number of incarnations of the endpoint that had ended when it was chosen.
     pub(super) incarnation: u32,
-    /// Start of its life then, where known.
+    /// Start of its incarnation at that time, if known.
     pub(super) born: Option<u64>,
-    /// Crashes that counted against the request when it was chosen.
+    /// Crashes attributed to the request when the endpoint was chosen.
     pub(super) known_crashes: u32,
     pub(super) sent_at: Micros,
     pub(super) first_event_at: Option<Micros>,
 }
 
 impl RequestRun<'_> {
-    /// By what the request is known again.
+    /// Fingerprint by which the request is recognised when it is sent again.
     pub(super) fn fingerprint(&mut self) -> RequestFingerprint {
         if let Some(known) = self.cached_fingerprint {
             return known;
@@ -47,7 +47,7 @@
         *self.cached_fingerprint.insert(fingerprint)
     }
 
-    /// Notes that an endpoint broke the request off, and whether it ended then.
+    /// Records that an endpoint broke off the request, and whether it exited then.
     pub(super) async fn record_lost_run(
         &mut self,
         choice: &EndpointChoice,
@@ -106,8 +106,8 @@
         );
     }
 
-    /// Counts the end of an endpoint against the request. Without it one that ended each
-    /// engine which ran it was sent to 58 in 12 s, with it to 4.
+    /// Attributes a crash of an endpoint to the request. Without this, a request that crashed every
+    /// engine that ran it was sent to 58 engines in 12 s; with it, to 4.
     fn record_crash(
         &self,
         choice: &EndpointChoice,
--- a/entry/src/front/mod.rs
+++ b/entry/src/front/mod.rs
@@ -1,8 +1,8 @@
-//! The front: takes requests from the platform's balancer, decides, calls
-//! endpoints directly and passes their answers on, event by event.
+//! The front: a proxy that accepts requests from the platform's load balancer, chooses an endpoint
+//! for each, sends it there directly and relays the response, event by event.
 //!
-//! One thread does all of it, as a box gives it a fifth of a core: the request
-//! path and the controllers are tasks of one executor and share plain state.
+//! It is single-threaded, since a box grants it a fifth of a core: the request path and the
+//! controllers are tasks of one executor and share their state without locks.
 
 mod beside_link;
 mod call_timeout;
--- a/entry/src/front/part_reclaim.rs
+++ b/entry/src/front/part_reclaim.rs
@@ -8,16 +8,17 @@
     std::{collections::HashSet, net::SocketAddr, rc::Rc},
 };
 
-/// Parts freed by one call.
+/// Maximum number of parts freed by one call.
 const MAX_PARTS_PER_CALL: usize = 200;
-/// Pause between two calls that free.
+/// Interval between two calls that free parts.
 const RECLAIM_INTERVAL: Micros = Micros::from_millis(300);
-/// Pause while no weights have been replaced.
+/// Interval while no weights have been replaced.
 const IDLE_INTERVAL: Micros = Micros::from_millis(900);
-/// Looks that find parts held in a row before it is told: each proof lags a little.
+/// Consecutive polls that find draining parts before this is logged: each proof that a fetch has
+/// ended arrives with some delay.
 const MIN_DRAINING_POLLS: u32 = 5;
 
-/// Keeps it known which engines there are, whose fetches parts are held for.
+/// Keeps track of the engines; outdated parts stay until the fetches of all engines have ended.
 pub(crate) async fn track_engines(front: Rc<FrontContext>) {
     loop {
         front.rest(RECLAIM_INTERVAL).await;
@@ -25,7 +26,7 @@
     }
 }
 
-/// Frees parts that were made under weights which nobody fetches for any more.
+/// Frees the parts at a store that belong to replaced weights and that no engine fetches any more.
 pub(super) async fn reclaim_outdated_parts(
     front: Rc<FrontContext>,
     address: SocketAddr,
@@ -73,7 +74,8 @@
     }
 }
 
-/// Pause until it is looked for parts to be freed: few weights are replaced.
+/// Interval until the next poll for outdated parts, longer while there are none: weights are
+/// rarely replaced.
 fn reclaim_interval(front: &FrontContext) -> Micros {
     let namespaces = front.state().walls();
     let state = front.state();
@@ -89,7 +91,7 @@
     }
 }
 
-/// Takes which engines there are: those of which nothing is heard count as well.
+/// Updates the list of engines. Engines that currently send no reports count as well.
 fn update_engines(front: &FrontContext) {
     let now = front.now();
     let mut guard = front.state();
@@ -109,7 +111,7 @@
             others.insert(entry.address);
         }
     }
-    // What serves at an address now shows that the engine before it has ended.
+    // A plain service at an address shows that the engine formerly there has exited.
     engines.retain(|(address, _)| !others.contains(address));
     state.reads.update_engines(engines.into_iter(), now);
     for address in others {
@@ -144,7 +146,7 @@
     );
 }
 
-/// Time on the engines' clock, to set a free beside the times that fetches were given.
+/// Time on the engines' clock, logged so that a free can be compared with the deadlines of fetches.
 fn store_clock_ms(
     front: &FrontContext,
     address: SocketAddr,
@@ -156,11 +158,11 @@
 
 /// Parts at a store whose weights have been replaced.
 struct OutdatedParts {
-    /// Those that are freed now.
+    /// Parts that can be freed now, with the salt of their namespace.
     parts: Vec<(String, PartId)>,
-    /// Life of the store that this is known of.
+    /// Epoch of the store that this applies to.
     epoch: u64,
-    /// Weights of some that are held until engines prove that they are done.
+    /// Namespace of parts that stay until the engines prove that their fetches have ended.
     draining: Option<CacheNamespace>,
 }
 
@@ -171,7 +173,7 @@
     let now = front.now();
     let mut guard = front.state();
     if !guard.has_list {
-        // Nobody knows yet which engines may have been told.
+        // It is not known yet which engines may have been sent a fetch.
         return None;
     }
     let namespaces = guard.walls();
--- a/entry/src/front/plain_response.rs
+++ b/entry/src/front/plain_response.rs
@@ -5,20 +5,19 @@
     pitchhitch_process::DeadlineTimer,
 };
 
-/// Longest answer that is held until it is whole, in bytes. The usual plain
-/// services answer with 5 kB at most.
+/// Longest response that is buffered, in bytes. Plain services usually respond with 5 kB at
+/// most.
 const MAX_BUFFERED_BYTES: usize = 8 << 20;
 
-/// An answer that has come whole, ready to go to the caller.
+/// A response that has been received completely, ready to be sent to the caller.
 #[derive(Debug)]
 pub(crate) struct BufferedResponse {
-    /// Status code.
     pub status: u16,
-    /// Head and body as the caller gets them.
+    /// Head and body in the form sent to the caller.
     pub bytes: Vec<u8>,
 }
 
-/// Reads an answer to its end, so that a part of one never looks whole.
+/// Reads a response to its end, so that the caller never takes a truncated one for complete.
 pub(crate) async fn read_plain_response(
     exchange: &mut EndpointExchange,
     response: &EndpointResponse,
--- a/entry/src/front/rejoin_probe.rs
+++ b/entry/src/front/rejoin_probe.rs
@@ -6,12 +6,12 @@
     std::{rc::Rc, time::Duration},
 };
 
-/// Time limit of a question; it waits for a slot of the endpoint like a request.
+/// Timeout of a health check. It waits for a slot at the endpoint like any request.
 const HEALTH_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// Asks endpoints whose entries went and came back whether they serve: heartbeats
-/// that got lost look like an endpoint that left, and a heartbeat that was carried
-/// out late looks like one that came back.
+/// Checks the health of endpoints whose entries disappeared from the list and reappeared: lost
+/// heartbeats look like an endpoint that left, and a heartbeat that is processed late looks like
+/// one that rejoined.
 pub(super) fn probe_rejoined(front: &Rc<FrontContext>) {
     let now = front.now();
     let probes = front.state().book.due_probes(now);
@@ -54,7 +54,7 @@
     config.services.get(service)?.health_path.clone()
 }
 
-/// Status of its answer; an endpoint of another id at the address says no.
+/// Status of the response. An endpoint with another id at the address responds with an error.
 async fn health_status(
     probe: &RejoinProbe,
     path: &str,
--- a/entry/src/front/request_admit.rs
+++ b/entry/src/front/request_admit.rs
@@ -9,15 +9,15 @@
     std::rc::Rc,
 };
 
-/// Time after SIGTERM in which streams are taken: the platform allows for those
-/// that come within three seconds.
+/// Time after SIGTERM during which streams are accepted. The platform waits for those that arrive
+/// within 3 s.
 const STREAM_ACCEPT_TIME: Micros = Micros::from_millis(2_800);
-/// Time before the end by force in which plain requests are not taken any more.
+/// Time before the forced exit during which plain requests are no longer accepted.
 const PLAIN_STOP_MARGIN: Micros = Micros::from_millis(2_000);
-/// Longest wait for a caller to take a refusal.
+/// Timeout of writing a refusal to the caller.
 const REFUSAL_TIMEOUT: Micros = Micros::from_millis(250);
 
-/// Finds route and organisation, if what is known is fresh enough to say so.
+/// Resolves route and organisation of a request, if the configuration is fresh enough to decide.
 pub(super) fn admit(
     front: &FrontContext,
     info: &RequestInfo,
@@ -31,7 +31,7 @@
     let may_deny = state.trust.may_deny(now);
     let resolved = config.resolve(info).map_err(|kind| match may_deny {
         true => kind,
-        // A key or route that was added meanwhile may be meant.
+        // The key or route may have been added since the configuration was read.
         false => RefusalKind::StaleKeys,
     })?;
     if resolved.is_authenticated && !state.trust.admits_keys(now) {
@@ -41,7 +41,7 @@
     refuse_if_stopping(front, (config, resolved))
 }
 
-/// A stopping process takes nothing that may not end before it has to.
+/// Refuses requests that may not finish before a stopping process must exit.
 fn refuse_if_stopping(
     front: &FrontContext,
     admitted: (Rc<ServingConfig>, ResolvedRequest),
@@ -58,18 +58,18 @@
     }
 }
 
-/// An answer of our own that says that a request was not served.
+/// A response of the front itself, for a request that was not served.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct RequestRefusal {
-    /// Why.
+    /// Reason.
     pub kind: RefusalKind,
-    /// When the caller should come back, where that is known better than by kind.
+    /// When the caller should retry, if known better than from `kind`.
     pub retry_after: Option<Micros>,
-    /// Whether the caller's connection ends.
+    /// Whether the caller's connection is closed.
     pub closes: bool,
-    /// When the request came.
+    /// When the request arrived.
     pub arrived_at: Micros,
-    /// How often it was sent.
+    /// How often it was sent to endpoints.
     pub sends: u32,
 }
 
--- a/entry/src/front/request_attempt.rs
+++ b/entry/src/front/request_attempt.rs
@@ -12,32 +12,33 @@
     std::time::Duration,
 };
 
-/// Longest wait for a connection to an endpoint: a way takes a millisecond or
-/// two, and nothing has been sent yet.
+/// Connect timeout. One network trip takes 1 to 2 ms, and nothing has been sent yet, so another
+/// endpoint can be tried.
 const CONNECT_TIMEOUT: Micros = Micros::from_millis(250);
 
-/// What is counted for a request at the endpoint that it is about to be sent to.
+/// A slot reserved at the endpoint that a request is about to be sent to.
 pub(super) struct ReservedSlot {
     ticket: u64,
     transfers: PartTransfers,
 }
 
-/// What one endpoint made of the request.
+/// How an attempt at one endpoint ended.
 pub(super) enum AttemptOutcome {
-    /// The caller has its answer, whole.
+    /// The caller has received the complete response.
     Delivered(u16),
-    /// The caller has gone.
+    /// The caller closed its connection.
     CallerGone,
     /// The endpoint proved that it did not run the request.
     NotRun,
-    /// The endpoint answered with a failure of its own, whole.
+    /// The endpoint responded with a server error, which was received completely.
     Failed(BufferedResponse),
-    /// There is no answer that can be used.
+    /// There is no usable response.
     Broken(ExchangeFailure),
 }
 
 impl RequestRun<'_> {
-    /// A connection to the endpoint, if it still may get requests then.
+    /// Opens an exchange with the endpoint, unless it has begun to leave by the time that it is
+    /// connected.
     pub(super) async fn open_exchange(
         &mut self,
         choice: &EndpointChoice,
@@ -64,9 +65,9 @@
         (entry.status != EndpointStatus::Leaving).then(|| EndpointExchange::new(connection))
     }
 
-    /// Counts the request at the endpoint before a connection is there: requests that
-    /// come in the meantime must see it. Of thirty prompts that came at once, each was
-    /// sent to an engine believed idle; now those that would begin too late are refused.
+    /// Reserves a slot at the endpoint before it is connected, so that requests that arrive
+    /// meanwhile see it. Without this, thirty prompts that arrived at once were each sent to an
+    /// engine believed idle; with it, those that would start too late are refused.
     pub(super) fn reserve(
         &mut self,
         choice: &EndpointChoice,
@@ -100,8 +101,8 @@
         ReservedSlot { ticket, transfers }
     }
 
-    /// Takes back what was counted for a request that is not sent, and the parts that
-    /// the endpoint would have kept then.
+    /// Releases the slot of a request that was not sent, and forgets the parts that the endpoint
+    /// would have cached.
     pub(super) fn release(
         &self,
         choice: &EndpointChoice,
@@ -176,13 +177,13 @@
         outcome
     }
 
-    /// Time that is left for the request.
+    /// Time left until the deadline of the request.
     fn time_left(&self) -> Duration {
         to_duration(self.deadline.since(self.front.now()))
     }
 
-    /// Time in which the endpoint must begin a stream. A stream that waits at an engine for
-    /// longer would begin on weights that newer ones have replaced for too long.
+    /// Timeout for the first event of a stream. A stream that waits longer at an engine would start
+    /// with weights that were replaced too long ago.
     fn first_event_timeout(
         &self,
         choice: &EndpointChoice,
@@ -228,7 +229,7 @@
         }
     }
 
-    /// Gives a connection that can take another request to the pool.
+    /// Returns a reusable connection to the pool.
     pub(super) fn return_connection(
         &self,
         choice: &EndpointChoice,
--- a/entry/src/front/request_choice.rs
+++ b/entry/src/front/request_choice.rs
@@ -11,10 +11,10 @@
     },
 };
 
-/// The least urgent rank that engines know.
+/// The least urgent priority that engines accept.
 const LOWEST_PRIORITY: u8 = 9;
-/// When callers come back that no endpoint bears yet, after the first one may be sent to: they are
-/// spread over a while.
+/// Delay of retries after an endpoint in slow start admits requests again, and the time over which
+/// the retries are spread.
 const SLOW_START_RETRY_DELAY: Micros = Micros::from_millis(50);
 const SLOW_START_RETRY_JITTER: Micros = Micros::from_millis(600);
 
@@ -36,7 +36,7 @@
         }
     }
 
-    /// Rank of the request: the organisation's goes before the route's.
+    /// Priority of the request: that of the organisation takes precedence over that of the route.
     pub(super) fn priority(&self) -> u8 {
         let organisation = self.organisation();
         let priority = organisation.and_then(|organisation| organisation.priority);
@@ -45,8 +45,9 @@
             .min(LOWEST_PRIORITY)
     }
 
-    /// Decides whether a prompt goes to the endpoint that is best for it. The next
-    /// best is not asked: it would read what this one keeps, and fall behind as well.
+    /// Decides whether a prompt may be sent to the endpoint that suits it best. There is no
+    /// fallback to the second best: it would have to prefill what the best one has cached, and fall
+    /// behind too.
     pub(super) fn decide_admission(
         &self,
         choice: &EndpointChoice,
@@ -62,13 +63,13 @@
         admission.decide(&request, &state.pace, choice)
     }
 
-    /// Whether it may be refused for load: what was sent has its place, and a suspect runs
-    /// where it has to.
+    /// Whether the request may be refused because of load. One that was already sent holds a slot,
+    /// and a suspect request runs at the endpoint that its trial selects.
     fn can_be_refused(&self) -> bool {
         self.sends == 0 && self.suspect_crashes.is_none()
     }
 
-    /// When a caller that was refused for load should come back.
+    /// When a caller that was refused because of load should retry.
     pub(super) fn retry_after(
         &self,
         choice: &EndpointChoice,
@@ -110,7 +111,7 @@
                 request_hash: fingerprint.number(),
                 is_alone,
                 excluded: &excluded,
-                // What has ended two is not tried on the last one.
+                // A request that crashed two endpoints is not sent to the last one.
                 min_endpoints: if is_alone { 2 } else { 1 },
             });
         let request = PickRequest {
@@ -132,12 +133,12 @@
         pick_endpoint(&state.book, &request, &availability)
     }
 
-    /// Whether endpoints of its service are limited right after their start.
+    /// Whether endpoints of the service receive fewer requests right after they start.
     fn has_slow_start(&self) -> bool {
         self.config.slow_start(&self.service).is_some()
     }
 
-    /// Whether it may run, and its state may be kept, in a failure domain.
+    /// Whether the request may run, and its state may be stored, in a failure domain.
     pub(super) fn is_region_allowed(
         &self,
         domain: &str,
@@ -150,8 +151,8 @@
         regions.is_unrestricted() || regions.allows(self.front.settings.region(domain))
     }
 
-    /// When a caller should come back that only endpoints could serve which have just started;
-    /// `None` where there are none.
+    /// When a caller should retry if only endpoints in slow start could serve it; `None` if there
+    /// are none.
     pub(super) fn slow_start_retry_after(&self) -> Option<Micros> {
         if !self.has_slow_start() {
             return None;
@@ -196,8 +197,8 @@
         })
     }
 
-    /// Where the parts of the prompt are kept, for each version that some
-    /// engine has.
+    /// Where the parts of the prompt are cached, for each version of the weights that some engine
+    /// has.
     pub(super) fn version_availability(
         &self,
         state: &mut FrontState,
@@ -229,7 +230,7 @@
         availability
     }
 
-    /// Leaves stores out where they may be freeing the part.
+    /// Removes the stores that may be freeing a part from its sources.
     pub(super) fn retain_fetchable_sources(
         &self,
         state: &FrontState,
--- a/entry/src/front/request_feedback.rs
+++ b/entry/src/front/request_feedback.rs
@@ -7,8 +7,8 @@
 };
 
 impl RequestRun<'_> {
-    /// Whether the endpoint still lives the life in which it was chosen: requests that
-    /// a crash broke off took the engine that had started again out for seconds.
+    /// Whether the endpoint is still the incarnation that was chosen. Without this check, requests
+    /// broken off by a crash ejected the restarted engine for seconds.
     pub(super) fn is_same_incarnation(
         &self,
         state: &FrontState,
@@ -41,8 +41,8 @@
         }
     }
 
-    /// Notes that an endpoint is done with the request, and for how long a prompt
-    /// held memory there.
+    /// Records that an endpoint has finished the request, and for how long a prompt occupied memory
+    /// there.
     pub(super) fn record_ended(
         &self,
         choice: &EndpointChoice,
@@ -98,7 +98,7 @@
             entry.status = EndpointStatus::Leaving;
             entry.rejoin = EndpointRejoin::Never;
             state.pool.close_all(choice.key);
-            // Who was listed before it may be there after all.
+            // The endpoint that was listed before this one may still be there.
             state.book.mark_superseded();
         }
     }
--- a/entry/src/front/request_log.rs
+++ b/entry/src/front/request_log.rs
@@ -4,8 +4,8 @@
 };
 
 impl RequestRun<'_> {
-    /// The shared parts and what becomes of them: kept, fetched from a store or an
-    /// engine, or read.
+    /// The shared parts of the prompt, each with a letter: `k` cached, `f` fetched from a store,
+    /// `e` fetched from an engine, `r` prefilled.
     pub(super) fn describe_parts(
         &self,
         choice: &EndpointChoice,
@@ -40,7 +40,7 @@
         self.log_send(choice, outcome, cause, None);
     }
 
-    /// Logs a try, with the time by which fetches from stores must have ended.
+    /// Logs an attempt, with the time by which fetches from stores must have ended.
     pub(super) fn log_send(
         &self,
         choice: &EndpointChoice,
--- a/entry/src/front/request_response.rs
+++ b/entry/src/front/request_response.rs
@@ -9,7 +9,7 @@
 };
 
 impl RequestRun<'_> {
-    /// Takes what an endpoint answers to its end.
+    /// Handles an endpoint's response to its end.
     pub(super) async fn handle_response(
         &mut self,
         choice: &EndpointChoice,
@@ -151,13 +151,13 @@
         match rest.await {
             Ok(()) => self.mark_reusable(exchange, response),
             Err(ExchangeFailure::CallerGone) => return AttemptOutcome::CallerGone,
-            // The proof has come; only the connection is of no more use.
+            // The proof that the request was not run has arrived; only the connection is unusable.
             Err(_) => {}
         }
         AttemptOutcome::NotRun
     }
 
-    /// Keeps the connection for the next request, where nothing is left on it.
+    /// Marks the connection as reusable if the exchange has left nothing on it.
     pub(super) fn mark_reusable(
         &self,
         exchange: &mut EndpointExchange,
--- a/entry/src/front/request_run.rs
+++ b/entry/src/front/request_run.rs
@@ -17,27 +17,27 @@
     std::rc::Rc,
 };
 
-/// Time that a caller waits where it does not say.
+/// How long a caller waits if it does not state a timeout.
 pub(super) const DEFAULT_CALLER_TIMEOUT: Micros = Micros::from_secs(30);
-/// Endpoints that may prove that they did not run a request, beyond those that
-/// may run it.
+/// Sends allowed beyond the route's maximum number of endpoints, for endpoints that prove that they
+/// did not run the request.
 const MAX_UNEXECUTED_SENDS: u32 = 2;
 
-/// Longest wait for stores to answer after a standstill, and the pause between
-/// two looks: a store answers within some milliseconds, unless the box is busy.
+/// Longest wait for the stores to respond after a process pause, and the polling interval. A store
+/// responds within a few milliseconds unless the box is busy.
 const STORE_WAIT_TIMEOUT: Micros = Micros::from_millis(150);
 const STORE_POLL_INTERVAL: Micros = Micros::from_millis(10);
 
-/// What becomes of the caller's connection.
+/// Whether the caller's connection can be used for another request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum ConnectionReuse {
-    /// It takes the next request.
+    /// It stays open for the next request.
     KeepAlive,
     /// It is closed.
     Close,
 }
 
-/// One request on its way through the front.
+/// The state of one request while the front serves it.
 pub(super) struct RequestRun<'a> {
     pub(super) front: &'a FrontContext,
     pub(super) caller: &'a mut ByteLink,
@@ -50,11 +50,11 @@
     pub(super) deadline: Micros,
     pub(super) timer: DeadlineTimer,
     pub(super) tried: Vec<EndpointKey>,
-    /// The latest run.
+    /// The latest run at an endpoint.
     pub(super) latest_run: LatestRun,
-    /// Fingerprint, once it was asked for.
+    /// Fingerprint, once it has been computed.
     pub(super) cached_fingerprint: Option<RequestFingerprint>,
-    /// Endpoints that ended under the request, where that makes it a suspect.
+    /// Number of endpoints that crashed under the request, if that makes it a suspect.
     pub(super) suspect_crashes: Option<u32>,
     pub(super) sends: u32,
     pub(super) possible_runs: u32,
@@ -129,20 +129,21 @@
         &self.config.routes[self.resolved.route]
     }
 
-    /// The organisation, where the request has one.
+    /// The organisation that sent the request, if any.
     pub(super) fn organisation(&self) -> Option<&Organisation> {
         let index = self.resolved.organisation?;
         Some(&self.config.organisations[index])
     }
 
-    /// Whether the caller's connection ends with this request.
+    /// Whether the caller's connection is closed after this request.
     pub(super) fn closes(&self) -> bool {
         self.close_requested || self.front.state().stops_since.is_some()
     }
 
-    /// After a standstill all requests of that time come at once; where stores
-    /// are about to answer, prompts wait a moment for that instead of reading
-    /// what is kept there. A front that has just started waits to be told of suspects.
+    /// Waits until the state needed to serve the request is current. After a process pause, all
+    /// requests of that time arrive at once; if the stores are about to respond, prompts wait
+    /// briefly rather than prefill parts that are cached there. A front that has just started waits
+    /// for the reports of suspect requests.
     async fn wait_for_state(&self) {
         let is_prompt = self.info.prompt.is_some();
         let started_at = self.front.now();
@@ -187,7 +188,7 @@
                     return ConnectionReuse::Close;
                 }
             }
-            // A repeat is taken from the budget only where somebody can get it.
+            // A retry is charged to the budget only if there is an endpoint to send it to.
             let Some(choice) = self.pick() else {
                 if self.sends > 0 {
                     break;
@@ -247,7 +248,7 @@
             }
         }
         if self.progress.is_head_sent {
-            // The caller must see that the stream is cut.
+            // The connection is closed, so that the caller sees that the stream is truncated.
             self.log_end("cut", 0);
             return ConnectionReuse::Close;
         }
@@ -287,13 +288,13 @@
         }
     }
 
-    /// Whether a request that may have run can run once more.
+    /// Whether a request that may have run already may be run again.
     pub(super) fn can_retry(&self) -> bool {
         let is_allowed = self.possible_runs == 0 || self.route().retry.allows_rerun();
         is_allowed && self.possible_runs < self.route().max_endpoints
     }
 
-    /// Takes a further send from the budget.
+    /// Charges another send to the retry budget; false if it is not allowed.
     pub(super) fn acquire_retry(&mut self) -> bool {
         if !self.can_retry() || self.sends >= self.route().max_endpoints + MAX_UNEXECUTED_SENDS {
             return false;
@@ -303,7 +304,7 @@
         let fronts = state.fronts;
         let meter = state.meter(&self.service);
         let now = front.now();
-        // The clock starts with the process.
+        // The clock starts with the process, so `now` is its uptime.
         let uptime = now;
         meter.try_acquire(&front.settings.repeats, fronts, uptime, now)
     }
--- a/entry/src/front/request_transfers.rs
+++ b/entry/src/front/request_transfers.rs
@@ -7,10 +7,10 @@
     pitchhitch_platform::{encode_request, PartAddress, SendOrder},
 };
 
-/// Taken off the time that an endpoint gets, for the way there and back.
+/// Network round trip, subtracted from the time that an endpoint is given.
 const TRANSIT_TIME: Micros = Micros::from_millis(4);
 
-/// What a request makes an engine fetch and save.
+/// Parts that an engine fetches before, and saves after, the prefill of a request.
 #[derive(Debug, Default)]
 pub(super) struct PartTransfers {
     fetch: Vec<Option<PartAddress>>,
@@ -19,7 +19,7 @@
 }
 
 impl RequestRun<'_> {
-    /// The request as the endpoint gets it.
+    /// The request in the form sent to the endpoint.
     pub(super) fn encode(
         &self,
         choice: &EndpointChoice,
@@ -31,8 +31,8 @@
         let entry = state.book.get(choice.key);
         let organisation = self.organisation();
         let is_engine = self.info.prompt.is_some();
-        // Without a known version nothing may be shared: not even with others
-        // of which no more is known.
+        // If the version is unknown, nothing may be shared, not even with other requests of unknown
+        // version; the request id makes the salt unique.
         let salt = match choice.version {
             Some(version) => self.cache_namespace(version).salt(),
             None => self.info.request_id.clone(),
@@ -57,8 +57,8 @@
         encode_request(&self.request.head, &self.request.body, &order)
     }
 
-    /// What the engine fetches before it reads, and saves once it has read; nothing
-    /// for what is no prompt, or for weights that are not known.
+    /// The parts that the engine fetches before the prefill and saves after it; none if the request
+    /// is not a prompt or the version of the weights is unknown.
     pub(super) fn transfers_for(
         &self,
         choice: &EndpointChoice,
@@ -94,7 +94,7 @@
                 let view = state.memory.view_at(store_index);
                 until = view.and_then(|view| view.fetch_until_ms(now));
                 if until.is_none() {
-                    // Without a time it would be fetched whenever its turn comes.
+                    // Without a deadline, the engine could start the fetch at any later time.
                     transfers.fetch.push(None);
                     continue;
                 }
@@ -126,7 +126,7 @@
             transfers.save = saves.into_iter().map(|save| save.map(address)).collect();
             transfers.save.resize(prompt.parts.len(), None);
         }
-        // Others of this box that come meanwhile go where these parts will be.
+        // Requests that arrive at this box meanwhile are sent to where these parts will be cached.
         let capacity = self.group().map_or(0, |group| group.capacity_tokens);
         if let Some(entry) = state.book.get_mut(choice.key) {
             entry.parts.touch(namespace, &prompt.parts, capacity);
--- a/entry/src/front/request_trial.rs
+++ b/entry/src/front/request_trial.rs
@@ -8,28 +8,27 @@
     smol::Timer,
 };
 
-/// Longest wait of a suspect for an endpoint apart from others: their runs prove themselves
-/// within half a second or end.
+/// Longest wait of a suspect request for an endpoint without other suspects. A run of a suspect is
+/// found harmless within half a second, or ends.
 const TRIAL_TIMEOUT: Micros = Micros::from_millis(1_000);
-/// Pause between two looks for one.
+/// Interval between two checks for such an endpoint.
 const POLL_INTERVAL: Micros = Micros::from_millis(10);
-/// When a suspect that found none should come back.
+/// When the caller of a suspect request that found no such endpoint should retry.
 const TRIAL_RETRY_AFTER: Micros = Micros::from_millis(400);
 
 /// Whether a request may be sent now.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum SendPermission {
-    /// It may.
     Granted,
-    /// It may not, and may come back after so long.
+    /// It may not; the caller may retry after this delay.
     Refused(RefusalKind, Micros),
-    /// Its caller has gone meanwhile.
+    /// The caller closed its connection meanwhile.
     CallerGone,
 }
 
 impl RequestRun<'_> {
-    /// How the request stands with the crashes of endpoints. It is hashed only while some
-    /// request has to be known again.
+    /// Status of the request with regard to crashes of endpoints. Its fingerprint is computed only
+    /// while suspect requests are tracked.
     fn suspect_status(&mut self) -> SuspectStatus {
         let front = self.front;
         if front.state().suspects.is_empty() {
@@ -41,8 +40,8 @@
         state.suspects.status(fingerprint, fraction, front.now())
     }
 
-    /// Waits until the request may be sent: at once, but for one under which endpoints have
-    /// ended. Such a one runs where no other suspect does.
+    /// Waits until the request may be sent. Only a suspect request, under which endpoints have
+    /// crashed, has to wait: it runs at an endpoint without other suspects.
     pub(super) async fn wait_for_permission(&mut self) -> SendPermission {
         let front = self.front;
         let started_at = front.now();
@@ -100,7 +99,8 @@
         self.front.metrics.count("suspects", label);
     }
 
-    /// Notes that the request was answered whole, which no request is that ends its endpoint.
+    /// Records that the request was answered completely, which shows that it did not crash its
+    /// endpoint.
     pub(super) fn record_answered(&mut self) {
         let front = self.front;
         if front.state().suspects.is_empty() {
--- a/entry/src/front/stream_relay.rs
+++ b/entry/src/front/stream_relay.rs
@@ -9,32 +9,32 @@
     std::time::Duration,
 };
 
-/// The caller's side of one stream, over all endpoints that feed it.
+/// The caller's side of one stream, over all endpoints that contribute to it.
 #[derive(Debug, Default)]
 pub(crate) struct StreamProgress {
-    /// Cuts the stream into events.
+    /// Splits the stream into events.
     pub splitter: EventSplitter,
-    /// Whether the caller has got the head.
+    /// Whether the head of the response has been sent to the caller.
     pub is_head_sent: bool,
-    /// Whether the connection to the caller ends with the stream.
+    /// Whether the connection to the caller is closed after the stream.
     pub closes: bool,
-    /// Writes to the caller.
+    /// Number of writes to the caller.
     pub writes: u32,
 }
 
-/// What a piece of a stream tells its request.
+/// What the relay reports about a stream.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum RelayEvent {
-    /// The first events have come.
+    /// The first events have arrived.
     FirstEvent,
-    /// The weights have changed under the stream.
+    /// The version of the weights changed during the stream.
     VersionChanged(u64),
 }
 
-/// Passes a stream on, event by event, until it ends.
+/// Relays a stream to the caller, event by event, until it ends.
 ///
-/// A part of an event never goes out, except at the sound end of a stream. Once the first
-/// events have come the stream has the time that is `left` for the request.
+/// Partial events are never sent, except at the regular end of a stream. Once the first events have
+/// arrived, the stream has the `time_left` of the request.
 pub(crate) async fn relay_stream(
     exchange: &mut EndpointExchange,
     response: &EndpointResponse,
--- a/entry/src/front/wake_reason.rs
+++ b/entry/src/front/wake_reason.rs
@@ -5,23 +5,23 @@
     std::{future::Future, pin::Pin, task::Poll},
 };
 
-/// Bytes of further requests that a caller may send ahead.
+/// Bytes of pipelined requests that are buffered for a caller.
 const MAX_PIPELINED_BYTES: usize = 64 << 10;
 
-/// Why a request's task goes on.
+/// Why the task of a request wakes up.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum WakeReason {
-    /// The endpoint has sent something, or has closed.
+    /// The endpoint sent data or closed the connection.
     EndpointReadable,
-    /// The endpoint takes more of the request.
+    /// More of the request can be written to the endpoint.
     EndpointWritable,
-    /// The caller has closed its connection.
+    /// The caller closed its connection.
     CallerGone,
-    /// The time of the request is over.
+    /// The deadline of the request has passed.
     TimedOut,
 }
 
-/// Waits for the endpoint, and notices a caller that goes.
+/// Waits for the endpoint, and detects that the caller closes its connection.
 pub(crate) async fn wait_for_endpoint(
     endpoint: &ByteLink,
     wants_write: bool,
@@ -48,20 +48,20 @@
         if let Some(reason) = wake.await {
             return reason;
         }
-        // What the caller sends ahead waits; its end does not.
+        // Pipelined requests stay buffered; a closed connection is reported at once.
         if matches!(caller.try_read(), Ok(Some(0)) | Err(_)) {
             return WakeReason::CallerGone;
         }
     }
 }
 
-/// Writes to the caller, for as long as the request has time.
+/// Writes to the caller until the deadline of the request; true if everything was written.
 pub(crate) async fn write_to_caller(
     caller: &ByteLink,
     bytes: &[u8],
     timer: &mut DeadlineTimer,
 ) -> bool {
-    // Most of the time all of it goes out at once.
+    // Usually everything is written at once.
     let sent = match caller.try_write(bytes) {
         Ok(count) if count == bytes.len() => return true,
         Ok(count) => count,
--- a/entry/src/front/weight_update.rs
+++ b/entry/src/front/weight_update.rs
@@ -1,6 +1,6 @@
 use pitchhitch_core::serving::EndpointEntry;
 
-/// Takes that an engine has some weights; `source` says who told it, for the log.
+/// Records the version of the weights that an engine has; `source` names the reporter for the log.
 pub(super) fn update_weights(
     entry: &mut EndpointEntry,
     model: &str,
@@ -10,7 +10,7 @@
     if !entry.weights.set_version(model, version) {
         return;
     }
-    // New weights drop what the engine kept.
+    // An engine drops its cached parts when it loads new weights.
     entry.parts.clear();
     log::info!(
         event = "weights-seen",
--- a/entry/tests/disabled_mechanisms.rs
+++ b/entry/tests/disabled_mechanisms.rs
@@ -1,4 +1,4 @@
-//! Mechanisms that a front is told to do without.
+//! Mechanisms that the settings of a front disable.
 
 use {
     pitchhitch_core::serving::{MechanismSet, ServingMechanism},
--- a/entry/tests/part_reads.rs
+++ b/entry/tests/part_reads.rs
@@ -1,11 +1,11 @@
-//! Why shared parts of prompts were read, from the lines of all fronts.
+//! Causes for which shared parts of prompts were prefilled, from the log lines of all fronts.
 
 use {
     pitchhitch_entry::explain::{PartReads, ReadCause, ReadSum},
     std::process::Command,
 };
 
-/// A line of a front about a prompt that it sent at so many milliseconds.
+/// Log line of a front about a prompt that it sent at `at_ms`.
 fn sent(
     front: &str,
     at_ms: u32,
@@ -31,7 +31,7 @@
     let lines = [
         sent("f1", 1_000, "r1", "aa:r,bb:r", 1),
         began("r1", 400),
-        // The first has not begun yet.
+        // The first request has not received its first event yet.
         sent("12.5 f1", 1_200, "r2", "aa:k,bb:r", 1),
         began("r2", 100),
         sent("f2", 1_250, "r3", "aa:f,bb:r", 1),
@@ -61,7 +61,7 @@
     assert_eq!(reads.broken, 1);
 }
 
-/// Lines of many fronts come in any order.
+/// Log lines of several fronts may arrive in any order.
 #[test]
 fn order_does_not_matter() {
     let mut lines: Vec<String> = log().lines().map(|line| format!("{line}\n")).collect();
