--- a/entry/src/front/request_response.rs
+++ b/entry/src/front/request_response.rs
@@ -1,7 +1,7 @@
 use {
     super::{
-        read_plain_response, read_response_body, relay_stream, write_to_caller, EndpointResponse, ExchangeFailure,
-        EndpointExchange, RelayEvent, RequestRun, AttemptOutcome,
+        read_plain_response, read_response_body, relay_stream, write_to_caller, AttemptOutcome,
+        EndpointExchange, EndpointResponse, ExchangeFailure, RelayEvent, RequestRun,
     },
     pitchhitch_core::{serving::EndpointChoice, time::Micros},
     pitchhitch_http1::BodyFraming,
@@ -9,7 +9,7 @@
 };
 
 impl RequestRun<'_> {
-    /// Takes what an endpoint answers to its end.
+    /// Handles an endpoint's response to its end.
     pub(super) async fn handle_response(
         &mut self,
         choice: &EndpointChoice,
@@ -42,8 +42,15 @@
         let has_no_body = self.request.head.method == "HEAD";
         let closes = self.closes();
         let caller = &mut *self.caller;
-        let buffered =
-            read_plain_response(exchange, &response, has_no_body, closes, caller, &mut self.timer).await;
+        let buffered = read_plain_response(
+            exchange,
+            &response,
+            has_no_body,
+            closes,
+            caller,
+            &mut self.timer,
+        )
+        .await;
         match buffered {
             Ok(buffered) => {
                 self.progress.closes = closes;
@@ -101,7 +108,16 @@
         let deadline = self.deadline;
         let time_left = || to_duration(deadline.since(front.now()));
         let timer = &mut self.timer;
-        let result = relay_stream(exchange, response, progress, caller, timer, &time_left, &mut on_event).await;
+        let result = relay_stream(
+            exchange,
+            response,
+            progress,
+            caller,
+            timer,
+            &time_left,
+            &mut on_event,
+        )
+        .await;
         self.latest_run.first_event_at = first_event_at;
         self.response_started_at = self.response_started_at.or(first_event_at);
         if let (Some(version), Some(prompt)) = (version, &self.info.prompt) {
@@ -135,13 +151,13 @@
         match rest.await {
             Ok(()) => self.mark_reusable(exchange, response),
             Err(ExchangeFailure::CallerGone) => return AttemptOutcome::CallerGone,
-            // The proof has come; only the connection is of no more use.
+            // The proof that the request was not run has arrived; only the connection is unusable.
             Err(_) => {}
         }
         AttemptOutcome::NotRun
     }
 
-    /// Keeps the connection for the next request, where nothing is left on it.
+    /// Marks the connection as reusable if the exchange has left nothing on it.
     pub(super) fn mark_reusable(
         &self,
         exchange: &mut EndpointExchange,
--- a/entry/src/front/stream_relay.rs
+++ b/entry/src/front/stream_relay.rs
@@ -1,7 +1,7 @@
 use {
     super::{
-        wait_for_endpoint, write_to_caller, EventSplitter, EndpointResponse, ExchangeFailure, EndpointExchange,
-        WakeReason,
+        wait_for_endpoint, write_to_caller, EndpointExchange, EndpointResponse, EventSplitter,
+        ExchangeFailure, WakeReason,
     },
     pitchhitch_http1::{write_chunk, BodyDecoder, TcpConnection, LAST_CHUNK},
     pitchhitch_platform::{encode_response_head, BodyLength},
@@ -9,32 +9,32 @@
     std::time::Duration,
 };
 
-/// The caller's side of one stream, over all endpoints that feed it.
+/// The caller's side of one stream, over all endpoints that contribute to it.
 #[derive(Debug, Default)]
 pub(crate) struct StreamProgress {
-    /// Cuts the stream into events.
+    /// Splits the stream into events.
     pub splitter: EventSplitter,
-    /// Whether the caller has got the head.
+    /// Whether the head of the response has been sent to the caller.
     pub is_head_sent: bool,
-    /// Whether the connection to the caller ends with the stream.
+    /// Whether the connection to the caller is closed after the stream.
     pub closes: bool,
-    /// Writes to the caller.
+    /// Number of writes to the caller.
     pub writes: u32,
 }
 
-/// What a piece of a stream tells its request.
+/// What the relay reports about a stream.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum RelayEvent {
-    /// The first events have come.
+    /// The first events have arrived.
     FirstEvent,
-    /// The weights have changed under the stream.
+    /// The version of the weights changed during the stream.
     VersionChanged(u64),
 }
 
-/// Passes a stream on, event by event, until it ends.
+/// Relays a stream to the caller, event by event, until it ends.
 ///
-/// A part of an event never goes out, except at the sound end of a stream. Once the first
-/// events have come the stream has the time that is `left` for the request.
+/// Partial events are never sent, except at the regular end of a stream. Once the first events have
+/// arrived, the stream has the `time_left` of the request.
 pub(crate) async fn relay_stream(
     exchange: &mut EndpointExchange,
     response: &EndpointResponse,
@@ -50,7 +50,9 @@
     loop {
         piece.clear();
         let consumed = decoder.decode(exchange.connection.buffer(), &mut piece);
-        exchange.connection.consume(consumed.map_err(|_| ExchangeFailure::Garbled)?);
+        exchange
+            .connection
+            .consume(consumed.map_err(|_| ExchangeFailure::Garbled)?);
         let before = progress.splitter.version();
         let mut events = progress.splitter.feed(&piece);
         if let Some(version) = progress.splitter.version().filter(|v| Some(*v) != before) {
@@ -79,7 +81,8 @@
         match exchange.connection.try_read() {
             Ok(Some(0)) if decoder.is_until_close() => {
                 let partial_event = progress.splitter.partial_event().to_vec();
-                return forward_events(&partial_event, true, response, progress, caller, timer).await;
+                return forward_events(&partial_event, true, response, progress, caller, timer)
+                    .await;
             }
             Ok(Some(0)) | Err(_) => return Err(ExchangeFailure::Lost),
             Ok(_) => {}
