--- a/entry/src/front/caller_conn.rs
+++ b/entry/src/front/caller_conn.rs
@@ -1,5 +1,5 @@
 use {
-    super::{run_request, ConnectionReuse, FrontContext},
+    super::{handle_request, ConnectionReuse, FrontContext},
     futures_lite::future::or,
     pitchhitch_core::{
         serving::{CallerLimits, RefusalKind},
@@ -53,9 +53,9 @@
             ReadOutcome::Request(request) => {
                 let body_bytes = request.body.len() as u64;
                 front.state().took(body_bytes);
-                let end = run_request(&front, &mut connection, request).await;
+                let reuse = handle_request(&front, &mut connection, request).await;
                 front.state().gave_back(body_bytes);
-                if end == ConnectionReuse::Close {
+                if reuse == ConnectionReuse::Close {
                     return;
                 }
                 connection.shrink();
@@ -189,8 +189,8 @@
         }
     }
     loop {
-        let used = decoder.decode(connection.unused(), &mut body);
-        connection.use_up(used.map_err(|_| RefusalKind::BadRequest)?);
+        let consumed = decoder.decode(connection.unused(), &mut body);
+        connection.use_up(consumed.map_err(|_| RefusalKind::BadRequest)?);
         if body.len() > limits.max_body_bytes {
             return Err(RefusalKind::BodyTooLong);
         }
--- a/entry/src/front/connection_pool.rs
+++ b/entry/src/front/connection_pool.rs
@@ -5,7 +5,7 @@
 };
 
 /// Keep-alive time of an idle connection if the endpoint does not state one.
-const DEFAULT_KEEP_ALIVE: Micros = Micros::from_secs(4);
+const DEFAULT_KEEP_ALIVE_TIMEOUT: Micros = Micros::from_secs(4);
 /// Subtracted from the keep-alive time, so that no request is sent while the endpoint closes the
 /// connection.
 const KEEP_ALIVE_MARGIN: Micros = Micros::from_millis(700);
@@ -56,7 +56,7 @@
         &mut self,
         key: EndpointKey,
         mut connection: ByteLink,
-        keep_alive: Option<Micros>,
+        keep_alive_timeout: Option<Micros>,
         now: Micros,
     ) {
         let idle = self.idle.entry(key).or_default();
@@ -64,8 +64,8 @@
             return;
         }
         connection.shrink();
-        let usable_for = keep_alive
-            .unwrap_or(DEFAULT_KEEP_ALIVE)
+        let usable_for = keep_alive_timeout
+            .unwrap_or(DEFAULT_KEEP_ALIVE_TIMEOUT)
             .since(KEEP_ALIVE_MARGIN);
         idle.push(IdleConnection {
             connection,
--- a/entry/src/front/endpoint_exchange.rs
+++ b/entry/src/front/endpoint_exchange.rs
@@ -37,7 +37,7 @@
     /// Whether the connection can be used for another request.
     pub is_reusable: bool,
     /// Keep-alive time that the endpoint stated, if any.
-    pub keep_alive: Option<Micros>,
+    pub keep_alive_timeout: Option<Micros>,
 }
 
 impl EndpointExchange {
@@ -47,7 +47,7 @@
             connection,
             is_fully_sent: false,
             is_reusable: false,
-            keep_alive: None,
+            keep_alive_timeout: None,
         }
     }
 }
@@ -57,7 +57,7 @@
 pub(crate) struct EndpointResponse {
     pub head: AnswerHead,
     /// Headers that the front interprets.
-    pub marks: AnswerMarks,
+    pub info: AnswerMarks,
     /// Framing of the body.
     pub framing: BodyFraming,
 }
@@ -121,19 +121,19 @@
         if head.status < 200 {
             continue;
         }
-        let marks = decode_marks(&head);
+        let info = decode_marks(&head);
         let framing = BodyFraming::of_answer(head.status, &head.fields);
         let framing = framing.map_err(|_| ExchangeFailure::Garbled)?;
-        if marks.request_id.as_deref() == Some(request_id) {
+        if info.request_id.as_deref() == Some(request_id) {
             return Ok(Some(EndpointResponse {
                 head,
-                marks,
+                info,
                 framing,
             }));
         }
         *stray_responses += 1;
         let has_known_end = framing != BodyFraming::UntilClose;
-        if !has_known_end || *stray_responses > MAX_STRAY_RESPONSES || marks.request_id.is_none() {
+        if !has_known_end || *stray_responses > MAX_STRAY_RESPONSES || info.request_id.is_none() {
             return Err(ExchangeFailure::Garbled);
         }
         read_response_body(
--- a/entry/src/front/lost_run.rs
+++ b/entry/src/front/lost_run.rs
@@ -1,5 +1,5 @@
 use {
-    super::{has_exited, RequestRun},
+    super::{has_exited, RequestHandler},
     pitchhitch_core::{
         serving::{
             CrashId, EndpointChoice, EndpointStatus, FingerprintInput, RequestFingerprint,
@@ -30,7 +30,7 @@
     pub(super) first_event_at: Option<Micros>,
 }
 
-impl RequestRun<'_> {
+impl RequestHandler<'_> {
     /// Fingerprint by which the request is recognised when it is sent again.
     pub(super) fn fingerprint(&mut self) -> RequestFingerprint {
         if let Some(known) = self.cached_fingerprint {
--- a/entry/src/front/part_reclaim.rs
+++ b/entry/src/front/part_reclaim.rs
@@ -100,21 +100,21 @@
         return;
     };
     let mut engines = Vec::new();
-    let mut others = HashSet::new();
+    let mut plain_services = HashSet::new();
     for (_, entry) in state.book.iter() {
-        let Some(group) = config.services.get(&entry.service) else {
+        let Some(service) = config.services.get(&entry.service) else {
             continue;
         };
-        if group.engine.is_some() {
+        if service.engine.is_some() {
             engines.push((entry.address, &entry.weights));
         } else if entry.status != EndpointStatus::Leaving {
-            others.insert(entry.address);
+            plain_services.insert(entry.address);
         }
     }
     // A plain service at an address shows that the engine formerly there has exited.
-    engines.retain(|(address, _)| !others.contains(address));
+    engines.retain(|(address, _)| !plain_services.contains(address));
     state.reads.update_engines(engines.into_iter(), now);
-    for address in others {
+    for address in plain_services {
         state.reads.forget(address);
     }
     state.reads.prune(now);
--- a/entry/src/front/request_attempt.rs
+++ b/entry/src/front/request_attempt.rs
@@ -1,7 +1,7 @@
 use {
     super::{
         send_request, BufferedResponse, EndpointExchange, ExchangeFailure, LatestRun,
-        PartTransfers, RequestRun,
+        PartTransfers, RequestHandler,
     },
     pitchhitch_core::{
         serving::{EndpointChoice, EndpointStatus, PendingPrefill},
@@ -36,7 +36,7 @@
     Broken(ExchangeFailure),
 }
 
-impl RequestRun<'_> {
+impl RequestHandler<'_> {
     /// Opens an exchange with the endpoint, unless it has begun to leave by the time that it is
     /// connected.
     pub(super) async fn open_exchange(
@@ -90,14 +90,14 @@
                 .trials
                 .begin(ticket, fingerprint, choice.key, is_alone);
         }
-        let work = PendingPrefill {
+        let prefill = PendingPrefill {
             ticket,
             tokens: choice.prefill_tokens,
             memory_tokens: self.info.prompt.as_ref().map_or(0, |p| p.tokens_in),
             priority: self.priority(),
             sent_at: front.now(),
         };
-        state.book.record_sent(choice.key, work);
+        state.book.record_sent(choice.key, prefill);
         ReservedSlot { ticket, transfers }
     }
 
@@ -116,13 +116,13 @@
         let (Some(prompt), Some(version)) = (&self.info.prompt, choice.version) else {
             return;
         };
-        let wall = state.wall(&self.cache_namespace(version).salt());
+        let namespace = state.wall(&self.cache_namespace(version).salt());
         let planned = &choice.plan.parts;
         let is_cached = |index: usize| planned.get(index).is_some_and(|fetch| fetch.is_cached);
         if let Some(entry) = state.book.get_mut(choice.key) {
             for (index, part) in prompt.parts.iter().enumerate() {
                 if !is_cached(index) {
-                    entry.parts.set(wall, part.id, 0);
+                    entry.parts.set(namespace, part.id, 0);
                 }
             }
         }
@@ -198,9 +198,9 @@
         let limit = front.settings.begin_limit;
         let state = front.state();
         let planner = &state.planner;
-        let left = planner.time_to_expiry(&prompt.model, version, limit, front.now());
-        left.map_or(self.time_left(), |left| {
-            to_duration(left).min(self.time_left())
+        let time_to_expiry = planner.time_to_expiry(&prompt.model, version, limit, front.now());
+        time_to_expiry.map_or(self.time_left(), |time_to_expiry| {
+            to_duration(time_to_expiry).min(self.time_left())
         })
     }
 
@@ -241,7 +241,7 @@
             state.pool.put(
                 choice.key,
                 exchange.connection,
-                exchange.keep_alive,
+                exchange.keep_alive_timeout,
                 front.now(),
             );
         }
--- a/entry/src/front/request_choice.rs
+++ b/entry/src/front/request_choice.rs
@@ -1,5 +1,5 @@
 use {
-    super::{FrontState, RequestRun, DEFAULT_CALLER_TIMEOUT},
+    super::{FrontState, RequestHandler, DEFAULT_CALLER_TIMEOUT},
     pitchhitch_core::{
         serving::{
             pick_endpoint, unit_fraction, AdmissionDecision, AdmissionRequest, AllowedRegions,
@@ -18,7 +18,7 @@
 const SLOW_START_RETRY_DELAY: Micros = Micros::from_millis(50);
 const SLOW_START_RETRY_JITTER: Micros = Micros::from_millis(600);
 
-impl RequestRun<'_> {
+impl RequestHandler<'_> {
     pub(super) fn cache_namespace(
         &self,
         version: u64,
--- a/entry/src/front/request_feedback.rs
+++ b/entry/src/front/request_feedback.rs
@@ -1,12 +1,12 @@
 use {
-    super::{update_weights, EndpointResponse, FrontState, RequestRun},
+    super::{update_weights, EndpointResponse, FrontState, RequestHandler},
     pitchhitch_core::{
         serving::{EndpointChoice, EndpointRejoin, EndpointStatus},
         time::Micros,
     },
 };
 
-impl RequestRun<'_> {
+impl RequestHandler<'_> {
     /// Whether the endpoint is still the incarnation that was chosen. Without this check, requests
     /// broken off by a crash ejected the restarted engine for seconds.
     pub(super) fn is_same_incarnation(
@@ -84,11 +84,11 @@
             return;
         };
         let other = response
-            .marks
+            .info
             .endpoint_id
             .as_ref()
             .filter(|id| **id != entry.id);
-        if let Some(other) = other.filter(|_| response.marks.is_misdirected) {
+        if let Some(other) = other.filter(|_| response.info.is_misdirected) {
             log::warn!(
                 event = "endpoint-replaced",
                 endpoint = entry.id.as_str(),
--- a/entry/src/front/request_log.rs
+++ b/entry/src/front/request_log.rs
@@ -1,9 +1,9 @@
 use {
-    super::{FrontState, RequestRun},
+    super::{FrontState, RequestHandler},
     pitchhitch_core::{serving::EndpointChoice, time::Micros},
 };
 
-impl RequestRun<'_> {
+impl RequestHandler<'_> {
     /// The shared parts of the prompt, each with a letter: `k` cached, `f` fetched from a store,
     /// `e` fetched from an engine, `r` prefilled.
     pub(super) fn describe_parts(
--- a/entry/src/front/request_response.rs
+++ b/entry/src/front/request_response.rs
@@ -1,14 +1,14 @@
 use {
     super::{
         read_plain_response, read_response_body, relay_stream, write_to_caller, AttemptOutcome,
-        EndpointExchange, EndpointResponse, ExchangeFailure, RelayEvent, RequestRun,
+        EndpointExchange, EndpointResponse, ExchangeFailure, RelayEvent, RequestHandler,
     },
     pitchhitch_core::{serving::EndpointChoice, time::Micros},
     pitchhitch_http1::BodyFraming,
     pitchhitch_process::to_duration,
 };
 
-impl RequestRun<'_> {
+impl RequestHandler<'_> {
     /// Handles an endpoint's response to its end.
     pub(super) async fn handle_response(
         &mut self,
@@ -18,16 +18,16 @@
         exchange: &mut EndpointExchange,
         response: EndpointResponse,
     ) -> AttemptOutcome {
-        if let (Some(version), Some(prompt)) = (response.marks.version, &self.info.prompt) {
+        if let (Some(version), Some(prompt)) = (response.info.version, &self.info.prompt) {
             self.record_version(choice, &prompt.model.clone(), version);
         }
-        if response.marks.is_not_run {
+        if response.info.is_not_run {
             self.possible_runs -= 1;
             self.record_refusal(choice, &response);
             return self.discard_response(exchange, &response).await;
         }
         let is_success = (200..300).contains(&response.head.status);
-        let is_verified = response.marks.is_signed && !response.marks.is_encoded;
+        let is_verified = response.info.is_signed && !response.info.is_encoded;
         if is_success && !is_verified {
             return AttemptOutcome::Broken(ExchangeFailure::Garbled);
         }
@@ -164,11 +164,11 @@
         response: &EndpointResponse,
     ) {
         let is_drained = exchange.is_fully_sent && exchange.connection.unused().is_empty();
-        let ends = response.marks.closes || response.framing == BodyFraming::UntilClose;
+        let ends = response.info.closes || response.framing == BodyFraming::UntilClose;
         if !is_drained || ends {
             return;
         }
         exchange.is_reusable = true;
-        exchange.keep_alive = response.marks.keeps_for;
+        exchange.keep_alive_timeout = response.info.keeps_for;
     }
 }
--- a/entry/src/front/request_run.rs
+++ b/entry/src/front/request_run.rs
@@ -38,7 +38,7 @@
 }
 
 /// The state of one request while the front serves it.
-pub(super) struct RequestRun<'a> {
+pub(super) struct RequestHandler<'a> {
     pub(super) front: &'a FrontContext,
     pub(super) caller: &'a mut ByteLink,
     pub(super) request: &'a ReceivedRequest,
@@ -64,7 +64,7 @@
 }
 
 /// Serves one request.
-pub(crate) async fn run_request(
+pub(crate) async fn handle_request(
     front: &FrontContext,
     caller: &mut ByteLink,
     request: ReceivedRequest,
@@ -94,7 +94,7 @@
     let service = route.target(id_hash).unwrap_or_default().to_string();
     let time_left = deadline.since(front.now());
     front.state().meter(&service).record_request(front.now());
-    let mut run = RequestRun {
+    let mut handler = RequestHandler {
         front,
         caller,
         request: &request,
@@ -115,7 +115,7 @@
         config: config.clone(),
         resolved,
     };
-    run.serve().await
+    handler.serve().await
 }
 
 pub(super) fn fnv1a_hash(text: &str) -> u64 {
@@ -124,7 +124,7 @@
     hash ^ (hash >> 32)
 }
 
-impl RequestRun<'_> {
+impl RequestHandler<'_> {
     pub(super) fn route(&self) -> &ServedRoute {
         &self.config.routes[self.resolved.route]
     }
@@ -302,11 +302,11 @@
         let front = self.front;
         let mut state = front.state();
         let fronts = state.fronts;
-        let meter = state.meter(&self.service);
+        let window = state.meter(&self.service);
         let now = front.now();
         // The clock starts with the process, so `now` is its uptime.
         let uptime = now;
-        meter.try_acquire(&front.settings.repeats, fronts, uptime, now)
+        window.try_acquire(&front.settings.repeats, fronts, uptime, now)
     }
 
     pub(super) async fn deliver_buffered(
--- a/entry/src/front/request_transfers.rs
+++ b/entry/src/front/request_transfers.rs
@@ -1,5 +1,5 @@
 use {
-    super::{FrontState, RequestRun},
+    super::{FrontState, RequestHandler},
     pitchhitch_core::{
         serving::{EndpointChoice, KvStore, PartLocation, PromptInfo},
         time::Micros,
@@ -18,7 +18,7 @@
     pub(super) fetch_until_ms: Option<u64>,
 }
 
-impl RequestRun<'_> {
+impl RequestHandler<'_> {
     /// The request in the form sent to the endpoint.
     pub(super) fn encode(
         &self,
--- a/entry/src/front/request_trial.rs
+++ b/entry/src/front/request_trial.rs
@@ -1,5 +1,5 @@
 use {
-    super::{fnv1a_hash, RequestRun},
+    super::{fnv1a_hash, RequestHandler},
     pitchhitch_core::{
         serving::{unit_fraction, RefusalKind, SuspectStatus},
         time::Micros,
@@ -26,7 +26,7 @@
     CallerGone,
 }
 
-impl RequestRun<'_> {
+impl RequestHandler<'_> {
     /// Status of the request with regard to crashes of endpoints. Its fingerprint is computed only
     /// while suspect requests are tracked.
     fn suspect_status(&mut self) -> SuspectStatus {
@@ -35,9 +35,9 @@
             return SuspectStatus::Clear;
         }
         let fingerprint = self.fingerprint();
-        let fraction = unit_fraction(fnv1a_hash(&front.settings.box_id));
+        let jitter = unit_fraction(fnv1a_hash(&front.settings.box_id));
         let state = front.state();
-        state.suspects.status(fingerprint, fraction, front.now())
+        state.suspects.status(fingerprint, jitter, front.now())
     }
 
     /// Waits until the request may be sent. Only a suspect request, under which endpoints have
--- a/entry/tests/part_reads.rs
+++ b/entry/tests/part_reads.rs
@@ -20,7 +20,7 @@
     )
 }
 
-fn began(
+fn ended(
     request: &str,
     first_ms: u32,
 ) -> String {
@@ -30,14 +30,14 @@
 fn log() -> String {
     let lines = [
         sent("f1", 1_000, "r1", "aa:r,bb:r", 1),
-        began("r1", 400),
+        ended("r1", 400),
         // The first request has not received its first event yet.
         sent("12.5 f1", 1_200, "r2", "aa:k,bb:r", 1),
-        began("r2", 100),
+        ended("r2", 100),
         sent("f2", 1_250, "r3", "aa:f,bb:r", 1),
-        began("r3", 10),
+        ended("r3", 10),
         sent("f2", 9_000, "r4", "bb:r", 1),
-        began("r4", 10),
+        ended("r4", 10),
         sent("f2", 40_000, "r5", "bb:r", 1),
         // Other weights.
         sent("f2", 41_000, "r6", "bb:r", 2),
@@ -82,13 +82,13 @@
         Command::new(program).args(args).output().expect("run")
     };
     let path = file.to_str().expect("path");
-    let told = run(&["explain", "--log", path, "--reads"]);
+    let output = run(&["explain", "--log", path, "--reads"]);
     std::fs::write(&file, "nonsense\n").expect("file");
     let nothing = run(&["explain", "--log", path, "--reads"]);
     let no_log = run(&["explain", "--reads"]);
     std::fs::remove_file(&file).expect("removed");
-    let text = String::from_utf8_lossy(&told.stdout).to_string();
-    assert!(told.status.success());
+    let text = String::from_utf8_lossy(&output.stdout).to_string();
+    assert!(output.status.success());
     assert!(
         text.contains("1000 tokens        1 parts: read within 20 s"),
         "{text}"
