--- a/entry/src/front/mod.rs
+++ b/entry/src/front/mod.rs
@@ -36,9 +36,9 @@
 mod request_attempt;
 mod request_choice;
 mod request_feedback;
+mod request_handler;
 mod request_log;
 mod request_response;
-mod request_run;
 mod request_transfers;
 mod request_trial;
 mod slow_starts;
@@ -54,7 +54,7 @@
     beside_link::*, caller_conn::*, connection_pool::*, control_handler::*, digest_watch::*,
     endpoint_exchange::*, event_splitter::*, exit_probe::*, front_context::*, front_metrics::*,
     front_state::*, list_watch::*, operator_watch::*, order_substitute::*, plain_response::*,
-    request_run::*, store_contact::*, store_readers::*, store_watch::*, stream_relay::*,
+    request_handler::*, store_contact::*, store_readers::*, store_watch::*, stream_relay::*,
     wake_reason::*,
 };
 use {
