--- a/entry/src/front/control_handler.rs
+++ b/entry/src/front/control_handler.rs
@@ -57,17 +57,17 @@
     let state = front.state();
     let suspects = state.suspects.reports(now).into_iter().map(|report| {
         let status = state.suspects.status(report.fingerprint, 0.0, now);
-        let (label, left) = match status {
+        let (label, remaining) = match status {
             SuspectStatus::Clear => ("clear", None),
             SuspectStatus::Suspect(_) => ("suspect", None),
-            SuspectStatus::Resting(left) => ("resting", Some(left)),
-            SuspectStatus::Held(left) => ("held", Some(left)),
+            SuspectStatus::Resting(remaining) => ("resting", Some(remaining)),
+            SuspectStatus::Held(remaining) => ("held", Some(remaining)),
         };
         let last = report.crashes.iter().map(|crash| crash.ended).min();
         SuspectRow {
             fingerprint: report.fingerprint.to_string(),
             standing: label.to_string(),
-            left_ms: left.map(|left| left.as_millis()),
+            left_ms: remaining.map(|remaining| remaining.as_millis()),
             crashes: report.crashes.len(),
             last_crash_ms: last.map(|age| age.as_millis()),
         }
--- a/entry/src/front/request_response.rs
+++ b/entry/src/front/request_response.rs
@@ -140,7 +140,7 @@
     ) -> AttemptOutcome {
         let mut body = Vec::new();
         let caller = &mut *self.caller;
-        let rest = read_response_body(
+        let discarded = read_response_body(
             exchange,
             response.framing,
             &mut body,
@@ -148,7 +148,7 @@
             caller,
             &mut self.timer,
         );
-        match rest.await {
+        match discarded.await {
             Ok(()) => self.mark_reusable(exchange, response),
             Err(ExchangeFailure::CallerGone) => return AttemptOutcome::CallerGone,
             // The proof that the request was not run has arrived; only the connection is unusable.
--- a/entry/src/front/wake_reason.rs
+++ b/entry/src/front/wake_reason.rs
@@ -71,6 +71,6 @@
         timer.await;
         false
     };
-    let rest = async { caller.write_all(&bytes[sent..]).await.is_ok() };
-    futures_lite::future::or(rest, timed_out).await
+    let remaining_write = async { caller.write_all(&bytes[sent..]).await.is_ok() };
+    futures_lite::future::or(remaining_write, timed_out).await
 }
