--- a/entry/src/front/caller_conn.rs
+++ b/entry/src/front/caller_conn.rs
@@ -110,8 +110,8 @@
     }
 }
 
-/// Whether the body announced by the head fits into memory beside those already held. A process
-/// that exceeds its memory limit is killed.
+/// Whether the body announced by the head fits into memory in addition to those already there. A
+/// process that exceeds its memory limit is killed.
 fn has_capacity(
     front: &FrontContext,
     head: &RequestHead,
--- a/entry/src/front/connection_pool.rs
+++ b/entry/src/front/connection_pool.rs
@@ -17,7 +17,7 @@
     usable_until: Micros,
 }
 
-/// Idle connections to endpoints.
+/// Idle connections to endpoints, to be reused.
 #[derive(Debug, Default)]
 pub(crate) struct ConnectionPool {
     idle: HashMap<EndpointKey, Vec<IdleConnection>>,
--- a/entry/src/front/exit_probe.rs
+++ b/entry/src/front/exit_probe.rs
@@ -63,7 +63,7 @@
         )
     };
     match (is_replaced, is_probed) {
-        // The endpoint list or its agent has already reported a restart.
+        // The endpoint list, or the agent of the endpoint, has already reported a restart.
         (true, _) => true,
         (false, true) => await_outcome(front, key).await,
         (false, false) => run_probe(front, key, incarnation).await,
--- a/entry/src/front/rejoin_probe.rs
+++ b/entry/src/front/rejoin_probe.rs
@@ -6,7 +6,7 @@
     std::{rc::Rc, time::Duration},
 };
 
-/// Timeout of a health check. It waits for a slot at the endpoint like any request.
+/// Timeout of a health check, which waits for a slot at the endpoint like any request.
 const HEALTH_TIMEOUT: Duration = Duration::from_millis(1_500);
 
 /// Checks the health of endpoints whose entries disappeared from the list and reappeared: lost
--- a/entry/src/front/request_handler.rs
+++ b/entry/src/front/request_handler.rs
@@ -46,9 +46,11 @@
     pub(super) config: Rc<ServingConfig>,
     pub(super) resolved: ResolvedRequest,
     pub(super) service: String,
+    /// Hash of the request id; spreads requests over services and retries over time.
     pub(super) id_hash: u64,
     pub(super) deadline: Micros,
     pub(super) timer: DeadlineTimer,
+    /// Endpoints that were tried already.
     pub(super) tried: Vec<EndpointKey>,
     /// The latest run at an endpoint.
     pub(super) latest_run: LatestRun,
@@ -56,7 +58,9 @@
     pub(super) cached_fingerprint: Option<RequestFingerprint>,
     /// Number of endpoints that crashed under the request, if that makes it a suspect.
     pub(super) suspect_crashes: Option<u32>,
+    /// How often the request was sent to endpoints.
     pub(super) sends: u32,
+    /// Number of sends after which the endpoint may have run the request.
     pub(super) possible_runs: u32,
     pub(super) progress: StreamProgress,
     pub(super) response_started_at: Option<Micros>,
@@ -118,6 +122,7 @@
     handler.serve().await
 }
 
+/// 64-bit FNV-1a hash, with the high half folded into the low half.
 pub(super) fn fnv1a_hash(text: &str) -> u64 {
     let mix = |hash: u64, byte: u8| (hash ^ u64::from(byte)).wrapping_mul(0x0000_0100_0000_01b3);
     let hash = text.bytes().fold(0xcbf2_9ce4_8422_2325, mix);
--- a/entry/src/front/wake_reason.rs
+++ b/entry/src/front/wake_reason.rs
@@ -17,7 +17,7 @@
     EndpointWritable,
     /// The caller closed its connection.
     CallerGone,
-    /// The deadline of the request has passed.
+    /// The timer of the request expired.
     TimedOut,
 }
 
