--- a/entry/src/front/caller_conn.rs
+++ b/entry/src/front/caller_conn.rs
@@ -6,7 +6,8 @@
         time::Micros,
     },
     pitchhitch_http1::{
-        parse_request_head, BodyDecoder, BodyFraming, TcpConnection, HeadError, IdleState, RequestHead,
+        parse_request_head, BodyDecoder, BodyFraming, HeadError, IdleState, RequestHead,
+        TcpConnection,
     },
     pitchhitch_platform::{encode_refusal, expects_continue},
     pitchhitch_process::to_duration,
--- a/entry/src/front/connection_pool.rs
+++ b/entry/src/front/connection_pool.rs
@@ -1,6 +1,6 @@
 use {
     pitchhitch_core::{serving::EndpointKey, time::Micros},
-    pitchhitch_http1::{TcpConnection, IdleState},
+    pitchhitch_http1::{IdleState, TcpConnection},
     std::collections::HashMap,
 };
 
@@ -32,7 +32,8 @@
     ) -> Option<TcpConnection> {
         let idle = self.idle.get_mut(&key)?;
         while let Some(mut candidate) = idle.pop() {
-            if now < candidate.usable_until && candidate.connection.idle_state() == IdleState::Reusable
+            if now < candidate.usable_until
+                && candidate.connection.idle_state() == IdleState::Reusable
             {
                 return Some(candidate.connection);
             }
--- a/entry/src/front/digest_watch.rs
+++ b/entry/src/front/digest_watch.rs
@@ -1,6 +1,6 @@
 use {
     super::{
-        is_engine, update_weights, log_changes, reader_number, take_store_news, FrontContext,
+        is_engine, log_changes, reader_number, take_store_news, update_weights, FrontContext,
         FrontState, TableProofs,
     },
     pitchhitch_core::{
--- a/entry/src/front/endpoint_exchange.rs
+++ b/entry/src/front/endpoint_exchange.rs
@@ -1,7 +1,9 @@
 use {
     super::{wait_for_endpoint, WakeReason},
     pitchhitch_core::time::Micros,
-    pitchhitch_http1::{parse_response_head, ResponseHead, BodyDecoder, BodyFraming, TcpConnection},
+    pitchhitch_http1::{
+        parse_response_head, BodyDecoder, BodyFraming, ResponseHead, TcpConnection,
+    },
     pitchhitch_platform::{decode_response_info, ResponseInfo},
     pitchhitch_process::DeadlineTimer,
 };
--- a/entry/src/front/exit_probe.rs
+++ b/entry/src/front/exit_probe.rs
@@ -1,7 +1,7 @@
 use {
     super::FrontContext,
     pitchhitch_core::{serving::EndpointKey, time::Micros},
-    pitchhitch_http1::{TcpConnection, IdleState},
+    pitchhitch_http1::{IdleState, TcpConnection},
     pitchhitch_process::to_duration,
     smol::Timer,
     std::io::ErrorKind,
--- a/entry/src/front/front_process.rs
+++ b/entry/src/front/front_process.rs
@@ -1,6 +1,6 @@
 use {
     super::{
-        handle_control, ask_peers, greet_engines, hear_digests, keep_held, serve_caller, stand_in,
+        ask_peers, greet_engines, handle_control, hear_digests, keep_held, serve_caller, stand_in,
         stay_told, tend_endpoints, track_engines, watch_list, watch_operator, watch_stores,
         FrontContext, FrontSettings,
     },
--- a/entry/src/front/list_watch.rs
+++ b/entry/src/front/list_watch.rs
@@ -1,6 +1,6 @@
 use {
     super::{
-        probe_rejoined, begin_slow_start, note_contact, note_position, CallTimeout, ForeignRows,
+        begin_slow_start, note_contact, note_position, probe_rejoined, CallTimeout, ForeignRows,
         FrontContext, ReadWait,
     },
     pitchhitch_core::{
@@ -271,6 +271,8 @@
     state.book.prune(now);
     state.suspects.prune(now);
     let book = &state.book;
-    state.pool.remove_expired(now, |key| book.get(key).is_some());
+    state
+        .pool
+        .remove_expired(now, |key| book.get(key).is_some());
     state.ends.retain(|key, _| book.get(*key).is_some());
 }
--- a/entry/src/front/operator_watch.rs
+++ b/entry/src/front/operator_watch.rs
@@ -1,7 +1,7 @@
 use {
     super::{
-        are_held, note_contact, note_position, own_tier, take_evacuations, CallTimeout, ForeignRows,
-        FrontContext, ReadWait,
+        are_held, note_contact, note_position, own_tier, take_evacuations, CallTimeout,
+        ForeignRows, FrontContext, ReadWait,
     },
     futures_lite::future::or,
     pitchhitch_core::{
--- a/entry/src/front/rejoin_probe.rs
+++ b/entry/src/front/rejoin_probe.rs
@@ -1,7 +1,7 @@
 use {
     super::{log_changes, FrontContext},
     pitchhitch_core::serving::RejoinProbe,
-    pitchhitch_http1::{HttpRequest, HttpClient},
+    pitchhitch_http1::{HttpClient, HttpRequest},
     pitchhitch_platform::instance_field,
     std::{rc::Rc, time::Duration},
 };
--- a/entry/src/front/request_transfers.rs
+++ b/entry/src/front/request_transfers.rs
@@ -4,7 +4,7 @@
         serving::{EndpointChoice, KvStore, PartLocation, PromptInfo},
         time::Micros,
     },
-    pitchhitch_platform::{encode_request, PartAddress, ForwardHeaders},
+    pitchhitch_platform::{encode_request, ForwardHeaders, PartAddress},
 };
 
 /// Network round trip, subtracted from the time that an endpoint is given.
