--- a/entry/src/front/beside_link.rs
+++ b/entry/src/front/beside_link.rs
@@ -1,5 +1,8 @@
 use {
-    super::{reader_number, state_mark, FrontContext, FrontState, StoreWatchers, FEW_FRONTS},
+    super::{
+        own_snapshot_hash, reader_id, FrontContext, FrontState, WatcherAssignment,
+        MAX_DIRECT_READERS,
+    },
     pitchhitch_core::{
         serving::{greeting_interval, EndpointEntry, EndpointKey, ServingConfig},
         time::Micros,
@@ -14,136 +17,141 @@
 };
 
 /// How often turns are planned anew, and greetings go out.
-const PLAN_PAUSE: Micros = Micros::from_millis(100);
+const ROUND_INTERVAL: Micros = Micros::from_millis(100);
 /// Processes beside engines that are told of suspects in one round.
-const TOLD_TO: usize = 3;
+const SUSPECT_RECEIVERS: usize = 3;
 /// Suspects in one greeting: some 100 bytes each.
-const SUSPECTS_LIMIT: usize = 100;
+const MAX_SUSPECTS: usize = 100;
 /// Age up to which others are told what this front has read at the platform's store.
-const PROOF_LIFE: Micros = Micros::from_millis(2_500);
+const MAX_PROOF_AGE: Micros = Micros::from_millis(2_500);
 /// For how long it holds which state this front can hand on, and who reads which store.
-const PLAN_LIFE: Micros = Micros::from_millis(400);
+const CACHE_TTL: Micros = Micros::from_millis(400);
 
 /// What is the same in all greetings for a while.
 #[derive(Debug, Default)]
-struct GreetingFacts {
-    known_at: Option<Micros>,
-    handed: Option<(u64, Micros)>,
-    watchers: StoreWatchers,
+struct GreetingCache {
+    computed_at: Option<Micros>,
+    offered_snapshot: Option<(u64, Micros)>,
+    watchers: WatcherAssignment,
 }
 
 /// Tells the processes beside engines what they need to know, and that this
 /// front wants their digests.
-pub(crate) async fn greet_engines(
+pub(crate) async fn send_greetings(
     front: Rc<FrontContext>,
     socket: BesideSocket,
 ) {
-    let mut facts = GreetingFacts::default();
+    let mut cache = GreetingCache::default();
     loop {
         let now = front.now();
-        plan_turns(&front, now);
-        refresh(&front, &mut facts, now);
-        for (to, hello) in hellos(&front, &facts, now) {
+        plan_swap_turns(&front, now);
+        refresh_cache(&front, &mut cache, now);
+        for (to, greeting) in make_greetings(&front, &cache, now) {
             // A hello that is lost is followed by the next one.
-            if let Err(error) = socket.send(&hello, to).await {
+            if let Err(error) = socket.send(&greeting, to).await {
                 let error = error.to_string();
                 log::debug!(event = "hello-failed", error = error.as_str(); "");
             }
         }
-        front.greeting_due.wait(to_duration(PLAN_PAUSE)).await;
+        front.greeting_due.wait(to_duration(ROUND_INTERVAL)).await;
     }
 }
 
-fn refresh(
+fn refresh_cache(
     front: &FrontContext,
-    facts: &mut GreetingFacts,
+    cache: &mut GreetingCache,
     now: Micros,
 ) {
-    if facts.known_at.is_some_and(|at| now.since(at) < PLAN_LIFE) {
+    if cache
+        .computed_at
+        .is_some_and(|at| now.since(at) < CACHE_TTL)
+    {
         return;
     }
-    *facts = GreetingFacts {
-        known_at: Some(now),
-        handed: state_mark(front),
-        watchers: StoreWatchers::assign(front),
+    *cache = GreetingCache {
+        computed_at: Some(now),
+        offered_snapshot: own_snapshot_hash(front),
+        watchers: WatcherAssignment::assign(front),
     };
 }
 
 /// Plans whose turn it is to load new weights; those whose turn begins are told at once.
-fn plan_turns(
+fn plan_swap_turns(
     front: &FrontContext,
     now: Micros,
 ) {
     let mut guard = front.state();
     let state = &mut *guard;
-    let begun = state
+    let started_turns = state
         .planner
-        .plan(&state.book, front.settings.weights_limit, now);
-    state.book.update_stages(&state.planner);
-    for (key, turn) in &begun {
+        .plan(&state.registry, front.settings.weights_limit, now);
+    state.registry.update_stages(&state.planner);
+    for (key, turn) in &started_turns {
         log::info!(
             event = "swap-turn",
-            endpoint = state.book.get(*key).map_or("", |entry| entry.id.as_str()),
+            endpoint = state.registry.get(*key).map_or("", |entry| entry.id.as_str()),
             model = turn.model.as_str(),
             version = turn.version;
             ""
         );
-        if let Some(entry) = state.book.get(*key) {
+        if let Some(entry) = state.registry.get(*key) {
             let to = SocketAddr::new(entry.address.ip(), front.settings.beside_port);
-            state.greetings.want(to);
+            state.greetings.request(to);
         }
     }
 }
 
-fn hellos(
+fn make_greetings(
     front: &FrontContext,
-    facts: &GreetingFacts,
+    cache: &GreetingCache,
     now: Micros,
 ) -> Vec<(SocketAddr, FrontHello)> {
     let mut guard = front.state();
     let state = &mut *guard;
-    let present = greeted_engines(state);
-    if present.is_empty() {
+    let engines = greeted_engines(state);
+    if engines.is_empty() {
         return Vec::new();
     }
     let round = state.greetings.begin_round(now);
-    let news = state.suspects.take_updates(SUSPECTS_LIMIT, now);
-    let asks = state.wants_suspects;
-    let own = reader_number(front);
-    let proofs = state.readers.own_proofs(own, PROOF_LIFE, now);
+    let updates = state.suspects.take_updates(MAX_SUSPECTS, now);
+    let wants_suspects = state.wants_suspects;
+    let own_id = reader_id(front);
+    let proofs = state.readers.own_proofs(own_id, MAX_PROOF_AGE, now);
     // What this front has just read is told on at once: others go by its age.
-    let has_read = state.readers.take_news() && state.fronts > FEW_FRONTS && !proofs.is_empty();
-    let told: BTreeSet<usize> = match asks || has_read || !news.is_empty() {
-        true => told_places(present.len(), round as usize).collect(),
+    let has_new_reads = state.readers.take_has_new_reads()
+        && state.fronts > MAX_DIRECT_READERS
+        && !proofs.is_empty();
+    let receivers: BTreeSet<usize> = match wants_suspects || has_new_reads || !updates.is_empty() {
+        true => receiver_indexes(engines.len(), round as usize).collect(),
         false => BTreeSet::new(),
     };
-    let count = present.len();
-    let mut hellos = Vec::new();
-    for (place, (address, key)) in present.iter().enumerate() {
+    let count = engines.len();
+    let mut greetings = Vec::new();
+    for (index, (address, key)) in engines.iter().enumerate() {
         let to = SocketAddr::new(address.ip(), front.settings.beside_port);
-        let is_told = told.contains(&place);
-        let is_urgent = needs_soon(state, *key);
-        if !is_told && !state.greetings.is_due(to, count, is_urgent, now) {
+        let is_receiver = receivers.contains(&index);
+        let is_urgent = needs_urgent_greeting(state, *key);
+        if !is_receiver && !state.greetings.is_due(to, count, is_urgent, now) {
             continue;
         }
-        state.greetings.note(to, now);
-        let Some(entry) = state.book.get(*key) else {
+        state.greetings.record_sent(to, now);
+        let Some(entry) = state.registry.get(*key) else {
             continue;
         };
-        let mut hello = make_hello(front, state, *key, entry, facts.handed);
-        hello.number = round;
-        hello.again_within = greeting_interval(count);
-        hello.proofs.clone_from(&proofs);
-        hello.watches = facts.watchers.of(*address);
-        if is_told {
-            hello.suspects.clone_from(&news);
-            hello.wants_suspects = asks;
+        let mut greeting = make_greeting(front, state, *key, entry, cache.offered_snapshot);
+        greeting.number = round;
+        greeting.again_within = greeting_interval(count);
+        greeting.proofs.clone_from(&proofs);
+        greeting.watches = cache.watchers.stores_for(*address);
+        if is_receiver {
+            greeting.suspects.clone_from(&updates);
+            greeting.wants_suspects = wants_suspects;
         }
-        hellos.push((to, hello));
+        greetings.push((to, greeting));
     }
-    let addresses: BTreeSet<IpAddr> = present.keys().map(SocketAddr::ip).collect();
+    let addresses: BTreeSet<IpAddr> = engines.keys().map(SocketAddr::ip).collect();
     state.greetings.prune(|to| addresses.contains(&to.ip()));
-    hellos
+    greetings
 }
 
 /// Engines whose processes are greeted, by address: also those that leave, as such a process
@@ -152,8 +160,8 @@
     let Some(config) = &state.config else {
         return BTreeMap::new();
     };
-    let mut engines = state.book.present(|entry| is_engine(config, entry));
-    for (key, entry) in state.book.iter().filter(|(_, e)| is_engine(config, e)) {
+    let mut engines = state.registry.present(|entry| is_engine(config, entry));
+    for (key, entry) in state.registry.iter().filter(|(_, e)| is_engine(config, e)) {
         engines.entry(entry.address).or_insert(key);
     }
     engines
@@ -161,23 +169,23 @@
 
 /// Whether the process beside an engine must hear of this front soon: it is the engine's turn
 /// to load, or what it keeps is not known.
-fn needs_soon(
+fn needs_urgent_greeting(
     state: &FrontState,
     key: EndpointKey,
 ) -> bool {
     let has_turn = state.planner.turn(key).is_some_and(|turn| turn.is_loading);
-    let entry = state.book.get(key);
+    let entry = state.registry.get(key);
     has_turn || entry.is_some_and(|entry| !entry.is_mirrored && entry.is_listed())
 }
 
 /// Which of so many processes are told of suspects, to tell all fronts: few, as each tells
 /// all, far from each other in the order of addresses, and others in each round.
-fn told_places(
+fn receiver_indexes(
     count: usize,
     round: usize,
 ) -> impl Iterator<Item = usize> {
-    let step = (count / TOLD_TO).max(1);
-    (0..TOLD_TO.min(count)).map(move |turn| (round + turn * step) % count)
+    let step = (count / SUSPECT_RECEIVERS).max(1);
+    (0..SUSPECT_RECEIVERS.min(count)).map(move |turn| (round + turn * step) % count)
 }
 
 /// Whether an endpoint is an engine: entries of services that nobody knows are none.
@@ -185,12 +193,12 @@
     config: &ServingConfig,
     entry: &EndpointEntry,
 ) -> bool {
-    let group = config.services.get(&entry.service);
-    group.is_some_and(|group| group.engine.is_some())
+    let service = config.services.get(&entry.service);
+    service.is_some_and(|service| service.engine.is_some())
 }
 
 /// Requests a second that an engine may get from all fronts while it starts slowly.
-fn start_limit(
+fn slow_start_limit(
     front: &FrontContext,
     state: &FrontState,
     entry: &EndpointEntry,
@@ -200,12 +208,12 @@
     rule.map_or(0, |rule| front.settings.slow_start.limit(&rule))
 }
 
-fn make_hello(
+fn make_greeting(
     front: &FrontContext,
     state: &FrontState,
     key: EndpointKey,
     entry: &EndpointEntry,
-    handed: Option<(u64, Micros)>,
+    offered_snapshot: Option<(u64, Micros)>,
 ) -> FrontHello {
     let turn = state.planner.turn(key);
     let is_leaving = !entry.may_be_present();
@@ -227,7 +235,7 @@
         // What a digest tells may be of another id at the address.
         engine_born: entry.incarnation.listed_born,
         engine_row: entry.incarnation.row,
-        state: handed,
+        state: offered_snapshot,
         echo: entry.incarnation.digest.map(|digest| DigestEcho {
             life: digest.incarnation,
             number: digest.number,
@@ -240,6 +248,6 @@
         wants_all: !entry.is_mirrored && entry.is_listed(),
         proofs: Vec::new(),
         watches: Vec::new(),
-        start_limit: start_limit(front, state, entry),
+        start_limit: slow_start_limit(front, state, entry),
     }
 }
--- a/entry/src/front/caller_conn.rs
+++ b/entry/src/front/caller_conn.rs
@@ -53,9 +53,9 @@
         match next_request(&front, &mut link, &limits).await {
             Arrival::Whole(request) => {
                 let held = request.body.len() as u64;
-                front.state().took(held);
+                front.state().begin_request(held);
                 let end = run_request(&front, &mut link, request).await;
-                front.state().gave_back(held);
+                front.state().end_request(held);
                 if end == RequestEnd::Close {
                     return;
                 }
--- a/entry/src/front/digest_watch.rs
+++ b/entry/src/front/digest_watch.rs
@@ -1,7 +1,7 @@
 use {
     super::{
-        is_engine, learn_weights, log_changes, reader_number, take_store_news, FrontContext,
-        FrontState, TableProofs,
+        apply_store_update, handle_endpoint_changes, is_engine, learn_weights, reader_id,
+        FrontContext, FrontState, TableProofs,
     },
     pitchhitch_core::{
         serving::{
@@ -23,94 +23,94 @@
 };
 
 /// Pause after a socket that failed.
-const FAILED_PAUSE: Duration = Duration::from_millis(100);
+const SOCKET_RETRY_DELAY: Duration = Duration::from_millis(100);
 /// Endpoints from which on none is taken that is on no list: twice those that the design
 /// is for.
-const ENDPOINTS_LIMIT: usize = 20_000;
+const MAX_ENDPOINTS: usize = 20_000;
 /// Processes beside engines that are remembered.
-const BESIDES_LIMIT: usize = 64;
+const MAX_KNOWN_AGENTS: usize = 64;
 
 /// Takes what the processes beside engines tell: one after the other, and many at once where
 /// many tell.
-pub(crate) async fn hear_digests(
+pub(crate) async fn receive_digests(
     front: Rc<FrontContext>,
     socket: BesideSocket,
 ) {
-    let mut room = Vec::new();
-    let mut strangers = 0;
+    let mut buffer = Vec::new();
+    let mut rejected = 0;
     loop {
-        match next_digest(&front, &socket, &mut room).await {
-            Ok((told, from)) => hear(&front, told, from),
+        match receive_digest(&front, &socket, &mut buffer).await {
+            Ok((received, from)) => handle_digest(&front, received, from),
             Err(error) => {
                 let error = error.to_string();
                 log::warn!(event = "digest-failed", error = error.as_str(); "");
-                Timer::after(FAILED_PAUSE).await;
+                Timer::after(SOCKET_RETRY_DELAY).await;
             }
         }
-        if socket.strangers() != strangers {
-            strangers = socket.strangers();
+        if socket.strangers() != rejected {
+            rejected = socket.strangers();
             front.metrics.count("digests", "stranger");
         }
     }
 }
 
-async fn next_digest(
+async fn receive_digest(
     front: &FrontContext,
     socket: &BesideSocket,
-    room: &mut Vec<u8>,
+    buffer: &mut Vec<u8>,
 ) -> io::Result<(ToldDigest, SocketAddr)> {
     loop {
-        let pause = digest_read_interval(front.state().book.len());
-        if pause == Micros::ZERO {
-            return socket.receive_into(room).await;
+        let interval = digest_read_interval(front.state().registry.len());
+        if interval == Micros::ZERO {
+            return socket.receive_into(buffer).await;
         }
-        if let Some(next) = socket.receive_now(room)? {
+        if let Some(next) = socket.receive_now(buffer)? {
             return Ok(next);
         }
-        Timer::after(to_duration(pause)).await;
+        Timer::after(to_duration(interval)).await;
     }
 }
 
-fn hear(
+fn handle_digest(
     front: &FrontContext,
-    told: ToldDigest,
+    received: ToldDigest,
     from: SocketAddr,
 ) {
-    let ToldDigest { digest, echo } = told;
-    note_beside(front, from);
-    take_relayed(front, &digest, echo, from);
-    let change = take_announced(front, &digest, from);
-    log_changes(front, change.as_slice());
+    let ToldDigest { digest, echo } = received;
+    record_agent(front, from);
+    apply_relayed_reports(front, &digest, echo, from);
+    let change = apply_announcement(front, &digest, from);
+    handle_endpoint_changes(front, change.as_slice());
     let is_own = digest.engine.ip() == from.ip();
-    let change = take_digest(front, digest, echo.filter(|_| is_own));
-    log_changes(front, change.as_slice());
+    let change = apply_digest(front, digest, echo.filter(|_| is_own));
+    handle_endpoint_changes(front, change.as_slice());
 }
 
 /// Records what this front may send to the engine while that starts slowly; it counts from when
 /// the greeting that it names began.
-fn take_grant(
+fn apply_grant(
     state: &mut FrontState,
     key: EndpointKey,
     echo: GreetingEcho,
 ) {
-    let began_at = state.greetings.began_at(echo.number);
-    if let (Some(began_at), Some(entry)) = (began_at, state.book.get_mut(key)) {
+    let started_at = state.greetings.started_at(echo.number);
+    if let (Some(started_at), Some(entry)) = (started_at, state.registry.get_mut(key)) {
         entry
             .slow_start
-            .update_grant(echo.grant, began_at + echo.age);
+            .update_grant(echo.grant, started_at + echo.age);
     }
 }
 
 /// Remembers who was heard, as long as state may have to be asked for.
-fn note_beside(
+fn record_agent(
     front: &FrontContext,
     from: SocketAddr,
 ) {
     let now = front.now();
     let mut state = front.state();
-    state.heard_at = Some(now);
-    if state.besides.len() < BESIDES_LIMIT {
-        state.besides.insert(from);
+    state.last_digest_at = Some(now);
+    if state.known_agents.len() < MAX_KNOWN_AGENTS {
+        state.known_agents.insert(from);
     }
 }
 
@@ -118,7 +118,7 @@
 /// store, and of stores of kept parts that it has read. How long that was on its way is bounded
 /// by the greeting that the digest names: what lay here while this process stood still is as old
 /// as it is.
-fn take_relayed(
+fn apply_relayed_reports(
     front: &FrontContext,
     digest: &EngineDigest,
     echo: Option<GreetingEcho>,
@@ -130,27 +130,28 @@
     let now = front.now();
     let mut guard = front.state();
     let state = &mut *guard;
-    let greeted_at = echo.and_then(|echo| Some(state.greetings.began_at(echo.number)? + echo.age));
-    let Some(way) = greeted_at.map(|at| now.since(at)) else {
+    let greeted_at =
+        echo.and_then(|echo| Some(state.greetings.started_at(echo.number)? + echo.age));
+    let Some(max_delay) = greeted_at.map(|at| now.since(at)) else {
         return;
     };
-    let teller = teller_number(from);
-    let own = reader_number(front);
-    for proof in digest.proofs.iter().filter(|proof| proof.source != own) {
-        let sent_at = now.since(proof.age + way);
-        state.readers.hear(proof, teller, sent_at);
+    let reporter = reporter_id(from);
+    let own_id = reader_id(front);
+    for proof in digest.proofs.iter().filter(|proof| proof.source != own_id) {
+        let sent_at = now.since(proof.age + max_delay);
+        state.readers.record_report(proof, reporter, sent_at);
     }
     let operator = state.readers.table(ProvenTable::Operator);
-    if let Some(at) = operator.and_then(TableProofs::witnessed_at) {
-        state.trust.record_confirmed_read(at);
+    if let Some(at) = operator.and_then(TableProofs::confirmed_at) {
+        state.key_freshness.record_confirmed_read(at);
     }
-    for news in &digest.stores {
-        take_store_news(state, news, way, now);
+    for update in &digest.stores {
+        apply_store_update(state, update, max_delay, now);
     }
 }
 
 /// A number that tells who told something, in this process.
-fn teller_number(from: SocketAddr) -> u32 {
+fn reporter_id(from: SocketAddr) -> u32 {
     let mut hasher = DefaultHasher::new();
     from.hash(&mut hasher);
     hasher.finish() as u32
@@ -158,38 +159,38 @@
 
 /// Takes that there is an engine which is on no list: it gets no requests, but is
 /// greeted and told to load.
-fn take_announced(
+fn apply_announcement(
     front: &FrontContext,
     digest: &EngineDigest,
     from: SocketAddr,
 ) -> Option<EndpointChange> {
-    let told = digest.endpoint.as_ref()?;
+    let notice = digest.endpoint.as_ref()?;
     let mut guard = front.state();
     let state = &mut *guard;
     // Whoever is told of here gets greetings: nobody brings those upon others.
-    let is_own = told.address == Some(digest.engine) && digest.engine.ip() == from.ip();
-    let groups = state.config.as_ref().map(|config| &config.services);
-    let group = groups.and_then(|groups| groups.get(&told.service));
-    let is_engine = group.is_some_and(|group| group.engine.is_some());
+    let is_own = notice.address == Some(digest.engine) && digest.engine.ip() == from.ip();
+    let services = state.config.as_ref().map(|config| &config.services);
+    let service = services.and_then(|services| services.get(&notice.service));
+    let is_engine = service.is_some_and(|service| service.engine.is_some());
     // Before the list is read, it is on no list for that reason alone.
-    if !is_own || !is_engine || !state.has_list || state.book.len() >= ENDPOINTS_LIMIT {
+    if !is_own || !is_engine || !state.has_list || state.registry.len() >= MAX_ENDPOINTS {
         front.metrics.count("announcements", "refused");
         return None;
     }
     front.metrics.count("announcements", "taken");
-    state.book.apply(&EndpointNotice {
+    state.registry.apply(&EndpointNotice {
         is_away: true,
         weights: digest.weights.clone(),
-        ..told.clone()
+        ..notice.clone()
     })
 }
 
 /// Takes a digest, and what the process beside the engine grants with it; returns whether it tells
 /// that the engine has started again.
-fn take_digest(
+fn apply_digest(
     front: &FrontContext,
     digest: EngineDigest,
-    granted: Option<GreetingEcho>,
+    grant: Option<GreetingEcho>,
 ) -> Option<EndpointChange> {
     let now = front.now();
     let mut guard = front.state();
@@ -199,25 +200,25 @@
         state.fronts = digest.fronts.max(1);
     }
     let config = state.config.as_deref();
-    let may_be = |entry: &EndpointEntry| config.is_none_or(|config| is_engine(config, entry));
-    let key = state.book.present_at(digest.engine, may_be);
-    if let (Some(key), Some(echo)) = (key, granted) {
-        take_grant(state, key, echo);
+    let is_candidate = |entry: &EndpointEntry| config.is_none_or(|config| is_engine(config, entry));
+    let key = state.registry.present_at(digest.engine, is_candidate);
+    if let (Some(key), Some(echo)) = (key, grant) {
+        apply_grant(state, key, echo);
     }
-    let order = key.map(|key| state.book.observe_incarnation(key, digest.born, now));
+    let order = key.map(|key| state.registry.observe_incarnation(key, digest.born, now));
     if order == Some(IncarnationOrder::Earlier) {
         front.metrics.count("digests", "earlier-life");
         return None;
     }
     state
-        .reads
+        .fetch_completion
         .record_report(digest.engine, digest.clock_ms, now);
     let key = key?;
-    take_suspects(front, state, &digest, now);
-    let entry = state.book.get_mut(key)?;
+    merge_suspects(front, state, &digest, now);
+    let entry = state.registry.get_mut(key)?;
     let change = (order == Some(IncarnationOrder::Later))
         .then(|| EndpointChange::Restarts(entry.id.clone()));
-    match note_place(entry, &digest, now) {
+    match record_position(entry, &digest, now) {
         DigestOrder::Overtaken => {
             front.metrics.count("digests", "overtaken");
             return change;
@@ -230,67 +231,67 @@
         }
         DigestOrder::Next => {}
     }
-    take_load(entry, &digest, now);
-    state.pace.record_report(digest.load.unread);
-    take_weights(state, key, &digest, now);
-    take_parts(state.book.get_mut(key)?, &digest);
+    update_load(entry, &digest, now);
+    state.latency_estimator.record_report(digest.load.unread);
+    apply_weights(state, key, &digest, now);
+    update_parts(state.registry.get_mut(key)?, &digest);
     change
 }
 
 /// Takes what is told of requests under which endpoints ended, in whatever order.
-fn take_suspects(
+fn merge_suspects(
     front: &FrontContext,
     state: &mut FrontState,
     digest: &EngineDigest,
     now: Micros,
 ) {
-    for told in &digest.suspects {
-        let was_held = state.suspects.is_held(told.fingerprint, now);
-        if !state.suspects.merge(told, now) {
+    for report in &digest.suspects {
+        let was_held = state.suspects.is_held(report.fingerprint, now);
+        if !state.suspects.merge(report, now) {
             continue;
         }
         front.metrics.count("suspects", "told");
-        let is_held = state.suspects.is_held(told.fingerprint, now);
+        let is_held = state.suspects.is_held(report.fingerprint, now);
         if is_held != was_held {
             if was_held {
                 // A row of ours may name it still.
-                front.held_due.wake();
+                front.held_row_due.wake();
             }
-            let fingerprint = told.fingerprint.to_string();
+            let fingerprint = report.fingerprint.to_string();
             log::info!(
                 event = "suspect-told",
                 fingerprint = fingerprint.as_str(),
                 held = is_held,
-                crashes = told.crashes.len();
+                crashes = report.crashes.len();
                 ""
             );
         }
     }
     if digest.has_all_suspects {
-        if !state.knows_suspects {
+        if !state.has_suspect_reports {
             let known = state.suspects.len();
             log::info!(event = "suspects-known", suspects = known, after_ms = now.as_millis(); "");
         }
-        state.knows_suspects = true;
+        state.has_suspect_reports = true;
         state.wants_suspects = false;
     }
 }
 
-fn note_place(
+fn record_position(
     entry: &mut EndpointEntry,
     digest: &EngineDigest,
     now: Micros,
 ) -> DigestOrder {
-    let mark = DigestPosition {
+    let position = DigestPosition {
         incarnation: digest.life,
         number: digest.number,
         changes: digest.changes,
         at: now,
     };
-    entry.incarnation.record_digest(mark, digest.is_change)
+    entry.incarnation.record_digest(position, digest.is_change)
 }
 
-fn take_load(
+fn update_load(
     entry: &mut EndpointEntry,
     digest: &EngineDigest,
     now: Micros,
@@ -310,14 +311,14 @@
     }
 }
 
-fn take_weights(
+fn apply_weights(
     state: &mut FrontState,
     key: EndpointKey,
     digest: &EngineDigest,
     now: Micros,
 ) {
-    let proven_at = state.trust.proven_at();
-    let Some(entry) = state.book.get_mut(key) else {
+    let proven_at = state.key_freshness.proven_at();
+    let Some(entry) = state.registry.get_mut(key) else {
         return;
     };
     for (model, version) in &digest.weights {
@@ -338,7 +339,7 @@
     }
 }
 
-fn take_parts(
+fn update_parts(
     entry: &mut EndpointEntry,
     digest: &EngineDigest,
 ) {
--- a/entry/src/front/end_probe.rs
+++ b/entry/src/front/end_probe.rs
@@ -56,8 +56,8 @@
     let now = front.now();
     let (is_over, is_asked) = {
         let state = front.state();
-        let entry = state.book.get(key);
-        let probe = state.ends.get(&key);
+        let entry = state.registry.get(key);
+        let probe = state.exit_probes.get(&key);
         (
             entry.is_some_and(|entry| entry.incarnation.ended != life),
             probe.is_some_and(|probe| probe.answers(life, now)),
@@ -78,7 +78,11 @@
     let limit = PROBE_LIMIT + PROBE_LIMIT;
     let from = front.now();
     loop {
-        let outcome = front.state().ends.get(&key).map(|probe| probe.has_ended);
+        let outcome = front
+            .state()
+            .exit_probes
+            .get(&key)
+            .map(|probe| probe.has_ended);
         match outcome {
             Some(None) if front.now().since(from) < limit => {}
             Some(Some(has_ended)) => return has_ended,
@@ -99,9 +103,12 @@
         asked_at,
         has_ended,
     };
-    front.state().ends.insert(key, probe(None));
+    front.state().exit_probes.insert(key, probe(None));
     let has_ended = nobody_listens(front, key).await;
-    front.state().ends.insert(key, probe(Some(has_ended)));
+    front
+        .state()
+        .exit_probes
+        .insert(key, probe(Some(has_ended)));
     has_ended
 }
 
@@ -109,7 +116,7 @@
     front: &FrontContext,
     key: EndpointKey,
 ) -> bool {
-    let Some(address) = front.state().book.get(key).map(|entry| entry.address) else {
+    let Some(address) = front.state().registry.get(key).map(|entry| entry.address) else {
         return false;
     };
     front.metrics.count("links", "probes");
--- a/entry/src/front/evacuations.rs
+++ b/entry/src/front/evacuations.rs
@@ -5,13 +5,13 @@
 
 /// Logs which failure domains are evacuated, or no longer. The endpoints of one that serves again
 /// have been idle: they start slowly.
-pub(super) fn take_evacuations(
+pub(super) fn apply_evacuations(
     front: &FrontContext,
     changes: &[EvacuationChange],
     source: &str,
 ) {
     for change in changes {
-        let (word, domain) = match change {
+        let (change_name, domain) = match change {
             EvacuationChange::Begins(domain) => ("begins", domain),
             EvacuationChange::Ends(domain) => ("ends", domain),
         };
@@ -19,11 +19,11 @@
         let mut guard = front.state();
         let state = &mut *guard;
         let members = state
-            .book
+            .registry
             .iter()
             .filter(|(_, entry)| entry.domain == *domain);
         let members: Vec<EndpointKey> = members.map(|(key, _)| key).collect();
-        if word == "ends" {
+        if change_name == "ends" {
             for key in &members {
                 begin_slow_start(state, *key, None, now);
             }
@@ -31,11 +31,11 @@
         log::warn!(
             event = "evacuation",
             domain = domain.as_str(),
-            change = word,
+            change = change_name,
             endpoints = members.len(),
             source = source;
             ""
         );
-        front.metrics.count("evacuations", word);
+        front.metrics.count("evacuations", change_name);
     }
 }
--- a/entry/src/front/foreign_rows.rs
+++ b/entry/src/front/foreign_rows.rs
@@ -1,7 +1,7 @@
 use {super::FrontContext, pitchhitch_platform::RowFault, std::collections::BTreeSet};
 
 /// Keys that are remembered; of further ones no line is written.
-const KEYS_LIMIT: usize = 500;
+const MAX_KEYS: usize = 500;
 
 /// Rows of another writer in one table. Each is logged once: a writer may come back
 /// to its row with every heartbeat.
@@ -21,29 +21,29 @@
     }
 
     /// Notes a row that is not what should lie under its key.
-    pub fn note(
+    pub fn record(
         &mut self,
         front: &FrontContext,
         key: &str,
-        fault: &RowFault,
+        error: &RowFault,
     ) {
         front.metrics.count("foreign_rows", self.table);
-        let has_room = self.keys.len() < KEYS_LIMIT;
-        if !has_room || !self.keys.insert(key.to_string()) {
+        let has_capacity = self.keys.len() < MAX_KEYS;
+        if !has_capacity || !self.keys.insert(key.to_string()) {
             return;
         }
-        let fault = fault.to_string();
+        let error = error.to_string();
         log::warn!(
             event = "foreign-row",
             table = self.table,
             key = key,
-            fault = fault.as_str();
+            fault = error.as_str();
             ""
         );
     }
 
     /// Notes that the row under a key is sound, or gone.
-    pub fn is_over(
+    pub fn remove(
         &mut self,
         key: &str,
     ) {
@@ -51,7 +51,7 @@
     }
 
     /// Whether the row under a key was another writer's when last seen.
-    pub fn has(
+    pub fn contains(
         &self,
         key: &str,
     ) -> bool {
--- a/entry/src/front/front_context.rs
+++ b/entry/src/front/front_context.rs
@@ -11,7 +11,7 @@
 };
 
 /// Time between two moments at which tasks that rest wake.
-const REST_TICK: Micros = Micros::from_millis(100);
+const WAKE_INTERVAL: Micros = Micros::from_millis(100);
 
 /// Everything that the tasks of a front have in common.
 #[derive(Debug)]
@@ -26,9 +26,9 @@
     /// process beside it knows, whatever becomes of this front.
     pub greeting_due: WakeSignal,
     /// Wakes the writing of requests that are held back.
-    pub held_due: WakeSignal,
+    pub held_row_due: WakeSignal,
     /// Ends the question that is held at the platform's store, which has come back from a copy.
-    pub era_over: WakeSignal,
+    pub era_changed: WakeSignal,
     state: RefCell<FrontState>,
     executor: LocalExecutor<'static>,
 }
@@ -42,8 +42,8 @@
             clock: ProcessClock::start(),
             metrics: FrontMetrics::default(),
             greeting_due: WakeSignal::default(),
-            held_due: WakeSignal::default(),
-            era_over: WakeSignal::default(),
+            held_row_due: WakeSignal::default(),
+            era_changed: WakeSignal::default(),
             executor: LocalExecutor::new(),
         })
     }
@@ -55,13 +55,13 @@
 
     /// Waits for about so long. Tasks that wait so wake together, as each waking of the process
     /// costs some system calls.
-    pub async fn rest(
+    pub async fn sleep_coalesced(
         &self,
-        pause: Micros,
+        duration: Micros,
     ) {
         let now = self.now();
-        let due = Micros((now + pause).0 / REST_TICK.0 * REST_TICK.0);
-        let due = if due > now { due } else { due + REST_TICK };
+        let due = Micros((now + duration).0 / WAKE_INTERVAL.0 * WAKE_INTERVAL.0);
+        let due = if due > now { due } else { due + WAKE_INTERVAL };
         Timer::after(to_duration(due.since(now))).await;
     }
 
--- a/entry/src/front/front_metrics.rs
+++ b/entry/src/front/front_metrics.rs
@@ -4,9 +4,9 @@
 };
 
 /// Longest time that a histogram tells apart, in microseconds.
-const LONGEST_MICROS: u64 = 60_000_000;
+const MAX_TIME_US: u64 = 60_000_000;
 /// Digits that a histogram keeps.
-const DIGITS: u8 = 2;
+const SIGNIFICANT_DIGITS: u8 = 2;
 /// Quantiles that are shown.
 const QUANTILES: [f64; 3] = [0.5, 0.95, 0.99];
 
@@ -34,14 +34,15 @@
     }
 
     /// Notes how long something took, in microseconds.
-    pub fn time(
+    pub fn record_time(
         &self,
         name: &'static str,
         micros: u64,
     ) {
         let mut times = self.times.borrow_mut();
         if !times.contains_key(name) {
-            let Ok(histogram) = Histogram::new_with_bounds(100, LONGEST_MICROS, DIGITS) else {
+            let Ok(histogram) = Histogram::new_with_bounds(100, MAX_TIME_US, SIGNIFICANT_DIGITS)
+            else {
                 return;
             };
             times.insert(name, histogram);
@@ -52,7 +53,7 @@
     }
 
     /// All of it, one figure a line.
-    pub fn text(&self) -> String {
+    pub fn render(&self) -> String {
         let mut text = String::new();
         for ((name, label), count) in self.counts.borrow().iter() {
             // Writing to a string does not fail.
--- a/entry/src/front/front_process.rs
+++ b/entry/src/front/front_process.rs
@@ -1,8 +1,9 @@
 use {
     super::{
-        answer_control, ask_peers, greet_engines, hear_digests, keep_held, serve_caller, stand_in,
-        stay_told, tend_endpoints, tend_parts, watch_list, watch_operator, watch_stores,
-        FrontContext, FrontSettings,
+        answer_control, bootstrap_from_peers, maintain_endpoints, receive_digests,
+        refresh_from_peers, run_fallback_controller, send_greetings, serve_caller, sync_held_rows,
+        tend_parts, watch_endpoint_list, watch_kv_stores, watch_operator, FrontContext,
+        FrontSettings,
     },
     anyhow::Context,
     pitchhitch_core::{
@@ -18,13 +19,13 @@
 
 /// Time for the balancer to notice that the process is not ready: it asks once
 /// a second and goes by two answers.
-const NOTICE_TIME: Duration = Duration::from_millis(2_600);
+const BALANCER_NOTICE_TIME: Duration = Duration::from_millis(2_600);
 /// Time at the end of the stop that is left for closing connections.
-const LAST_MOMENT: Duration = Duration::from_millis(300);
+const CLOSE_MARGIN: Duration = Duration::from_millis(300);
 /// How often a stopping process looks whether it is idle.
-const IDLE_CHECK: Micros = Micros::from_millis(50);
+const IDLE_CHECK_INTERVAL: Micros = Micros::from_millis(50);
 /// Pause after a connection could not be accepted.
-const ACCEPT_PAUSE: Micros = Micros::from_millis(20);
+const ACCEPT_RETRY_DELAY: Micros = Micros::from_millis(20);
 
 /// Runs a front until it is asked to stop; `reload` reads the settings again.
 ///
@@ -46,9 +47,9 @@
     let mut signals = SignalWatch::start().context("cannot watch signals")?;
     let callers = TcpListener::bind(settings.callers);
     let callers = callers.with_context(|| format!("cannot listen on {}", settings.callers))?;
-    front.spawn(serve_small(settings.ready, front.clone(), answer_ready).await?);
+    front.spawn(serve_small(settings.ready, front.clone(), serve_readiness).await?);
     if let Some(metrics) = settings.metrics {
-        front.spawn(serve_small(metrics, front.clone(), answer_metrics).await?);
+        front.spawn(serve_small(metrics, front.clone(), serve_metrics).await?);
     }
     let socket = BesideSocket::bind(settings.digests).await;
     let socket = socket.with_context(|| format!("cannot listen on {}", settings.digests))?;
@@ -57,18 +58,18 @@
     if let Some(control) = settings.control {
         front.spawn(serve_small(control, front.clone(), answer_control).await?);
     }
-    front.spawn(ask_peers(front.clone()));
-    front.spawn(stay_told(front.clone()));
-    front.spawn(hear_digests(front.clone(), socket.clone()));
-    front.spawn(greet_engines(front.clone(), socket));
-    front.spawn(keep_time(front.clone()));
+    front.spawn(bootstrap_from_peers(front.clone()));
+    front.spawn(refresh_from_peers(front.clone()));
+    front.spawn(receive_digests(front.clone(), socket.clone()));
+    front.spawn(send_greetings(front.clone(), socket));
+    front.spawn(detect_pauses(front.clone()));
     front.spawn(watch_operator(front.clone()));
-    front.spawn(watch_list(front.clone()));
-    front.spawn(tend_endpoints(front.clone()));
+    front.spawn(watch_endpoint_list(front.clone()));
+    front.spawn(maintain_endpoints(front.clone()));
     front.spawn(tend_parts(front.clone()));
-    front.spawn(keep_held(front.clone()));
-    front.spawn(watch_stores(front.clone()));
-    front.spawn(stand_in(front.clone()));
+    front.spawn(sync_held_rows(front.clone()));
+    front.spawn(watch_kv_stores(front.clone()));
+    front.spawn(run_fallback_controller(front.clone()));
     front.spawn(accept(front.clone(), Async::new(callers)?));
     log::info!(
         event = "started",
@@ -78,21 +79,21 @@
         program = env!("CARGO_PKG_VERSION");
         ""
     );
-    if settings.left_out != MechanismSet::default() {
-        let names = settings.left_out.names();
+    if settings.disabled_mechanisms != MechanismSet::default() {
+        let names = settings.disabled_mechanisms.names();
         log::warn!(event = "left-out", mechanisms = names.as_str(); "");
     }
     while signals.next().await.context("cannot watch signals")? == ProcessSignal::Reload {
-        note_reload(&front, reload);
+        check_reload(&front, reload);
     }
-    stop(&front).await;
+    shut_down(&front).await;
     flush_log();
     Ok(())
 }
 
 /// New settings are checked and compared; what they change needs a restart,
 /// which the platform does one box after the other.
-fn note_reload(
+fn check_reload(
     front: &FrontContext,
     reload: &dyn Fn() -> Result<FrontSettings, String>,
 ) {
@@ -106,10 +107,10 @@
 }
 
 /// Notices that the process stood still, and writes the lines of the log out.
-async fn keep_time(front: Rc<FrontContext>) {
+async fn detect_pauses(front: Rc<FrontContext>) {
     loop {
         let now = front.now();
-        let gap = front.state().standstill.tick(now);
+        let gap = front.state().pause_detector.tick(now);
         if let Some(gap) = gap {
             front.state().wants_suspects = true;
             log::warn!(event = "stood-still", gap_ms = gap.as_millis(); "");
@@ -132,7 +133,7 @@
             },
             Err(error) => {
                 log_accept(&error);
-                Timer::after(to_duration(ACCEPT_PAUSE)).await;
+                Timer::after(to_duration(ACCEPT_RETRY_DELAY)).await;
             }
         }
     }
@@ -143,7 +144,7 @@
     log::warn!(event = "accept-failed", error = error.as_str(); "");
 }
 
-fn answer_ready(
+fn serve_readiness(
     front: &FrontContext,
     _target: &str,
 ) -> (u16, Vec<u8>) {
@@ -153,35 +154,35 @@
     }
 }
 
-fn answer_metrics(
+fn serve_metrics(
     front: &FrontContext,
     _target: &str,
 ) -> (u16, Vec<u8>) {
-    (200, front.metrics.text().into_bytes())
+    (200, front.metrics.render().into_bytes())
 }
 
 /// A planned stop: the balancer is told, then what is open is served to its end.
-async fn stop(front: &FrontContext) {
+async fn shut_down(front: &FrontContext) {
     let now = front.now();
-    front.state().stops_since = Some(now);
+    front.state().stopping_since = Some(now);
     log::info!(event = "stopping", running = front.state().running; "");
-    Timer::after(NOTICE_TIME).await;
+    Timer::after(BALANCER_NOTICE_TIME).await;
     front.state().closes_idle = true;
     // Resting connections get time to see that they are to close.
     Timer::after(Duration::from_millis(700)).await;
-    let limit = front.settings.stop_limit.saturating_sub(LAST_MOMENT);
-    while front.state().running > 0 && waited(front, now) < limit {
-        Timer::after(to_duration(IDLE_CHECK)).await;
+    let limit = front.settings.stop_limit.saturating_sub(CLOSE_MARGIN);
+    while front.state().running > 0 && elapsed_since(front, now) < limit {
+        Timer::after(to_duration(IDLE_CHECK_INTERVAL)).await;
     }
     let cut_off = front.state().running;
-    let waited_ms = waited(front, now).as_millis() as u64;
+    let waited_ms = elapsed_since(front, now).as_millis() as u64;
     log::info!(event = "stopped", cut_off = cut_off, waited_ms = waited_ms; "");
 }
 
 /// Time since the stop was asked for; the platform counts while the box is suspended too.
-fn waited(
+fn elapsed_since(
     front: &FrontContext,
-    asked_at: Micros,
+    requested_at: Micros,
 ) -> Duration {
-    to_duration(front.now().since(asked_at))
+    to_duration(front.now().since(requested_at))
 }
--- a/entry/src/front/front_settings.rs
+++ b/entry/src/front/front_settings.rs
@@ -46,9 +46,9 @@
     pub weights_limit: Micros,
     /// Time from then until no request begins on them any more: what waits at an engine
     /// is given up.
-    pub begin_limit: Micros,
+    pub execution_limit: Micros,
     /// What may be sent again.
-    pub repeats: RetryLimit,
+    pub retry_limit: RetryLimit,
     /// What endpoints may get while they start slowly.
     pub slow_start: SlowStartBound,
     /// Gap that engines are owed between orders of two boxes.
@@ -58,45 +58,45 @@
     /// Memory that the process may take, in megabytes.
     pub memory_mb: u64,
     /// Mechanisms of the decisions that are left out, for experiments.
-    pub left_out: MechanismSet,
+    pub disabled_mechanisms: MechanismSet,
 }
 
 /// Limits that operators may set, in milliseconds.
-const LIMITS_MS: RangeInclusive<f64> = 1.0..=600_000.0;
+const LIMIT_RANGE_MS: RangeInclusive<f64> = 1.0..=600_000.0;
 /// Spans that they may set, in seconds.
-const SPANS_S: RangeInclusive<f64> = 0.001..=3_600.0;
+const DURATION_RANGE_S: RangeInclusive<f64> = 0.001..=3_600.0;
 
 /// Part of the platform's bound on old keys that is used, in hundredths: the
 /// rest covers the way of a request and a clock that runs differently.
-const KEY_LIMIT_PART: u64 = 85;
+const KEY_LIMIT_PERCENT: u64 = 85;
 
 /// Time that a request may wait at an engine before it begins.
-const WEIGHTS_MARGIN: Micros = Micros::from_millis(2_500);
+const ENGINE_QUEUE_MARGIN: Micros = Micros::from_millis(2_500);
 /// Time in which an engine has noticed that a request was given up, and what it began
 /// before has been heard of.
-const BEGIN_MARGIN: Micros = Micros::from_millis(400);
+const CANCEL_MARGIN: Micros = Micros::from_millis(400);
 
 /// Part of the drain limit that passes between two looks at the list of endpoints, in
 /// hundredths. Each look has its price; the rest is for an answer of the store that
 /// is slow and for what is on its way to the endpoint.
-const LIST_PAUSE_PART: u64 = 40;
+const LIST_POLL_PERCENT: u64 = 40;
 /// Part of the limit on keys for which a question for changes is held at the store, in
 /// hundredths. An answer proves how fresh the keys are as of when it was asked, so a box
 /// that loses the store serves keyed callers for the rest of the limit only: held for a
 /// third, a replayed outage of 6 s was worth 0.74 and 0.75 on two deployments whose keys
 /// fail closed, held for a quarter 0.82 and 0.82.
-const CHANGE_WAIT_PART: u64 = 25;
+const CONFIG_POLL_PERCENT: u64 = 25;
 /// Longest pause between two looks at the list, however long endpoints may take to
 /// leave: new ones are found by it too.
-const LONGEST_LIST_PAUSE: Micros = Micros::from_millis(2_000);
+const MAX_LIST_POLL_INTERVAL: Micros = Micros::from_millis(2_000);
 /// Longest time for which a question is held, however old keys may be: a connection
 /// that has gone silent shows only after it, and new configurations wait for that.
-const LONGEST_CHANGE_WAIT: Micros = Micros::from_millis(1_400);
+const MAX_CONFIG_POLL_WAIT: Micros = Micros::from_millis(1_400);
 
 impl FrontSettings {
     /// Pause between two looks at the list of endpoints.
-    pub fn list_pause(&self) -> Micros {
-        Micros(self.drain_limit.0 * LIST_PAUSE_PART / 100).min(LONGEST_LIST_PAUSE)
+    pub fn list_poll_interval(&self) -> Micros {
+        Micros(self.drain_limit.0 * LIST_POLL_PERCENT / 100).min(MAX_LIST_POLL_INTERVAL)
     }
 
     /// The region of a failure domain, where it is known.
@@ -108,8 +108,8 @@
     }
 
     /// Time for which a question for changes is held at the store.
-    pub fn change_wait(&self) -> Micros {
-        Micros(self.key_limit.0 * CHANGE_WAIT_PART / 100).min(LONGEST_CHANGE_WAIT)
+    pub fn config_poll_wait(&self) -> Micros {
+        Micros(self.key_limit.0 * CONFIG_POLL_PERCENT / 100).min(MAX_CONFIG_POLL_WAIT)
     }
 
     /// Reads the text of a settings file.
@@ -128,8 +128,8 @@
             "regions by failure domain",
         );
         let secret = reader.optional_text("peer_secret");
-        let weights_limit = reader.millis("weights_limit_ms", 12_000.0, LIMITS_MS);
-        let key_limit = reader.millis("key_limit_ms", 5_000.0, LIMITS_MS);
+        let weights_limit = reader.millis("weights_limit_ms", 12_000.0, LIMIT_RANGE_MS);
+        let key_limit = reader.millis("key_limit_ms", 5_000.0, LIMIT_RANGE_MS);
         let fails_closed = reader.flag_or_text("keys_fail_closed", true);
         let settings = FrontSettings {
             box_id: reader.text("box_id"),
@@ -144,16 +144,16 @@
             peer_key: secret.map(|secret| BeaconKey::from_secret(&secret)),
             beside_port: reader.number("beside_port", 7_700, 1..=65_535) as u16,
             store: reader.address("store"),
-            key_limit: Micros(key_limit.0 * KEY_LIMIT_PART / 100),
+            key_limit: Micros(key_limit.0 * KEY_LIMIT_PERCENT / 100),
             key_policy: match fails_closed {
                 true => KeyPolicy::FailClosed,
                 false => KeyPolicy::FailOpen,
             },
-            drain_limit: reader.millis("drain_limit_ms", 2_000.0, LIMITS_MS),
-            weights_limit: weights_limit.since(WEIGHTS_MARGIN),
-            begin_limit: weights_limit.since(BEGIN_MARGIN),
-            repeats: RetryLimit {
-                window: reader.seconds("repeat_window_s", 10.0, SPANS_S),
+            drain_limit: reader.millis("drain_limit_ms", 2_000.0, LIMIT_RANGE_MS),
+            weights_limit: weights_limit.since(ENGINE_QUEUE_MARGIN),
+            execution_limit: weights_limit.since(CANCEL_MARGIN),
+            retry_limit: RetryLimit {
+                window: reader.seconds("repeat_window_s", 10.0, DURATION_RANGE_S),
                 ratio: reader.fraction("repeat_ratio", 0.2, 0.0..=1.0),
                 slack: reader.fraction("repeat_slack", 50.0, 0.0..=1_000_000.0),
             },
@@ -162,9 +162,11 @@
                 slack: reader.fraction_or_text("slow_start_slack", 0.0, 0.0..=1_000_000.0),
             },
             order_gap: reader.millis("order_gap_ms", 3_000.0, 0.0..=600_000.0),
-            stop_limit: Duration::from_micros(reader.seconds("stop_limit_s", 8.0, SPANS_S).0),
+            stop_limit: Duration::from_micros(
+                reader.seconds("stop_limit_s", 8.0, DURATION_RANGE_S).0,
+            ),
             memory_mb: reader.fraction("memory_mb", 128.0, 16.0..=1_000_000.0) as u64,
-            left_out: read_left_out(&mut reader),
+            disabled_mechanisms: read_disabled_mechanisms(&mut reader),
         };
         reader.finish()?;
         Ok(settings)
@@ -172,14 +174,14 @@
 }
 
 /// Reads which mechanisms are left out; a name that is none is a problem.
-fn read_left_out(reader: &mut SettingsReader) -> MechanismSet {
-    let wanted = format!("a list of {}", ServingMechanism::names());
-    let names: Option<Vec<String>> = reader.value("without", Some(Vec::new()), &wanted);
+fn read_disabled_mechanisms(reader: &mut SettingsReader) -> MechanismSet {
+    let expected = format!("a list of {}", ServingMechanism::names());
+    let names: Option<Vec<String>> = reader.value("without", Some(Vec::new()), &expected);
     let mut mechanisms = Vec::new();
     for name in names.unwrap_or_default() {
         match ServingMechanism::from_name(&name) {
             Ok(mechanism) => mechanisms.push(mechanism),
-            Err(_) => reader.add_problem("without", &name, &wanted),
+            Err(_) => reader.add_problem("without", &name, &expected),
         }
     }
     MechanismSet::of(mechanisms)
--- a/entry/src/front/greeting_plan.rs
+++ b/entry/src/front/greeting_plan.rs
@@ -11,30 +11,30 @@
 
 /// Rounds of greetings whose time is remembered: a digest that names an earlier one is too old
 /// to prove anything.
-const ROUNDS_LIMIT: usize = 128;
+const MAX_ROUNDS: usize = 128;
 
 /// Whom this front has greeted, and when.
 #[derive(Debug, Default)]
-pub(crate) struct GreetingPlan {
-    greeted: BTreeMap<SocketAddr, Micros>,
+pub(crate) struct GreetingSchedule {
+    sent_at: BTreeMap<SocketAddr, Micros>,
     /// Numbers of rounds, and when they began.
     rounds: VecDeque<(u64, Micros)>,
     round: u64,
-    wants_all: bool,
+    is_all_requested: bool,
 }
 
-impl GreetingPlan {
+impl GreetingSchedule {
     /// Greets all in the next round.
-    pub fn want_all(&mut self) {
-        self.wants_all = true;
+    pub fn request_all(&mut self) {
+        self.is_all_requested = true;
     }
 
     /// Greets one in the next round.
-    pub fn want(
+    pub fn request(
         &mut self,
         to: SocketAddr,
     ) {
-        self.greeted.remove(&to);
+        self.sent_at.remove(&to);
     }
 
     /// Begins a round; its number.
@@ -42,10 +42,10 @@
         &mut self,
         now: Micros,
     ) -> u64 {
-        if std::mem::take(&mut self.wants_all) {
-            self.greeted.clear();
+        if std::mem::take(&mut self.is_all_requested) {
+            self.sent_at.clear();
         }
-        if self.rounds.len() >= ROUNDS_LIMIT {
+        if self.rounds.len() >= MAX_ROUNDS {
             self.rounds.pop_front();
         }
         self.round += 1;
@@ -61,33 +61,33 @@
         is_urgent: bool,
         now: Micros,
     ) -> bool {
-        let pause = match is_urgent {
+        let interval = match is_urgent {
             true => urgent_greeting_interval(),
             false => greeting_interval(engines),
         };
-        let greeted_at = self.greeted.get(&to);
-        greeted_at.is_none_or(|at| now.since(*at) >= pause)
+        let last_sent_at = self.sent_at.get(&to);
+        last_sent_at.is_none_or(|at| now.since(*at) >= interval)
     }
 
     /// Notes that somebody is greeted now.
-    pub fn note(
+    pub fn record_sent(
         &mut self,
         to: SocketAddr,
         now: Micros,
     ) {
-        self.greeted.insert(to, now);
+        self.sent_at.insert(to, now);
     }
 
     /// Forgets whom `is_there` denies.
     pub fn prune(
         &mut self,
-        is_there: impl Fn(&SocketAddr) -> bool,
+        is_known: impl Fn(&SocketAddr) -> bool,
     ) {
-        self.greeted.retain(|to, _| is_there(to));
+        self.sent_at.retain(|to, _| is_known(to));
     }
 
     /// When a round began, where that is remembered.
-    pub fn began_at(
+    pub fn started_at(
         &self,
         round: u64,
     ) -> Option<Micros> {
--- a/entry/src/front/held_rows.rs
+++ b/entry/src/front/held_rows.rs
@@ -1,5 +1,5 @@
 use {
-    super::{note_contact, note_position, CallLimit, FrontContext},
+    super::{log_store_contact, observe_position, CallLimit, FrontContext},
     pitchhitch_core::{serving::SuspectReport, time::Micros},
     pitchhitch_platform::{RowPage, RowTable, RowValue, StoreClient, StoreError},
     pitchhitch_process::{to_duration, wall_seconds},
@@ -10,13 +10,13 @@
 };
 
 /// Pause after a call that failed.
-const RETRY_PAUSE: Micros = Micros::from_millis(250);
+const RETRY_DELAY: Micros = Micros::from_millis(250);
 /// Longest wait for something to write; only ends the task's wait, and nothing else.
 const WRITE_WAIT: Duration = Duration::from_secs(60);
 /// Beginning of the keys of these rows; each front has one.
 const KEY_PREFIX: &str = "held/";
 /// Requests in one row: some 100 bytes each, and a row takes 64 kB.
-const ROW_LIMIT: usize = 200;
+const MAX_ROW_SUSPECTS: usize = 200;
 
 /// Requests that a front holds back, for when all boxes have lost their power at once.
 #[derive(Debug, Serialize, Deserialize)]
@@ -29,44 +29,44 @@
 
 /// Reads which requests are held back, then writes each change of those that this front
 /// holds back itself.
-pub(super) async fn keep_held(front: Rc<FrontContext>) {
+pub(super) async fn sync_held_rows(front: Rc<FrontContext>) {
     let mut limit = CallLimit::default();
     let mut client = StoreClient::new(front.settings.store, limit.next());
-    let mut is_lost = false;
+    let mut is_unreachable = false;
     let mut has_row = loop {
         client.set_limit(limit.next());
         let read = client.read_all(RowTable::Own).await;
         limit.note(&read);
-        let noted =
-            read.and_then(|page| note_position(&front, "held", page.position).map(|()| page));
-        if let Ok(page) = noted {
-            break take_rows(&front, page);
+        let observed =
+            read.and_then(|page| observe_position(&front, "held", page.position).map(|()| page));
+        if let Ok(page) = observed {
+            break merge_rows(&front, page);
         }
-        Timer::after(to_duration(RETRY_PAUSE)).await;
+        Timer::after(to_duration(RETRY_DELAY)).await;
     };
     front.state().has_held_rows = true;
     loop {
-        if !front.held_due.wait(WRITE_WAIT).await {
+        if !front.held_row_due.wait(WRITE_WAIT).await {
             continue;
         }
-        let is_lost_there = std::mem::take(&mut front.state().writes_held_again);
-        if is_lost_there && !has_row && !holds_any(&front) {
+        let was_lost_in_store = std::mem::take(&mut front.state().rewrites_held_row);
+        if was_lost_in_store && !has_row && !has_held_requests(&front) {
             continue;
         }
         has_row = true;
         loop {
             let written = write_row(&front, &mut client, &mut limit).await;
-            note_contact(&front, "held", &mut is_lost, &written);
+            log_store_contact(&front, "held", &mut is_unreachable, &written);
             if written.is_ok() {
                 break;
             }
-            Timer::after(to_duration(RETRY_PAUSE)).await;
+            Timer::after(to_duration(RETRY_DELAY)).await;
         }
     }
 }
 
 /// Takes what rows tell; true where one is of this front.
-fn take_rows(
+fn merge_rows(
     front: &FrontContext,
     page: RowPage,
 ) -> bool {
@@ -86,8 +86,8 @@
             continue;
         };
         let age = Micros::from_secs(wall_seconds().saturating_sub(held.wall_secs));
-        for told in &held.suspects {
-            state.suspects.merge(&older(told, age), now);
+        for report in &held.suspects {
+            state.suspects.merge(&add_age(report, age), now);
         }
     }
     let held = state.suspects.held(now).len();
@@ -96,7 +96,7 @@
     page.rows.iter().any(|row| row.key == own)
 }
 
-fn holds_any(front: &FrontContext) -> bool {
+fn has_held_requests(front: &FrontContext) -> bool {
     !front.state().suspects.held(front.now()).is_empty()
 }
 
@@ -105,17 +105,17 @@
 }
 
 /// What was told so long ago.
-fn older(
-    told: &SuspectReport,
+fn add_age(
+    report: &SuspectReport,
     age: Micros,
 ) -> SuspectReport {
-    let mut told = told.clone();
-    for crash in &mut told.crashes {
+    let mut report = report.clone();
+    for crash in &mut report.crashes {
         crash.sent = crash.sent + age;
         crash.ended = crash.ended + age;
     }
-    told.answered = told.answered.map(|answered| answered + age);
-    told
+    report.answered = report.answered.map(|answered| answered + age);
+    report
 }
 
 async fn write_row(
@@ -127,8 +127,8 @@
     let suspects = {
         let state = front.state();
         let mut held = state.suspects.reports(now);
-        held.retain(|told| state.suspects.is_held(told.fingerprint, now));
-        held.truncate(ROW_LIMIT);
+        held.retain(|report| state.suspects.is_held(report.fingerprint, now));
+        held.truncate(MAX_ROW_SUSPECTS);
         held
     };
     let count = suspects.len();
--- a/entry/src/front/list_watch.rs
+++ b/entry/src/front/list_watch.rs
@@ -1,7 +1,7 @@
 use {
     super::{
-        ask_returned, begin_slow_start, note_contact, note_position, CallLimit, ForeignRows,
-        FrontContext, ReadWait,
+        ask_returned, begin_slow_start, log_store_contact, observe_position, CallLimit,
+        ForeignRows, FrontContext, ReadSchedule,
     },
     pitchhitch_core::{
         serving::{
@@ -18,38 +18,38 @@
 
 /// Pause before the list is read whole: without it nothing can be served, and what has
 /// changed is not known.
-const FIRST_LOOK_PAUSE: Micros = Micros::from_millis(150);
+const FULL_READ_INTERVAL: Micros = Micros::from_millis(150);
 /// How often endpoints are asked that came back.
-const TEND_PAUSE: Micros = Micros::from_millis(400);
+const MAINTENANCE_INTERVAL: Micros = Micros::from_millis(400);
 /// A look that takes longer shows a store that is slow.
-const SLOW_LOOK: Micros = Micros::from_millis(400);
+const SLOW_READ: Micros = Micros::from_millis(400);
 
 /// Keeps the list of endpoints fresh.
-pub(crate) async fn watch_list(front: Rc<FrontContext>) {
+pub(crate) async fn watch_endpoint_list(front: Rc<FrontContext>) {
     let mut limit = CallLimit::default();
     let mut client = StoreClient::new(front.settings.store, limit.next());
-    let mut foreign = ForeignRows::new("list");
-    let mut seen: Option<StorePosition> = None;
-    let mut is_lost = false;
-    let mut trouble_at: Option<Micros> = None;
-    let mut mark = TableChecksum::default();
+    let mut foreign_rows = ForeignRows::new("list");
+    let mut position: Option<StorePosition> = None;
+    let mut is_unreachable = false;
+    let mut last_problem_at: Option<Micros> = None;
+    let mut checksum = TableChecksum::default();
     let mut sent_at = Micros::ZERO;
     loop {
-        if seen.is_some() {
-            let pause = front.settings.list_pause();
-            let wait = ReadWait {
+        if position.is_some() {
+            let interval = front.settings.list_poll_interval();
+            let schedule = ReadSchedule {
                 table: ProvenTable::Endpoints,
-                usual: Some(pause),
-                bound: pause,
-                last: sent_at,
-                is_lost,
-                is_troubled: trouble_at.is_some(),
+                interval: Some(interval),
+                max_interval: interval,
+                last_sent_at: sent_at,
+                is_unreachable,
+                needs_own_reads: last_problem_at.is_some(),
             };
-            wait.wait(&front).await;
+            schedule.wait(&front).await;
         }
         sent_at = front.now();
         client.set_limit(limit.next());
-        let read = match seen {
+        let read = match position {
             Some(after) => {
                 client
                     .read_changes(RowTable::Endpoints, after, Duration::ZERO)
@@ -59,74 +59,75 @@
         };
         limit.note(&read);
         let now = front.now();
-        if read.is_err() || now.since(sent_at) > SLOW_LOOK {
-            trouble_at = Some(now);
+        if read.is_err() || now.since(sent_at) > SLOW_READ {
+            last_problem_at = Some(now);
         }
-        let noted = match &read {
-            Ok(page) => note_position(&front, "list", page.position),
+        let observed = match &read {
+            Ok(page) => observe_position(&front, "list", page.position),
             Err(_) => Ok(()),
         };
-        let doubted = front.state().eras.uncertain_since();
-        trouble_at = trouble_at.max(doubted.filter(|at| now.since(*at) <= REWRITE_DELAY));
-        let is_steady = trouble_at.is_none_or(|at| now.since(at) > REWRITE_DELAY);
-        let outcome = match noted.and(read) {
+        let uncertain_since = front.state().eras.uncertain_since();
+        last_problem_at =
+            last_problem_at.max(uncertain_since.filter(|at| now.since(*at) <= REWRITE_DELAY));
+        let is_steady = last_problem_at.is_none_or(|at| now.since(at) > REWRITE_DELAY);
+        let outcome = match observed.and(read) {
             Ok(page) => {
-                let is_whole = seen.replace(page.position).is_none();
+                let is_whole = position.replace(page.position).is_none();
                 if is_whole {
-                    mark.clear();
+                    checksum.clear();
                 }
-                note_rows(&mut mark, &page);
-                take_page(&front, page, is_whole, is_steady, &mut foreign);
+                update_checksum(&mut checksum, &page);
+                apply_page(&front, page, is_whole, is_steady, &mut foreign_rows);
                 let table = ProvenTable::Endpoints;
                 let readers = &mut front.state().readers;
-                readers.note_read(table, mark.value(), sent_at, now);
+                readers.record_read(table, checksum.value(), sent_at, now);
                 front.greeting_due.wake();
                 Ok(())
             }
             Err(error) => Err(error),
         };
-        note_contact(&front, "list", &mut is_lost, &outcome);
+        log_store_contact(&front, "list", &mut is_unreachable, &outcome);
         match outcome {
-            Ok(()) if is_steady && trouble_at.is_some() => {
-                trouble_at = None;
-                let changes = front.state().book.expire_lapsed();
-                log_changes(&front, &changes);
+            Ok(()) if is_steady && last_problem_at.is_some() => {
+                last_problem_at = None;
+                let changes = front.state().registry.expire_lapsed();
+                handle_endpoint_changes(&front, &changes);
             }
             Ok(()) => {}
-            Err(error) if error.wants_all() => seen = None,
+            Err(error) if error.wants_all() => position = None,
             Err(_) => {}
         }
-        if seen.is_none() {
-            Timer::after(to_duration(FIRST_LOOK_PAUSE)).await;
+        if position.is_none() {
+            Timer::after(to_duration(FULL_READ_INTERVAL)).await;
         }
     }
 }
 
 /// Asks endpoints that came back, and forgets those that are over.
-pub(crate) async fn tend_endpoints(front: Rc<FrontContext>) {
+pub(crate) async fn maintain_endpoints(front: Rc<FrontContext>) {
     loop {
         ask_returned(&front);
-        tidy(&front);
-        front.rest(TEND_PAUSE).await;
+        prune_state(&front);
+        front.sleep_coalesced(MAINTENANCE_INTERVAL).await;
     }
 }
 
 /// Notes what of each entry matters here; most of what changes is its heartbeat.
-fn note_rows(
-    mark: &mut TableChecksum,
+fn update_checksum(
+    checksum: &mut TableChecksum,
     page: &RowPage,
 ) {
     for row in &page.rows {
         match decode_row(RowTable::Endpoints, row.clone()) {
-            Ok(RowNews::Endpoint(notice)) => mark.set(&row.key, &standing_bytes(&notice)),
-            Ok(RowNews::EndpointGone(id)) => mark.remove(&id),
-            _ => mark.remove(&row.key),
+            Ok(RowNews::Endpoint(notice)) => checksum.set(&row.key, &routing_bytes(&notice)),
+            Ok(RowNews::EndpointGone(id)) => checksum.remove(&id),
+            _ => checksum.remove(&row.key),
         }
     }
 }
 
 /// What decides whether and where an endpoint gets requests, as bytes.
-fn standing_bytes(notice: &EndpointNotice) -> Vec<u8> {
+fn routing_bytes(notice: &EndpointNotice) -> Vec<u8> {
     let address = notice.address.map_or(String::new(), |a| a.to_string());
     let text = format!(
         "{} {address} {} {} {} {:?}",
@@ -135,12 +136,12 @@
     text.into_bytes()
 }
 
-fn take_page(
+fn apply_page(
     front: &FrontContext,
     page: RowPage,
     is_whole: bool,
     is_steady: bool,
-    foreign: &mut ForeignRows,
+    foreign_rows: &mut ForeignRows,
 ) {
     let mut listed: Vec<EndpointNotice> = Vec::new();
     let mut changes = Vec::new();
@@ -148,29 +149,29 @@
     let position = page.position;
     for row in page.rows {
         let key = row.key.clone();
-        let news = match decode_row(RowTable::Endpoints, row) {
-            Ok(news) => news,
-            Err(fault) => {
-                foreign.note(front, &key, &fault);
+        let update = match decode_row(RowTable::Endpoints, row) {
+            Ok(update) => update,
+            Err(error) => {
+                foreign_rows.record(front, &key, &error);
                 // It is there and names nobody: that is no lapse of the store's.
-                changes.extend(front.state().book.mark_unlisted(&key, true));
+                changes.extend(front.state().registry.mark_unlisted(&key, true));
                 continue;
             }
         };
-        foreign.is_over(&key);
-        match news {
+        foreign_rows.remove(&key);
+        match update {
             RowNews::Endpoint(notice) if is_whole => listed.push(notice),
             RowNews::Endpoint(notice) => {
-                let change = front.state().book.apply(&notice);
+                let change = front.state().registry.apply(&notice);
                 let is_new = matches!(
                     change,
                     Some(EndpointChange::Serves(_) | EndpointChange::Restarts(_))
                 );
-                note_slow_start(front, &notice, is_new);
+                update_slow_start(front, &notice, is_new);
                 changes.extend(change);
             }
             RowNews::EndpointGone(id) => {
-                changes.extend(front.state().book.mark_unlisted(&id, is_steady));
+                changes.extend(front.state().registry.mark_unlisted(&id, is_steady));
             }
             _ => {}
         }
@@ -186,27 +187,27 @@
         );
         let known: HashSet<String> = listed
             .iter()
-            .filter(|notice| front.state().book.key(&notice.id).is_some())
+            .filter(|notice| front.state().registry.key(&notice.id).is_some())
             .map(|notice| notice.id.clone())
             .collect();
-        changes.extend(front.state().book.apply_all(&listed, is_steady));
+        changes.extend(front.state().registry.apply_all(&listed, is_steady));
         for notice in &listed {
-            note_slow_start(front, notice, had_list && !known.contains(&notice.id));
+            update_slow_start(front, notice, had_list && !known.contains(&notice.id));
         }
         let mut state = front.state();
         if !std::mem::replace(&mut state.has_list, true) {
             // It serves only once it is told of suspects, which the first greeting asks for.
-            state.greetings.want_all();
+            state.greetings.request_all();
             front.greeting_due.wake();
         }
     }
-    changes.extend(front.state().book.retire_superseded());
-    log_changes(front, &changes);
+    changes.extend(front.state().registry.retire_superseded());
+    handle_endpoint_changes(front, &changes);
 }
 
 /// Takes how an endpoint stands with its slow start: for one that is new and does not say, it has
 /// just begun.
-fn note_slow_start(
+fn update_slow_start(
     front: &FrontContext,
     notice: &EndpointNotice,
     is_new: bool,
@@ -214,23 +215,23 @@
     let now = front.now();
     let mut guard = front.state();
     let state = &mut *guard;
-    let told = notice.slow_ms.map(Micros::from_millis);
+    let time_left = notice.slow_ms.map(Micros::from_millis);
     let Some(key) = state
-        .book
+        .registry
         .key(&notice.id)
-        .filter(|_| is_new || told.is_some())
+        .filter(|_| is_new || time_left.is_some())
     else {
         return;
     };
-    begin_slow_start(state, key, told, now);
+    begin_slow_start(state, key, time_left, now);
 }
 
-pub(super) fn log_changes(
+pub(super) fn handle_endpoint_changes(
     front: &FrontContext,
     changes: &[EndpointChange],
 ) {
     for change in changes {
-        let (what, id) = match change {
+        let (status, id) = match change {
             EndpointChange::Serves(id) => ("serves", id),
             EndpointChange::Leaves(id) => ("leaves", id),
             EndpointChange::Lapses(id) => ("lapses", id),
@@ -238,25 +239,25 @@
             EndpointChange::Restarts(id) => ("restarted", id),
         };
         let mut state = front.state();
-        let key = state.book.key(id);
-        let entry = key.and_then(|key| state.book.get(key));
+        let key = state.registry.key(id);
+        let entry = key.and_then(|key| state.registry.get(key));
         let born = entry.and_then(|entry| entry.incarnation.born).unwrap_or(0);
         let address = entry.map(|entry| entry.address);
-        log::info!(event = "endpoint", endpoint = id.as_str(), standing = what, born = born; "");
-        front.metrics.count("endpoint_changes", what);
-        if let Some(address) = address.filter(|_| what == "restarted") {
-            state.reads.record_restart(address, front.now());
+        log::info!(event = "endpoint", endpoint = id.as_str(), standing = status, born = born; "");
+        front.metrics.count("endpoint_changes", status);
+        if let Some(address) = address.filter(|_| status == "restarted") {
+            state.fetch_completion.record_restart(address, front.now());
         }
-        if let Some(key) = key.filter(|_| what == "restarted") {
+        if let Some(key) = key.filter(|_| status == "restarted") {
             begin_slow_start(&mut state, key, None, front.now());
         }
-        if let Some(address) = address.filter(|_| what == "leaves") {
+        if let Some(address) = address.filter(|_| status == "leaves") {
             let to = SocketAddr::new(address.ip(), front.settings.beside_port);
-            state.greetings.want(to);
+            state.greetings.request(to);
             front.greeting_due.wake();
         }
         // Connections of an earlier life lead nowhere.
-        let is_closed = matches!(what, "leaves" | "restarted");
+        let is_closed = matches!(status, "leaves" | "restarted");
         if let Some(key) = key.filter(|_| is_closed) {
             state.pool.close_all(key);
         }
@@ -264,13 +265,15 @@
 }
 
 /// Forgets endpoints and connections that are of no use any more.
-fn tidy(front: &FrontContext) {
+fn prune_state(front: &FrontContext) {
     let now = front.now();
     let mut guard = front.state();
     let state = &mut *guard;
-    state.book.prune(now);
+    state.registry.prune(now);
     state.suspects.prune(now);
-    let book = &state.book;
-    state.pool.sweep(now, |key| book.get(key).is_some());
-    state.ends.retain(|key, _| book.get(*key).is_some());
+    let registry = &state.registry;
+    state.pool.sweep(now, |key| registry.get(key).is_some());
+    state
+        .exit_probes
+        .retain(|key, _| registry.get(*key).is_some());
 }
--- a/entry/src/front/operator_watch.rs
+++ b/entry/src/front/operator_watch.rs
@@ -1,7 +1,7 @@
 use {
     super::{
-        are_held, note_contact, note_position, own_tier, take_evacuations, CallLimit, ForeignRows,
-        FrontContext, ReadWait,
+        apply_evacuations, log_store_contact, observe_position, own_tier, uses_long_polls,
+        CallLimit, ForeignRows, FrontContext, ReadSchedule,
     },
     futures_lite::future::or,
     pitchhitch_core::{
@@ -20,85 +20,87 @@
 };
 
 /// Pause after a call that failed.
-const RETRY_PAUSE: Micros = Micros::from_millis(150);
+const RETRY_DELAY: Micros = Micros::from_millis(150);
 /// Only ends one wait for the end of an era, and begins the next.
-const ERA_WAIT: Duration = Duration::from_secs(60);
+const ERA_CHECK_INTERVAL: Duration = Duration::from_secs(60);
 
 /// Keeps the configuration fresh.
 pub(crate) async fn watch_operator(front: Rc<FrontContext>) {
     let mut limit = CallLimit::default();
     let mut client = StoreClient::new(front.settings.store, limit.next());
-    let mut foreign = ForeignRows::new("operator");
-    let mut seen: Option<StorePosition> = None;
-    let mut mark = TableChecksum::default();
+    let mut foreign_rows = ForeignRows::new("operator");
+    let mut position: Option<StorePosition> = None;
+    let mut checksum = TableChecksum::default();
     let mut store_clock = StoreClock::default();
-    let mut is_lost = false;
+    let mut is_unreachable = false;
     let mut sent_at = Micros::ZERO;
     loop {
-        if seen.is_some() || is_lost {
-            read_wait(&front, sent_at, is_lost).wait(&front).await;
+        if position.is_some() || is_unreachable {
+            read_schedule(&front, sent_at, is_unreachable)
+                .wait(&front)
+                .await;
         }
         sent_at = front.now();
         client.set_limit(limit.next());
-        let hold = limit.hold(to_duration(config_hold(&front, sent_at)));
-        let read = read_operator(&front, &mut client, seen, hold).await;
+        let wait = limit.hold(to_duration(poll_wait(&front, sent_at)));
+        let read = read_operator(&front, &mut client, position, wait).await;
         limit.note(&read);
         let outcome = match read {
-            Ok(page) => note_position(&front, "operator", page.position).map(|()| {
-                if seen.replace(page.position).is_none() {
-                    mark.clear();
+            Ok(page) => observe_position(&front, "operator", page.position).map(|()| {
+                if position.replace(page.position).is_none() {
+                    checksum.clear();
                     front.state().evacuations.begin_full_read();
                 }
                 // A question that was held at the store proves what was in force when it answered.
                 let proven_at =
                     store_clock.earliest_answer_time(sent_at, page.store_ms, front.now());
-                take_rows(&front, page, proven_at, &mut foreign, &mut mark);
+                apply_rows(&front, page, proven_at, &mut foreign_rows, &mut checksum);
             }),
             Err(error) => {
                 store_clock.reset();
                 Err(error)
             }
         };
-        note_contact(&front, "operator", &mut is_lost, &outcome);
+        log_store_contact(&front, "operator", &mut is_unreachable, &outcome);
         match outcome {
             Ok(()) => {}
             Err(error) => {
                 if error.wants_all() {
-                    seen = None;
+                    position = None;
                 }
-                Timer::after(to_duration(RETRY_PAUSE)).await;
+                Timer::after(to_duration(RETRY_DELAY)).await;
             }
         }
     }
 }
 
-fn read_wait(
+fn read_schedule(
     front: &FrontContext,
-    last: Micros,
-    is_lost: bool,
-) -> ReadWait {
-    let bound = front.settings.change_wait();
-    let is_held = is_lost || are_held(&front.state());
-    ReadWait {
+    last_sent_at: Micros,
+    is_unreachable: bool,
+) -> ReadSchedule {
+    let max_interval = front.settings.config_poll_wait();
+    let is_long_polling = is_unreachable || uses_long_polls(&front.state());
+    ReadSchedule {
         table: ProvenTable::Operator,
-        usual: (!is_held).then_some(bound),
-        bound,
-        last,
-        is_lost,
-        is_troubled: false,
+        interval: (!is_long_polling).then_some(max_interval),
+        max_interval,
+        last_sent_at,
+        is_unreachable,
+        needs_own_reads: false,
     }
 }
 
 /// For how long the next question may be held at the store: one of a front that others tell, or
 /// that others go by, is to answer at once.
-fn config_hold(
+fn poll_wait(
     front: &FrontContext,
     now: Micros,
 ) -> Micros {
     let state = front.state();
     let tier = own_tier(front, &state, ProvenTable::Operator);
-    match tier == ReaderTier::First && are_held(&state) {
-        true => state.config_hold(front.settings.change_wait(), now),
+    match tier == ReaderTier::First && uses_long_polls(&state) {
+        true => state.next_poll_wait(front.settings.config_poll_wait(), now),
         false => Micros::ZERO,
     }
 }
@@ -107,68 +109,70 @@
 async fn read_operator(
     front: &FrontContext,
     client: &mut StoreClient,
-    seen: Option<StorePosition>,
-    hold: Duration,
+    position: Option<StorePosition>,
+    wait: Duration,
 ) -> Result<RowPage, StoreError> {
-    let Some(after) = seen else {
+    let Some(after) = position else {
         return client.read_all(RowTable::Operator).await;
     };
-    let changes = client.read_changes(RowTable::Operator, after, hold);
-    let other_era = async {
-        while !front.era_over.wait(ERA_WAIT).await {}
+    let changes = client.read_changes(RowTable::Operator, after, wait);
+    let era_change = async {
+        while !front.era_changed.wait(ERA_CHECK_INTERVAL).await {}
         Err(StoreError::OtherEra)
     };
-    or(changes, other_era).await
+    or(changes, era_change).await
 }
 
-fn take_rows(
+fn apply_rows(
     front: &FrontContext,
     page: RowPage,
     proven_at: Micros,
-    foreign: &mut ForeignRows,
-    mark: &mut TableChecksum,
+    foreign_rows: &mut ForeignRows,
+    checksum: &mut TableChecksum,
 ) {
     for row in page.rows {
         let key = row.key.clone();
         match &row.value {
-            RowValue::Bytes(bytes) => mark.set(&key, bytes),
-            RowValue::Unreadable => mark.set(&key, b""),
-            RowValue::Gone => mark.remove(&key),
+            RowValue::Bytes(bytes) => checksum.set(&key, bytes),
+            RowValue::Unreadable => checksum.set(&key, b""),
+            RowValue::Gone => checksum.remove(&key),
         }
-        match take_operator_row(front, row) {
-            Ok(()) => foreign.is_over(&key),
-            Err(fault) => foreign.note(front, &key, &fault),
+        match apply_operator_row(front, row) {
+            Ok(()) => foreign_rows.remove(&key),
+            Err(error) => foreign_rows.record(front, &key, &error),
         }
     }
-    let settled = {
+    let changes = {
         let mut state = front.state();
         match state.eras.proves(proven_at) {
             true => state.evacuations.finish_full_read(),
             false => Vec::new(),
         }
     };
-    take_evacuations(front, &settled, "row");
+    apply_evacuations(front, &changes, "row");
     // A configuration that cannot be read may take keys away.
-    if !foreign.has(CONFIG_KEY) {
+    if !foreign_rows.contains(CONFIG_KEY) {
         let now = front.now();
-        front.state().note_config_read(mark.value(), proven_at, now);
+        front
+            .state()
+            .record_config_read(checksum.value(), proven_at, now);
         front.greeting_due.wake();
     }
 }
 
-fn take_operator_row(
+fn apply_operator_row(
     front: &FrontContext,
     row: StoreRow,
 ) -> Result<(), RowFault> {
     match decode_row(RowTable::Operator, row)? {
         RowNews::Config(text) => {
             let config = decode_config(&text)?;
-            take_config(front, config, text, "row");
+            update_config(front, config, text, "row");
         }
-        RowNews::Weights(named) => name_weights(front, &named),
+        RowNews::Weights(weights) => publish_weights(front, &weights),
         RowNews::Evacuation { domain, is_asked } => {
             let change = front.state().evacuations.set(&domain, is_asked);
-            take_evacuations(front, change.as_slice(), "row");
+            apply_evacuations(front, change.as_slice(), "row");
         }
         RowNews::Other(key) => {
             log::warn!(event = "operator-row", key = key.as_str(), used = false; "");
@@ -178,44 +182,44 @@
     Ok(())
 }
 
-fn name_weights(
+fn publish_weights(
     front: &FrontContext,
-    named: &NamedWeights,
+    weights: &NamedWeights,
 ) {
     let now = front.now();
     let mut guard = front.state();
     let state = &mut *guard;
-    let not_yet = state.trust.proven_at();
+    let proven_at = state.key_freshness.proven_at();
     let planner = &mut state.planner;
-    let is_news = planner.publish(&named.model, named.version, not_yet, now);
+    let is_newer = planner.publish(&weights.model, weights.version, proven_at, now);
     // What was known before, by whomever, did not show it yet.
-    if let Some(age) = state.trust.age(now).filter(|_| is_news) {
-        planner.record_age(&named.model, named.version, age, now);
+    if let Some(age) = state.key_freshness.age(now).filter(|_| is_newer) {
+        planner.record_age(&weights.model, weights.version, age, now);
     }
     log::info!(
         event = "weights-named",
-        model = named.model.as_str(),
-        version = named.version,
+        model = weights.model.as_str(),
+        version = weights.version,
         source = "row";
         ""
     );
 }
 
 /// A configuration never goes back in one life of the process.
-pub(super) fn take_config(
+pub(super) fn update_config(
     front: &FrontContext,
     config: ServingConfig,
     text: Vec<u8>,
     source: &str,
 ) {
     let mut state = front.state();
-    let before = state.config.as_ref().map_or(0, |config| config.version);
-    let is_news = state.config.is_none() || config.version > before;
+    let previous = state.config.as_ref().map_or(0, |config| config.version);
+    let is_newer = state.config.is_none() || config.version > previous;
     log::info!(
         event = "config",
         version = config.version,
-        before = before,
-        taken = is_news,
+        before = previous,
+        taken = is_newer,
         source = source,
         routes = config.routes.len(),
         organisations = config.organisations.len(),
@@ -223,8 +227,8 @@
         stores = config.stores.len();
         ""
     );
-    if is_news {
-        state.memory.set_stores(&config.stores);
+    if is_newer {
+        state.store_directory.set_stores(&config.stores);
         state.config = Some(Rc::new(config));
         state.config_text = text;
     }
--- a/entry/src/front/order_lease.rs
+++ b/entry/src/front/order_lease.rs
@@ -52,8 +52,8 @@
         front: &FrontContext,
         store: &mut StoreClient,
     ) -> Result<(), StoreError> {
-        let asked_at = front.now();
-        match self.machine.step(asked_at) {
+        let requested_at = front.now();
+        match self.machine.step(requested_at) {
             LeaseStep::Wait => Ok(()),
             LeaseStep::Read => {
                 let row = store.read_own(LEASE_KEY).await?;
@@ -63,7 +63,7 @@
                     RowValue::Gone | RowValue::Unreadable => None,
                 });
                 self.machine
-                    .on_row_read(row, version, asked_at, front.now());
+                    .on_row_read(row, version, requested_at, front.now());
                 Ok(())
             }
             LeaseStep::Write { version, row } => self.write(front, store, version, &row).await,
--- a/entry/src/front/order_substitute.rs
+++ b/entry/src/front/order_substitute.rs
@@ -10,79 +10,82 @@
 };
 
 /// How often it is looked for engines that nobody gives orders.
-const LOOK_PAUSE: Micros = Micros::from_millis(300);
+const POLL_INTERVAL: Micros = Micros::from_millis(300);
 /// Time for which an engine that lacks weights must not have been heard.
-const UNHEARD_FOR: Micros = Micros::from_millis(4_000);
+const AGENT_TIMEOUT: Micros = Micros::from_millis(4_000);
 /// Engines that are asked for reports at once: those that may load, and some more.
-const REPORTS_LIMIT: usize = 48;
+const MAX_CONCURRENT_REPORTS: usize = 48;
 /// Time limit of a call of the platform's store.
-const STORE_LIMIT: Duration = Duration::from_millis(1_000);
+const STORE_TIMEOUT: Duration = Duration::from_millis(1_000);
 /// Pause between two lines that tell of engines which serve nothing for want of orders.
-const ALARM_PAUSE: Micros = Micros::from_secs(5);
+const WARNING_INTERVAL: Micros = Micros::from_secs(5);
 
 /// One front gives orders to engines beside which nobody stands: their process is missing, has
 /// ended with its box or is cut off. Without it such engines kept replaced weights for good, and
 /// served nothing once these were too old.
-struct OrderSubstitute {
+struct FallbackController {
     front: Rc<FrontContext>,
     store: StoreClient,
     lease: OrderLease,
     orphans: BTreeMap<EndpointKey, OrphanEngine>,
-    unheard_since: BTreeMap<EndpointKey, Micros>,
-    alarmed_at: Option<Micros>,
-    held_before: bool,
+    silent_since: BTreeMap<EndpointKey, Micros>,
+    warned_at: Option<Micros>,
+    was_held: bool,
 }
 
 /// Stands in for processes beside engines that are not there, for as long as this front holds
 /// the lease on that.
-pub(crate) async fn stand_in(front: Rc<FrontContext>) {
-    let mut substitute = OrderSubstitute {
-        store: StoreClient::new(front.settings.store, STORE_LIMIT),
+pub(crate) async fn run_fallback_controller(front: Rc<FrontContext>) {
+    let mut controller = FallbackController {
+        store: StoreClient::new(front.settings.store, STORE_TIMEOUT),
         lease: OrderLease::new(&front),
         orphans: BTreeMap::new(),
-        unheard_since: BTreeMap::new(),
-        alarmed_at: None,
-        held_before: false,
+        silent_since: BTreeMap::new(),
+        warned_at: None,
+        was_held: false,
         front,
     };
     loop {
-        substitute.front.rest(LOOK_PAUSE).await;
-        if let Err(error) = substitute.look().await {
+        controller.front.sleep_coalesced(POLL_INTERVAL).await;
+        if let Err(error) = controller.poll().await {
             let error = error.to_string();
             log::warn!(event = "store-lost", watch = "orders", error = error.as_str(); "");
         }
     }
 }
 
-impl OrderSubstitute {
-    async fn look(&mut self) -> Result<(), StoreError> {
+impl FallbackController {
+    async fn poll(&mut self) -> Result<(), StoreError> {
         let front = self.front.clone();
         let now = front.now();
-        let lacking = self.lacking(now);
-        self.orphans.retain(|key, _| lacking.contains_key(key));
-        if lacking.is_empty() {
-            return self.give_back().await;
+        let behind = self.engines_behind(now);
+        self.orphans.retain(|key, _| behind.contains_key(key));
+        if behind.is_empty() {
+            return self.release_lease().await;
         }
-        let stepped = self.lease.step(&front, &mut self.store).await;
+        let lease_result = self.lease.step(&front, &mut self.store).await;
         let is_held = self.lease.is_held(front.now());
-        self.note_lease(is_held, lacking.len());
-        self.alarm(lacking.len(), is_held, now);
-        stepped?;
+        self.log_lease_change(is_held, behind.len());
+        self.warn_unordered(behind.len(), is_held, now);
+        lease_result?;
         if !is_held {
             return Ok(());
         }
-        for (key, address) in lacking {
+        for (key, address) in behind {
             let orphan = self.orphans.entry(key);
             orphan.or_insert_with(|| OrphanEngine::new(&front, key, address));
         }
         self.read_reports().await;
         // A box that stands still does so with the process beside its engine, which would have
         // to take the right back and wait.
-        let answering = self.orphans.values_mut().filter(|o| o.answers(front.now()));
-        for orphan in answering {
+        let responsive = self
+            .orphans
+            .values_mut()
+            .filter(|o| o.is_responsive(front.now()));
+        for orphan in responsive {
             // Before its turn, as a new holder has to wait.
-            orphan.hold(&front, &mut self.store).await?;
-            orphan.order_due(&front, &mut self.store).await?;
+            orphan.acquire_right(&front, &mut self.store).await?;
+            orphan.send_due_order(&front, &mut self.store).await?;
         }
         Ok(())
     }
@@ -94,9 +97,9 @@
         // Those that wait longest go first: where many are cut off, others have their turn too.
         let mut orphans: Vec<&mut OrphanEngine> = self.orphans.values_mut().collect();
         orphans.sort_by_key(|orphan| orphan.reported_at());
-        let asked = orphans.into_iter().take(REPORTS_LIMIT);
-        let reports: Vec<_> = asked
-            .map(|orphan| executor.spawn(orphan.report(&front)))
+        let polled = orphans.into_iter().take(MAX_CONCURRENT_REPORTS);
+        let reports: Vec<_> = polled
+            .map(|orphan| executor.spawn(orphan.poll_report(&front)))
             .collect();
         let all = async {
             for report in reports {
@@ -107,7 +110,7 @@
     }
 
     /// Engines that lack named weights and that were not heard for long.
-    fn lacking(
+    fn engines_behind(
         &mut self,
         now: Micros,
     ) -> BTreeMap<EndpointKey, SocketAddr> {
@@ -116,38 +119,40 @@
             return BTreeMap::new();
         };
         let is_orphan = |entry: &EndpointEntry| {
-            entry.is_listed() && is_engine(config, entry) && !is_heard(entry, now)
+            entry.is_listed() && is_engine(config, entry) && !is_reporting(entry, now)
         };
-        let unheard = state.book.iter().filter(|(_, entry)| is_orphan(entry));
-        let unheard: BTreeMap<EndpointKey, SocketAddr> =
-            unheard.map(|(key, entry)| (key, entry.address)).collect();
-        self.unheard_since
-            .retain(|key, _| unheard.contains_key(key));
-        let mut lacking = BTreeMap::new();
-        for (key, address) in unheard {
-            let since = *self.unheard_since.entry(key).or_insert(now);
-            let is_behind = state.book.get(key).is_some_and(|e| lacks(&state, e));
-            if is_behind && now.since(since) >= UNHEARD_FOR {
-                lacking.insert(key, address);
+        let silent = state.registry.iter().filter(|(_, entry)| is_orphan(entry));
+        let silent: BTreeMap<EndpointKey, SocketAddr> =
+            silent.map(|(key, entry)| (key, entry.address)).collect();
+        self.silent_since.retain(|key, _| silent.contains_key(key));
+        let mut behind = BTreeMap::new();
+        for (key, address) in silent {
+            let since = *self.silent_since.entry(key).or_insert(now);
+            let is_behind = state
+                .registry
+                .get(key)
+                .is_some_and(|e| has_outdated_weights(&state, e));
+            if is_behind && now.since(since) >= AGENT_TIMEOUT {
+                behind.insert(key, address);
             }
         }
-        lacking
+        behind
     }
 
     /// Requests are refused for weights that nobody loads: that is told with its reason.
-    fn alarm(
+    fn warn_unordered(
         &mut self,
         engines: usize,
         is_held: bool,
         now: Micros,
     ) {
         if self
-            .alarmed_at
-            .is_some_and(|at| now.since(at) < ALARM_PAUSE)
+            .warned_at
+            .is_some_and(|at| now.since(at) < WARNING_INTERVAL)
         {
             return;
         }
-        self.alarmed_at = Some(now);
+        self.warned_at = Some(now);
         log::warn!(
             event = "weights-unordered",
             engines = engines,
@@ -157,29 +162,29 @@
         );
     }
 
-    fn note_lease(
+    fn log_lease_change(
         &mut self,
         is_held: bool,
         engines: usize,
     ) {
-        if is_held != self.held_before {
-            self.held_before = is_held;
+        if is_held != self.was_held {
+            self.was_held = is_held;
             log::info!(event = "order-lease", held = is_held, engines = engines; "");
         }
     }
 
-    async fn give_back(&mut self) -> Result<(), StoreError> {
-        if !self.held_before {
+    async fn release_lease(&mut self) -> Result<(), StoreError> {
+        if !self.was_held {
             return Ok(());
         }
-        self.note_lease(false, 0);
+        self.log_lease_change(false, 0);
         let front = self.front.clone();
         self.lease.release(&front, &mut self.store).await
     }
 }
 
 /// Whether the process beside an engine has been heard lately.
-fn is_heard(
+fn is_reporting(
     entry: &EndpointEntry,
     now: Micros,
 ) -> bool {
@@ -191,12 +196,12 @@
 }
 
 /// Whether an engine is known to have older weights than are named.
-fn lacks(
+fn has_outdated_weights(
     state: &FrontState,
     entry: &EndpointEntry,
 ) -> bool {
-    let mut named = state.planner.published_versions();
-    named.any(|(model, version)| {
+    let mut published = state.planner.published_versions();
+    published.any(|(model, version)| {
         let known = entry.weights.version(model);
         known.is_some_and(|known| known < version)
     })
--- a/entry/src/front/orphan_engine.rs
+++ b/entry/src/front/orphan_engine.rs
@@ -13,16 +13,16 @@
 };
 
 /// Time between two reports of an engine; each has a price.
-const REPORT_PAUSE: Micros = Micros::from_millis(900);
+const REPORT_INTERVAL: Micros = Micros::from_millis(900);
 /// The same while it is its turn to load.
-const TURN_PAUSE: Micros = Micros::from_millis(250);
+const TURN_REPORT_INTERVAL: Micros = Micros::from_millis(250);
 /// Time for which it answers before this front gives it orders, and for which an answer counts.
-const ANSWERS_FOR: Micros = Micros::from_millis(800);
-const ANSWER_LIFE: Micros = Micros::from_millis(1_800);
+const MIN_RESPONSIVE_TIME: Micros = Micros::from_millis(800);
+const RESPONSE_TTL: Micros = Micros::from_millis(1_800);
 /// Time after an order in which a report may not show it yet.
-const AFTER_ORDER: Micros = Micros::from_millis(800);
+const ORDER_REPORT_DELAY: Micros = Micros::from_millis(800);
 /// Time limit of a call of the engine.
-const CALL_LIMIT: Duration = Duration::from_millis(300);
+const CALL_TIMEOUT: Duration = Duration::from_millis(300);
 
 /// An engine that this front gives orders.
 #[derive(Debug)]
@@ -33,7 +33,7 @@
     client: HttpClient,
     reported_at: Option<Micros>,
     /// Since when it has answered each time, and when it last did.
-    answers: Option<(Micros, Micros)>,
+    responsive_span: Option<(Micros, Micros)>,
     ordered_at: Option<Micros>,
     is_swapping: bool,
     orders_taken: u64,
@@ -50,9 +50,9 @@
             key,
             address,
             right: OrderRight::new(front.settings.box_id.as_str(), front.settings.order_gap),
-            client: HttpClient::new(address, CALL_LIMIT),
+            client: HttpClient::new(address, CALL_TIMEOUT),
             reported_at: None,
-            answers: None,
+            responsive_span: None,
             ordered_at: None,
             is_swapping: false,
             orders_taken: 0,
@@ -66,12 +66,12 @@
 
     /// Whether it has answered for a while. A box that has just woken answers before the process
     /// beside its engine is heard.
-    pub fn answers(
+    pub fn is_responsive(
         &self,
         now: Micros,
     ) -> bool {
-        self.answers.is_some_and(|(since, last)| {
-            last.since(since) >= ANSWERS_FOR && now.since(last) < ANSWER_LIFE
+        self.responsive_span.is_some_and(|(since, last)| {
+            last.since(since) >= MIN_RESPONSIVE_TIME && now.since(last) < RESPONSE_TTL
         })
     }
 
@@ -79,7 +79,7 @@
     ///
     /// # Errors
     /// What the platform's store says.
-    pub async fn hold(
+    pub async fn acquire_right(
         &mut self,
         front: &FrontContext,
         store: &mut StoreClient,
@@ -87,14 +87,14 @@
         if self.right.is_held() {
             return Ok(());
         }
-        let taken = self.take_right(front, store).await;
-        if taken.is_err() {
+        let acquired = self.write_right(front, store).await;
+        if acquired.is_err() {
             self.right.on_row_unknown();
         }
-        taken
+        acquired
     }
 
-    async fn take_right(
+    async fn write_right(
         &mut self,
         front: &FrontContext,
         store: &mut StoreClient,
@@ -102,29 +102,33 @@
         let row = read_order_row(store, self.address).await?;
         let sent_at = front.now();
         let holder = front.settings.box_id.as_str();
-        let taken = take_order_row(store, self.address, row.as_ref(), holder).await?;
-        self.right.on_row_written(taken, sent_at, front.now());
+        let written = take_order_row(store, self.address, row.as_ref(), holder).await?;
+        self.right.on_row_written(written, sent_at, front.now());
         let engine = self.address.to_string();
-        let before = row.map_or(String::new(), |row| row.holder);
+        let previous_holder = row.map_or(String::new(), |row| row.holder);
         log::info!(
             event = "order-right",
             engine = engine.as_str(),
-            before = before.as_str(),
-            version = taken.version;
+            before = previous_holder.as_str(),
+            version = written.version;
             ""
         );
         Ok(())
     }
 
     /// Takes the report that the process beside the engine would have read.
-    pub async fn report(
+    pub async fn poll_report(
         &mut self,
         front: &FrontContext,
     ) {
         let now = front.now();
         let has_turn = front.state().planner.turn(self.key).is_some();
-        let pause = if has_turn { TURN_PAUSE } else { REPORT_PAUSE };
-        if self.reported_at.is_some_and(|at| now.since(at) < pause) {
+        let interval = if has_turn {
+            TURN_REPORT_INTERVAL
+        } else {
+            REPORT_INTERVAL
+        };
+        if self.reported_at.is_some_and(|at| now.since(at) < interval) {
             return;
         }
         self.reported_at = Some(now);
@@ -137,21 +141,21 @@
         let body = self.client.sound_body(call).await;
         let now = front.now();
         let Some(report) = body.and_then(|body| decode_report(&body, now).ok()) else {
-            self.answers = None;
+            self.responsive_span = None;
             return;
         };
-        let since = self.answers.map_or(now, |(since, _)| since);
-        self.answers = Some((since, now));
+        let since = self.responsive_span.map_or(now, |(since, _)| since);
+        self.responsive_span = Some((since, now));
         self.orders_taken = report.orders_taken;
         self.is_swapping = report.is_busy;
-        take_report(front, self.key, &report, now);
+        apply_report(front, self.key, &report, now);
     }
 
     /// Gives it an order where it is its turn.
     ///
     /// # Errors
     /// What the platform's store says where it does not show whose right that is.
-    pub async fn order_due(
+    pub async fn send_due_order(
         &mut self,
         front: &FrontContext,
         store: &mut StoreClient,
@@ -161,37 +165,37 @@
             return Ok(());
         };
         // One that does what it was told needs no further order.
-        let is_told = self.is_swapping || self.was_told(front.now());
-        if is_told || self.right.is_waiting(front.now()) {
+        let has_current_order = self.is_swapping || self.has_recent_order(front.now());
+        if has_current_order || self.right.is_waiting(front.now()) {
             return Ok(());
         }
-        let asked_at = front.now();
+        let requested_at = front.now();
         let row = read_order_row(store, self.address).await?;
-        self.right.on_row_read(row, asked_at, front.now());
-        if let Some(number) = self.right.fencing_token(front.now()) {
-            self.order(front, &turn, number).await;
+        self.right.on_row_read(row, requested_at, front.now());
+        if let Some(fencing_token) = self.right.fencing_token(front.now()) {
+            self.send_to_engine(front, &turn, fencing_token).await;
         }
         Ok(())
     }
 
     /// Whether an order was given so lately that no report can tell what became of it.
-    fn was_told(
+    fn has_recent_order(
         &self,
         now: Micros,
     ) -> bool {
         self.ordered_at
-            .is_some_and(|at| now.since(at) < AFTER_ORDER)
+            .is_some_and(|at| now.since(at) < ORDER_REPORT_DELAY)
     }
 
-    async fn order(
+    async fn send_to_engine(
         &mut self,
         front: &FrontContext,
         turn: &SwapTurn,
-        number: u64,
+        fencing_token: u64,
     ) {
         let id = front
             .state()
-            .book
+            .registry
             .get(self.key)
             .map(|entry| entry.id.clone());
         let Some(id) = id else {
@@ -201,7 +205,7 @@
             model: turn.model.clone(),
             version: turn.version,
             holder: front.settings.box_id.clone(),
-            fence: number,
+            fence: fencing_token,
             orders_taken: Some(self.orders_taken),
         };
         let outcome = send_order(&mut self.client, &id, &order).await;
@@ -226,7 +230,7 @@
 }
 
 /// Takes an engine's own report as its load, so that it gets its turn.
-fn take_report(
+fn apply_report(
     front: &FrontContext,
     key: EndpointKey,
     report: &EngineReport,
@@ -234,19 +238,19 @@
 ) {
     let mut guard = front.state();
     let state = &mut *guard;
-    let proven_at = state.trust.proven_at();
+    let proven_at = state.key_freshness.proven_at();
     for (model, version) in &report.weights {
         state
             .planner
             .record_engine_version(model, *version, proven_at, now);
     }
-    let Some(entry) = state.book.get_mut(key) else {
+    let Some(entry) = state.registry.get_mut(key) else {
         return;
     };
     entry.load = Some(EngineLoad {
         at: now,
-        again_within: REPORT_PAUSE,
-        changes_within: REPORT_PAUSE,
+        again_within: REPORT_INTERVAL,
+        changes_within: REPORT_INTERVAL,
         ..report.load
     });
     for (model, version) in &report.weights {
--- a/entry/src/front/part_freeing.rs
+++ b/entry/src/front/part_freeing.rs
@@ -1,5 +1,5 @@
 use {
-    super::{has_view, FrontContext, CALL_LIMIT},
+    super::{has_store, FrontContext, CALL_TIMEOUT},
     pitchhitch_core::{
         serving::{CacheNamespace, EndpointStatus, PartId, ReclaimState},
         time::Micros,
@@ -20,7 +20,7 @@
 /// Keeps it known which engines there are, whose fetches parts are held for.
 pub(crate) async fn tend_parts(front: Rc<FrontContext>) {
     loop {
-        front.rest(FREE_PAUSE).await;
+        front.sleep_coalesced(FREE_PAUSE).await;
         note_engines(&front);
     }
 }
@@ -30,10 +30,10 @@
     front: Rc<FrontContext>,
     address: SocketAddr,
 ) {
-    let mut client = KeptClient::new(address, CALL_LIMIT);
+    let mut client = KeptClient::new(address, CALL_TIMEOUT);
     let mut held_looks = 0;
-    while has_view(&front, address) {
-        front.rest(free_pause(&front)).await;
+    while has_store(&front, address) {
+        front.sleep_coalesced(free_pause(&front)).await;
         let Some(OldParts { parts, epoch, held }) = old_parts(&front, address) else {
             continue;
         };
@@ -59,8 +59,8 @@
         if is_freed {
             let mut state = front.state();
             for (salt, id) in &parts {
-                let wall = state.wall(salt);
-                if let Some(view) = state.memory.view_mut(address) {
+                let wall = state.namespace_tag(salt);
+                if let Some(view) = state.store_directory.view_mut(address) {
                     view.set_part(wall, *id, 0);
                 }
             }
@@ -70,7 +70,7 @@
 
 /// Pause until it is looked for parts to be freed: few weights are replaced.
 fn free_pause(front: &FrontContext) -> Micros {
-    let walls = front.state().walls();
+    let walls = front.state().namespaces();
     let state = front.state();
     let is_old =
         |wall: &CacheNamespace| state.planner.published_version(&wall.model) > Some(wall.version);
@@ -90,7 +90,7 @@
     };
     let mut engines = Vec::new();
     let mut others = HashSet::new();
-    for (_, entry) in state.book.iter() {
+    for (_, entry) in state.registry.iter() {
         let Some(group) = config.services.get(&entry.service) else {
             continue;
         };
@@ -102,11 +102,13 @@
     }
     // What serves at an address now shows that the engine before it has ended.
     engines.retain(|(address, _)| !others.contains(address));
-    state.reads.update_engines(engines.into_iter(), now);
+    state
+        .fetch_completion
+        .update_engines(engines.into_iter(), now);
     for address in others {
-        state.reads.forget(address);
+        state.fetch_completion.forget(address);
     }
-    state.reads.prune(now);
+    state.fetch_completion.prune(now);
 }
 
 fn log_held(
@@ -115,7 +117,11 @@
     held: Option<&CacheNamespace>,
 ) {
     let state = front.state();
-    let last = held.map(|wall| state.reads.oldest_proven(&wall.model, wall.version));
+    let last = held.map(|wall| {
+        state
+            .fetch_completion
+            .oldest_proven(&wall.model, wall.version)
+    });
     let last: Vec<String> = last.iter().flatten().map(SocketAddr::to_string).collect();
     log::info!(
         event = "kept-held",
@@ -134,7 +140,7 @@
 ) -> Option<u64> {
     let now = front.now();
     let mut state = front.state();
-    state.memory.view_mut(address)?.clock_ms(now)
+    state.store_directory.view_mut(address)?.clock_ms(now)
 }
 
 /// Parts at a store whose weights have been replaced.
@@ -157,10 +163,10 @@
         // Nobody knows yet which engines may have been told.
         return None;
     }
-    let walls = guard.walls();
+    let walls = guard.namespaces();
     let state = &mut *guard;
-    let (planner, reads) = (&state.planner, &state.reads);
-    let view = state.memory.view_mut(address)?;
+    let (planner, reads) = (&state.planner, &state.fetch_completion);
+    let view = state.store_directory.view_mut(address)?;
     let epoch = view.epoch()?;
     let clock_ms = view.latest_clock_ms(now);
     let mut parts = Vec::new();
--- a/entry/src/front/request_admit.rs
+++ b/entry/src/front/request_admit.rs
@@ -28,13 +28,13 @@
         return Err(RefusalKind::BadRequest);
     }
     let now = front.now();
-    let may_deny = state.trust.may_deny(now);
+    let may_deny = state.key_freshness.may_deny(now);
     let place = config.resolve(ask).map_err(|kind| match may_deny {
         true => kind,
         // A key or route that was added meanwhile may be meant.
         false => RefusalKind::StaleKeys,
     })?;
-    if place.is_authenticated && !state.trust.admits_keys(now) {
+    if place.is_authenticated && !state.key_freshness.admits_keys(now) {
         return Err(RefusalKind::StaleKeys);
     }
     drop(state);
@@ -47,12 +47,12 @@
     admitted: (Rc<ServingConfig>, ResolvedRequest),
 ) -> Result<(Rc<ServingConfig>, ResolvedRequest), RefusalKind> {
     let (config, place) = &admitted;
-    let stops_since = front.state().stops_since;
+    let stopping_since = front.state().stopping_since;
     let limit = match config.routes[place.route].is_stream {
         true => STREAM_TAKEN,
         false => Micros(front.settings.stop_limit.as_micros() as u64).since(PLAIN_END),
     };
-    match stops_since.is_some_and(|at| front.now().since(at) > limit) {
+    match stopping_since.is_some_and(|at| front.now().since(at) > limit) {
         true => Err(RefusalKind::Stopping),
         false => Ok(admitted),
     }
@@ -85,7 +85,7 @@
     let (version, key_age) = {
         let state = front.state();
         let version = state.config.as_ref().map_or(0, |config| config.version);
-        (version, state.trust.age(front.now()))
+        (version, state.key_freshness.age(front.now()))
     };
     log::info!(
         event = "refused",
--- a/entry/src/front/request_answer.rs
+++ b/entry/src/front/request_answer.rs
@@ -81,12 +81,12 @@
                 let now = front.now();
                 began = Some(now);
                 let mut state = front.state();
-                state.book.record_first_token(choice.key, ticket);
+                state.registry.record_first_token(choice.key, ticket);
                 state.trials.record_first_event(ticket, now);
                 if is_first {
                     let took = now.since(sent_at).as_millis() as f64;
                     state
-                        .pace
+                        .latency_estimator
                         .record_first_token(to_read, took - choice.plan.fetch_ms);
                 }
             }
--- a/entry/src/front/request_choice.rs
+++ b/entry/src/front/request_choice.rs
@@ -57,7 +57,7 @@
         let ask = self.admission_ask();
         let admission = &mut state.admission;
         admission.record(&ask, prompt.tokens_in, choice.prefill_tokens);
-        admission.decide(&ask, &state.pace, choice)
+        admission.decide(&ask, &state.latency_estimator, choice)
     }
 
     /// Whether it may be refused for load: what was sent has its place, and a suspect runs
@@ -73,9 +73,12 @@
     ) -> Micros {
         let state = self.front.state();
         let spread = unit_fraction(self.spread);
-        state
-            .admission
-            .retry_after(&self.admission_ask(), &state.pace, choice, spread)
+        state.admission.retry_after(
+            &self.admission_ask(),
+            &state.latency_estimator,
+            choice,
+            spread,
+        )
     }
 
     fn admission_ask(&self) -> AdmissionRequest<'_> {
@@ -119,15 +122,15 @@
             tried: &self.tried,
             trial,
             is_eligible: &|entry| {
-                state.is_open(entry, starts_slowly, now) && self.may_lie_in(&entry.domain)
+                state.is_available(entry, starts_slowly, now) && self.may_lie_in(&entry.domain)
             },
             is_connected: &|key| state.pool.has_open(key, now),
-            estimator: &state.pace,
+            estimator: &state.latency_estimator,
             weights: self.weight_bounds(state, now),
-            disabled: front.settings.left_out,
+            disabled: front.settings.disabled_mechanisms,
             now,
         };
-        pick_endpoint(&state.book, &ask, &outlooks)
+        pick_endpoint(&state.registry, &ask, &outlooks)
     }
 
     /// Whether endpoints of its service are limited right after their start.
@@ -161,10 +164,10 @@
             entry.service == self.service
                 && entry.status != EndpointStatus::Leaving
                 && self.may_lie_in(&entry.domain)
-                && state.is_open(entry, false, now)
-                && !state.is_open(entry, true, now)
+                && state.is_available(entry, false, now)
+                && !state.is_available(entry, true, now)
         };
-        let entries = state.book.iter().map(|(_, entry)| entry);
+        let entries = state.registry.iter().map(|(_, entry)| entry);
         let waits: Vec<Micros> = entries
             .filter(is_waited_for)
             .map(|entry| entry.slow_start.admits_after(now))
@@ -205,7 +208,7 @@
             return Vec::new();
         };
         let versions = state
-            .book
+            .registry
             .iter()
             .filter_map(|(_, e)| e.weights.version(&prompt.model));
         let mut versions: Vec<u64> = versions.collect();
@@ -213,11 +216,14 @@
         versions.dedup();
         let mut outlooks = Vec::new();
         for version in versions {
-            let namespace = state.wall(&self.wall(version).salt());
-            let parts =
-                state
-                    .memory
-                    .locate_parts(&state.book, group, namespace, &prompt.parts, now);
+            let namespace = state.namespace_tag(&self.wall(version).salt());
+            let parts = state.store_directory.locate_parts(
+                &state.registry,
+                group,
+                namespace,
+                &prompt.parts,
+                now,
+            );
             outlooks.push(VersionAvailability {
                 version,
                 namespace,
@@ -240,7 +246,7 @@
             .prompt
             .as_ref()
             .map_or("", |prompt| prompt.model.as_str());
-        let proven_at = state.trust.proven_at();
+        let proven_at = state.key_freshness.proven_at();
         for outlook in &mut parts {
             let id = outlook.part.id;
             if !state.planner.may_fetch(model, version, id, proven_at, now) {
--- a/entry/src/front/request_lessons.rs
+++ b/entry/src/front/request_lessons.rs
@@ -14,7 +14,7 @@
         state: &FrontState,
         choice: &EndpointChoice,
     ) -> bool {
-        let entry = state.book.get(choice.key);
+        let entry = state.registry.get(choice.key);
         entry.is_some_and(|entry| entry.incarnation.ended == self.run.life)
     }
 
@@ -28,9 +28,12 @@
         if !self.is_of_life(&state, choice) {
             return;
         }
-        if state.book.record_outcome(choice.key, is_sound, front.now()) {
+        if state
+            .registry
+            .record_outcome(choice.key, is_sound, front.now())
+        {
             let id = state
-                .book
+                .registry
                 .get(choice.key)
                 .map_or("", |entry| entry.id.as_str());
             log::warn!(event = "endpoint-out", endpoint = id, cause = "failures"; "");
@@ -47,13 +50,13 @@
         sent_at: Micros,
     ) {
         let mut state = self.front.state();
-        state.book.record_ended(choice.key, ticket);
+        state.registry.record_ended(choice.key, ticket);
         state.trials.end(ticket);
         let (Some(prompt), Some(_)) = (&self.ask.prompt, self.began_at) else {
             return;
         };
         let held = self.front.now().since(sent_at).as_millis() as f64;
-        state.pace.record_ended(prompt.tokens_in, held);
+        state.latency_estimator.record_ended(prompt.tokens_in, held);
     }
 
     pub(super) fn learn_version(
@@ -66,7 +69,7 @@
         if !self.is_of_life(&state, choice) {
             return;
         }
-        if let Some(entry) = state.book.get_mut(choice.key) {
+        if let Some(entry) = state.registry.get_mut(choice.key) {
             learn_weights(entry, model, version, "answer");
         }
     }
@@ -77,7 +80,7 @@
         answer: &OfferAnswer,
     ) {
         let mut state = self.front.state();
-        let Some(entry) = state.book.get_mut(choice.key) else {
+        let Some(entry) = state.registry.get_mut(choice.key) else {
             return;
         };
         let other = answer
@@ -96,7 +99,7 @@
             entry.rejoin = EndpointRejoin::Never;
             state.pool.close_all(choice.key);
             // Who was listed before it may be there after all.
-            state.book.mark_superseded();
+            state.registry.mark_superseded();
         }
     }
 }
--- a/entry/src/front/request_log.rs
+++ b/entry/src/front/request_log.rs
@@ -50,7 +50,7 @@
     ) {
         let front = self.front;
         let state = front.state();
-        let entry = state.book.get(choice.key);
+        let entry = state.registry.get(choice.key);
         let now = front.now();
         let load = entry.and_then(|entry| entry.load.as_ref());
         log::info!(
@@ -79,7 +79,7 @@
             named_age_ms = self.named_age(&state, now).map_or(-1, |age| age.as_millis() as i64),
             of = choice.candidates,
             lacking = state.admission.memory_shortage(),
-            token_us = (state.pace.token_ms() * 1_000.0) as u64,
+            token_us = (state.latency_estimator.token_ms() * 1_000.0) as u64,
             load_age_ms = load.map_or(-1, |load| now.since(load.at).as_millis() as i64);
             ""
         );
@@ -128,9 +128,9 @@
             ""
         );
         front.metrics.count("requests", outcome);
-        front.metrics.time("took", now.since(came_at).0);
+        front.metrics.record_time("took", now.since(came_at).0);
         if let Some(first) = first {
-            front.metrics.time("first", first.0);
+            front.metrics.record_time("first", first.0);
         }
     }
 }
--- a/entry/src/front/request_moves.rs
+++ b/entry/src/front/request_moves.rs
@@ -28,7 +28,7 @@
         let front = self.front;
         let now = front.now();
         let state = front.state();
-        let entry = state.book.get(choice.key);
+        let entry = state.registry.get(choice.key);
         let organisation = self.organisation();
         let is_engine = self.ask.prompt.is_some();
         // Without a known version nothing may be shared: not even with others
@@ -81,7 +81,7 @@
         version: u64,
         now: Micros,
     ) -> PartMoves {
-        let wall = state.wall(&self.wall(version).salt());
+        let wall = state.namespace_tag(&self.wall(version).salt());
         let mut moves = PartMoves::default();
         for fetch in &choice.plan.parts {
             let Some((source, _)) = &fetch.source else {
@@ -91,7 +91,7 @@
             let is_store = matches!(source.location, PartLocation::Store(_));
             let mut until = None;
             if let PartLocation::Store(place) = source.location {
-                let view = state.memory.view_at(place);
+                let view = state.store_directory.view_at(place);
                 until = view.and_then(|view| view.fetch_until_ms(now));
                 if until.is_none() {
                     // Without a time it would be fetched whenever its turn comes.
@@ -109,14 +109,16 @@
             };
         }
         moves.fetch.resize(prompt.parts.len(), None);
-        state.memory.record_fetches(&choice.plan, now);
+        state.store_directory.record_fetches(&choice.plan, now);
         let is_newest = state
             .planner
             .published_version(&prompt.model)
             .is_none_or(|named| version >= named);
         if is_newest {
             let may_keep = |store: &KvStore| self.may_lie_in(&store.domain);
-            let saves = state.memory.plan_saves(wall, &prompt.parts, &may_keep, now);
+            let saves = state
+                .store_directory
+                .plan_saves(wall, &prompt.parts, &may_keep, now);
             let address = |address| PartAddress {
                 address,
                 tokens: None,
@@ -126,7 +128,7 @@
         }
         // Others of this box that come meanwhile go where these parts will be.
         let capacity = self.group().map_or(0, |group| group.capacity_tokens);
-        if let Some(entry) = state.book.get_mut(choice.key) {
+        if let Some(entry) = state.registry.get_mut(choice.key) {
             entry.parts.touch(wall, &prompt.parts, capacity);
         }
         moves
--- a/entry/src/front/request_run.rs
+++ b/entry/src/front/request_run.rs
@@ -71,7 +71,7 @@
 ) -> RequestEnd {
     let ask = decode_ask(&request.head);
     let admitted = admit(front, &ask);
-    let closes = front.state().stops_since.is_some()
+    let closes = front.state().stopping_since.is_some()
         || request.head.fields.has_word("connection", "close")
         || !request.head.is_current;
     let (config, place) = match admitted {
@@ -93,7 +93,10 @@
     let spread = spread_number(&ask.request_id);
     let service = route.target(spread).unwrap_or_default().to_string();
     let left = ends_at.since(front.now());
-    front.state().meter(&service).record_request(front.now());
+    front
+        .state()
+        .retry_window(&service)
+        .record_request(front.now());
     let mut run = RequestRun {
         front,
         caller,
@@ -137,7 +140,7 @@
 
     /// Whether the caller's connection ends with this request.
     pub(super) fn closes(&self) -> bool {
-        self.asked_close || self.front.state().stops_since.is_some()
+        self.asked_close || self.front.state().stopping_since.is_some()
     }
 
     /// After a standstill all requests of that time come at once; where stores
@@ -150,7 +153,7 @@
             let now = self.front.now();
             let waits_for_stores = {
                 let state = self.front.state();
-                is_prompt && now.since(from) < SETTLE_LIMIT && state.is_unsettled(now)
+                is_prompt && now.since(from) < SETTLE_LIMIT && state.is_recovering(now)
             };
             if !waits_for_stores && !self.front.state().awaits_suspects(now) {
                 return;
@@ -301,11 +304,11 @@
         let front = self.front;
         let mut state = front.state();
         let fronts = state.fronts;
-        let meter = state.meter(&self.service);
+        let meter = state.retry_window(&self.service);
         let now = front.now();
         // The clock starts with the process.
         let lived = now;
-        meter.try_acquire(&front.settings.repeats, fronts, lived, now)
+        meter.try_acquire(&front.settings.retry_limit, fronts, lived, now)
     }
 
     pub(super) async fn deliver_whole(
--- a/entry/src/front/request_try.rs
+++ b/entry/src/front/request_try.rs
@@ -44,7 +44,7 @@
         let link = match kept {
             Some(link) => link,
             None => {
-                let address = front.state().book.get(choice.key)?.address;
+                let address = front.state().registry.get(choice.key)?.address;
                 front.metrics.count("links", "opened");
                 match ByteLink::open(address, to_duration(OPEN_LIMIT)).await {
                     Ok(link) => link,
@@ -57,7 +57,7 @@
             }
         };
         let state = front.state();
-        let entry = state.book.get(choice.key)?;
+        let entry = state.registry.get(choice.key)?;
         (entry.status != EndpointStatus::Leaving).then(|| OpenOffer::new(link))
     }
 
@@ -71,14 +71,14 @@
         let front = self.front;
         let moves = self.moves_for(choice);
         let mut state = front.state();
-        let entry = state.book.get(choice.key);
+        let entry = state.registry.get(choice.key);
         self.run = LatestRun {
             life: entry.map_or(0, |entry| entry.incarnation.ended),
             born: entry.and_then(|entry| entry.incarnation.born),
             known_crashes: self.trial.unwrap_or(0),
             ..LatestRun::default()
         };
-        let ticket = state.ticket();
+        let ticket = state.allocate_ticket();
         if let (Some(crashes), Some(fingerprint)) = (self.trial, self.known_as) {
             let is_alone = crashes > 1;
             state
@@ -92,7 +92,7 @@
             priority: self.rank(),
             sent_at: front.now(),
         };
-        state.book.record_sent(choice.key, work);
+        state.registry.record_sent(choice.key, work);
         ReservedPlace { ticket, moves }
     }
 
@@ -105,16 +105,16 @@
     ) {
         let mut guard = self.front.state();
         let state = &mut *guard;
-        state.book.record_ended(choice.key, place.ticket);
-        state.book.record_unsent(choice.key, place.ticket);
+        state.registry.record_ended(choice.key, place.ticket);
+        state.registry.record_unsent(choice.key, place.ticket);
         state.trials.end(place.ticket);
         let (Some(prompt), Some(version)) = (&self.ask.prompt, choice.version) else {
             return;
         };
-        let wall = state.wall(&self.wall(version).salt());
+        let wall = state.namespace_tag(&self.wall(version).salt());
         let planned = &choice.plan.parts;
         let is_kept = |at: usize| planned.get(at).is_some_and(|fetch| fetch.is_cached);
-        if let Some(entry) = state.book.get_mut(choice.key) {
+        if let Some(entry) = state.registry.get_mut(choice.key) {
             for (at, part) in prompt.parts.iter().enumerate() {
                 if !is_kept(at) {
                     entry.parts.set(wall, part.id, 0);
@@ -136,13 +136,13 @@
         self.run.sent_at = sent_at;
         front
             .state()
-            .book
+            .registry
             .record_written(choice.key, ticket, sent_at);
         if let Some(prompt) = &self.ask.prompt {
             let unread = choice.prefill_tokens;
             let mut state = front.state();
             state
-                .pace
+                .latency_estimator
                 .record_sent(prompt.tokens_in, unread, prompt.tokens_out);
         }
         self.sends += 1;
@@ -190,7 +190,7 @@
         if !self.route().is_stream {
             return self.time_left();
         }
-        let limit = front.settings.begin_limit;
+        let limit = front.settings.execution_limit;
         let state = front.state();
         let planner = &state.planner;
         let left = planner.time_to_expiry(&prompt.model, version, limit, front.now());
--- a/entry/src/front/return_check.rs
+++ b/entry/src/front/return_check.rs
@@ -1,5 +1,5 @@
 use {
-    super::{log_changes, FrontContext},
+    super::{handle_endpoint_changes, FrontContext},
     pitchhitch_core::serving::RejoinProbe,
     pitchhitch_http1::{HttpCall, HttpClient},
     pitchhitch_platform::instance_field,
@@ -14,7 +14,7 @@
 /// out late looks like one that came back.
 pub(super) fn ask_returned(front: &Rc<FrontContext>) {
     let now = front.now();
-    let questions = front.state().book.due_probes(now);
+    let questions = front.state().registry.due_probes(now);
     for question in questions {
         front.spawn(ask(front.clone(), question));
     }
@@ -40,10 +40,10 @@
     front.metrics.count("links", "health");
     let now = front.now();
     let mut state = front.state();
-    let change = state.book.record_probe(question.key, serves, now);
+    let change = state.registry.record_probe(question.key, serves, now);
     drop(state);
     let changes: Vec<_> = change.into_iter().collect();
-    log_changes(&front, &changes);
+    handle_endpoint_changes(&front, &changes);
 }
 
 fn health_path(
--- a/entry/src/front/run_lost.rs
+++ b/entry/src/front/run_lost.rs
@@ -59,7 +59,7 @@
         let fingerprint = self.fingerprint();
         let is_leaving = {
             let state = front.state();
-            let entry = state.book.get(choice.key);
+            let entry = state.registry.get(choice.key);
             entry.is_none_or(|entry| entry.status == EndpointStatus::Leaving)
         };
         let word = match (has_ended, is_leaving) {
@@ -88,7 +88,7 @@
             .began_at
             .map(|at| lost_at.since(at).as_millis() as i64);
         let state = self.front.state();
-        let entry = state.book.get(choice.key);
+        let entry = state.registry.get(choice.key);
         log::info!(
             event = "run-lost",
             request = self.ask.request_id.as_str(),
@@ -112,7 +112,7 @@
         let front = self.front;
         let mut guard = front.state();
         let state = &mut *guard;
-        let Some(entry) = state.book.get(choice.key) else {
+        let Some(entry) = state.registry.get(choice.key) else {
             return;
         };
         let crash = SuspectCrash {
@@ -129,7 +129,7 @@
             front.greeting_due.wake();
         }
         if state.suspects.is_held(fingerprint, lost_at) {
-            front.held_due.wake();
+            front.held_row_due.wake();
         }
     }
 }
--- a/entry/src/front/slow_starts.rs
+++ b/entry/src/front/slow_starts.rs
@@ -8,17 +8,17 @@
 pub(super) fn begin_slow_start(
     state: &mut FrontState,
     key: EndpointKey,
-    left: Option<Micros>,
+    time_left: Option<Micros>,
     now: Micros,
 ) {
-    let span = || {
-        let service = &state.book.get(key)?.service;
+    let full_duration = || {
+        let service = &state.registry.get(key)?.service;
         Some(state.config.as_ref()?.slow_start(service)?.duration)
     };
-    let Some(left) = left.or_else(span) else {
+    let Some(time_left) = time_left.or_else(full_duration) else {
         return;
     };
-    if let Some(entry) = state.book.get_mut(key) {
-        entry.slow_start.begin(left, now);
+    if let Some(entry) = state.registry.get_mut(key) {
+        entry.slow_start.begin(time_left, now);
     }
 }
--- a/entry/src/front/store_contact.rs
+++ b/entry/src/front/store_contact.rs
@@ -12,27 +12,27 @@
 
 /// Time over which fronts write again what a store that came back from a copy has lost, and
 /// what each further front adds to it: the store gives all of them some hundred writes a second.
-const WRITE_SPAN: Micros = Micros::from_millis(2_000);
-const WRITE_SPAN_A_FRONT: Micros = Micros::from_millis(10);
+const REWRITE_SPREAD: Micros = Micros::from_millis(2_000);
+const REWRITE_SPREAD_PER_FRONT: Micros = Micros::from_millis(10);
 
 /// Logs that the store was lost or is back, once each.
-pub(crate) fn note_contact(
+pub(crate) fn log_store_contact(
     front: &FrontContext,
     watch: &'static str,
-    is_lost: &mut bool,
+    is_unreachable: &mut bool,
     outcome: &Result<(), StoreError>,
 ) {
     match outcome {
-        Ok(()) if *is_lost => {
-            *is_lost = false;
+        Ok(()) if *is_unreachable => {
+            *is_unreachable = false;
             log::info!(event = "store-back", watch = watch; "");
         }
         // It is there, and is read anew at once.
         Err(StoreError::OtherEra) | Ok(()) => {}
         Err(error) => {
             front.metrics.count("store_failures", watch);
-            if !*is_lost {
-                *is_lost = true;
+            if !*is_unreachable {
+                *is_unreachable = true;
                 let error = error.to_string();
                 log::warn!(event = "store-lost", watch = watch, error = error.as_str(); "");
             }
@@ -44,13 +44,13 @@
 ///
 /// # Errors
 /// [`StoreError::EarlierEra`] where it is a late one.
-pub(super) fn note_position(
+pub(super) fn observe_position(
     front: &Rc<FrontContext>,
     watch: &'static str,
     position: StorePosition,
 ) -> Result<(), StoreError> {
-    let news = front.state().eras.observe(position.era, front.now());
-    match news {
+    let update = front.state().eras.observe(position.era, front.now());
+    match update {
         EraUpdate::Current => Ok(()),
         EraUpdate::Outdated => Err(StoreError::EarlierEra),
         EraUpdate::Advanced { previous } => {
@@ -68,19 +68,19 @@
             );
             front.metrics.count("store_eras", watch);
             // What is held at the store was asked in the era before.
-            front.era_over.wake();
-            front.spawn(write_again(front.clone()));
+            front.era_changed.wake();
+            front.spawn(schedule_rewrite(front.clone()));
             Ok(())
         }
     }
 }
 
 /// Has what this front holds back written again, at a moment of its own.
-async fn write_again(front: Rc<FrontContext>) {
+async fn schedule_rewrite(front: Rc<FrontContext>) {
     let fronts = u64::from(front.state().fronts);
-    let span = WRITE_SPAN.max(Micros(WRITE_SPAN_A_FRONT.0 * fronts));
-    let part = stable_fraction(&front.settings.box_id);
-    Timer::after(to_duration(Micros((span.0 as f64 * part) as u64))).await;
-    front.state().writes_held_again = true;
-    front.held_due.wake();
+    let spread = REWRITE_SPREAD.max(Micros(REWRITE_SPREAD_PER_FRONT.0 * fronts));
+    let fraction = stable_fraction(&front.settings.box_id);
+    Timer::after(to_duration(Micros((spread.0 as f64 * fraction) as u64))).await;
+    front.state().rewrites_held_row = true;
+    front.held_row_due.wake();
 }
--- a/entry/src/front/store_watch.rs
+++ b/entry/src/front/store_watch.rs
@@ -12,38 +12,38 @@
 };
 
 /// Time limit of a question, beyond the time it is held.
-pub(super) const CALL_LIMIT: Duration = Duration::from_millis(500);
+pub(super) const CALL_TIMEOUT: Duration = Duration::from_millis(500);
 /// Pause after a question that was one too many for a store.
-const BUSY_PAUSE: Micros = Micros::from_millis(120);
+const BUSY_RETRY_DELAY: Micros = Micros::from_millis(120);
 /// Time for which a store is not asked after others told what they read there: two digests.
-const TOLD_LIFE: Micros = Micros::from_millis(1_300);
+const REPORT_TTL: Micros = Micros::from_millis(1_300);
 /// How often it is looked for new stores.
-const STORES_PAUSE: Micros = Micros::from_millis(60);
+const DISCOVERY_INTERVAL: Micros = Micros::from_millis(60);
 
 /// What came of a question to a store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum LookStep {
+enum PollOutcome {
     /// All that it keeps, and where changes go on. These are asked for at once:
     /// with them comes the time on the engines' clock, which fetches need.
     Listed(u64),
     /// What changed, and where to go on.
     Changes(u64),
     /// All must be read anew.
-    Anew,
+    Reset,
     /// It holds no more calls; what is known of it stays as good as it is.
     Busy,
     /// It does not answer.
-    Lost,
+    Unreachable,
 }
 
 /// Keeps a task for each store of the configuration.
-pub(crate) async fn watch_stores(front: Rc<FrontContext>) {
+pub(crate) async fn watch_kv_stores(front: Rc<FrontContext>) {
     let mut watched: HashSet<SocketAddr> = HashSet::new();
     loop {
         let known: Vec<SocketAddr> = {
             let state = front.state();
             state
-                .memory
+                .store_directory
                 .views()
                 .iter()
                 .map(|view| view.store.address)
@@ -52,152 +52,154 @@
         watched.retain(|address| known.contains(address));
         for address in known {
             if watched.insert(address) {
-                front.spawn(watch_store(front.clone(), address));
+                front.spawn(watch_kv_store(front.clone(), address));
                 front.spawn(free_old_parts(front.clone(), address));
             }
         }
-        Timer::after(to_duration(STORES_PAUSE)).await;
+        Timer::after(to_duration(DISCOVERY_INTERVAL)).await;
     }
 }
 
 /// Follows what a store keeps, for as long as the configuration names it.
-async fn watch_store(
+async fn watch_kv_store(
     front: Rc<FrontContext>,
     address: SocketAddr,
 ) {
-    let mut client = KeptClient::new(address, CALL_LIMIT);
-    let mut asks_at_once = false;
-    let mut is_lost = false;
-    while let Some(plan) = look_plan(&front, address) {
-        if let Some(told_for) = told_for(&front, address) {
-            front.rest(told_for).await;
+    let mut client = KeptClient::new(address, CALL_TIMEOUT);
+    let mut polls_at_once = false;
+    let mut is_unreachable = false;
+    while let Some(plan) = poll_plan(&front, address) {
+        if let Some(reported_for) = reported_for(&front, address) {
+            front.sleep_coalesced(reported_for).await;
             continue;
         }
-        let next = position(&front, address);
+        let next = next_change(&front, address);
         // Behind a list and after a standstill the clock is wanted at once, not the
         // next change.
-        let hold = match asks_at_once {
+        let wait = match polls_at_once {
             true => Micros::ZERO,
             false => plan.wait,
         };
-        let step = match next {
-            Some(since) => read_changes(&front, &mut client, address, since, hold).await,
-            None => read_list(&front, &mut client, address).await,
+        let outcome = match next {
+            Some(since) => read_changes(&front, &mut client, address, since, wait).await,
+            None => read_full_list(&front, &mut client, address).await,
         };
-        let is_old = is_stale(&front, address);
-        let pause = match step {
-            LookStep::Listed(from) => {
-                set_position(&front, address, Some(from));
+        let is_outdated = is_stale(&front, address);
+        let pause = match outcome {
+            PollOutcome::Listed(from) => {
+                set_next_change(&front, address, Some(from));
                 Micros::ZERO
             }
-            LookStep::Changes(from) => {
-                set_position(&front, address, Some(from));
-                if is_old {
+            PollOutcome::Changes(from) => {
+                set_next_change(&front, address, Some(from));
+                if is_outdated {
                     Micros::ZERO
                 } else {
                     plan.pause
                 }
             }
-            LookStep::Anew => {
-                set_position(&front, address, None);
+            PollOutcome::Reset => {
+                set_next_change(&front, address, None);
                 Micros::ZERO
             }
-            LookStep::Busy => {
+            PollOutcome::Busy => {
                 front.metrics.count("kept_store", "busy");
-                BUSY_PAUSE
+                BUSY_RETRY_DELAY
             }
-            LookStep::Lost => {
+            PollOutcome::Unreachable => {
                 with_view(&front, address, StoreView::mark_unreachable);
                 plan.pause
             }
         };
-        asks_at_once = match step {
-            LookStep::Listed(_) => true,
-            LookStep::Changes(_) => is_old,
-            LookStep::Busy => asks_at_once,
-            LookStep::Anew | LookStep::Lost => false,
+        polls_at_once = match outcome {
+            PollOutcome::Listed(_) => true,
+            PollOutcome::Changes(_) => is_outdated,
+            PollOutcome::Busy => polls_at_once,
+            PollOutcome::Reset | PollOutcome::Unreachable => false,
         };
-        let lost_now = step == LookStep::Lost;
-        if step != LookStep::Busy && lost_now != is_lost {
-            is_lost = lost_now;
+        let is_unreachable_now = outcome == PollOutcome::Unreachable;
+        if outcome != PollOutcome::Busy && is_unreachable_now != is_unreachable {
+            is_unreachable = is_unreachable_now;
             let store = address.to_string();
-            log::info!(event = "kept-store", store = store.as_str(), lost = is_lost; "");
+            log::info!(event = "kept-store", store = store.as_str(), lost = is_unreachable; "");
         }
         Timer::after(to_duration(pause)).await;
     }
 }
 
 /// Time for which others will have told what they read at a store, where they do.
-fn told_for(
+fn reported_for(
     front: &FrontContext,
     address: SocketAddr,
 ) -> Option<Micros> {
     let now = front.now();
     let mut state = front.state();
-    let told_at = state.memory.view_mut(address)?.reported_at?;
-    let left = (told_at + TOLD_LIFE).since(now);
-    (left > Micros::ZERO).then_some(left)
+    let reported_at = state.store_directory.view_mut(address)?.reported_at?;
+    let time_left = (reported_at + REPORT_TTL).since(now);
+    (time_left > Micros::ZERO).then_some(time_left)
 }
 
-fn position(
+fn next_change(
     front: &FrontContext,
     address: SocketAddr,
 ) -> Option<u64> {
-    front.state().memory.view_mut(address)?.next_change
+    front.state().store_directory.view_mut(address)?.next_change
 }
 
-fn set_position(
+fn set_next_change(
     front: &FrontContext,
     address: SocketAddr,
-    next: Option<u64>,
+    next_change: Option<u64>,
 ) {
-    with_view(front, address, |view| view.next_change = next);
+    with_view(front, address, |view| view.next_change = next_change);
 }
 
 /// Takes what another process has read of a store, unless something is missing before it: then
 /// the store itself is asked. It was on its way for `way` at most.
-pub(super) fn take_store_news(
+pub(super) fn apply_store_update(
     state: &mut FrontState,
-    news: &StoreNews,
-    way: Micros,
+    update: &StoreNews,
+    max_delay: Micros,
     now: Micros,
 ) {
-    let Some(view) = state.memory.view_mut(news.store) else {
+    let Some(view) = state.store_directory.view_mut(update.store) else {
         return;
     };
-    let known = view
+    let next_change = view
         .next_change
-        .filter(|_| view.epoch() == Some(news.epoch));
-    let Some(known) = known.filter(|known| *known >= news.from) else {
+        .filter(|_| view.epoch() == Some(update.epoch));
+    let Some(next_change) = next_change.filter(|next_change| *next_change >= update.from) else {
         view.reported_at = None;
         return;
     };
-    let sent_at = now.since(news.age + way);
-    let clock_ms = news.clock_ms.map(|clock| clock + news.answered.as_millis());
+    let sent_at = now.since(update.age + max_delay);
+    let clock_ms = update
+        .clock_ms
+        .map(|clock| clock + update.answered.as_millis());
     view.record_poll_report(clock_ms, sent_at, now);
-    for part in news.parts.iter().filter(|part| part.number > known) {
+    for part in update.parts.iter().filter(|part| part.number > next_change) {
         view.set_part(part.wall, part.id, part.tokens);
     }
-    view.next_change = Some(known.max(news.next));
+    view.next_change = Some(next_change.max(update.next));
 }
 
 /// How the store is asked; nothing where the configuration no longer names it.
-fn look_plan(
+fn poll_plan(
     front: &FrontContext,
     address: SocketAddr,
 ) -> Option<PollPlan> {
     let mut state = front.state();
     let fronts = state.fronts;
-    let view = state.memory.view_mut(address)?;
+    let view = state.store_directory.view_mut(address)?;
     Some(view.store.poll_plan(fronts))
 }
 
 /// Whether the configuration still names a store.
-pub(super) fn has_view(
+pub(super) fn has_store(
     front: &FrontContext,
     address: SocketAddr,
 ) -> bool {
-    front.state().memory.view_mut(address).is_some()
+    front.state().store_directory.view_mut(address).is_some()
 }
 
 /// Whether the answer that has just come is too old already: it lay on the
@@ -208,7 +210,7 @@
 ) -> bool {
     let now = front.now();
     let mut state = front.state();
-    let view = state.memory.view_mut(address);
+    let view = state.store_directory.view_mut(address);
     view.is_some_and(|view| view.is_stale(now))
 }
 
@@ -217,7 +219,7 @@
     address: SocketAddr,
     change: impl FnOnce(&mut StoreView),
 ) {
-    if let Some(view) = front.state().memory.view_mut(address) {
+    if let Some(view) = front.state().store_directory.view_mut(address) {
         change(view);
     }
 }
@@ -227,65 +229,65 @@
     client: &mut KeptClient,
     address: SocketAddr,
     since: u64,
-    hold: Micros,
-) -> LookStep {
+    wait: Micros,
+) -> PollOutcome {
     let sent_at = front.now();
-    let changes = match client.changes(since, to_duration(hold)).await {
+    let changes = match client.changes(since, to_duration(wait)).await {
         Ok(changes) => changes,
-        Err(KeptFailure::Busy) => return LookStep::Busy,
-        Err(KeptFailure::Silent) => return LookStep::Lost,
+        Err(KeptFailure::Busy) => return PollOutcome::Busy,
+        Err(KeptFailure::Silent) => return PollOutcome::Unreachable,
     };
     let mut state = front.state();
-    let Some(view) = state.memory.view_mut(address) else {
-        return LookStep::Lost;
+    let Some(view) = state.store_directory.view_mut(address) else {
+        return PollOutcome::Unreachable;
     };
     if view.epoch() != Some(changes.epoch) || changes.has_gap {
         // Not gone by until all of it has been read.
         view.mark_unreachable();
-        return LookStep::Anew;
+        return PollOutcome::Reset;
     }
     view.record_answer(changes.epoch, changes.clock_ms, sent_at, front.now());
     drop(state);
-    take_parts(front, address, &changes.changes);
-    LookStep::Changes(changes.next)
+    apply_parts(front, address, &changes.changes);
+    PollOutcome::Changes(changes.next)
 }
 
-async fn read_list(
+async fn read_full_list(
     front: &FrontContext,
     client: &mut KeptClient,
     address: SocketAddr,
-) -> LookStep {
+) -> PollOutcome {
     let sent_at = front.now();
-    let Some(list) = client.list().await else {
-        return LookStep::Lost;
+    let Some(full_list) = client.list().await else {
+        return PollOutcome::Unreachable;
     };
     let now = front.now();
     with_view(front, address, |view| {
-        view.record_answer(list.epoch, None, sent_at, now);
+        view.record_answer(full_list.epoch, None, sent_at, now);
         view.parts.clear();
     });
     log::info!(
         event = "kept-list",
         store = address.to_string().as_str(),
-        epoch = list.epoch,
-        parts = list.whole.len(),
-        broken = list.broken.len();
+        epoch = full_list.epoch,
+        parts = full_list.whole.len(),
+        broken = full_list.broken.len();
         ""
     );
-    take_parts(front, address, &list.whole);
-    LookStep::Listed(list.next)
+    apply_parts(front, address, &full_list.whole);
+    PollOutcome::Listed(full_list.next)
 }
 
-fn take_parts(
+fn apply_parts(
     front: &FrontContext,
     address: SocketAddr,
     changes: &[KeptChange],
 ) {
     let mut state = front.state();
     for change in changes {
-        let wall = state.wall(&change.salt);
-        if let Some(view) = state.memory.view_mut(address) {
-            view.set_part(wall, change.id, change.tokens);
+        let tag = state.namespace_tag(&change.salt);
+        if let Some(view) = state.store_directory.view_mut(address) {
+            view.set_part(tag, change.id, change.tokens);
         }
     }
 }
--- a/entry/src/front/suspect_desk.rs
+++ b/entry/src/front/suspect_desk.rs
@@ -1,5 +1,5 @@
 use {
-    super::{hand_state_on, FrontContext},
+    super::{serve_snapshot, FrontContext},
     pitchhitch_core::serving::{RequestFingerprint, SuspectStatus},
     pitchhitch_wire::{beacon::BeaconKey, beside::STATE_PATH},
     serde::{Deserialize, Serialize},
@@ -44,7 +44,7 @@
     target: &str,
 ) -> (u16, Vec<u8>) {
     match target {
-        STATE_PATH => hand_state_on(front, target),
+        STATE_PATH => serve_snapshot(front, target),
         SUSPECTS_PATH => tell_suspects(front),
         _ => match target.strip_prefix(RELEASE_PREFIX) {
             Some(rest) => release(front, target, rest),
@@ -98,6 +98,6 @@
         return (404, b"nothing is known of it here\n".to_vec());
     }
     front.greeting_due.wake();
-    front.held_due.wake();
+    front.held_row_due.wake();
     (200, b"let go\n".to_vec())
 }
--- a/entry/tests/fraction_figures.rs
+++ b/entry/tests/fraction_figures.rs
@@ -8,7 +8,7 @@
 };
 
 /// Fields that the template fills with a figure.
-const FIGURES: [&str; 9] = [
+const NUMERIC_FIELDS: [&str; 9] = [
     "key_limit_ms",
     "drain_limit_ms",
     "weights_limit_ms",
@@ -34,7 +34,7 @@
 /// whole number`.
 #[test]
 fn all_take_fractions() {
-    for field in FIGURES {
+    for field in NUMERIC_FIELDS {
         let mut settings = example();
         let whole = settings[field].as_f64().expect(field);
         settings[field] = json!(whole / 6.8);
@@ -52,16 +52,16 @@
     settings["stop_limit_s"] = json!(7.25);
     settings["repeat_window_s"] = json!(0.5);
     let read = parse(&settings).expect("sound");
-    assert_eq!(read.repeats.slack, 36.176_470_588_235_3);
+    assert_eq!(read.retry_limit.slack, 36.176_470_588_235_3);
     assert_eq!(read.drain_limit, Micros(1_500_500));
     assert_eq!(read.stop_limit, Duration::from_millis(7_250));
-    assert_eq!(read.repeats.window, Micros::from_millis(500));
+    assert_eq!(read.retry_limit.window, Micros::from_millis(500));
 }
 
 /// What is no figure, or none that can be meant, names file, field, what was found and wanted.
 #[test]
 fn nonsense_refused() {
-    for field in FIGURES {
+    for field in NUMERIC_FIELDS {
         for wrong in [json!(-1.5), json!("many"), json!([1]), json!(1e300)] {
             let mut settings = example();
             settings[field] = wrong.clone();
@@ -77,10 +77,10 @@
 fn template_covered() {
     let file = Path::new(env!("CARGO_MANIFEST_DIR")).join("../deploy/front.json.in");
     let template = fs::read_to_string(file).expect("the template");
-    let is_figure = |line: &&str| line.contains(": {{") && !line.contains("|json");
-    for line in template.lines().filter(is_figure) {
+    let is_number = |line: &&str| line.contains(": {{") && !line.contains("|json");
+    for line in template.lines().filter(is_number) {
         let field = line.trim().split('"').nth(1).expect("a field");
         let is_port = field == "beside_port";
-        assert!(is_port || FIGURES.contains(&field), "{field}");
+        assert!(is_port || NUMERIC_FIELDS.contains(&field), "{field}");
     }
 }
--- a/entry/tests/left_out.rs
+++ b/entry/tests/left_out.rs
@@ -12,7 +12,7 @@
     );
     let settings = FrontSettings::parse("front.json", &text);
     settings
-        .map(|settings| settings.left_out)
+        .map(|settings| settings.disabled_mechanisms)
         .map_err(|errors| errors.to_string())
 }
 
--- a/entry/tests/store_pace.rs
+++ b/entry/tests/store_pace.rs
@@ -4,7 +4,7 @@
 
 /// Calls of one front in a second at most; each has its price, and all fronts share
 /// what the store gives.
-const CALLS_A_SECOND: f64 = 2.2;
+const MAX_CALLS_PER_SECOND: f64 = 2.2;
 
 fn settings(
     drain_limit_ms: u64,
@@ -24,7 +24,7 @@
 fn keys_outlast_outages() {
     for key_limit in [1_000, 5_000, 60_000] {
         let settings = settings(2_000, key_limit);
-        let known = settings.key_limit.since(settings.change_wait());
+        let known = settings.key_limit.since(settings.config_poll_wait());
         assert!(
             known.as_millis() * 10 >= key_limit * 6,
             "{known:?} of {key_limit}"
@@ -38,8 +38,8 @@
 fn bounds_are_kept() {
     for (drain_limit, key_limit) in [(500, 1_000), (2_000, 5_000), (4_000, 60_000)] {
         let settings = settings(drain_limit, key_limit);
-        assert!(settings.list_pause().as_millis() * 2 < drain_limit);
-        assert!(settings.change_wait().as_millis() * 3 < key_limit);
+        assert!(settings.list_poll_interval().as_millis() * 2 < drain_limit);
+        assert!(settings.config_poll_wait().as_millis() * 3 < key_limit);
     }
 }
 
@@ -47,7 +47,7 @@
 #[test]
 fn long_bounds_asked_on() {
     let settings = settings(600_000, 600_000);
-    for pause in [settings.list_pause(), settings.change_wait()] {
+    for pause in [settings.list_poll_interval(), settings.config_poll_wait()] {
         assert!(pause.as_millis() <= 2_000, "{pause:?}");
     }
 }
@@ -55,7 +55,7 @@
 #[test]
 fn usual_bounds_few_calls() {
     let settings = settings(2_000, 5_000);
-    let pauses = [settings.list_pause(), settings.change_wait()];
-    let calls: f64 = pauses.iter().map(|pause| 1e6 / pause.0 as f64).sum();
-    assert!(calls <= CALLS_A_SECOND, "{calls} a second");
+    let intervals = [settings.list_poll_interval(), settings.config_poll_wait()];
+    let calls: f64 = intervals.iter().map(|pause| 1e6 / pause.0 as f64).sum();
+    assert!(calls <= MAX_CALLS_PER_SECOND, "{calls} a second");
 }
