--- a/entry/src/front/caller_conn.rs
+++ b/entry/src/front/caller_conn.rs
@@ -53,9 +53,9 @@
         match read_request(&front, &mut connection, &limits).await {
             ReadOutcome::Request(request) => {
                 let body_bytes = request.body.len() as u64;
-                front.state().took(body_bytes);
+                front.state().begin_request(body_bytes);
                 let reuse = handle_request(&front, &mut connection, request).await;
-                front.state().gave_back(body_bytes);
+                front.state().end_request(body_bytes);
                 if reuse == ConnectionReuse::Close {
                     return;
                 }
--- a/entry/src/front/control_handler.rs
+++ b/entry/src/front/control_handler.rs
@@ -1,5 +1,5 @@
 use {
-    super::{hand_state_on, FrontContext},
+    super::{serve_snapshot, FrontContext},
     pitchhitch_core::serving::{RequestFingerprint, SuspectStatus},
     pitchhitch_wire::{beacon::BeaconKey, engine_agent::STATE_PATH},
     serde::{Deserialize, Serialize},
@@ -43,7 +43,7 @@
     target: &str,
 ) -> (u16, Vec<u8>) {
     match target {
-        STATE_PATH => hand_state_on(front, target),
+        STATE_PATH => serve_snapshot(front, target),
         SUSPECTS_PATH => list_suspects(front),
         _ => match target.strip_prefix(RELEASE_PREFIX) {
             Some(suffix) => release(front, target, suffix),
@@ -100,6 +100,6 @@
         return (404, b"no suspect request has this fingerprint\n".to_vec());
     }
     front.greeting_due.wake();
-    front.held_due.wake();
+    front.held_row_due.wake();
     (200, b"let go\n".to_vec())
 }
--- a/entry/src/front/exit_probe.rs
+++ b/entry/src/front/exit_probe.rs
@@ -55,8 +55,8 @@
     let now = front.now();
     let (is_replaced, is_probed) = {
         let state = front.state();
-        let entry = state.book.get(key);
-        let probe = state.ends.get(&key);
+        let entry = state.registry.get(key);
+        let probe = state.exit_probes.get(&key);
         (
             entry.is_some_and(|entry| entry.incarnation.ended != incarnation),
             probe.is_some_and(|probe| probe.applies_to(incarnation, now)),
@@ -77,7 +77,7 @@
     let limit = PROBE_TIMEOUT + PROBE_TIMEOUT;
     let started_at = front.now();
     loop {
-        let outcome = front.state().ends.get(&key).map(|probe| probe.has_exited);
+        let outcome = front.state().exit_probes.get(&key).map(|probe| probe.has_exited);
         match outcome {
             Some(None) if front.now().since(started_at) < limit => {}
             Some(Some(has_exited)) => return has_exited,
@@ -98,9 +98,9 @@
         started_at,
         has_exited,
     };
-    front.state().ends.insert(key, probe(None));
+    front.state().exit_probes.insert(key, probe(None));
     let has_exited = refuses_connections(front, key).await;
-    front.state().ends.insert(key, probe(Some(has_exited)));
+    front.state().exit_probes.insert(key, probe(Some(has_exited)));
     has_exited
 }
 
@@ -108,7 +108,7 @@
     front: &FrontContext,
     key: EndpointKey,
 ) -> bool {
-    let Some(address) = front.state().book.get(key).map(|entry| entry.address) else {
+    let Some(address) = front.state().registry.get(key).map(|entry| entry.address) else {
         return false;
     };
     front.metrics.count("links", "probes");
--- a/entry/src/front/lost_run.rs
+++ b/entry/src/front/lost_run.rs
@@ -59,7 +59,7 @@
         let fingerprint = self.fingerprint();
         let is_leaving = {
             let state = front.state();
-            let entry = state.book.get(choice.key);
+            let entry = state.registry.get(choice.key);
             entry.is_none_or(|entry| entry.status == EndpointStatus::Leaving)
         };
         let outcome = match (has_exited, is_leaving) {
@@ -93,7 +93,7 @@
             .first_event_at
             .map(|at| lost_at.since(at).as_millis() as i64);
         let state = self.front.state();
-        let entry = state.book.get(choice.key);
+        let entry = state.registry.get(choice.key);
         log::info!(
             event = "run-lost",
             request = self.info.request_id.as_str(),
@@ -117,7 +117,7 @@
         let front = self.front;
         let mut guard = front.state();
         let state = &mut *guard;
-        let Some(entry) = state.book.get(choice.key) else {
+        let Some(entry) = state.registry.get(choice.key) else {
             return;
         };
         let crash = SuspectCrash {
@@ -134,7 +134,7 @@
             front.greeting_due.wake();
         }
         if state.suspects.is_held(fingerprint, lost_at) {
-            front.held_due.wake();
+            front.held_row_due.wake();
         }
     }
 }
--- a/entry/src/front/part_reclaim.rs
+++ b/entry/src/front/part_reclaim.rs
@@ -1,5 +1,5 @@
 use {
-    super::{has_view, FrontContext, CALL_LIMIT},
+    super::{has_store, FrontContext, CALL_TIMEOUT},
     pitchhitch_core::{
         serving::{CacheNamespace, EndpointStatus, PartId, ReclaimState},
         time::Micros,
@@ -21,7 +21,7 @@
 /// Keeps track of the engines; outdated parts stay until the fetches of all engines have ended.
 pub(crate) async fn track_engines(front: Rc<FrontContext>) {
     loop {
-        front.rest(RECLAIM_INTERVAL).await;
+        front.sleep_coalesced(RECLAIM_INTERVAL).await;
         update_engines(&front);
     }
 }
@@ -31,10 +31,10 @@
     front: Rc<FrontContext>,
     address: SocketAddr,
 ) {
-    let mut client = KvClient::new(address, CALL_LIMIT);
+    let mut client = KvClient::new(address, CALL_TIMEOUT);
     let mut draining_polls = 0;
-    while has_view(&front, address) {
-        front.rest(reclaim_interval(&front)).await;
+    while has_store(&front, address) {
+        front.sleep_coalesced(reclaim_interval(&front)).await;
         let Some(OutdatedParts {
             parts,
             epoch,
@@ -65,8 +65,8 @@
         if is_freed {
             let mut state = front.state();
             for (salt, id) in &parts {
-                let namespace = state.wall(salt);
-                if let Some(view) = state.memory.view_mut(address) {
+                let namespace = state.namespace_tag(salt);
+                if let Some(view) = state.store_directory.view_mut(address) {
                     view.set_part(namespace, *id, 0);
                 }
             }
@@ -77,7 +77,7 @@
 /// Interval until the next poll for outdated parts, longer while there are none: weights are
 /// rarely replaced.
 fn reclaim_interval(front: &FrontContext) -> Micros {
-    let namespaces = front.state().walls();
+    let namespaces = front.state().namespaces();
     let state = front.state();
     let is_outdated = |namespace: &CacheNamespace| {
         state.planner.published_version(&namespace.model) > Some(namespace.version)
@@ -101,7 +101,7 @@
     };
     let mut engines = Vec::new();
     let mut plain_services = HashSet::new();
-    for (_, entry) in state.book.iter() {
+    for (_, entry) in state.registry.iter() {
         let Some(service) = config.services.get(&entry.service) else {
             continue;
         };
@@ -113,11 +113,11 @@
     }
     // A plain service at an address shows that the engine formerly there has exited.
     engines.retain(|(address, _)| !plain_services.contains(address));
-    state.reads.update_engines(engines.into_iter(), now);
+    state.fetch_completion.update_engines(engines.into_iter(), now);
     for address in plain_services {
-        state.reads.forget(address);
+        state.fetch_completion.forget(address);
     }
-    state.reads.prune(now);
+    state.fetch_completion.prune(now);
 }
 
 fn log_draining(
@@ -128,7 +128,7 @@
     let state = front.state();
     let waits_for = draining.map(|namespace| {
         state
-            .reads
+            .fetch_completion
             .oldest_proven(&namespace.model, namespace.version)
     });
     let waits_for: Vec<String> = waits_for
@@ -153,7 +153,7 @@
 ) -> Option<u64> {
     let now = front.now();
     let mut state = front.state();
-    state.memory.view_mut(address)?.clock_ms(now)
+    state.store_directory.view_mut(address)?.clock_ms(now)
 }
 
 /// Parts at a store whose weights have been replaced.
@@ -176,10 +176,10 @@
         // It is not known yet which engines may have been sent a fetch.
         return None;
     }
-    let namespaces = guard.walls();
+    let namespaces = guard.namespaces();
     let state = &mut *guard;
-    let (planner, reads) = (&state.planner, &state.reads);
-    let view = state.memory.view_mut(address)?;
+    let (planner, reads) = (&state.planner, &state.fetch_completion);
+    let view = state.store_directory.view_mut(address)?;
     let epoch = view.epoch()?;
     let clock_ms = view.latest_clock_ms(now);
     let mut parts = Vec::new();
--- a/entry/src/front/rejoin_probe.rs
+++ b/entry/src/front/rejoin_probe.rs
@@ -1,5 +1,5 @@
 use {
-    super::{log_changes, FrontContext},
+    super::{handle_endpoint_changes, FrontContext},
     pitchhitch_core::serving::RejoinProbe,
     pitchhitch_http1::{HttpClient, HttpRequest},
     pitchhitch_platform::instance_field,
@@ -14,7 +14,7 @@
 /// one that rejoined.
 pub(super) fn probe_rejoined(front: &Rc<FrontContext>) {
     let now = front.now();
-    let probes = front.state().book.due_probes(now);
+    let probes = front.state().registry.due_probes(now);
     for probe in probes {
         front.spawn(probe_endpoint(front.clone(), probe));
     }
@@ -40,10 +40,10 @@
     front.metrics.count("links", "health");
     let now = front.now();
     let mut state = front.state();
-    let change = state.book.record_probe(probe.key, serves, now);
+    let change = state.registry.record_probe(probe.key, serves, now);
     drop(state);
     let changes: Vec<_> = change.into_iter().collect();
-    log_changes(&front, &changes);
+    handle_endpoint_changes(&front, &changes);
 }
 
 fn health_path(
--- a/entry/src/front/request_attempt.rs
+++ b/entry/src/front/request_attempt.rs
@@ -48,7 +48,7 @@
         let connection = match pooled {
             Some(connection) => connection,
             None => {
-                let address = front.state().book.get(choice.key)?.address;
+                let address = front.state().registry.get(choice.key)?.address;
                 front.metrics.count("links", "opened");
                 match TcpConnection::connect(address, to_duration(CONNECT_TIMEOUT)).await {
                     Ok(connection) => connection,
@@ -61,7 +61,7 @@
             }
         };
         let state = front.state();
-        let entry = state.book.get(choice.key)?;
+        let entry = state.registry.get(choice.key)?;
         (entry.status != EndpointStatus::Leaving).then(|| EndpointExchange::new(connection))
     }
 
@@ -75,14 +75,14 @@
         let front = self.front;
         let transfers = self.transfers_for(choice);
         let mut state = front.state();
-        let entry = state.book.get(choice.key);
+        let entry = state.registry.get(choice.key);
         self.latest_run = LatestRun {
             incarnation: entry.map_or(0, |entry| entry.incarnation.ended),
             born: entry.and_then(|entry| entry.incarnation.born),
             known_crashes: self.suspect_crashes.unwrap_or(0),
             ..LatestRun::default()
         };
-        let ticket = state.ticket();
+        let ticket = state.allocate_ticket();
         if let (Some(crashes), Some(fingerprint)) = (self.suspect_crashes, self.cached_fingerprint)
         {
             let is_alone = crashes > 1;
@@ -97,7 +97,7 @@
             priority: self.priority(),
             sent_at: front.now(),
         };
-        state.book.record_sent(choice.key, prefill);
+        state.registry.record_sent(choice.key, prefill);
         ReservedSlot { ticket, transfers }
     }
 
@@ -110,16 +110,16 @@
     ) {
         let mut guard = self.front.state();
         let state = &mut *guard;
-        state.book.record_ended(choice.key, slot.ticket);
-        state.book.record_unsent(choice.key, slot.ticket);
+        state.registry.record_ended(choice.key, slot.ticket);
+        state.registry.record_unsent(choice.key, slot.ticket);
         state.trials.end(slot.ticket);
         let (Some(prompt), Some(version)) = (&self.info.prompt, choice.version) else {
             return;
         };
-        let namespace = state.wall(&self.cache_namespace(version).salt());
+        let namespace = state.namespace_tag(&self.cache_namespace(version).salt());
         let planned = &choice.plan.parts;
         let is_cached = |index: usize| planned.get(index).is_some_and(|fetch| fetch.is_cached);
-        if let Some(entry) = state.book.get_mut(choice.key) {
+        if let Some(entry) = state.registry.get_mut(choice.key) {
             for (index, part) in prompt.parts.iter().enumerate() {
                 if !is_cached(index) {
                     entry.parts.set(namespace, part.id, 0);
@@ -141,13 +141,13 @@
         self.latest_run.sent_at = sent_at;
         front
             .state()
-            .book
+            .registry
             .record_written(choice.key, ticket, sent_at);
         if let Some(prompt) = &self.info.prompt {
             let prefill_tokens = choice.prefill_tokens;
             let mut state = front.state();
             state
-                .pace
+                .latency_estimator
                 .record_sent(prompt.tokens_in, prefill_tokens, prompt.tokens_out);
         }
         self.sends += 1;
@@ -195,7 +195,7 @@
         if !self.route().is_stream {
             return self.time_left();
         }
-        let limit = front.settings.begin_limit;
+        let limit = front.settings.execution_limit;
         let state = front.state();
         let planner = &state.planner;
         let time_to_expiry = planner.time_to_expiry(&prompt.model, version, limit, front.now());
--- a/entry/src/front/request_choice.rs
+++ b/entry/src/front/request_choice.rs
@@ -60,7 +60,7 @@
         let request = self.admission_request();
         let admission = &mut state.admission;
         admission.record(&request, prompt.tokens_in, choice.prefill_tokens);
-        admission.decide(&request, &state.pace, choice)
+        admission.decide(&request, &state.latency_estimator, choice)
     }
 
     /// Whether the request may be refused because of load. One that was already sent holds a slot,
@@ -78,7 +78,7 @@
         let jitter = unit_fraction(self.id_hash);
         state
             .admission
-            .retry_after(&self.admission_request(), &state.pace, choice, jitter)
+            .retry_after(&self.admission_request(), &state.latency_estimator, choice, jitter)
     }
 
     fn admission_request(&self) -> AdmissionRequest<'_> {
@@ -122,15 +122,15 @@
             tried: &self.tried,
             trial,
             is_eligible: &|entry| {
-                state.is_open(entry, has_slow_start, now) && self.is_region_allowed(&entry.domain)
+                state.is_available(entry, has_slow_start, now) && self.is_region_allowed(&entry.domain)
             },
             is_connected: &|key| state.pool.has_open(key, now),
-            estimator: &state.pace,
+            estimator: &state.latency_estimator,
             weights: self.weight_bounds(state, now),
-            disabled: front.settings.left_out,
+            disabled: front.settings.disabled_mechanisms,
             now,
         };
-        pick_endpoint(&state.book, &request, &availability)
+        pick_endpoint(&state.registry, &request, &availability)
     }
 
     /// Whether endpoints of the service receive fewer requests right after they start.
@@ -164,10 +164,10 @@
             entry.service == self.service
                 && entry.status != EndpointStatus::Leaving
                 && self.is_region_allowed(&entry.domain)
-                && state.is_open(entry, false, now)
-                && !state.is_open(entry, true, now)
+                && state.is_available(entry, false, now)
+                && !state.is_available(entry, true, now)
         };
-        let entries = state.book.iter().map(|(_, entry)| entry);
+        let entries = state.registry.iter().map(|(_, entry)| entry);
         let delays: Vec<Micros> = entries
             .filter(is_starting)
             .map(|entry| entry.slow_start.admits_after(now))
@@ -208,7 +208,7 @@
             return Vec::new();
         };
         let versions = state
-            .book
+            .registry
             .iter()
             .filter_map(|(_, e)| e.weights.version(&prompt.model));
         let mut versions: Vec<u64> = versions.collect();
@@ -216,11 +216,11 @@
         versions.dedup();
         let mut availability = Vec::new();
         for version in versions {
-            let namespace = state.wall(&self.cache_namespace(version).salt());
+            let namespace = state.namespace_tag(&self.cache_namespace(version).salt());
             let parts =
                 state
-                    .memory
-                    .locate_parts(&state.book, group, namespace, &prompt.parts, now);
+                    .store_directory
+                    .locate_parts(&state.registry, group, namespace, &prompt.parts, now);
             availability.push(VersionAvailability {
                 version,
                 namespace,
@@ -243,7 +243,7 @@
             .prompt
             .as_ref()
             .map_or("", |prompt| prompt.model.as_str());
-        let proven_at = state.trust.proven_at();
+        let proven_at = state.key_freshness.proven_at();
         for part in &mut parts {
             let id = part.part.id;
             if !state.planner.may_fetch(model, version, id, proven_at, now) {
--- a/entry/src/front/request_feedback.rs
+++ b/entry/src/front/request_feedback.rs
@@ -14,7 +14,7 @@
         state: &FrontState,
         choice: &EndpointChoice,
     ) -> bool {
-        let entry = state.book.get(choice.key);
+        let entry = state.registry.get(choice.key);
         entry.is_some_and(|entry| entry.incarnation.ended == self.latest_run.incarnation)
     }
 
@@ -29,11 +29,11 @@
             return;
         }
         if state
-            .book
+            .registry
             .record_outcome(choice.key, is_success, front.now())
         {
             let id = state
-                .book
+                .registry
                 .get(choice.key)
                 .map_or("", |entry| entry.id.as_str());
             log::warn!(event = "endpoint-out", endpoint = id, cause = "failures"; "");
@@ -50,13 +50,13 @@
         sent_at: Micros,
     ) {
         let mut state = self.front.state();
-        state.book.record_ended(choice.key, ticket);
+        state.registry.record_ended(choice.key, ticket);
         state.trials.end(ticket);
         let (Some(prompt), Some(_)) = (&self.info.prompt, self.response_started_at) else {
             return;
         };
         let held_ms = self.front.now().since(sent_at).as_millis() as f64;
-        state.pace.record_ended(prompt.tokens_in, held_ms);
+        state.latency_estimator.record_ended(prompt.tokens_in, held_ms);
     }
 
     pub(super) fn record_version(
@@ -69,7 +69,7 @@
         if !self.is_same_incarnation(&state, choice) {
             return;
         }
-        if let Some(entry) = state.book.get_mut(choice.key) {
+        if let Some(entry) = state.registry.get_mut(choice.key) {
             update_weights(entry, model, version, "answer");
         }
     }
@@ -80,7 +80,7 @@
         response: &EndpointResponse,
     ) {
         let mut state = self.front.state();
-        let Some(entry) = state.book.get_mut(choice.key) else {
+        let Some(entry) = state.registry.get_mut(choice.key) else {
             return;
         };
         let other = response
@@ -99,7 +99,7 @@
             entry.rejoin = EndpointRejoin::Never;
             state.pool.close_all(choice.key);
             // The endpoint that was listed before this one may still be there.
-            state.book.mark_superseded();
+            state.registry.mark_superseded();
         }
     }
 }
--- a/entry/src/front/request_handler.rs
+++ b/entry/src/front/request_handler.rs
@@ -75,7 +75,7 @@
 ) -> ConnectionReuse {
     let info = decode_request_info(&request.head);
     let admitted = admit(front, &info);
-    let closes = front.state().stops_since.is_some()
+    let closes = front.state().stopping_since.is_some()
         || request.head.fields.has_token("connection", "close")
         || !request.head.is_http11;
     let (config, resolved) = match admitted {
@@ -97,7 +97,7 @@
     let id_hash = fnv1a_hash(&info.request_id);
     let service = route.target(id_hash).unwrap_or_default().to_string();
     let time_left = deadline.since(front.now());
-    front.state().meter(&service).record_request(front.now());
+    front.state().retry_window(&service).record_request(front.now());
     let mut handler = RequestHandler {
         front,
         caller,
@@ -142,7 +142,7 @@
 
     /// Whether the caller's connection is closed after this request.
     pub(super) fn closes(&self) -> bool {
-        self.close_requested || self.front.state().stops_since.is_some()
+        self.close_requested || self.front.state().stopping_since.is_some()
     }
 
     /// Waits until the state needed to serve the request is current. After a process pause, all
@@ -156,7 +156,7 @@
             let now = self.front.now();
             let awaits_stores = {
                 let state = self.front.state();
-                is_prompt && now.since(started_at) < STORE_WAIT_TIMEOUT && state.is_unsettled(now)
+                is_prompt && now.since(started_at) < STORE_WAIT_TIMEOUT && state.is_recovering(now)
             };
             if !awaits_stores && !self.front.state().awaits_suspects(now) {
                 return;
@@ -307,11 +307,11 @@
         let front = self.front;
         let mut state = front.state();
         let fronts = state.fronts;
-        let window = state.meter(&self.service);
+        let window = state.retry_window(&self.service);
         let now = front.now();
         // The clock starts with the process, so `now` is its uptime.
         let uptime = now;
-        window.try_acquire(&front.settings.repeats, fronts, uptime, now)
+        window.try_acquire(&front.settings.retry_limit, fronts, uptime, now)
     }
 
     pub(super) async fn deliver_buffered(
--- a/entry/src/front/request_response.rs
+++ b/entry/src/front/request_response.rs
@@ -88,12 +88,12 @@
                 let now = front.now();
                 first_event_at = Some(now);
                 let mut state = front.state();
-                state.book.record_first_token(choice.key, ticket);
+                state.registry.record_first_token(choice.key, ticket);
                 state.trials.record_first_event(ticket, now);
                 if is_first_send {
                     let latency_ms = now.since(sent_at).as_millis() as f64;
                     state
-                        .pace
+                        .latency_estimator
                         .record_first_token(prefill_tokens, latency_ms - choice.plan.fetch_ms);
                 }
             }
--- a/entry/src/front/request_transfers.rs
+++ b/entry/src/front/request_transfers.rs
@@ -28,7 +28,7 @@
         let front = self.front;
         let now = front.now();
         let state = front.state();
-        let entry = state.book.get(choice.key);
+        let entry = state.registry.get(choice.key);
         let organisation = self.organisation();
         let is_engine = self.info.prompt.is_some();
         // If the version is unknown, nothing may be shared, not even with other requests of unknown
@@ -81,7 +81,7 @@
         version: u64,
         now: Micros,
     ) -> PartTransfers {
-        let namespace = state.wall(&self.cache_namespace(version).salt());
+        let namespace = state.namespace_tag(&self.cache_namespace(version).salt());
         let mut transfers = PartTransfers::default();
         for fetch in &choice.plan.parts {
             let Some((source, _)) = &fetch.source else {
@@ -91,7 +91,7 @@
             let is_store = matches!(source.location, PartLocation::Store(_));
             let mut until = None;
             if let PartLocation::Store(store_index) = source.location {
-                let view = state.memory.view_at(store_index);
+                let view = state.store_directory.view_at(store_index);
                 until = view.and_then(|view| view.fetch_until_ms(now));
                 if until.is_none() {
                     // Without a deadline, the engine could start the fetch at any later time.
@@ -109,7 +109,7 @@
             };
         }
         transfers.fetch.resize(prompt.parts.len(), None);
-        state.memory.record_fetches(&choice.plan, now);
+        state.store_directory.record_fetches(&choice.plan, now);
         let is_newest = state
             .planner
             .published_version(&prompt.model)
@@ -117,7 +117,7 @@
         if is_newest {
             let may_store = |store: &KvStore| self.is_region_allowed(&store.domain);
             let saves = state
-                .memory
+                .store_directory
                 .plan_saves(namespace, &prompt.parts, &may_store, now);
             let address = |address| PartAddress {
                 address,
@@ -128,7 +128,7 @@
         }
         // Requests that arrive at this box meanwhile are sent to where these parts will be cached.
         let capacity = self.group().map_or(0, |group| group.capacity_tokens);
-        if let Some(entry) = state.book.get_mut(choice.key) {
+        if let Some(entry) = state.registry.get_mut(choice.key) {
             entry.parts.touch(namespace, &prompt.parts, capacity);
         }
         transfers
