--- a/entry/src/front/mod.rs
+++ b/entry/src/front/mod.rs
@@ -4,7 +4,6 @@
 //! One thread does all of it, as a box gives it a fifth of a core: the request
 //! path and the controllers are tasks of one executor and share plain state.
 
-mod beside_link;
 mod call_limit;
 mod caller_conn;
 mod digest_watch;
@@ -18,6 +17,7 @@
 mod front_settings;
 mod front_state;
 mod greeting_plan;
+mod greeting_sender;
 mod held_rows;
 mod link_pool;
 mod list_watch;
@@ -50,16 +50,16 @@
 mod wake_reason;
 mod weight_lesson;
 
-pub(crate) use {
-    beside_link::*, caller_conn::*, digest_watch::*, end_probe::*, event_splitter::*,
-    front_context::*, front_metrics::*, front_state::*, link_pool::*, list_watch::*, offer::*,
-    operator_watch::*, order_substitute::*, plain_answer::*, request_run::*, store_contact::*,
-    store_readers::*, store_watch::*, stream_relay::*, suspect_desk::*, wake_reason::*,
-};
 use {
     call_limit::*, evacuations::*, foreign_rows::*, greeting_plan::*, held_rows::*, order_lease::*,
     orphan_engine::*, part_freeing::*, peer_state::*, request_admit::*, request_moves::*,
     request_trial::*, request_try::*, return_check::*, run_lost::*, slow_starts::*,
     store_watchers::*, weight_lesson::*,
 };
+pub(crate) use {
+    caller_conn::*, digest_watch::*, end_probe::*, event_splitter::*, front_context::*,
+    front_metrics::*, front_state::*, greeting_sender::*, link_pool::*, list_watch::*, offer::*,
+    operator_watch::*, order_substitute::*, plain_answer::*, request_run::*, store_contact::*,
+    store_readers::*, store_watch::*, stream_relay::*, suspect_desk::*, wake_reason::*,
+};
 pub use {front_process::*, front_settings::*};
