--- a/entry/src/front/mod.rs
+++ b/entry/src/front/mod.rs
@@ -6,7 +6,7 @@
 
 mod call_limit;
 mod caller_conn;
-mod digest_watch;
+mod digest_receiver;
 mod end_probe;
 mod evacuations;
 mod event_splitter;
@@ -57,7 +57,7 @@
     store_watchers::*, weight_lesson::*,
 };
 pub(crate) use {
-    caller_conn::*, digest_watch::*, end_probe::*, event_splitter::*, front_context::*,
+    caller_conn::*, digest_receiver::*, end_probe::*, event_splitter::*, front_context::*,
     front_metrics::*, front_state::*, greeting_sender::*, link_pool::*, list_watch::*, offer::*,
     operator_watch::*, order_substitute::*, plain_answer::*, request_run::*, store_contact::*,
     store_readers::*, store_watch::*, stream_relay::*, suspect_desk::*, wake_reason::*,
