--- a/entry/src/front/mod.rs
+++ b/entry/src/front/mod.rs
@@ -16,7 +16,7 @@
 mod front_process;
 mod front_settings;
 mod front_state;
-mod greeting_plan;
+mod greeting_schedule;
 mod greeting_sender;
 mod held_rows;
 mod link_pool;
@@ -51,10 +51,10 @@
 mod weight_lesson;
 
 use {
-    call_limit::*, evacuations::*, foreign_rows::*, greeting_plan::*, held_rows::*, order_lease::*,
-    orphan_engine::*, part_freeing::*, peer_state::*, request_admit::*, request_moves::*,
-    request_trial::*, request_try::*, return_check::*, run_lost::*, slow_starts::*,
-    store_watchers::*, weight_lesson::*,
+    call_limit::*, evacuations::*, foreign_rows::*, greeting_schedule::*, held_rows::*,
+    order_lease::*, orphan_engine::*, part_freeing::*, peer_state::*, request_admit::*,
+    request_moves::*, request_trial::*, request_try::*, return_check::*, run_lost::*,
+    slow_starts::*, store_watchers::*, weight_lesson::*,
 };
 pub(crate) use {
     caller_conn::*, digest_receiver::*, end_probe::*, event_splitter::*, front_context::*,
