--- a/entry/src/front/mod.rs
+++ b/entry/src/front/mod.rs
@@ -10,6 +10,7 @@
 mod end_probe;
 mod evacuations;
 mod event_splitter;
+mod fallback_controller;
 mod foreign_rows;
 mod front_context;
 mod front_metrics;
@@ -24,7 +25,6 @@
 mod offer;
 mod operator_watch;
 mod order_lease;
-mod order_substitute;
 mod orphan_engine;
 mod part_freeing;
 mod peer_state;
@@ -57,9 +57,9 @@
     slow_starts::*, store_watchers::*, weight_lesson::*,
 };
 pub(crate) use {
-    caller_conn::*, digest_receiver::*, end_probe::*, event_splitter::*, front_context::*,
-    front_metrics::*, front_state::*, greeting_sender::*, link_pool::*, list_watch::*, offer::*,
-    operator_watch::*, order_substitute::*, plain_answer::*, request_run::*, store_contact::*,
+    caller_conn::*, digest_receiver::*, end_probe::*, event_splitter::*, fallback_controller::*,
+    front_context::*, front_metrics::*, front_state::*, greeting_sender::*, link_pool::*,
+    list_watch::*, offer::*, operator_watch::*, plain_answer::*, request_run::*, store_contact::*,
     store_readers::*, store_watch::*, stream_relay::*, suspect_desk::*, wake_reason::*,
 };
 pub use {front_process::*, front_settings::*};
