--- a/entry/src/front/mod.rs
+++ b/entry/src/front/mod.rs
@@ -44,17 +44,17 @@
 mod store_contact;
 mod store_readers;
 mod store_watch;
-mod store_watchers;
 mod stream_relay;
 mod suspect_desk;
 mod wake_reason;
+mod watcher_assignment;
 mod weight_lesson;
 
 use {
     call_limit::*, evacuations::*, foreign_rows::*, greeting_schedule::*, held_rows::*,
     order_lease::*, orphan_engine::*, part_freeing::*, peer_state::*, request_admit::*,
     request_moves::*, request_trial::*, request_try::*, return_check::*, run_lost::*,
-    slow_starts::*, store_watchers::*, weight_lesson::*,
+    slow_starts::*, watcher_assignment::*, weight_lesson::*,
 };
 pub(crate) use {
     caller_conn::*, digest_receiver::*, end_probe::*, event_splitter::*, fallback_controller::*,
