--- a/entry/src/front/mod.rs
+++ b/entry/src/front/mod.rs
@@ -20,6 +20,7 @@
 mod greeting_schedule;
 mod greeting_sender;
 mod held_rows;
+mod kv_store_watch;
 mod link_pool;
 mod list_watch;
 mod offer;
@@ -43,7 +44,6 @@
 mod slow_starts;
 mod store_contact;
 mod store_readers;
-mod store_watch;
 mod stream_relay;
 mod suspect_desk;
 mod wake_reason;
@@ -58,8 +58,8 @@
 };
 pub(crate) use {
     caller_conn::*, digest_receiver::*, end_probe::*, event_splitter::*, fallback_controller::*,
-    front_context::*, front_metrics::*, front_state::*, greeting_sender::*, link_pool::*,
-    list_watch::*, offer::*, operator_watch::*, plain_answer::*, request_run::*, store_contact::*,
-    store_readers::*, store_watch::*, stream_relay::*, suspect_desk::*, wake_reason::*,
+    front_context::*, front_metrics::*, front_state::*, greeting_sender::*, kv_store_watch::*,
+    link_pool::*, list_watch::*, offer::*, operator_watch::*, plain_answer::*, request_run::*,
+    store_contact::*, store_readers::*, stream_relay::*, suspect_desk::*, wake_reason::*,
 };
 pub use {front_process::*, front_settings::*};
