--- a/entry/src/front/mod.rs
+++ b/entry/src/front/mod.rs
@@ -4,12 +4,12 @@
 //! It is single-threaded, since a box grants it a fifth of a core: the request path and the
 //! controllers are tasks of one executor and share their state without locks.
 
-mod beside_link;
+mod greeting_sender;
 mod call_timeout;
 mod caller_conn;
 mod connection_pool;
 mod control_handler;
-mod digest_watch;
+mod digest_receiver;
 mod endpoint_exchange;
 mod evacuations;
 mod event_splitter;
@@ -20,13 +20,13 @@
 mod front_process;
 mod front_settings;
 mod front_state;
-mod greeting_plan;
+mod greeting_schedule;
 mod held_rows;
 mod list_watch;
 mod lost_run;
 mod operator_watch;
 mod order_lease;
-mod order_substitute;
+mod fallback_controller;
 mod orphan_engine;
 mod part_reclaim;
 mod peer_state;
@@ -44,23 +44,23 @@
 mod slow_starts;
 mod store_contact;
 mod store_readers;
-mod store_watch;
-mod store_watchers;
+mod kv_store_watch;
+mod watcher_assignment;
 mod stream_relay;
 mod wake_reason;
 mod weight_update;
 
 pub(crate) use {
-    beside_link::*, caller_conn::*, connection_pool::*, control_handler::*, digest_watch::*,
+    greeting_sender::*, caller_conn::*, connection_pool::*, control_handler::*, digest_receiver::*,
     endpoint_exchange::*, event_splitter::*, exit_probe::*, front_context::*, front_metrics::*,
-    front_state::*, list_watch::*, operator_watch::*, order_substitute::*, plain_response::*,
-    request_handler::*, store_contact::*, store_readers::*, store_watch::*, stream_relay::*,
+    front_state::*, list_watch::*, operator_watch::*, fallback_controller::*, plain_response::*,
+    request_handler::*, store_contact::*, store_readers::*, kv_store_watch::*, stream_relay::*,
     wake_reason::*,
 };
 use {
-    call_timeout::*, evacuations::*, foreign_rows::*, greeting_plan::*, held_rows::*, lost_run::*,
+    call_timeout::*, evacuations::*, foreign_rows::*, greeting_schedule::*, held_rows::*, lost_run::*,
     order_lease::*, orphan_engine::*, part_reclaim::*, peer_state::*, rejoin_probe::*,
     request_admit::*, request_attempt::*, request_transfers::*, request_trial::*, slow_starts::*,
-    store_watchers::*, weight_update::*,
+    watcher_assignment::*, weight_update::*,
 };
 pub use {front_process::*, front_settings::*};
