--- a/entry/src/front/digest_receiver.rs
+++ b/entry/src/front/digest_receiver.rs
@@ -22,16 +22,15 @@
     },
 };
 
-/// Pause after a socket that failed.
+/// Delay after a socket error.
 const SOCKET_RETRY_DELAY: Duration = Duration::from_millis(100);
-/// Endpoints from which on none is taken that is on no list: twice those that the design
-/// is for.
+/// Registry size from which on announced engines that are not listed are refused: twice the number
+/// of endpoints that the design supports.
 const MAX_ENDPOINTS: usize = 20_000;
-/// Processes beside engines that are remembered.
+/// Maximum number of remembered engine agents.
 const MAX_KNOWN_AGENTS: usize = 64;
 
-/// Takes what the processes beside engines tell: one after the other, and many at once where
-/// many tell.
+/// Receives digests from engine agents: each on arrival, or in batches if there are many endpoints.
 pub(crate) async fn receive_digests(
     front: Rc<FrontContext>,
     socket: BesideSocket,
@@ -86,8 +85,8 @@
     handle_endpoint_changes(front, change.as_slice());
 }
 
-/// Records what this front may send to the engine while that starts slowly; it counts from when
-/// the greeting that it names began.
+/// Updates what this front may send to an engine during its slow start. The grant counts from the
+/// start of the round of greetings that it answers.
 fn apply_grant(
     state: &mut FrontState,
     key: EndpointKey,
@@ -101,7 +100,7 @@
     }
 }
 
-/// Remembers who was heard, as long as state may have to be asked for.
+/// Remembers the sender of a digest; the state may have to be requested from it.
 fn record_agent(
     front: &FrontContext,
     from: SocketAddr,
@@ -114,10 +113,9 @@
     }
 }
 
-/// Takes what the sender of a digest tells of others: of fronts that have read the platform's
-/// store, and of stores of kept parts that it has read. How long that was on its way is bounded
-/// by the greeting that the digest names: what lay here while this process stood still is as old
-/// as it is.
+/// Applies what the sender of a digest reports on behalf of others: reads of the platform store by
+/// other fronts, and its own reads of KV stores. The greeting that the digest answers bounds the
+/// delay of these reports, including time that the digest spent here while this process was paused.
 fn apply_relayed_reports(
     front: &FrontContext,
     digest: &EngineDigest,
@@ -150,15 +148,15 @@
     }
 }
 
-/// A number that tells who told something, in this process.
+/// Identifies the sender of a report within this process.
 fn reporter_id(from: SocketAddr) -> u32 {
     let mut hasher = DefaultHasher::new();
     from.hash(&mut hasher);
     hasher.finish() as u32
 }
 
-/// Takes that there is an engine which is on no list: it gets no requests, but is
-/// greeted and told to load.
+/// Registers an engine that announces itself but is not listed. It gets no requests, but is greeted
+/// and told to load weights.
 fn apply_announcement(
     front: &FrontContext,
     digest: &EngineDigest,
@@ -167,12 +165,12 @@
     let notice = digest.endpoint.as_ref()?;
     let mut guard = front.state();
     let state = &mut *guard;
-    // Whoever is told of here gets greetings: nobody brings those upon others.
+    // Greetings are sent to the announced address, so an agent may only announce its own engine.
     let is_own = notice.address == Some(digest.engine) && digest.engine.ip() == from.ip();
     let services = state.config.as_ref().map(|config| &config.services);
     let service = services.and_then(|services| services.get(&notice.service));
     let is_engine = service.is_some_and(|service| service.engine.is_some());
-    // Before the list is read, it is on no list for that reason alone.
+    // Until the list has been read, every engine would appear to be unlisted.
     if !is_own || !is_engine || !state.has_list || state.registry.len() >= MAX_ENDPOINTS {
         front.metrics.count("announcements", "refused");
         return None;
@@ -185,8 +183,7 @@
     })
 }
 
-/// Takes a digest, and what the process beside the engine grants with it; returns whether it tells
-/// that the engine has started again.
+/// Applies a digest and the grant that comes with it. Returns a change if the engine has restarted.
 fn apply_digest(
     front: &FrontContext,
     digest: EngineDigest,
@@ -196,7 +193,8 @@
     let mut guard = front.state();
     let state = &mut *guard;
     if digest.endpoint.is_none() {
-        // A front that is told of an engine is not among those that it hears.
+        // An agent that announces its engine to this front does not count it among the fronts that
+        // greet it.
         state.fronts = digest.fronts.max(1);
     }
     let config = state.config.as_deref();
@@ -224,7 +222,7 @@
             return change;
         }
         DigestOrder::Gap => {
-            // All that is kept is asked for anew, with the next hello.
+            // The next greeting requests all cached parts again.
             front.metrics.count("digests", "gap");
             entry.is_mirrored = false;
             state.wants_suspects = true;
@@ -238,7 +236,7 @@
     change
 }
 
-/// Takes what is told of requests under which endpoints ended, in whatever order.
+/// Merges reports of requests during which endpoints crashed, in any order.
 fn merge_suspects(
     front: &FrontContext,
     state: &mut FrontState,
@@ -254,7 +252,7 @@
         let is_held = state.suspects.is_held(report.fingerprint, now);
         if is_held != was_held {
             if was_held {
-                // A row of ours may name it still.
+                // The row of this front may still contain the request.
                 front.held_row_due.wake();
             }
             let fingerprint = report.fingerprint.to_string();
--- a/entry/src/front/evacuations.rs
+++ b/entry/src/front/evacuations.rs
@@ -3,8 +3,8 @@
     pitchhitch_core::serving::{EndpointKey, EvacuationChange},
 };
 
-/// Logs which failure domains are evacuated, or no longer. The endpoints of one that serves again
-/// have been idle: they start slowly.
+/// Logs the begin or end of the evacuation of failure domains. Endpoints of a domain that serves
+/// again have been idle, so they start slowly.
 pub(super) fn apply_evacuations(
     front: &FrontContext,
     changes: &[EvacuationChange],
--- a/entry/src/front/fallback_controller.rs
+++ b/entry/src/front/fallback_controller.rs
@@ -9,20 +9,21 @@
     std::{collections::BTreeMap, net::SocketAddr, rc::Rc, time::Duration},
 };
 
-/// How often it is looked for engines that nobody gives orders.
+/// Interval at which engines without orders are looked for.
 const POLL_INTERVAL: Micros = Micros::from_millis(300);
-/// Time for which an engine that lacks weights must not have been heard.
+/// Time for which the agent of an engine with outdated weights must have been silent.
 const AGENT_TIMEOUT: Micros = Micros::from_millis(4_000);
-/// Engines that are asked for reports at once: those that may load, and some more.
+/// Maximum number of engines whose reports are read concurrently: those that may load, and some
+/// more.
 const MAX_CONCURRENT_REPORTS: usize = 48;
-/// Time limit of a call of the platform's store.
+/// Timeout of a call to the platform store.
 const STORE_TIMEOUT: Duration = Duration::from_millis(1_000);
-/// Pause between two lines that tell of engines which serve nothing for want of orders.
+/// Minimum time between two warnings about engines that serve nothing because they get no orders.
 const WARNING_INTERVAL: Micros = Micros::from_secs(5);
 
-/// One front gives orders to engines beside which nobody stands: their process is missing, has
-/// ended with its box or is cut off. Without it such engines kept replaced weights for good, and
-/// served nothing once these were too old.
+/// Gives orders to engines without a working agent: it is missing, has failed with its box or is
+/// cut off. Without these orders such engines kept replaced weights for good and, once the weights
+/// were too old, served nothing.
 struct FallbackController {
     front: Rc<FrontContext>,
     store: StoreClient,
@@ -33,8 +34,7 @@
     was_held: bool,
 }
 
-/// Stands in for processes beside engines that are not there, for as long as this front holds
-/// the lease on that.
+/// Gives orders in place of missing engine agents while this front holds the lease.
 pub(crate) async fn run_fallback_controller(front: Rc<FrontContext>) {
     let mut controller = FallbackController {
         store: StoreClient::new(front.settings.store, STORE_TIMEOUT),
@@ -76,25 +76,27 @@
             orphan.or_insert_with(|| OrphanEngine::new(&front, key, address));
         }
         self.read_reports().await;
-        // A box that stands still does so with the process beside its engine, which would have
-        // to take the right back and wait.
+        // A paused box pauses its engine and the agent together. If this front acquired the right
+        // meanwhile, the agent would have to reacquire it and wait.
         let responsive = self
             .orphans
             .values_mut()
             .filter(|o| o.is_responsive(front.now()));
         for orphan in responsive {
-            // Before its turn, as a new holder has to wait.
+            // Acquired before the engine's turn, since a new holder of the right has to wait.
             orphan.acquire_right(&front, &mut self.store).await?;
             orphan.send_due_order(&front, &mut self.store).await?;
         }
         Ok(())
     }
 
-    /// Reads reports of several engines at once: those that are cut off keep no others waiting.
+    /// Reads the reports of several engines concurrently, so that unreachable engines do not delay
+    /// the others.
     async fn read_reports(&mut self) {
         let front = self.front.clone();
         let executor = LocalExecutor::new();
-        // Those that wait longest go first: where many are cut off, others have their turn too.
+        // The longest waiting engines come first, so that many unreachable engines do not starve
+        // the others.
         let mut orphans: Vec<&mut OrphanEngine> = self.orphans.values_mut().collect();
         orphans.sort_by_key(|orphan| orphan.reported_at());
         let polled = orphans.into_iter().take(MAX_CONCURRENT_REPORTS);
@@ -109,7 +111,7 @@
         executor.run(all).await;
     }
 
-    /// Engines that lack named weights and that were not heard for long.
+    /// Engines with outdated weights whose agents have been silent for [`AGENT_TIMEOUT`].
     fn engines_behind(
         &mut self,
         now: Micros,
@@ -139,7 +141,7 @@
         behind
     }
 
-    /// Requests are refused for weights that nobody loads: that is told with its reason.
+    /// Warns that requests are refused because nobody orders engines to load the weights.
     fn warn_unordered(
         &mut self,
         engines: usize,
@@ -183,7 +185,7 @@
     }
 }
 
-/// Whether the process beside an engine has been heard lately.
+/// Whether the agent of an engine has sent a digest recently.
 fn is_reporting(
     entry: &EndpointEntry,
     now: Micros,
@@ -195,7 +197,7 @@
     digest.is_some_and(|digest| now.since(digest.at) < limit)
 }
 
-/// Whether an engine is known to have older weights than are named.
+/// Whether an engine is known to have older weights than the published ones.
 fn has_outdated_weights(
     state: &FrontState,
     entry: &EndpointEntry,
--- a/entry/src/front/foreign_rows.rs
+++ b/entry/src/front/foreign_rows.rs
@@ -1,10 +1,10 @@
 use {super::FrontContext, pitchhitch_platform::RowFault, std::collections::BTreeSet};
 
-/// Keys that are remembered; of further ones no line is written.
+/// Maximum number of remembered keys. Rows with further keys are not logged.
 const MAX_KEYS: usize = 500;
 
-/// Rows of another writer in one table. Each is logged once: a writer may come back
-/// to its row with every heartbeat.
+/// Invalid rows of one table, which another program has written. Each is logged once, because its
+/// writer may update it with every heartbeat.
 #[derive(Debug)]
 pub(super) struct ForeignRows {
     table: &'static str,
@@ -12,7 +12,7 @@
 }
 
 impl ForeignRows {
-    /// None is known in a table yet.
+    /// Starts without any invalid row.
     pub fn new(table: &'static str) -> Self {
         ForeignRows {
             table,
@@ -20,7 +20,7 @@
         }
     }
 
-    /// Notes a row that is not what should lie under its key.
+    /// Records a row that is invalid under its key.
     pub fn record(
         &mut self,
         front: &FrontContext,
@@ -42,7 +42,7 @@
         );
     }
 
-    /// Notes that the row under a key is sound, or gone.
+    /// Records that the row under a key is valid or deleted.
     pub fn remove(
         &mut self,
         key: &str,
@@ -50,7 +50,7 @@
         self.keys.remove(key);
     }
 
-    /// Whether the row under a key was another writer's when last seen.
+    /// Whether the row under a key was invalid when it was last read.
     pub fn contains(
         &self,
         key: &str,
--- a/entry/src/front/front_context.rs
+++ b/entry/src/front/front_context.rs
@@ -10,31 +10,31 @@
     },
 };
 
-/// Time between two moments at which tasks that rest wake.
+/// Interval to which the wake-ups of [`FrontContext::sleep_coalesced`] are aligned.
 const WAKE_INTERVAL: Micros = Micros::from_millis(100);
 
-/// Everything that the tasks of a front have in common.
+/// Everything that the tasks of a front share.
 #[derive(Debug)]
 pub(crate) struct FrontContext {
-    /// Settings.
     pub settings: FrontSettings,
-    /// Clock; it goes on while the process stands still.
+    /// Clock; it also advances while the process is paused.
     pub clock: ProcessClock,
     /// Counters and histograms.
     pub metrics: FrontMetrics,
-    /// Wakes the greeting of engines: one that leaves is not announced to others once the
-    /// process beside it knows, whatever becomes of this front.
+    /// Wakes the sender of greetings. Once its agent knows, an engine that is leaving is no longer
+    /// announced to other fronts, even if this front fails.
     pub greeting_due: WakeSignal,
-    /// Wakes the writing of requests that are held back.
+    /// Wakes the task that writes the held-back requests of this front to the platform store.
     pub held_row_due: WakeSignal,
-    /// Ends the question that is held at the platform's store, which has come back from a copy.
+    /// Cancels the long poll at the platform store after the store has been restored from a
+    /// snapshot.
     pub era_changed: WakeSignal,
     state: RefCell<FrontState>,
     executor: LocalExecutor<'static>,
 }
 
 impl FrontContext {
-    /// A context that knows nothing yet.
+    /// Creates a context with an empty state.
     pub fn new(settings: FrontSettings) -> Rc<Self> {
         Rc::new(FrontContext {
             state: RefCell::new(FrontState::new(&settings)),
@@ -48,13 +48,12 @@
         })
     }
 
-    /// Current time.
     pub fn now(&self) -> Micros {
         self.clock.now()
     }
 
-    /// Waits for about so long. Tasks that wait so wake together, as each waking of the process
-    /// costs some system calls.
+    /// Sleeps for approximately this long. Wake-ups of all such tasks coincide, because each
+    /// wake-up of the process costs several system calls.
     pub async fn sleep_coalesced(
         &self,
         duration: Micros,
@@ -65,12 +64,12 @@
         Timer::after(to_duration(due.since(now))).await;
     }
 
-    /// The shared state; never held over a wait.
+    /// The shared state; must not be held across an await point.
     pub fn state(&self) -> RefMut<'_, FrontState> {
         self.state.borrow_mut()
     }
 
-    /// Runs a task until it ends by itself.
+    /// Runs a task in the background until it completes.
     pub fn spawn(
         &self,
         task: impl Future<Output = ()> + 'static,
@@ -78,7 +77,7 @@
         self.executor.spawn(task).detach();
     }
 
-    /// Runs all tasks until `main` ends.
+    /// Runs all tasks until `main` completes.
     pub async fn run<T>(
         &self,
         main: impl Future<Output = T>,
--- a/entry/src/front/front_metrics.rs
+++ b/entry/src/front/front_metrics.rs
@@ -3,14 +3,14 @@
     std::{cell::RefCell, collections::BTreeMap, fmt::Write},
 };
 
-/// Longest time that a histogram tells apart, in microseconds.
+/// Longest time that a histogram distinguishes, in microseconds.
 const MAX_TIME_US: u64 = 60_000_000;
-/// Digits that a histogram keeps.
+/// Significant decimal digits of a histogram's values.
 const SIGNIFICANT_DIGITS: u8 = 2;
-/// Quantiles that are shown.
+/// Exported quantiles.
 const QUANTILES: [f64; 3] = [0.5, 0.95, 0.99];
 
-/// Counters and histograms of one process, shown as text on request.
+/// Counters and histograms of one process, exported as text on request.
 #[derive(Debug, Default)]
 pub(crate) struct FrontMetrics {
     counts: RefCell<BTreeMap<(&'static str, String), u64>>,
@@ -18,7 +18,7 @@
 }
 
 impl FrontMetrics {
-    /// Counts something under a label.
+    /// Increments the counter of a label.
     pub fn count(
         &self,
         name: &'static str,
@@ -33,7 +33,7 @@
         }
     }
 
-    /// Notes how long something took, in microseconds.
+    /// Records a duration in microseconds.
     pub fn record_time(
         &self,
         name: &'static str,
@@ -52,11 +52,11 @@
         }
     }
 
-    /// All of it, one figure a line.
+    /// All metrics as text, one value per line.
     pub fn render(&self) -> String {
         let mut text = String::new();
         for ((name, label), count) in self.counts.borrow().iter() {
-            // Writing to a string does not fail.
+            // Writing to a string cannot fail.
             let _ = writeln!(text, "pitchhitch_{name}{{kind=\"{label}\"}} {count}");
         }
         for (name, histogram) in self.times.borrow().iter() {
--- a/entry/src/front/front_process.rs
+++ b/entry/src/front/front_process.rs
@@ -17,20 +17,20 @@
     std::{net::TcpListener, rc::Rc, time::Duration},
 };
 
-/// Time for the balancer to notice that the process is not ready: it asks once
-/// a second and goes by two answers.
+/// Time in which the load balancer notices that the process is not ready: it probes once a second
+/// and acts on two probes.
 const BALANCER_NOTICE_TIME: Duration = Duration::from_millis(2_600);
-/// Time at the end of the stop that is left for closing connections.
+/// Time reserved for closing connections before the stop limit.
 const CLOSE_MARGIN: Duration = Duration::from_millis(300);
-/// How often a stopping process looks whether it is idle.
+/// Interval at which a stopping process checks whether it is idle.
 const IDLE_CHECK_INTERVAL: Micros = Micros::from_millis(50);
-/// Pause after a connection could not be accepted.
+/// Delay after a connection could not be accepted.
 const ACCEPT_RETRY_DELAY: Micros = Micros::from_millis(20);
 
 /// Runs a front until it is asked to stop; `reload` reads the settings again.
 ///
 /// # Errors
-/// When an address cannot be bound or a signal cannot be watched.
+/// When an address cannot be bound or signals cannot be watched.
 pub fn run_front(
     settings: FrontSettings,
     reload: &dyn Fn() -> Result<FrontSettings, String>,
@@ -91,8 +91,8 @@
     Ok(())
 }
 
-/// New settings are checked and compared; what they change needs a restart,
-/// which the platform does one box after the other.
+/// Validates the new settings and logs whether they differ. They take effect with a restart, which
+/// the platform does one box at a time.
 fn check_reload(
     front: &FrontContext,
     reload: &dyn Fn() -> Result<FrontSettings, String>,
@@ -106,7 +106,7 @@
     }
 }
 
-/// Notices that the process stood still, and writes the lines of the log out.
+/// Detects pauses of the process and flushes the log.
 async fn detect_pauses(front: Rc<FrontContext>) {
     loop {
         let now = front.now();
@@ -161,14 +161,15 @@
     (200, front.metrics.render().into_bytes())
 }
 
-/// A planned stop: the balancer is told, then what is open is served to its end.
+/// Stops gracefully: reports not ready to the load balancer, then serves open requests to their
+/// end.
 async fn shut_down(front: &FrontContext) {
     let now = front.now();
     front.state().stopping_since = Some(now);
     log::info!(event = "stopping", running = front.state().running; "");
     Timer::after(BALANCER_NOTICE_TIME).await;
     front.state().closes_idle = true;
-    // Resting connections get time to see that they are to close.
+    // Idle connections get time to see that they are to be closed.
     Timer::after(Duration::from_millis(700)).await;
     let limit = front.settings.stop_limit.saturating_sub(CLOSE_MARGIN);
     while front.state().running > 0 && elapsed_since(front, now) < limit {
@@ -179,7 +180,8 @@
     log::info!(event = "stopped", cut_off = cut_off, waited_ms = waited_ms; "");
 }
 
-/// Time since the stop was asked for; the platform counts while the box is suspended too.
+/// Time since the stop was requested, including time for which the box was suspended: the
+/// platform's limit counts it too.
 fn elapsed_since(
     front: &FrontContext,
     requested_at: Micros,
--- a/entry/src/front/front_settings.rs
+++ b/entry/src/front/front_settings.rs
@@ -8,98 +8,96 @@
     std::{collections::BTreeMap, net::SocketAddr, ops::RangeInclusive, time::Duration},
 };
 
-/// Settings of one front process, checked.
+/// Validated settings of a front process.
 #[derive(Debug, Clone, PartialEq)]
 pub struct FrontSettings {
     /// Id of the box.
     pub box_id: String,
-    /// Failure domain that the box stands in.
+    /// Failure domain of the box.
     pub failure_domain: String,
-    /// Regions of failure domains.
+    /// Regions by failure domain.
     pub regions: BTreeMap<String, String>,
-    /// Where callers are served.
+    /// Listening address for callers.
     pub callers: SocketAddr,
-    /// Where the balancer asks whether the process is ready.
+    /// Listening address for readiness probes of the load balancer.
     pub ready: SocketAddr,
-    /// Where metrics are read.
+    /// Listening address for metrics.
     pub metrics: Option<SocketAddr>,
-    /// Where the processes beside engines are heard.
+    /// Listening address for digests of engine agents.
     pub digests: SocketAddr,
-    /// Where others that start ask for its state, besides `digests`.
+    /// Listening address at which starting processes request the state snapshot, in addition to
+    /// `digests`.
     pub control: Option<SocketAddr>,
-    /// Fronts that may hand state on to one that cannot reach the store.
+    /// Fronts that may provide a state snapshot while the platform store cannot be reached.
     pub seeds: Vec<SocketAddr>,
-    /// Key that proves handed state to be of one of ours, where a secret is set.
+    /// Key that authenticates state snapshots, if a secret is set.
     pub peer_key: Option<BeaconKey>,
-    /// Port of the processes beside engines.
+    /// Port of the engine agents.
     pub beside_port: u16,
-    /// Where the platform's store answers.
+    /// Address of the platform store.
     pub store: SocketAddr,
-    /// Age up to which what is known of keys counts as fresh.
+    /// Age up to which the known keys count as fresh.
     pub key_limit: Micros,
-    /// What becomes of callers with keys past that age.
+    /// How callers with keys are treated beyond that age.
     pub key_policy: KeyPolicy,
-    /// Time from when an endpoint is known to leave until it must get nothing new.
+    /// Time after which an endpoint known to be leaving must not get new requests.
     pub drain_limit: Micros,
-    /// Time from when newer weights are named until no request is sent to an
-    /// engine with older ones any more.
+    /// Time after the publication of newer weights from which on no request is sent to an engine
+    /// with older ones.
     pub weights_limit: Micros,
-    /// Time from then until no request begins on them any more: what waits at an engine
-    /// is given up.
+    /// Time after the publication of newer weights from which on no request begins to run on older
+    /// ones: requests that wait at an engine are cancelled.
     pub execution_limit: Micros,
-    /// What may be sent again.
+    /// Limit on retries.
     pub retry_limit: RetryLimit,
-    /// What endpoints may get while they start slowly.
+    /// Limit on requests to endpoints during their slow start.
     pub slow_start: SlowStartBound,
-    /// Gap that engines are owed between orders of two boxes.
+    /// Minimum time between orders of two boxes to the same engine.
     pub order_gap: Micros,
-    /// Time between SIGTERM and the end of the process by force.
+    /// Time between SIGTERM and the forced end of the process.
     pub stop_limit: Duration,
-    /// Memory that the process may take, in megabytes.
+    /// Memory limit of the process, in megabytes.
     pub memory_mb: u64,
-    /// Mechanisms of the decisions that are left out, for experiments.
+    /// Mechanisms of the decisions that are disabled, for experiments.
     pub disabled_mechanisms: MechanismSet,
 }
 
-/// Limits that operators may set, in milliseconds.
+/// Valid range of limits, in milliseconds.
 const LIMIT_RANGE_MS: RangeInclusive<f64> = 1.0..=600_000.0;
-/// Spans that they may set, in seconds.
+/// Valid range of durations, in seconds.
 const DURATION_RANGE_S: RangeInclusive<f64> = 0.001..=3_600.0;
 
-/// Part of the platform's bound on old keys that is used, in hundredths: the
-/// rest covers the way of a request and a clock that runs differently.
+/// Used share of the platform's limit on the age of keys, in percent. The rest covers the transit
+/// of a request and clock drift.
 const KEY_LIMIT_PERCENT: u64 = 85;
 
-/// Time that a request may wait at an engine before it begins.
+/// Time that a request may wait at an engine before it begins to run.
 const ENGINE_QUEUE_MARGIN: Micros = Micros::from_millis(2_500);
-/// Time in which an engine has noticed that a request was given up, and what it began
-/// before has been heard of.
+/// Time in which an engine notices a cancelled request and a request that began before is reported.
 const CANCEL_MARGIN: Micros = Micros::from_millis(400);
 
-/// Part of the drain limit that passes between two looks at the list of endpoints, in
-/// hundredths. Each look has its price; the rest is for an answer of the store that
-/// is slow and for what is on its way to the endpoint.
+/// Interval between two reads of the endpoint list, in percent of the drain limit. Each read has a
+/// cost; the rest covers a slow response of the store and requests in transit to the endpoint.
 const LIST_POLL_PERCENT: u64 = 40;
-/// Part of the limit on keys for which a question for changes is held at the store, in
-/// hundredths. An answer proves how fresh the keys are as of when it was asked, so a box
-/// that loses the store serves keyed callers for the rest of the limit only: held for a
-/// third, a replayed outage of 6 s was worth 0.74 and 0.75 on two deployments whose keys
-/// fail closed, held for a quarter 0.82 and 0.82.
+/// Duration of a long poll for changes of the configuration, in percent of the limit on the age of
+/// keys. A response proves freshness as of the time of its request, so a box that loses the store
+/// serves callers with keys only for the rest of the limit. In a replayed outage of 6 s on two
+/// deployments whose keys fail closed, a third scored 0.74 and 0.75, a quarter 0.82 and 0.82.
 const CONFIG_POLL_PERCENT: u64 = 25;
-/// Longest pause between two looks at the list, however long endpoints may take to
-/// leave: new ones are found by it too.
+/// Maximum interval between two reads of the endpoint list, even if endpoints may take longer to
+/// leave: the list also shows new endpoints.
 const MAX_LIST_POLL_INTERVAL: Micros = Micros::from_millis(2_000);
-/// Longest time for which a question is held, however old keys may be: a connection
-/// that has gone silent shows only after it, and new configurations wait for that.
+/// Maximum duration of a long poll, even if keys may be older: a dead connection is only noticed at
+/// its end, and delays new configurations until then.
 const MAX_CONFIG_POLL_WAIT: Micros = Micros::from_millis(1_400);
 
 impl FrontSettings {
-    /// Pause between two looks at the list of endpoints.
+    /// Interval between two reads of the endpoint list.
     pub fn list_poll_interval(&self) -> Micros {
         Micros(self.drain_limit.0 * LIST_POLL_PERCENT / 100).min(MAX_LIST_POLL_INTERVAL)
     }
 
-    /// The region of a failure domain, where it is known.
+    /// Region of a failure domain, if known.
     pub fn region(
         &self,
         domain: &str,
@@ -107,15 +105,15 @@
         self.regions.get(domain).map(String::as_str)
     }
 
-    /// Time for which a question for changes is held at the store.
+    /// Duration of a long poll for changes of the configuration.
     pub fn config_poll_wait(&self) -> Micros {
         Micros(self.key_limit.0 * CONFIG_POLL_PERCENT / 100).min(MAX_CONFIG_POLL_WAIT)
     }
 
-    /// Reads the text of a settings file.
+    /// Parses a settings file.
     ///
     /// # Errors
-    /// [`SettingsErrors`] with everything that is wrong in it.
+    /// [`SettingsErrors`] with all problems of the file.
     pub fn parse(
         file: &str,
         text: &str,
@@ -173,7 +171,7 @@
     }
 }
 
-/// Reads which mechanisms are left out; a name that is none is a problem.
+/// Reads the list of disabled mechanisms. An unknown name is a problem.
 fn read_disabled_mechanisms(reader: &mut SettingsReader) -> MechanismSet {
     let expected = format!("a list of {}", ServingMechanism::names());
     let names: Option<Vec<String>> = reader.value("without", Some(Vec::new()), &expected);
--- a/entry/src/front/front_state.rs
+++ b/entry/src/front/front_state.rs
@@ -16,78 +16,77 @@
     },
 };
 
-/// Fronts that may live, until the processes beside engines say how many do.
+/// Assumed number of running fronts until engine agents report it.
 const INITIAL_FRONTS: u32 = 4;
-/// Time from its start in which a front is told of suspects, if anybody can: some greetings
-/// may get lost.
+/// Time after the start within which the reports of suspects arrive, if any agent can send them. It
+/// allows for some lost greetings.
 const SUSPECT_REPORT_TIMEOUT: Micros = Micros::from_millis(500);
-/// Salts whose tags are remembered.
+/// Maximum number of salts with a remembered tag.
 const MAX_NAMESPACES: usize = 1_000;
 
-/// What the tasks of a front share.
+/// State that the tasks of a front share.
 #[derive(Debug)]
 pub(crate) struct FrontState {
     /// Configuration in force.
     pub config: Option<Rc<ServingConfig>>,
-    /// Its text, as the store holds it, to be handed on.
+    /// Its text as stored in the platform store, for state snapshots.
     pub config_text: Vec<u8>,
-    /// Processes beside engines that were heard: they may hand state on.
+    /// Engine agents that have sent digests; they may provide a state snapshot.
     pub known_agents: BTreeSet<SocketAddr>,
-    /// Endpoints.
     pub registry: EndpointRegistry,
-    /// Whether the list of endpoints has been read in this life.
+    /// Whether the endpoint list has been read in this incarnation.
     pub has_list: bool,
     /// Age of the configuration.
     pub key_freshness: KeyFreshness,
-    /// Eras of the platform's store.
+    /// Eras of the platform store.
     pub eras: EraTracker,
-    /// Who has read the platform's store, and when.
+    /// Reads of the platform store by this front and others.
     pub readers: StoreReaders,
-    /// When the process beside an engine was last heard.
+    /// When the last digest of an engine agent was received.
     pub last_digest_at: Option<Micros>,
-    /// Whom this front has greeted.
+    /// Greetings that have been sent.
     pub greetings: GreetingSchedule,
-    /// Era in which a reading of this process last proved the configuration.
+    /// Era in which a read of this process last proved the configuration.
     pub proven_era: Option<StoreEra>,
-    /// Failure domains that get nothing new.
+    /// Failure domains that get no new requests.
     pub evacuations: EvacuationSet,
-    /// What is refused while engines are behind.
+    /// Decides which requests are refused under overload.
     pub admission: AdmissionController,
-    /// What is learned of how engines take prompts.
+    /// Estimates of how fast engines process prompts.
     pub latency_estimator: LatencyEstimator,
-    /// Stores and what is known of their content.
+    /// KV stores and their known content.
     pub store_directory: StoreDirectory,
-    /// Until when engines' fetches are proven to be over.
+    /// Time before which all fetches of the engines have completed.
     pub fetch_completion: FetchCompletion,
-    /// Named weights and whose turn it is to load them.
+    /// Published weights and the engines whose turn it is to load them.
     pub planner: SwapPlanner,
-    /// Unused connections.
+    /// Idle connections to endpoints.
     pub pool: LinkPool,
-    /// Whether endpoints that broke connections off have ended.
+    /// Probes of whether endpoints that closed connections have exited.
     pub exit_probes: HashMap<EndpointKey, EndProbe>,
-    /// Requests under which endpoints ended.
+    /// Requests during which endpoints crashed.
     pub suspects: SuspectTracker,
-    /// Runs of such requests.
+    /// Running attempts of suspect requests.
     pub trials: TrialTable,
-    /// Whether somebody has told of all such requests in this life.
+    /// Whether an agent has sent all known suspects in this incarnation.
     pub has_suspect_reports: bool,
-    /// Whether to ask for all of them: at the start, and where something was missed.
+    /// Whether to request all suspects: after the start and after a missed digest or a pause.
     pub wants_suspects: bool,
-    /// Whether the store has told which are held back, in this life.
+    /// Whether the held-back requests have been read from the platform store in this incarnation.
     pub has_held_rows: bool,
-    /// Whether the store has lost the rows that tell which are held back.
+    /// Whether the platform store has lost the rows with held-back requests.
     pub rewrites_held_row: bool,
-    /// Whether the process itself stood still.
+    /// Detects pauses of the process itself.
     pub pause_detector: PauseDetector,
-    /// Since when the process has been asked to stop.
+    /// When the process was asked to stop.
     pub stopping_since: Option<Micros>,
-    /// Whether connections that rest are closed.
+    /// Whether idle connections of callers are closed.
     pub closes_idle: bool,
-    /// Bytes of the bodies of those.
+    /// Total size of the bodies of running requests, in bytes.
     pub body_bytes: u64,
-    /// Requests that are being served.
+    /// Requests being served.
     pub running: u32,
-    /// Fronts that live, as far as is known.
+    /// Number of running fronts, as far as known.
     pub fronts: u32,
     retry_windows: HashMap<String, RetryWindow>,
     namespace_tags: HashMap<String, NamespaceTag>,
@@ -95,7 +94,7 @@
 }
 
 impl FrontState {
-    /// Nothing is known yet.
+    /// Creates an empty state.
     pub fn new(settings: &FrontSettings) -> Self {
         FrontState {
             config: None,
@@ -135,8 +134,8 @@
         }
     }
 
-    /// Takes that the operator's rows were read whole as of then; `mark` is the number of their
-    /// content.
+    /// Records a complete read of the operator's table that was current at `proven_at`; `checksum`
+    /// is that of its content.
     pub fn record_config_read(
         &mut self,
         checksum: u32,
@@ -153,8 +152,8 @@
         }
     }
 
-    /// For how long the next question for changes of the configuration may be held at the
-    /// store, where that is `usual` while all is well.
+    /// Duration of the next long poll for changes of the configuration; `usual_wait` is its normal
+    /// duration.
     pub fn next_poll_wait(
         &self,
         usual_wait: Micros,
@@ -162,14 +161,14 @@
     ) -> Micros {
         let uncertain_since = self.eras.uncertain_since();
         match uncertain_since.filter(|_| !self.eras.proves(now)) {
-            // The next one is to prove what is in force as soon as it can.
+            // Ends the poll as soon as its successor can prove the configuration in force.
             Some(since) => usual_wait.min((since + REWRITE_DELAY).since(now)),
             None if self.key_freshness.is_overdue(usual_wait, now) => Micros::ZERO,
             None => usual_wait,
         }
     }
 
-    /// Notes a request that is served from now on.
+    /// Counts a request whose processing begins.
     pub fn begin_request(
         &mut self,
         body_bytes: u64,
@@ -178,7 +177,7 @@
         self.body_bytes += body_bytes;
     }
 
-    /// Notes that a request is over.
+    /// Counts a request whose processing has ended.
     pub fn end_request(
         &mut self,
         body_bytes: u64,
@@ -187,8 +186,8 @@
         self.body_bytes -= body_bytes;
     }
 
-    /// Whether the process has just woken and what it knows of stores is not
-    /// fresh again yet.
+    /// Whether the process has just resumed from a pause and its view of the KV stores is still
+    /// stale.
     pub fn is_recovering(
         &self,
         now: Micros,
@@ -196,9 +195,9 @@
         self.pause_detector.has_just_resumed(now) && self.store_directory.is_stale(now)
     }
 
-    /// Whether the process has just started and is about to be told under which requests
-    /// endpoints ended: the processes beside engines answer its first greeting, and the store
-    /// tells which requests are held back.
+    /// Whether the process has just started and still expects reports of requests during which
+    /// endpoints crashed. Engine agents report them in response to the first greeting; the platform
+    /// store has the held-back ones.
     pub fn awaits_suspects(
         &self,
         now: Micros,
@@ -206,7 +205,7 @@
         let Some(config) = &self.config else {
             return false;
         };
-        // The clock starts with the process.
+        // Time counts from the start of the process.
         let has_reports = self.has_suspect_reports && self.has_held_rows;
         let is_waiting = !has_reports && now < SUSPECT_REPORT_TIMEOUT;
         is_waiting
@@ -216,8 +215,8 @@
                 .any(|(_, entry)| is_engine(config, entry))
     }
 
-    /// Whether an endpoint of a service may get requests now: its failure domain is not evacuated,
-    /// and it bears one more where endpoints of the service start slowly.
+    /// Whether an endpoint of a service may get requests now: its failure domain is not evacuated
+    /// and, if `starts_slowly`, its slow start admits one more.
     pub fn is_available(
         &self,
         entry: &EndpointEntry,
@@ -228,13 +227,13 @@
         !is_evacuated && (!starts_slowly || entry.slow_start.admits(now))
     }
 
-    /// A number for a request that no other has.
+    /// Allocates a number that no other request has.
     pub fn allocate_ticket(&mut self) -> u64 {
         self.next_ticket += 1;
         self.next_ticket
     }
 
-    /// The meter of repeats to a service.
+    /// Window that limits the retries of a service.
     pub fn retry_window(
         &mut self,
         service: &str,
@@ -246,7 +245,7 @@
         self.retry_windows.entry(service.to_string()).or_default()
     }
 
-    /// The tag of a salt.
+    /// Tag of the cache namespace with a salt.
     pub fn namespace_tag(
         &mut self,
         salt: &str,
@@ -262,7 +261,7 @@
         tag
     }
 
-    /// All salts of ours that have been seen, with their tags.
+    /// All known cache namespaces that this product created, with their tags.
     pub fn namespaces(&self) -> Vec<(CacheNamespace, NamespaceTag)> {
         let namespace_tags = self.namespace_tags.iter();
         namespace_tags
@@ -270,7 +269,7 @@
             .collect()
     }
 
-    /// Whether the process can serve what it gets.
+    /// Whether the process can serve requests.
     pub fn is_ready(
         &self,
         now: Micros,
--- a/entry/src/front/greeting_schedule.rs
+++ b/entry/src/front/greeting_schedule.rs
@@ -9,27 +9,27 @@
     },
 };
 
-/// Rounds of greetings whose time is remembered: a digest that names an earlier one is too old
-/// to prove anything.
+/// Maximum number of rounds with a remembered start. A digest that answers an earlier round is too
+/// old to prove anything.
 const MAX_ROUNDS: usize = 128;
 
-/// Whom this front has greeted, and when.
+/// Tracks when each engine agent was last greeted.
 #[derive(Debug, Default)]
 pub(crate) struct GreetingSchedule {
     sent_at: BTreeMap<SocketAddr, Micros>,
-    /// Numbers of rounds, and when they began.
+    /// Numbers and start times of rounds.
     rounds: VecDeque<(u64, Micros)>,
     round: u64,
     is_all_requested: bool,
 }
 
 impl GreetingSchedule {
-    /// Greets all in the next round.
+    /// Makes greetings to all agents due in the next round.
     pub fn request_all(&mut self) {
         self.is_all_requested = true;
     }
 
-    /// Greets one in the next round.
+    /// Makes a greeting to one agent due in the next round.
     pub fn request(
         &mut self,
         to: SocketAddr,
@@ -37,7 +37,7 @@
         self.sent_at.remove(&to);
     }
 
-    /// Begins a round; its number.
+    /// Begins a round and returns its number.
     pub fn begin_round(
         &mut self,
         now: Micros,
@@ -53,7 +53,7 @@
         self.round
     }
 
-    /// Whether it is time to greet somebody, one of so many.
+    /// Whether a greeting to an agent is due; `engines` is the number of engines.
     pub fn is_due(
         &self,
         to: SocketAddr,
@@ -69,7 +69,7 @@
         last_sent_at.is_none_or(|at| now.since(*at) >= interval)
     }
 
-    /// Notes that somebody is greeted now.
+    /// Records that a greeting is sent now.
     pub fn record_sent(
         &mut self,
         to: SocketAddr,
@@ -78,7 +78,7 @@
         self.sent_at.insert(to, now);
     }
 
-    /// Forgets whom `is_there` denies.
+    /// Removes the addresses for which `is_known` is false.
     pub fn prune(
         &mut self,
         is_known: impl Fn(&SocketAddr) -> bool,
@@ -86,7 +86,7 @@
         self.sent_at.retain(|to, _| is_known(to));
     }
 
-    /// When a round began, where that is remembered.
+    /// When a round began, if it is remembered.
     pub fn started_at(
         &self,
         round: u64,
--- a/entry/src/front/greeting_sender.rs
+++ b/entry/src/front/greeting_sender.rs
@@ -16,18 +16,18 @@
     },
 };
 
-/// How often turns are planned anew, and greetings go out.
+/// Interval at which turns to load weights are planned and due greetings are sent.
 const ROUND_INTERVAL: Micros = Micros::from_millis(100);
-/// Processes beside engines that are told of suspects in one round.
+/// Engine agents that receive suspects in one round.
 const SUSPECT_RECEIVERS: usize = 3;
-/// Suspects in one greeting: some 100 bytes each.
+/// Suspects in one greeting, at some 100 bytes each.
 const MAX_SUSPECTS: usize = 100;
-/// Age up to which others are told what this front has read at the platform's store.
+/// Maximum age of this front's own reads of the platform store that are still reported.
 const MAX_PROOF_AGE: Micros = Micros::from_millis(2_500);
-/// For how long it holds which state this front can hand on, and who reads which store.
+/// Time for which the hash of the own state and the assignment of KV stores are reused.
 const CACHE_TTL: Micros = Micros::from_millis(400);
 
-/// What is the same in all greetings for a while.
+/// Parts that all greetings have in common for some time.
 #[derive(Debug, Default)]
 struct GreetingCache {
     computed_at: Option<Micros>,
@@ -35,8 +35,8 @@
     watchers: WatcherAssignment,
 }
 
-/// Tells the processes beside engines what they need to know, and that this
-/// front wants their digests.
+/// Sends greetings to the engine agents. A greeting carries what an agent needs to know and
+/// requests its digests.
 pub(crate) async fn send_greetings(
     front: Rc<FrontContext>,
     socket: BesideSocket,
@@ -47,7 +47,7 @@
         plan_swap_turns(&front, now);
         refresh_cache(&front, &mut cache, now);
         for (to, greeting) in make_greetings(&front, &cache, now) {
-            // A hello that is lost is followed by the next one.
+            // A lost greeting is replaced by the next one.
             if let Err(error) = socket.send(&greeting, to).await {
                 let error = error.to_string();
                 log::debug!(event = "hello-failed", error = error.as_str(); "");
@@ -75,7 +75,8 @@
     };
 }
 
-/// Plans whose turn it is to load new weights; those whose turn begins are told at once.
+/// Plans which engines load new weights next. Agents of engines whose turn begins are greeted
+/// immediately.
 fn plan_swap_turns(
     front: &FrontContext,
     now: Micros,
@@ -117,7 +118,7 @@
     let wants_suspects = state.wants_suspects;
     let own_id = reader_id(front);
     let proofs = state.readers.own_proofs(own_id, MAX_PROOF_AGE, now);
-    // What this front has just read is told on at once: others go by its age.
+    // New reads are reported immediately, since other fronts rely on their age.
     let has_new_reads = state.readers.take_has_new_reads()
         && state.fronts > MAX_DIRECT_READERS
         && !proofs.is_empty();
@@ -154,8 +155,8 @@
     greetings
 }
 
-/// Engines whose processes are greeted, by address: also those that leave, as such a process
-/// would tell others that they are there.
+/// Engines whose agents are greeted, by address. Engines that are leaving are included: their
+/// agents would otherwise keep announcing them to other fronts.
 fn greeted_engines(state: &FrontState) -> BTreeMap<SocketAddr, EndpointKey> {
     let Some(config) = &state.config else {
         return BTreeMap::new();
@@ -167,8 +168,8 @@
     engines
 }
 
-/// Whether the process beside an engine must hear of this front soon: it is the engine's turn
-/// to load, or what it keeps is not known.
+/// Whether an agent must receive a greeting soon: it is its engine's turn to load, or the engine's
+/// cached parts are unknown here.
 fn needs_urgent_greeting(
     state: &FrontState,
     key: EndpointKey,
@@ -178,8 +179,8 @@
     has_turn || entry.is_some_and(|entry| !entry.is_mirrored && entry.is_listed())
 }
 
-/// Which of so many processes are told of suspects, to tell all fronts: few, as each tells
-/// all, far from each other in the order of addresses, and others in each round.
+/// Indexes of the agents that receive suspects in a round. Each agent forwards them to all fronts,
+/// so a few are enough; they are spread over the order of addresses and differ from round to round.
 fn receiver_indexes(
     count: usize,
     round: usize,
@@ -188,7 +189,7 @@
     (0..SUSPECT_RECEIVERS.min(count)).map(move |turn| (round + turn * step) % count)
 }
 
-/// Whether an endpoint is an engine: entries of services that nobody knows are none.
+/// Whether an endpoint is an engine. Endpoints of unknown services are not.
 pub(super) fn is_engine(
     config: &ServingConfig,
     entry: &EndpointEntry,
@@ -197,7 +198,7 @@
     service.is_some_and(|service| service.engine.is_some())
 }
 
-/// Requests a second that an engine may get from all fronts while it starts slowly.
+/// Requests per second that an engine may receive from all fronts during its slow start.
 fn slow_start_limit(
     front: &FrontContext,
     state: &FrontState,
@@ -232,7 +233,8 @@
         again_within: Micros::ZERO,
         domain: front.settings.failure_domain.clone(),
         engine_id: Some(entry.id.clone()),
-        // What a digest tells may be of another id at the address.
+        // A digest may come from another engine at the same address, so its incarnation is not
+        // used.
         engine_born: entry.incarnation.listed_born,
         engine_row: entry.incarnation.row,
         state: offered_snapshot,
@@ -244,7 +246,8 @@
         suspects: Vec::new(),
         wants_suspects: false,
         wanted: wanted.collect(),
-        // Parts of one that is away are not kept, so they are asked for when it is back.
+        // Cached parts of an endpoint that is away are not stored here; they are requested when it
+        // returns.
         wants_all: !entry.is_mirrored && entry.is_listed(),
         proofs: Vec::new(),
         watches: Vec::new(),
--- a/entry/src/front/held_rows.rs
+++ b/entry/src/front/held_rows.rs
@@ -9,26 +9,26 @@
     std::{rc::Rc, time::Duration},
 };
 
-/// Pause after a call that failed.
+/// Delay after a failed call.
 const RETRY_DELAY: Micros = Micros::from_millis(250);
-/// Longest wait for something to write; only ends the task's wait, and nothing else.
+/// Maximum wait for a wake-up; afterwards the task just waits again.
 const WRITE_WAIT: Duration = Duration::from_secs(60);
-/// Beginning of the keys of these rows; each front has one.
+/// Key prefix of these rows, one per front.
 const KEY_PREFIX: &str = "held/";
-/// Requests in one row: some 100 bytes each, and a row takes 64 kB.
+/// Maximum number of requests in a row, at some 100 bytes each; a row holds 64 kB.
 const MAX_ROW_SUSPECTS: usize = 200;
 
-/// Requests that a front holds back, for when all boxes have lost their power at once.
+/// Requests that a front holds back, stored in case all boxes lose power at once.
 #[derive(Debug, Serialize, Deserialize)]
 struct HeldRow {
-    /// When it was written, in seconds since 1970.
+    /// Time of the write, in seconds since 1970.
     wall_secs: u64,
-    /// Requests, with ages as of then.
+    /// Requests, with their ages at the time of the write.
     suspects: Vec<SuspectReport>,
 }
 
-/// Reads which requests are held back, then writes each change of those that this front
-/// holds back itself.
+/// Reads the held-back requests of all fronts, then writes every change of those that this front
+/// holds back.
 pub(super) async fn sync_held_rows(front: Rc<FrontContext>) {
     let mut limit = CallLimit::default();
     let mut client = StoreClient::new(front.settings.store, limit.next());
@@ -65,7 +65,7 @@
     }
 }
 
-/// Takes what rows tell; true where one is of this front.
+/// Merges the rows. Returns whether one belongs to this front.
 fn merge_rows(
     front: &FrontContext,
     page: RowPage,
@@ -80,7 +80,7 @@
         let RowValue::Bytes(bytes) = &row.value else {
             continue;
         };
-        // Whatever another writer put there names no request.
+        // A row of another program contains no request.
         let Ok(held) = decode_body::<HeldRow>(bytes) else {
             front.metrics.count("foreign_rows", "held");
             continue;
@@ -104,7 +104,7 @@
     format!("{KEY_PREFIX}{}", front.settings.box_id)
 }
 
-/// What was told so long ago.
+/// Makes a report older by `age`.
 fn add_age(
     report: &SuspectReport,
     age: Micros,
--- a/entry/src/front/kv_store_watch.rs
+++ b/entry/src/front/kv_store_watch.rs
@@ -11,32 +11,32 @@
     std::{collections::HashSet, net::SocketAddr, rc::Rc, time::Duration},
 };
 
-/// Time limit of a question, beyond the time it is held.
+/// Timeout of a request, in addition to the duration of the long poll.
 pub(super) const CALL_TIMEOUT: Duration = Duration::from_millis(500);
-/// Pause after a question that was one too many for a store.
+/// Delay after a store has refused a request because it has too many.
 const BUSY_RETRY_DELAY: Micros = Micros::from_millis(120);
-/// Time for which a store is not asked after others told what they read there: two digests.
+/// Time for which a store is not polled after a report of another process's read: two digests.
 const REPORT_TTL: Micros = Micros::from_millis(1_300);
-/// How often it is looked for new stores.
+/// Interval at which new stores are looked for.
 const DISCOVERY_INTERVAL: Micros = Micros::from_millis(60);
 
-/// What came of a question to a store.
+/// Outcome of a request to a store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum PollOutcome {
-    /// All that it keeps, and where changes go on. These are asked for at once:
-    /// with them comes the time on the engines' clock, which fetches need.
+    /// Complete list, and the position from which to read changes. These are requested immediately:
+    /// they come with the time on the engines' clock, which fetches need.
     Listed(u64),
-    /// What changed, and where to go on.
+    /// Changes, and the next position.
     Changes(u64),
-    /// All must be read anew.
+    /// The complete list must be read again.
     Reset,
-    /// It holds no more calls; what is known of it stays as good as it is.
+    /// The store accepts no more requests; its known content remains valid.
     Busy,
-    /// It does not answer.
+    /// The store does not respond.
     Unreachable,
 }
 
-/// Keeps a task for each store of the configuration.
+/// Starts the tasks of each configured KV store.
 pub(crate) async fn watch_kv_stores(front: Rc<FrontContext>) {
     let mut watched: HashSet<SocketAddr> = HashSet::new();
     loop {
@@ -60,7 +60,7 @@
     }
 }
 
-/// Follows what a store keeps, for as long as the configuration names it.
+/// Tracks the content of a KV store while it is configured.
 async fn watch_kv_store(
     front: Rc<FrontContext>,
     address: SocketAddr,
@@ -74,8 +74,7 @@
             continue;
         }
         let next = next_change(&front, address);
-        // Behind a list and after a standstill the clock is wanted at once, not the
-        // next change.
+        // After a list or a pause, the clock is needed immediately, not with the next change.
         let wait = match polls_at_once {
             true => Micros::ZERO,
             false => plan.wait,
@@ -127,7 +126,8 @@
     }
 }
 
-/// Time for which others will have told what they read at a store, where they do.
+/// Remaining time for which reports of another process replace own polls of a store, if there are
+/// any.
 fn reported_for(
     front: &FrontContext,
     address: SocketAddr,
@@ -154,8 +154,8 @@
     with_view(front, address, |view| view.next_change = next_change);
 }
 
-/// Takes what another process has read of a store, unless something is missing before it: then
-/// the store itself is asked. It was on its way for `way` at most.
+/// Applies another process's read of a KV store, delayed by at most `max_delay`. If there is a gap
+/// before it, the store is polled instead.
 pub(super) fn apply_store_update(
     state: &mut FrontState,
     update: &StoreNews,
@@ -183,7 +183,7 @@
     view.next_change = Some(next_change.max(update.next));
 }
 
-/// How the store is asked; nothing where the configuration no longer names it.
+/// How to poll a store. `None` if it is no longer configured.
 fn poll_plan(
     front: &FrontContext,
     address: SocketAddr,
@@ -194,7 +194,7 @@
     Some(view.store.poll_plan(fronts))
 }
 
-/// Whether the configuration still names a store.
+/// Whether a store is still configured.
 pub(super) fn has_store(
     front: &FrontContext,
     address: SocketAddr,
@@ -202,8 +202,8 @@
     front.state().store_directory.view_mut(address).is_some()
 }
 
-/// Whether the answer that has just come is too old already: it lay on the
-/// connection while the process stood still.
+/// Whether the response is already outdated on arrival, because it was buffered on the connection
+/// while the process was paused.
 fn is_stale(
     front: &FrontContext,
     address: SocketAddr,
@@ -242,7 +242,7 @@
         return PollOutcome::Unreachable;
     };
     if view.epoch() != Some(changes.epoch) || changes.has_gap {
-        // Not gone by until all of it has been read.
+        // Not used until the complete list has been read.
         view.mark_unreachable();
         return PollOutcome::Reset;
     }
--- a/entry/src/front/list_watch.rs
+++ b/entry/src/front/list_watch.rs
@@ -16,15 +16,15 @@
     std::{collections::HashSet, net::SocketAddr, rc::Rc, time::Duration},
 };
 
-/// Pause before the list is read whole: without it nothing can be served, and what has
-/// changed is not known.
+/// Delay before the whole list is read. It is short, since nothing can be served without a list and
+/// its changes since are unknown.
 const FULL_READ_INTERVAL: Micros = Micros::from_millis(150);
-/// How often endpoints are asked that came back.
+/// Interval at which returned endpoints are probed and outdated state is removed.
 const MAINTENANCE_INTERVAL: Micros = Micros::from_millis(400);
-/// A look that takes longer shows a store that is slow.
+/// Duration from which on a read indicates a slow store.
 const SLOW_READ: Micros = Micros::from_millis(400);
 
-/// Keeps the list of endpoints fresh.
+/// Keeps the endpoint list up to date.
 pub(crate) async fn watch_endpoint_list(front: Rc<FrontContext>) {
     let mut limit = CallLimit::default();
     let mut client = StoreClient::new(front.settings.store, limit.next());
@@ -103,7 +103,7 @@
     }
 }
 
-/// Asks endpoints that came back, and forgets those that are over.
+/// Probes returned endpoints and removes outdated state.
 pub(crate) async fn maintain_endpoints(front: Rc<FrontContext>) {
     loop {
         ask_returned(&front);
@@ -112,7 +112,8 @@
     }
 }
 
-/// Notes what of each entry matters here; most of what changes is its heartbeat.
+/// Updates the checksum with the relevant fields of each entry. Most updates of an entry are
+/// heartbeats, which do not count.
 fn update_checksum(
     checksum: &mut TableChecksum,
     page: &RowPage,
@@ -126,7 +127,7 @@
     }
 }
 
-/// What decides whether and where an endpoint gets requests, as bytes.
+/// Serialises the fields that decide whether and where an endpoint gets requests.
 fn routing_bytes(notice: &EndpointNotice) -> Vec<u8> {
     let address = notice.address.map_or(String::new(), |a| a.to_string());
     let text = format!(
@@ -153,7 +154,8 @@
             Ok(update) => update,
             Err(error) => {
                 foreign_rows.record(front, &key, &error);
-                // It is there and names nobody: that is no lapse of the store's.
+                // The row exists but does not name an endpoint, so this is not data loss of the
+                // store.
                 changes.extend(front.state().registry.mark_unlisted(&key, true));
                 continue;
             }
@@ -196,7 +198,8 @@
         }
         let mut state = front.state();
         if !std::mem::replace(&mut state.has_list, true) {
-            // It serves only once it is told of suspects, which the first greeting asks for.
+            // The front is not ready until suspects have been reported, which the first greeting
+            // requests.
             state.greetings.request_all();
             front.greeting_due.wake();
         }
@@ -205,8 +208,7 @@
     handle_endpoint_changes(front, &changes);
 }
 
-/// Takes how an endpoint stands with its slow start: for one that is new and does not say, it has
-/// just begun.
+/// Updates the slow start of an endpoint. A new endpoint without a remaining time has just started.
 fn update_slow_start(
     front: &FrontContext,
     notice: &EndpointNotice,
@@ -256,7 +258,7 @@
             state.greetings.request(to);
             front.greeting_due.wake();
         }
-        // Connections of an earlier life lead nowhere.
+        // Connections to an earlier incarnation are dead.
         let is_closed = matches!(status, "leaves" | "restarted");
         if let Some(key) = key.filter(|_| is_closed) {
             state.pool.close_all(key);
@@ -264,7 +266,7 @@
     }
 }
 
-/// Forgets endpoints and connections that are of no use any more.
+/// Removes endpoints, connections and other state that is no longer needed.
 fn prune_state(front: &FrontContext) {
     let now = front.now();
     let mut guard = front.state();
--- a/entry/src/front/operator_watch.rs
+++ b/entry/src/front/operator_watch.rs
@@ -19,12 +19,12 @@
     std::{rc::Rc, time::Duration},
 };
 
-/// Pause after a call that failed.
+/// Delay after a failed call.
 const RETRY_DELAY: Micros = Micros::from_millis(150);
-/// Only ends one wait for the end of an era, and begins the next.
+/// Maximum wait for an era change; afterwards the task just waits again.
 const ERA_CHECK_INTERVAL: Duration = Duration::from_secs(60);
 
-/// Keeps the configuration fresh.
+/// Keeps the configuration up to date.
 pub(crate) async fn watch_operator(front: Rc<FrontContext>) {
     let mut limit = CallLimit::default();
     let mut client = StoreClient::new(front.settings.store, limit.next());
@@ -51,7 +51,8 @@
                     checksum.clear();
                     front.state().evacuations.begin_full_read();
                 }
-                // A question that was held at the store proves what was in force when it answered.
+                // The response of a long poll proves which configuration was in force when the
+                // store answered.
                 let proven_at =
                     store_clock.earliest_answer_time(sent_at, page.store_ms, front.now());
                 apply_rows(&front, page, proven_at, &mut foreign_rows, &mut checksum);
@@ -91,8 +92,8 @@
     }
 }
 
-/// For how long the next question may be held at the store: one of a front that others tell, or
-/// that others go by, is to answer at once.
+/// Duration of the next long poll. A front that relies on the reads of others, or that others rely
+/// on, requests an immediate response.
 fn poll_wait(
     front: &FrontContext,
     now: Micros,
@@ -105,7 +106,7 @@
     }
 }
 
-/// Reads all that the operator wrote, or waits for what changed since.
+/// Reads all rows of the operator, or waits for changes after a position.
 async fn read_operator(
     front: &FrontContext,
     client: &mut StoreClient,
@@ -150,7 +151,7 @@
         }
     };
     apply_evacuations(front, &changes, "row");
-    // A configuration that cannot be read may take keys away.
+    // An unreadable configuration may revoke keys, so it does not renew their freshness.
     if !foreign_rows.contains(CONFIG_KEY) {
         let now = front.now();
         front
@@ -192,7 +193,8 @@
     let proven_at = state.key_freshness.proven_at();
     let planner = &mut state.planner;
     let is_newer = planner.publish(&weights.model, weights.version, proven_at, now);
-    // What was known before, by whomever, did not show it yet.
+    // The configuration known so far, from any source, did not contain this version: its age bounds
+    // that of the publication.
     if let Some(age) = state.key_freshness.age(now).filter(|_| is_newer) {
         planner.record_age(&weights.model, weights.version, age, now);
     }
@@ -205,7 +207,7 @@
     );
 }
 
-/// A configuration never goes back in one life of the process.
+/// Applies a configuration. Its version never decreases within one incarnation of the process.
 pub(super) fn update_config(
     front: &FrontContext,
     config: ServingConfig,
--- a/entry/src/front/order_lease.rs
+++ b/entry/src/front/order_lease.rs
@@ -9,24 +9,24 @@
     pitchhitch_wire::codec::{decode_body, encode_body},
 };
 
-/// Key of the row that says which front stands in.
+/// Key of the row with the front that runs the fallback controller.
 const LEASE_KEY: &str = "lease/orders";
-/// Times of that lease.
+/// Times of the lease.
 const LEASE_TIMES: LeaseTimes = LeaseTimes {
     duration: Micros::from_secs(6),
     interval: Micros::from_secs(2),
     margin: Micros::from_secs(1),
 };
 
-/// The lease under which one front stands in for processes beside engines. It spares work, and
-/// allows nothing: that does the right to give each engine orders.
+/// Lease of the front that gives orders in place of missing engine agents. It only avoids duplicate
+/// work; permission comes from the order right of each engine.
 #[derive(Debug)]
 pub(super) struct OrderLease {
     machine: LeaseMachine,
 }
 
 impl OrderLease {
-    /// Not held yet.
+    /// Creates a lease that is not held.
     pub fn new(front: &FrontContext) -> Self {
         let life = front.clock.incarnation();
         let holder = format!("{}/{life}", front.settings.box_id);
@@ -35,7 +35,6 @@
         }
     }
 
-    /// Whether it is held.
     pub fn is_held(
         &self,
         now: Micros,
@@ -43,10 +42,10 @@
         self.machine.epoch(now).is_some()
     }
 
-    /// Takes or renews it, where that is due.
+    /// Acquires or renews the lease if this is due.
     ///
     /// # Errors
-    /// What the platform's store says.
+    /// Errors of the platform store.
     pub async fn step(
         &mut self,
         front: &FrontContext,
@@ -70,10 +69,10 @@
         }
     }
 
-    /// Gives it back; whoever needs it next reads it anew.
+    /// Releases the lease. The next acquisition reads the row again.
     ///
     /// # Errors
-    /// What the platform's store says; then it ends by its time.
+    /// Errors of the platform store; the lease then expires.
     pub async fn release(
         &mut self,
         front: &FrontContext,
--- a/entry/src/front/orphan_engine.rs
+++ b/entry/src/front/orphan_engine.rs
@@ -12,19 +12,20 @@
     std::{net::SocketAddr, time::Duration},
 };
 
-/// Time between two reports of an engine; each has a price.
+/// Interval between two reports of an engine; each has a cost.
 const REPORT_INTERVAL: Micros = Micros::from_millis(900);
-/// The same while it is its turn to load.
+/// Interval while it is the engine's turn to load.
 const TURN_REPORT_INTERVAL: Micros = Micros::from_millis(250);
-/// Time for which it answers before this front gives it orders, and for which an answer counts.
+/// Time for which an engine must have responded before this front gives it orders, and time for
+/// which a response counts.
 const MIN_RESPONSIVE_TIME: Micros = Micros::from_millis(800);
 const RESPONSE_TTL: Micros = Micros::from_millis(1_800);
-/// Time after an order in which a report may not show it yet.
+/// Time after an order in which a report may not show its effect yet.
 const ORDER_REPORT_DELAY: Micros = Micros::from_millis(800);
-/// Time limit of a call of the engine.
+/// Timeout of a call to the engine.
 const CALL_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// An engine that this front gives orders.
+/// An engine without a working agent, which gets its orders from this front.
 #[derive(Debug)]
 pub(super) struct OrphanEngine {
     key: EndpointKey,
@@ -32,7 +33,7 @@
     right: OrderRight,
     client: HttpClient,
     reported_at: Option<Micros>,
-    /// Since when it has answered each time, and when it last did.
+    /// Since when the engine has responded without a failure, and its last response.
     responsive_span: Option<(Micros, Micros)>,
     ordered_at: Option<Micros>,
     is_swapping: bool,
@@ -40,7 +41,7 @@
 }
 
 impl OrphanEngine {
-    /// Gives it no orders yet.
+    /// Starts without the right to give orders.
     pub fn new(
         front: &FrontContext,
         key: EndpointKey,
@@ -59,13 +60,13 @@
         }
     }
 
-    /// When it was last asked for its report.
+    /// When the report was last requested.
     pub fn reported_at(&self) -> Option<Micros> {
         self.reported_at
     }
 
-    /// Whether it has answered for a while. A box that has just woken answers before the process
-    /// beside its engine is heard.
+    /// Whether the engine has been responding for some time. On a box that has just resumed, the
+    /// engine responds before digests of its agent arrive.
     pub fn is_responsive(
         &self,
         now: Micros,
@@ -75,10 +76,10 @@
         })
     }
 
-    /// Takes the right to give it orders, where this front does not have it.
+    /// Acquires the right to give orders to the engine, unless it is held.
     ///
     /// # Errors
-    /// What the platform's store says.
+    /// Errors of the platform store.
     pub async fn acquire_right(
         &mut self,
         front: &FrontContext,
@@ -116,7 +117,7 @@
         Ok(())
     }
 
-    /// Takes the report that the process beside the engine would have read.
+    /// Reads the report that the engine's agent would otherwise read.
     pub async fn poll_report(
         &mut self,
         front: &FrontContext,
@@ -151,10 +152,10 @@
         apply_report(front, self.key, &report, now);
     }
 
-    /// Gives it an order where it is its turn.
+    /// Sends an order if it is the engine's turn to load.
     ///
     /// # Errors
-    /// What the platform's store says where it does not show whose right that is.
+    /// Errors of the platform store while it does not show who holds the right.
     pub async fn send_due_order(
         &mut self,
         front: &FrontContext,
@@ -164,7 +165,7 @@
         let Some(turn) = turn.filter(|turn| turn.is_loading) else {
             return Ok(());
         };
-        // One that does what it was told needs no further order.
+        // An engine that is carrying out an order needs no further one.
         let has_current_order = self.is_swapping || self.has_recent_order(front.now());
         if has_current_order || self.right.is_waiting(front.now()) {
             return Ok(());
@@ -178,7 +179,7 @@
         Ok(())
     }
 
-    /// Whether an order was given so lately that no report can tell what became of it.
+    /// Whether an order is so recent that reports do not show its effect yet.
     fn has_recent_order(
         &self,
         now: Micros,
@@ -223,13 +224,13 @@
             outcome = outcome.as_str();
             ""
         );
-        // The next report shows what became of it.
+        // The next report is read at once to see the effect of the order.
         self.reported_at = None;
         self.ordered_at = Some(front.now());
     }
 }
 
-/// Takes an engine's own report as its load, so that it gets its turn.
+/// Applies an engine's own report as its load, so that the engine gets its turn to load.
 fn apply_report(
     front: &FrontContext,
     key: EndpointKey,
--- a/entry/src/front/peer_state.rs
+++ b/entry/src/front/peer_state.rs
@@ -14,38 +14,38 @@
     std::{collections::BTreeSet, net::SocketAddr, rc::Rc, time::Duration},
 };
 
-/// Time limit of a question: peers are a millisecond or two away, and one that is
-/// frozen must not hold up the next.
+/// Timeout of a request. Peers are a millisecond or two away, and a frozen one must not delay the
+/// request to the next.
 const CALL_TIMEOUT: Duration = Duration::from_millis(250);
-/// Pause between two questions.
+/// Interval between two requests.
 const POLL_INTERVAL: Micros = Micros::from_millis(100);
-/// Time from the start for which peers are asked in any case: the store's row may
-/// have gone back, or may show an older configuration for a moment.
+/// Time after the start for which peers are asked in any case: the store may have been restored
+/// from a snapshot, or may briefly return an older configuration.
 const MIN_BOOTSTRAP_TIME: Micros = Micros::from_millis(1_500);
-/// The same just after the start: others may know that the store's row has gone back.
+/// Interval between two requests during [`STARTUP_PERIOD`]: peers may know that the store has been
+/// restored from a snapshot.
 const STARTUP_POLL_INTERVAL: Micros = Micros::from_millis(30);
 const STARTUP_PERIOD: Micros = Micros::from_millis(250);
-/// Pause between two questions where only the age of namings is still to be told.
+/// Interval between two requests if only the ages of publications are missing.
 const AGE_POLL_INTERVAL: Micros = Micros::from_millis(400);
 
-/// Time between two questions while the store tells others and not this front.
+/// Interval between two requests while other fronts reach the store and this one does not.
 const REFRESH_INTERVAL: Micros = Micros::from_millis(500);
-/// Part of the age up to which keys count from which on it asks, in hundredths: it stays ready.
+/// Share of the limit on the age of keys from which on peers are asked, in percent. This keeps the
+/// front ready.
 const REFRESH_PERCENT: u64 = 35;
 
-/// Number and age of what this front can hand on, for greetings; nothing until it
-/// knows all of it.
+/// Hash and age of this front's state snapshot, for greetings. `None` until the state is complete.
 ///
-/// The number is worked out for each round: one that is kept would have to be given up
-/// with the configuration, with each naming, and with whatever of an entry is handed on
-/// (its standing, whether it may come back, its life), and entries are changed in many
-/// places.
+/// The hash is computed for each round. A cached one would have to be invalidated with the
+/// configuration, with each publication and with every reported field of an endpoint (its status,
+/// whether it may rejoin, its incarnation), and endpoints are changed in many places.
 pub(super) fn own_snapshot_hash(front: &FrontContext) -> Option<(u64, Micros)> {
     let state = snapshot_without_config(front)?;
     Some((state.mark(), state.age))
 }
 
-/// What this front can hand on but for the text of the configuration.
+/// State snapshot without the text of the configuration.
 fn snapshot_without_config(front: &FrontContext) -> Option<HandedState> {
     let state = front.state();
     let config = state.config.as_ref().filter(|_| state.has_list)?;
@@ -62,7 +62,7 @@
     })
 }
 
-/// What this front can hand on.
+/// State snapshot of this front.
 fn own_snapshot(front: &FrontContext) -> Option<HandedState> {
     let state = snapshot_without_config(front)?;
     Some(HandedState {
@@ -71,7 +71,7 @@
     })
 }
 
-/// Answers a process that asks for the state.
+/// Serves the state snapshot to another process.
 pub(super) fn serve_snapshot(
     front: &FrontContext,
     target: &str,
@@ -92,9 +92,9 @@
     }
 }
 
-/// Asks peers for what they know, until the store or one of them has told it.
+/// Requests state snapshots from peers until the store or a peer has provided the state.
 pub(super) async fn bootstrap_from_peers(front: Rc<FrontContext>) {
-    // Fronts that start together do not all ask the same one first.
+    // Fronts that start together begin with different peers.
     let mut attempt = 2 * (stable_fraction(&front.settings.box_id) * 1e6) as usize;
     loop {
         let peer = pick_peer(&front, attempt);
@@ -122,8 +122,9 @@
     }
 }
 
-/// Asks peers for their state while others can read the platform's store and this front cannot:
-/// callers with keys are served on although the configuration has changed meanwhile.
+/// Requests state snapshots from peers while others can read the platform store and this front
+/// cannot, so that callers with keys are still served although the configuration has changed
+/// meanwhile.
 pub(super) async fn refresh_from_peers(front: Rc<FrontContext>) {
     let mut attempt = 2 * (stable_fraction(&front.settings.box_id) * 1e6) as usize;
     loop {
@@ -138,7 +139,8 @@
     }
 }
 
-/// Whether what is known of keys grows old here while somebody has read the platform's store since.
+/// Whether the known keys are getting old here although another front has read the platform store
+/// since.
 fn lags_behind_peers(front: &FrontContext) -> bool {
     let now = front.now();
     let state = front.state();
@@ -152,8 +154,7 @@
     age > limit && others_age.is_some_and(|others| others + REFRESH_INTERVAL < age)
 }
 
-/// A process beside an engine in the own failure domain, or anybody: the bytes between domains
-/// cost more.
+/// An agent in the same failure domain, or else any peer: traffic between domains costs more.
 fn pick_nearby_peer(
     front: &FrontContext,
     attempt: usize,
@@ -177,8 +178,8 @@
     nth.or_else(|| pick_peer(front, attempt))
 }
 
-/// Whom to ask next: seeds and processes beside engines by turns, as those that started
-/// together with this front know nothing yet.
+/// The next peer to ask, alternating between seeds and engine agents: seeds that started together
+/// with this front know nothing yet.
 fn pick_peer(
     front: &FrontContext,
     attempt: usize,
@@ -196,7 +197,7 @@
     state.config.is_some() && state.has_list
 }
 
-/// Fronts that may hand state on.
+/// Fronts that may provide a state snapshot.
 fn seed_fronts(front: &FrontContext) -> Vec<SocketAddr> {
     let settings = &front.settings;
     let is_own = |peer: &SocketAddr| *peer == settings.digests || Some(*peer) == settings.control;
@@ -204,7 +205,7 @@
     seeds.filter(|seed| !is_own(seed)).collect()
 }
 
-/// Processes beside engines that have been heard, or whose engines are listed.
+/// Engine agents that have sent digests or whose engines are listed.
 fn agent_addresses(front: &FrontContext) -> Vec<SocketAddr> {
     let state = front.state();
     let known = state.known_agents.iter().copied();
@@ -218,7 +219,7 @@
     agents.into_iter().collect()
 }
 
-/// Asks one peer; true where it told a state of one of ours.
+/// Requests the state snapshot of a peer. Returns whether a valid one was applied.
 async fn fetch_peer_snapshot(
     front: &FrontContext,
     peer: SocketAddr,
@@ -251,9 +252,9 @@
     outcome.is_ok()
 }
 
-/// Takes what a peer knows: nothing that is older than what is known here. Its ages count
-/// from the question, as this process or the peer may have stood still since; so the stores'
-/// lives, of which the least age counts, count from now.
+/// Applies a state snapshot, except where it is older than the state here. Its ages count from the
+/// request, since this process or the peer may have been paused in between. Uptimes of KV stores
+/// are lower bounds, so they count from now.
 fn apply_snapshot(
     front: &FrontContext,
     received: HandedState,
@@ -281,7 +282,8 @@
         state.key_freshness.invalidate();
         log::warn!(event = "store-era", doubted = "read before a peer told the era before"; "");
     }
-    // Who has just started may know a copy of the store alone: it renews nothing.
+    // A peer that has just started may only know a restored snapshot of the store, so it does not
+    // renew freshness.
     if received.era.is_some() || state.key_freshness.proven_at().is_none() {
         state
             .key_freshness
@@ -292,7 +294,8 @@
             .planner
             .record_publication(publication, requested_at, now);
     }
-    // With the namings that the peer knows, as parts of replaced weights are not saved.
+    // Recorded together with the publications known to the peer, since parts of replaced weights
+    // are not saved.
     for uptime in &received.lives {
         state.store_directory.record_uptime(uptime, now);
     }
@@ -321,7 +324,7 @@
     changes.extend(state.registry.retire_superseded());
     let keys: Vec<EndpointKey> = state.registry.iter().map(|(key, _)| key).collect();
     for key in keys {
-        // A copy does not tell which of them have just started.
+        // The snapshot does not show which endpoints have just started.
         begin_slow_start(state, key, None, now);
     }
     state.has_list = true;
--- a/entry/src/front/slow_starts.rs
+++ b/entry/src/front/slow_starts.rs
@@ -3,8 +3,8 @@
     pitchhitch_core::{serving::EndpointKey, time::Micros},
 };
 
-/// Records that an endpoint starts slowly; for the whole span of its service where it is not told
-/// for how long.
+/// Begins the slow start of an endpoint. Without a remaining time it lasts for the full duration
+/// set for its service.
 pub(super) fn begin_slow_start(
     state: &mut FrontState,
     key: EndpointKey,
--- a/entry/src/front/store_contact.rs
+++ b/entry/src/front/store_contact.rs
@@ -10,12 +10,13 @@
     std::rc::Rc,
 };
 
-/// Time over which fronts write again what a store that came back from a copy has lost, and
-/// what each further front adds to it: the store gives all of them some hundred writes a second.
+/// Time over which fronts spread their rewrites after the platform store was restored from a
+/// snapshot, and the time added per front: the store accepts some hundred writes a second from all
+/// of them.
 const REWRITE_SPREAD: Micros = Micros::from_millis(2_000);
 const REWRITE_SPREAD_PER_FRONT: Micros = Micros::from_millis(10);
 
-/// Logs that the store was lost or is back, once each.
+/// Logs once when the store becomes unreachable, and once when it is back.
 pub(crate) fn log_store_contact(
     front: &FrontContext,
     watch: &'static str,
@@ -27,7 +28,7 @@
             *is_unreachable = false;
             log::info!(event = "store-back", watch = watch; "");
         }
-        // It is there, and is read anew at once.
+        // The store is reachable and is read again immediately.
         Err(StoreError::OtherEra) | Ok(()) => {}
         Err(error) => {
             front.metrics.count("store_failures", watch);
@@ -40,10 +41,10 @@
     }
 }
 
-/// Takes the position of a reading.
+/// Updates the known era with the position of a read.
 ///
 /// # Errors
-/// [`StoreError::EarlierEra`] where it is a late one.
+/// [`StoreError::EarlierEra`] if the read is from an earlier era.
 pub(super) fn observe_position(
     front: &Rc<FrontContext>,
     watch: &'static str,
@@ -67,7 +68,7 @@
                 ""
             );
             front.metrics.count("store_eras", watch);
-            // What is held at the store was asked in the era before.
+            // A pending long poll belongs to the previous era.
             front.era_changed.wake();
             front.spawn(schedule_rewrite(front.clone()));
             Ok(())
@@ -75,7 +76,7 @@
     }
 }
 
-/// Has what this front holds back written again, at a moment of its own.
+/// Has this front's held-back requests written again, after a delay that differs between fronts.
 async fn schedule_rewrite(front: Rc<FrontContext>) {
     let fronts = u64::from(front.state().fronts);
     let spread = REWRITE_SPREAD.max(Micros(REWRITE_SPREAD_PER_FRONT.0 * fronts));
--- a/entry/src/front/store_readers.rs
+++ b/entry/src/front/store_readers.rs
@@ -11,53 +11,53 @@
     std::collections::BTreeMap,
 };
 
-/// Fronts up to which questions for changes are held at the store.
+/// Number of fronts up to which long polls are used.
 const MAX_LONG_POLL_FRONTS: u32 = 8;
-/// How often a front that others tell looks whether it must read itself.
+/// Interval at which a front that relies on the reads of others checks whether it must read itself.
 const CHECK_INTERVAL: Micros = Micros::from_millis(100);
-/// Longest wait of a front that has just heard of something newer: not all read at once.
+/// Maximum delay of a read after a report of newer content, so that fronts do not all read at once.
 const MAX_READ_JITTER: Micros = Micros::from_millis(120);
-/// Time for which a content that was not found at the store is not looked for again.
+/// Time for which reported content that the store did not show is ignored.
 const REFUTED_TTL: Micros = Micros::from_secs(2);
-/// Time after which a front that hears no process beside an engine reads by itself.
+/// Time without digests after which a front reads by itself.
 const DIGEST_TIMEOUT: Micros = Micros::from_millis(1_500);
-/// Time between two questions to a store that is lost, of fronts that others will tell when it
-/// is back.
+/// Interval between two requests to an unreachable store for fronts that others notify when it is
+/// back.
 const UNREACHABLE_INTERVAL: Micros = Micros::from_millis(3_000);
 
-/// What is known of who has read one table, and when.
+/// Known reads of one table, by this front and others.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct TableProofs {
     tracker: ProofTracker,
-    /// Content that is known here.
+    /// Checksum of the content known here.
     checksum: Option<u32>,
-    /// When the question of the last own reading was sent.
+    /// When the request of the last own read was sent.
     read_at: Option<Micros>,
-    /// A content that others told and that the store did not show.
+    /// Checksum reported by others that the store did not show, and when it was found missing.
     refuted: Option<(u32, Micros)>,
-    /// How soon this front reads it, as it was last logged.
+    /// Reader tier of this front, as last logged.
     tier: Option<ReaderTier>,
 }
 
 impl TableProofs {
-    /// When the newest question was sent that shows the content that is known to be the newest:
-    /// an own one, or one of which two others tell.
+    /// Send time of the newest request that showed the known content to be the newest, by this
+    /// front or confirmed by two others.
     pub fn proven_at(&self) -> Option<Micros> {
         self.read_at.max(self.confirmed_at())
     }
 
-    /// When the newest question was sent of which anybody tells, whatever it showed.
+    /// Send time of the newest reported request, whatever it showed.
     pub fn newest_reported_at(&self) -> Option<Micros> {
         self.tracker.newest_sent_at()
     }
 
-    /// When the newest question was sent of which two others tell.
+    /// Send time of the newest request that two other fronts confirm.
     pub fn confirmed_at(&self) -> Option<Micros> {
         self.checksum
             .and_then(|checksum| self.tracker.confirmed_at(checksum))
     }
 
-    /// Another content that somebody has read since.
+    /// Checksum of different content that another front has read since.
     fn newer_checksum(
         &self,
         now: Micros,
@@ -71,7 +71,7 @@
     }
 }
 
-/// What is known of who has read which table.
+/// Known reads of all tables.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct StoreReaders {
     tables: BTreeMap<ProvenTable, TableProofs>,
@@ -79,8 +79,7 @@
 }
 
 impl StoreReaders {
-    /// Takes a proof that `teller` told, of a question that had been sent at `sent_at` or
-    /// before.
+    /// Records a proof from `reporter` for a request sent no later than `sent_at`.
     pub fn record_report(
         &mut self,
         proof: &StoreProof,
@@ -91,8 +90,8 @@
         table.tracker.record(proof, reporter, sent_at);
     }
 
-    /// Takes that this front has read a table whole, or all that changed in it: its content is
-    /// `mark`.
+    /// Records that this front has read a table completely, or all its changes. `checksum` is that
+    /// of the content.
     pub fn record_read(
         &mut self,
         table: ProvenTable,
@@ -109,12 +108,12 @@
         self.has_new_reads = true;
     }
 
-    /// Whether this front has read something since it was last asked.
+    /// Whether this front has read a table since the last call.
     pub fn take_has_new_reads(&mut self) -> bool {
         std::mem::take(&mut self.has_new_reads)
     }
 
-    /// Takes how soon this front reads a table; true where that is news.
+    /// Sets the reader tier of a table. Returns whether it changed.
     fn update_tier(
         &mut self,
         table: ProvenTable,
@@ -124,7 +123,7 @@
         current_tier.replace(tier) != Some(tier)
     }
 
-    /// What is known of one table.
+    /// Known reads of one table.
     pub fn table(
         &self,
         table: ProvenTable,
@@ -132,7 +131,7 @@
         self.tables.get(&table)
     }
 
-    /// Own readings, to be told to others.
+    /// Own reads, to be reported to others.
     pub fn own_proofs(
         &self,
         source: u32,
@@ -153,12 +152,12 @@
     }
 }
 
-/// The number under which this front's readings are told.
+/// Id under which this front's reads are reported.
 pub(super) fn reader_id(front: &FrontContext) -> u32 {
     spread_number(&front.settings.box_id) as u32
 }
 
-/// How soon this front reads a table itself.
+/// Reader tier of this front for a table: how soon it reads the table itself.
 pub(super) fn own_tier(
     front: &FrontContext,
     state: &FrontState,
@@ -169,32 +168,32 @@
         .last_digest_at
         .is_none_or(|at| now.since(at) > DIGEST_TIMEOUT)
     {
-        // Nobody tells it anything.
+        // No agent reports the reads of others.
         return ReaderTier::First;
     }
     ReaderTier::from_draw(reader_draw(&front.settings.box_id, table), state.fronts)
 }
 
-/// A reader of one table between two readings.
+/// Decides when a table is read next.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct ReadSchedule {
-    /// Table.
+    /// Table to read.
     pub table: ProvenTable,
-    /// Time between two readings of a front that reads all the time; nothing where its
-    /// questions are held at the store.
+    /// Interval of a front in the first tier. `None` if it uses long polls.
     pub interval: Option<Micros>,
-    /// Time between two of them in any case: what is known is good for some times that.
+    /// Base interval of the other tiers: known content stays valid for a multiple of it.
     pub max_interval: Micros,
-    /// When the last question was sent.
+    /// When the last request was sent.
     pub last_sent_at: Micros,
-    /// Whether it had no answer.
+    /// Whether the last request failed.
     pub is_unreachable: bool,
-    /// Whether the table is to be trusted again, which only own readings show.
+    /// Whether the table must become reliable again, which only own reads prove.
     pub needs_own_reads: bool,
 }
 
 impl ReadSchedule {
-    /// Whether this front has to read now: all the time, unless others read it too and tell.
+    /// Whether a read is due. A front in the first tier reads continuously; the others rely on
+    /// reported reads until these get too old.
     fn is_due(
         &self,
         front: &FrontContext,
@@ -213,12 +212,12 @@
         if !self.is_unreachable {
             return is_old && elapsed >= CHECK_INTERVAL;
         }
-        // Others have read it since: it may be back.
+        // Another front has read it since, so the store may be reachable again.
         let is_back = known_at > Some(self.last_sent_at);
         (is_back && elapsed >= self.max_interval) || (is_old && elapsed >= UNREACHABLE_INTERVAL)
     }
 
-    /// Waits until this front has to read, or somebody has read something newer.
+    /// Waits until a read is due or another front has reported newer content.
     pub async fn wait(
         self,
         front: &FrontContext,
@@ -245,8 +244,8 @@
     }
 }
 
-/// Whether fronts that read all the time have their questions held at the store: many of them
-/// ask at once, as others go by the age of what they read.
+/// Whether fronts in the first tier use long polls. If there are many fronts, these poll without
+/// waiting at the store, since the others rely on the age of their reads.
 pub(super) fn uses_long_polls(state: &FrontState) -> bool {
     state.fronts <= MAX_LONG_POLL_FRONTS
 }
--- a/entry/src/front/watcher_assignment.rs
+++ b/entry/src/front/watcher_assignment.rs
@@ -4,20 +4,20 @@
     std::{collections::BTreeMap, net::SocketAddr},
 };
 
-/// Processes beside engines that read one store of kept parts for all fronts: each may end.
+/// Engine agents that poll each KV store for all fronts, so that one may fail.
 const WATCHERS: usize = 2;
-/// Fronts up to which each reads all itself: that asks as often.
+/// Number of fronts up to which each polls all stores itself, which costs as many requests.
 pub(super) const MAX_DIRECT_READERS: u32 = 2 * WATCHERS as u32;
 
-/// Which process beside an engine reads which store of kept parts, for all fronts; all fronts
-/// that know the same engines find the same.
+/// Assigns KV stores to the engine agents that poll them for all fronts. All fronts that know the
+/// same engines compute the same assignment.
 #[derive(Debug, Default)]
 pub(super) struct WatcherAssignment {
     stores_by_engine: BTreeMap<SocketAddr, Vec<SocketAddr>>,
 }
 
 impl WatcherAssignment {
-    /// Chooses them among the engines that are there; few fronts need none.
+    /// Assigns the stores to the present engines. Empty if there are few fronts.
     pub fn assign(front: &FrontContext) -> Self {
         let state = front.state();
         let Some(config) = state
@@ -41,7 +41,7 @@
         WatcherAssignment { stores_by_engine }
     }
 
-    /// Stores that the process beside an engine is to read.
+    /// Stores that the agent of an engine is to poll.
     pub fn stores_for(
         &self,
         engine: SocketAddr,
@@ -53,7 +53,7 @@
     }
 }
 
-/// An engine, and the number by which it is drawn.
+/// An engine and its hash for rendezvous hashing.
 struct EngineCandidate {
     address: SocketAddr,
     hash: u64,
@@ -66,8 +66,8 @@
     }
 }
 
-/// The engines with the highest rank for a store: where one goes, only what it read is read
-/// elsewhere.
+/// The engines with the highest rank for a store. If an engine disappears, only its stores are
+/// reassigned.
 fn pick_watchers(
     store: SocketAddr,
     engines: &[EngineCandidate],
--- a/entry/tests/fractional_settings.rs
+++ b/entry/tests/fractional_settings.rs
@@ -1,4 +1,4 @@
-//! Figures that the platform fills into a front's settings may be fractions.
+//! Numbers that the platform fills into a front's settings may be fractions.
 
 use {
     pitchhitch_core::time::Micros,
@@ -7,7 +7,7 @@
     std::{fs, path::Path, time::Duration},
 };
 
-/// Fields that the template fills with a figure.
+/// Fields that the template fills with a number.
 const NUMERIC_FIELDS: [&str; 9] = [
     "key_limit_ms",
     "drain_limit_ms",
@@ -30,8 +30,8 @@
     FrontSettings::parse("front.json", &settings.to_string()).map_err(|error| error.to_string())
 }
 
-/// A share of a figure is a fraction: fronts ended with `repeat_slack: found 36.17, wanted a
-/// whole number`.
+/// A share of a number is a fraction. Fronts exited with `repeat_slack: found 36.17, wanted a whole
+/// number`.
 #[test]
 fn all_take_fractions() {
     for field in NUMERIC_FIELDS {
@@ -58,7 +58,8 @@
     assert_eq!(read.retry_limit.window, Micros::from_millis(500));
 }
 
-/// What is no figure, or none that can be meant, names file, field, what was found and wanted.
+/// An invalid or absurd number is refused with the file, the field, the found value and what was
+/// expected.
 #[test]
 fn nonsense_refused() {
     for field in NUMERIC_FIELDS {
@@ -72,7 +73,7 @@
     }
 }
 
-/// The fields above are all that the template fills with figures.
+/// [`NUMERIC_FIELDS`] lists all fields that the template fills with numbers.
 #[test]
 fn template_covered() {
     let file = Path::new(env!("CARGO_MANIFEST_DIR")).join("../deploy/front.json.in");
--- a/entry/tests/store_poll_rate.rs
+++ b/entry/tests/store_poll_rate.rs
@@ -1,9 +1,9 @@
-//! How often a front asks the platform's store follows from the operators' bounds.
+//! The rate at which a front polls the platform store follows from the operators' limits.
 
 use pitchhitch_entry::front::FrontSettings;
 
-/// Calls of one front in a second at most; each has its price, and all fronts share
-/// what the store gives.
+/// Maximum rate of calls of one front. Each call has a cost, and all fronts share the capacity of
+/// the store.
 const MAX_CALLS_PER_SECOND: f64 = 2.2;
 
 fn settings(
@@ -18,8 +18,8 @@
     FrontSettings::parse("front.json", &text).expect("settings")
 }
 
-/// A box that loses the store just before its question is answered knows its keys for
-/// three fifths of the bound from then: so long callers with keys count on it.
+/// A box that loses the store just before a response still knows its keys for three fifths of the
+/// limit, which callers with keys rely on.
 #[test]
 fn keys_outlast_outages() {
     for key_limit in [1_000, 5_000, 60_000] {
@@ -32,8 +32,8 @@
     }
 }
 
-/// Two looks at the list, one of which gets no answer, fit into the time in which an
-/// endpoint that leaves must get nothing new; three questions into the age of keys.
+/// Two reads of the list, one of which fails, fit into the time after which a leaving endpoint must
+/// not get requests; three polls fit into the limit on the age of keys.
 #[test]
 fn bounds_are_kept() {
     for (drain_limit, key_limit) in [(500, 1_000), (2_000, 5_000), (4_000, 60_000)] {
@@ -43,7 +43,7 @@
     }
 }
 
-/// Where the bounds are long, new endpoints and configurations are still found soon.
+/// With long limits, new endpoints and configurations are still found soon.
 #[test]
 fn long_bounds_asked_on() {
     let settings = settings(600_000, 600_000);
