--- a/entry/src/front/fallback_controller.rs
+++ b/entry/src/front/fallback_controller.rs
@@ -158,7 +158,7 @@
         log::warn!(
             event = "weights-unordered",
             engines = engines,
-            reason = "no process beside them is heard",
+            reason = "no reports from their engine agents",
             stands_in = is_held;
             ""
         );
--- a/entry/src/front/peer_state.rs
+++ b/entry/src/front/peer_state.rs
@@ -263,7 +263,7 @@
     let config = decode_config(&received.config).map_err(|error| error.to_string())?;
     if config.version != received.version {
         return Err(format!(
-            "configuration {} in a state of {}",
+            "configuration {} in a snapshot of configuration {}",
             config.version, received.version
         ));
     }
@@ -280,7 +280,7 @@
     let state = &mut *guard;
     if received.era.is_some_and(|era| state.eras.confirm(era, now)) {
         state.key_freshness.invalidate();
-        log::warn!(event = "store-era", doubted = "read before a peer told the era before"; "");
+        log::warn!(event = "store-era", doubted = "reads before a peer reported the previous era"; "");
     }
     // A peer that has just started may only know a restored snapshot of the store, so it does not
     // renew freshness.
