--- a/entry/src/front/list_watch.rs
+++ b/entry/src/front/list_watch.rs
@@ -69,7 +69,7 @@
         let uncertain_since = front.state().eras.uncertain_since();
         last_problem_at =
             last_problem_at.max(uncertain_since.filter(|at| now.since(*at) <= REWRITE_DELAY));
-        let is_steady = last_problem_at.is_none_or(|at| now.since(at) > REWRITE_DELAY);
+        let is_reliable = last_problem_at.is_none_or(|at| now.since(at) > REWRITE_DELAY);
         let outcome = match observed.and(read) {
             Ok(page) => {
                 let is_whole = position.replace(page.position).is_none();
@@ -77,7 +77,7 @@
                     checksum.clear();
                 }
                 update_checksum(&mut checksum, &page);
-                apply_page(&front, page, is_whole, is_steady, &mut foreign_rows);
+                apply_page(&front, page, is_whole, is_reliable, &mut foreign_rows);
                 let table = ProvenTable::Endpoints;
                 let readers = &mut front.state().readers;
                 readers.record_read(table, checksum.value(), sent_at, now);
@@ -88,7 +88,7 @@
         };
         log_store_contact(&front, "list", &mut is_unreachable, &outcome);
         match outcome {
-            Ok(()) if is_steady && last_problem_at.is_some() => {
+            Ok(()) if is_reliable && last_problem_at.is_some() => {
                 last_problem_at = None;
                 let changes = front.state().registry.expire_lapsed();
                 handle_endpoint_changes(&front, &changes);
@@ -141,7 +141,7 @@
     front: &FrontContext,
     page: RowPage,
     is_whole: bool,
-    is_steady: bool,
+    is_reliable: bool,
     foreign_rows: &mut ForeignRows,
 ) {
     let mut listed: Vec<EndpointNotice> = Vec::new();
@@ -173,7 +173,7 @@
                 changes.extend(change);
             }
             RowNews::EndpointGone(id) => {
-                changes.extend(front.state().registry.mark_unlisted(&id, is_steady));
+                changes.extend(front.state().registry.mark_unlisted(&id, is_reliable));
             }
             _ => {}
         }
@@ -184,7 +184,7 @@
             endpoints = listed.len(),
             era = position.era.0,
             version = position.version,
-            steady = is_steady;
+            steady = is_reliable;
             ""
         );
         let known: HashSet<String> = listed
@@ -192,7 +192,7 @@
             .filter(|notice| front.state().registry.key(&notice.id).is_some())
             .map(|notice| notice.id.clone())
             .collect();
-        changes.extend(front.state().registry.apply_all(&listed, is_steady));
+        changes.extend(front.state().registry.apply_all(&listed, is_reliable));
         for notice in &listed {
             update_slow_start(front, notice, had_list && !known.contains(&notice.id));
         }
--- a/entry/src/front/operator_watch.rs
+++ b/entry/src/front/operator_watch.rs
@@ -190,9 +190,9 @@
     let now = front.now();
     let mut guard = front.state();
     let state = &mut *guard;
-    let proven_at = state.key_freshness.proven_at();
+    let last_absent_at = state.key_freshness.proven_at();
     let planner = &mut state.planner;
-    let is_newer = planner.publish(&weights.model, weights.version, proven_at, now);
+    let is_newer = planner.publish(&weights.model, weights.version, last_absent_at, now);
     // The configuration known so far, from any source, did not contain this version: its age bounds
     // that of the publication.
     if let Some(age) = state.key_freshness.age(now).filter(|_| is_newer) {
