--- a/entry/src/front/held_rows.rs
+++ b/entry/src/front/held_rows.rs
@@ -30,13 +30,13 @@
 /// Reads the held-back requests of all fronts, then writes every change of those that this front
 /// holds back.
 pub(super) async fn sync_held_rows(front: Rc<FrontContext>) {
-    let mut limit = CallLimit::default();
-    let mut client = StoreClient::new(front.settings.store, limit.next());
+    let mut timeout = CallLimit::default();
+    let mut client = StoreClient::new(front.settings.store, timeout.next());
     let mut is_unreachable = false;
     let mut has_row = loop {
-        client.set_limit(limit.next());
+        client.set_limit(timeout.next());
         let read = client.read_all(RowTable::Own).await;
-        limit.note(&read);
+        timeout.note(&read);
         let observed =
             read.and_then(|page| observe_position(&front, "held", page.position).map(|()| page));
         if let Ok(page) = observed {
@@ -55,7 +55,7 @@
         }
         has_row = true;
         loop {
-            let written = write_row(&front, &mut client, &mut limit).await;
+            let written = write_row(&front, &mut client, &mut timeout).await;
             log_store_contact(&front, "held", &mut is_unreachable, &written);
             if written.is_ok() {
                 break;
@@ -121,7 +121,7 @@
 async fn write_row(
     front: &FrontContext,
     client: &mut StoreClient,
-    limit: &mut CallLimit,
+    timeout: &mut CallLimit,
 ) -> Result<(), StoreError> {
     let now = front.now();
     let suspects = {
@@ -137,9 +137,9 @@
         suspects,
     };
     let bytes = encode_body(&row).map_err(|e| StoreError::Unreadable(e.to_string()))?;
-    client.set_limit(limit.next());
+    client.set_limit(timeout.next());
     let written = client.put(&own_key(front), &bytes).await;
-    limit.note(&written);
+    timeout.note(&written);
     written?;
     log::info!(event = "held-written", outcome = "done", held = count; "");
     Ok(())
--- a/entry/src/front/list_watch.rs
+++ b/entry/src/front/list_watch.rs
@@ -18,7 +18,7 @@
 
 /// Delay before the whole list is read. It is short, since nothing can be served without a list and
 /// its changes since are unknown.
-const FULL_READ_INTERVAL: Micros = Micros::from_millis(150);
+const FULL_READ_DELAY: Micros = Micros::from_millis(150);
 /// Interval at which returned endpoints are probed and outdated state is removed.
 const MAINTENANCE_INTERVAL: Micros = Micros::from_millis(400);
 /// Duration from which on a read indicates a slow store.
@@ -26,8 +26,8 @@
 
 /// Keeps the endpoint list up to date.
 pub(crate) async fn watch_endpoint_list(front: Rc<FrontContext>) {
-    let mut limit = CallLimit::default();
-    let mut client = StoreClient::new(front.settings.store, limit.next());
+    let mut timeout = CallLimit::default();
+    let mut client = StoreClient::new(front.settings.store, timeout.next());
     let mut foreign_rows = ForeignRows::new("list");
     let mut position: Option<StorePosition> = None;
     let mut is_unreachable = false;
@@ -48,7 +48,7 @@
             schedule.wait(&front).await;
         }
         sent_at = front.now();
-        client.set_limit(limit.next());
+        client.set_limit(timeout.next());
         let read = match position {
             Some(after) => {
                 client
@@ -57,7 +57,7 @@
             }
             None => client.read_all(RowTable::Endpoints).await,
         };
-        limit.note(&read);
+        timeout.note(&read);
         let now = front.now();
         if read.is_err() || now.since(sent_at) > SLOW_READ {
             last_problem_at = Some(now);
@@ -98,7 +98,7 @@
             Err(_) => {}
         }
         if position.is_none() {
-            Timer::after(to_duration(FULL_READ_INTERVAL)).await;
+            Timer::after(to_duration(FULL_READ_DELAY)).await;
         }
     }
 }
--- a/entry/src/front/operator_watch.rs
+++ b/entry/src/front/operator_watch.rs
@@ -26,8 +26,8 @@
 
 /// Keeps the configuration up to date.
 pub(crate) async fn watch_operator(front: Rc<FrontContext>) {
-    let mut limit = CallLimit::default();
-    let mut client = StoreClient::new(front.settings.store, limit.next());
+    let mut timeout = CallLimit::default();
+    let mut client = StoreClient::new(front.settings.store, timeout.next());
     let mut foreign_rows = ForeignRows::new("operator");
     let mut position: Option<StorePosition> = None;
     let mut checksum = TableChecksum::default();
@@ -41,10 +41,10 @@
                 .await;
         }
         sent_at = front.now();
-        client.set_limit(limit.next());
-        let wait = limit.hold(to_duration(poll_wait(&front, sent_at)));
+        client.set_limit(timeout.next());
+        let wait = timeout.hold(to_duration(poll_wait(&front, sent_at)));
         let read = read_operator(&front, &mut client, position, wait).await;
-        limit.note(&read);
+        timeout.note(&read);
         let outcome = match read {
             Ok(page) => observe_position(&front, "operator", page.position).map(|()| {
                 if position.replace(page.position).is_none() {
