--- a/entry/src/front/order_lease.rs
+++ b/entry/src/front/order_lease.rs
@@ -28,8 +28,8 @@
 impl OrderLease {
     /// Creates a lease that is not held.
     pub fn new(front: &FrontContext) -> Self {
-        let life = front.clock.incarnation();
-        let holder = format!("{}/{life}", front.settings.box_id);
+        let incarnation = front.clock.incarnation();
+        let holder = format!("{}/{incarnation}", front.settings.box_id);
         OrderLease {
             machine: LeaseMachine::new(holder, LEASE_TIMES),
         }
