--- a/entry/src/front/list_watch.rs
+++ b/entry/src/front/list_watch.rs
@@ -1,7 +1,7 @@
 use {
     super::{
-        begin_slow_start, log_store_contact, observe_position, probe_rejoined, CallTimeout, ForeignRows,
-        FrontContext, ReadSchedule,
+        probe_rejoined, begin_slow_start, log_store_contact, observe_position, CallTimeout,
+        ForeignRows, FrontContext, ReadSchedule,
     },
     pitchhitch_core::{
         serving::{
@@ -10,24 +10,24 @@
         },
         time::Micros,
     },
-    pitchhitch_platform::{decode_row, RowPage, RowTable, RowUpdate, StoreClient},
+    pitchhitch_platform::{decode_row, RowUpdate, RowPage, RowTable, StoreClient},
     pitchhitch_process::to_duration,
     smol::Timer,
     std::{collections::HashSet, net::SocketAddr, rc::Rc, time::Duration},
 };
 
-/// Pause before the list is read whole: without it nothing can be served, and what has
-/// changed is not known.
-const FULL_READ_INTERVAL: Micros = Micros::from_millis(150);
-/// How often endpoints are asked that came back.
+/// Delay before the whole list is read. It is short, since nothing can be served without a list and
+/// its changes since are unknown.
+const FULL_READ_DELAY: Micros = Micros::from_millis(150);
+/// Interval at which returned endpoints are probed and outdated state is removed.
 const MAINTENANCE_INTERVAL: Micros = Micros::from_millis(400);
-/// A look that takes longer shows a store that is slow.
+/// Duration from which on a read indicates a slow store.
 const SLOW_READ: Micros = Micros::from_millis(400);
 
-/// Keeps the list of endpoints fresh.
+/// Keeps the endpoint list up to date.
 pub(crate) async fn watch_endpoint_list(front: Rc<FrontContext>) {
-    let mut limit = CallTimeout::default();
-    let mut client = StoreClient::new(front.settings.store, limit.timeout());
+    let mut timeout = CallTimeout::default();
+    let mut client = StoreClient::new(front.settings.store, timeout.timeout());
     let mut foreign_rows = ForeignRows::new("list");
     let mut position: Option<StorePosition> = None;
     let mut is_unreachable = false;
@@ -48,7 +48,7 @@
             schedule.wait(&front).await;
         }
         sent_at = front.now();
-        client.set_timeout(limit.timeout());
+        client.set_timeout(timeout.timeout());
         let read = match position {
             Some(after) => {
                 client
@@ -57,7 +57,7 @@
             }
             None => client.read_all(RowTable::Endpoints).await,
         };
-        limit.record(&read);
+        timeout.record(&read);
         let now = front.now();
         if read.is_err() || now.since(sent_at) > SLOW_READ {
             last_problem_at = Some(now);
@@ -67,8 +67,9 @@
             Err(_) => Ok(()),
         };
         let uncertain_since = front.state().eras.uncertain_since();
-        last_problem_at = last_problem_at.max(uncertain_since.filter(|at| now.since(*at) <= REWRITE_DELAY));
-        let is_steady = last_problem_at.is_none_or(|at| now.since(at) > REWRITE_DELAY);
+        last_problem_at =
+            last_problem_at.max(uncertain_since.filter(|at| now.since(*at) <= REWRITE_DELAY));
+        let is_reliable = last_problem_at.is_none_or(|at| now.since(at) > REWRITE_DELAY);
         let outcome = match observed.and(read) {
             Ok(page) => {
                 let is_whole = position.replace(page.position).is_none();
@@ -76,7 +77,7 @@
                     checksum.clear();
                 }
                 update_checksum(&mut checksum, &page);
-                apply_page(&front, page, is_whole, is_steady, &mut foreign_rows);
+                apply_page(&front, page, is_whole, is_reliable, &mut foreign_rows);
                 let table = ProvenTable::Endpoints;
                 let readers = &mut front.state().readers;
                 readers.record_read(table, checksum.value(), sent_at, now);
@@ -87,7 +88,7 @@
         };
         log_store_contact(&front, "list", &mut is_unreachable, &outcome);
         match outcome {
-            Ok(()) if is_steady && last_problem_at.is_some() => {
+            Ok(()) if is_reliable && last_problem_at.is_some() => {
                 last_problem_at = None;
                 let changes = front.state().registry.expire_lapsed();
                 handle_endpoint_changes(&front, &changes);
@@ -97,12 +98,12 @@
             Err(_) => {}
         }
         if position.is_none() {
-            Timer::after(to_duration(FULL_READ_INTERVAL)).await;
+            Timer::after(to_duration(FULL_READ_DELAY)).await;
         }
     }
 }
 
-/// Asks endpoints that came back, and forgets those that are over.
+/// Probes returned endpoints and removes outdated state.
 pub(crate) async fn maintain_endpoints(front: Rc<FrontContext>) {
     loop {
         probe_rejoined(&front);
@@ -111,7 +112,8 @@
     }
 }
 
-/// Notes what of each entry matters here; most of what changes is its heartbeat.
+/// Updates the checksum with the relevant fields of each entry. Most updates of an entry are
+/// heartbeats, which do not count.
 fn update_checksum(
     checksum: &mut TableChecksum,
     page: &RowPage,
@@ -125,7 +127,7 @@
     }
 }
 
-/// What decides whether and where an endpoint gets requests, as bytes.
+/// Serialises the fields that decide whether and where an endpoint gets requests.
 fn routing_bytes(notice: &EndpointNotice) -> Vec<u8> {
     let address = notice.address.map_or(String::new(), |a| a.to_string());
     let text = format!(
@@ -139,7 +141,7 @@
     front: &FrontContext,
     page: RowPage,
     is_whole: bool,
-    is_steady: bool,
+    is_reliable: bool,
     foreign_rows: &mut ForeignRows,
 ) {
     let mut listed: Vec<EndpointNotice> = Vec::new();
@@ -152,7 +154,8 @@
             Ok(update) => update,
             Err(error) => {
                 foreign_rows.record(front, &key, &error);
-                // It is there and names nobody: that is no lapse of the store's.
+                // The row exists but does not name an endpoint, so this is not data loss of the
+                // store.
                 changes.extend(front.state().registry.mark_unlisted(&key, true));
                 continue;
             }
@@ -170,7 +173,7 @@
                 changes.extend(change);
             }
             RowUpdate::EndpointRemoved(id) => {
-                changes.extend(front.state().registry.mark_unlisted(&id, is_steady));
+                changes.extend(front.state().registry.mark_unlisted(&id, is_reliable));
             }
             _ => {}
         }
@@ -181,7 +184,7 @@
             endpoints = listed.len(),
             era = position.era.0,
             version = position.version,
-            steady = is_steady;
+            steady = is_reliable;
             ""
         );
         let known: HashSet<String> = listed
@@ -189,13 +192,14 @@
             .filter(|notice| front.state().registry.key(&notice.id).is_some())
             .map(|notice| notice.id.clone())
             .collect();
-        changes.extend(front.state().registry.apply_all(&listed, is_steady));
+        changes.extend(front.state().registry.apply_all(&listed, is_reliable));
         for notice in &listed {
             update_slow_start(front, notice, had_list && !known.contains(&notice.id));
         }
         let mut state = front.state();
         if !std::mem::replace(&mut state.has_list, true) {
-            // It serves only once it is told of suspects, which the first greeting asks for.
+            // The front is not ready until suspects have been reported, which the first greeting
+            // requests.
             state.greetings.request_all();
             front.greeting_due.wake();
         }
@@ -204,8 +208,7 @@
     handle_endpoint_changes(front, &changes);
 }
 
-/// Takes how an endpoint stands with its slow start: for one that is new and does not say, it has
-/// just begun.
+/// Updates the slow start of an endpoint. A new endpoint without a remaining time has just started.
 fn update_slow_start(
     front: &FrontContext,
     notice: &EndpointNotice,
@@ -255,7 +258,7 @@
             state.greetings.request(to);
             front.greeting_due.wake();
         }
-        // Connections of an earlier life lead nowhere.
+        // Connections to an earlier incarnation are dead.
         let is_closed = matches!(status, "leaves" | "restarted");
         if let Some(key) = key.filter(|_| is_closed) {
             state.pool.close_all(key);
@@ -263,7 +266,7 @@
     }
 }
 
-/// Forgets endpoints and connections that are of no use any more.
+/// Removes endpoints, connections and other state that is no longer needed.
 fn prune_state(front: &FrontContext) {
     let now = front.now();
     let mut guard = front.state();
@@ -271,8 +274,8 @@
     state.registry.prune(now);
     state.suspects.prune(now);
     let registry = &state.registry;
+    state.pool.remove_expired(now, |key| registry.get(key).is_some());
     state
-        .pool
-        .remove_expired(now, |key| registry.get(key).is_some());
-    state.exit_probes.retain(|key, _| registry.get(*key).is_some());
+        .exit_probes
+        .retain(|key, _| registry.get(*key).is_some());
 }
--- a/entry/src/front/operator_watch.rs
+++ b/entry/src/front/operator_watch.rs
@@ -1,7 +1,7 @@
 use {
     super::{
-        uses_long_polls, log_store_contact, observe_position, own_tier, apply_evacuations, CallTimeout,
-        ForeignRows, FrontContext, ReadSchedule,
+        apply_evacuations, log_store_contact, observe_position, own_tier, uses_long_polls,
+        CallTimeout, ForeignRows, FrontContext, ReadSchedule,
     },
     futures_lite::future::or,
     pitchhitch_core::{
@@ -11,23 +11,23 @@
         time::Micros,
     },
     pitchhitch_platform::{
-        decode_config, decode_row, PublishedVersion, RowError, RowPage, RowTable, RowUpdate,
-        RowValue, StoreClient, StoreError, StoreRow, CONFIG_KEY,
+        decode_config, decode_row, PublishedVersion, RowError, RowUpdate, RowPage, RowTable, RowValue,
+        StoreClient, StoreError, StoreRow, CONFIG_KEY,
     },
     pitchhitch_process::to_duration,
     smol::Timer,
     std::{rc::Rc, time::Duration},
 };
 
-/// Pause after a call that failed.
+/// Delay after a failed call.
 const RETRY_DELAY: Micros = Micros::from_millis(150);
-/// Only ends one wait for the end of an era, and begins the next.
+/// Maximum wait for an era change; afterwards the task just waits again.
 const ERA_CHECK_INTERVAL: Duration = Duration::from_secs(60);
 
-/// Keeps the configuration fresh.
+/// Keeps the configuration up to date.
 pub(crate) async fn watch_operator(front: Rc<FrontContext>) {
-    let mut limit = CallTimeout::default();
-    let mut client = StoreClient::new(front.settings.store, limit.timeout());
+    let mut timeout = CallTimeout::default();
+    let mut client = StoreClient::new(front.settings.store, timeout.timeout());
     let mut foreign_rows = ForeignRows::new("operator");
     let mut position: Option<StorePosition> = None;
     let mut checksum = TableChecksum::default();
@@ -36,20 +36,23 @@
     let mut sent_at = Micros::ZERO;
     loop {
         if position.is_some() || is_unreachable {
-            read_schedule(&front, sent_at, is_unreachable).wait(&front).await;
+            read_schedule(&front, sent_at, is_unreachable)
+                .wait(&front)
+                .await;
         }
         sent_at = front.now();
-        client.set_timeout(limit.timeout());
-        let wait = limit.poll_wait(to_duration(poll_wait(&front, sent_at)));
+        client.set_timeout(timeout.timeout());
+        let wait = timeout.poll_wait(to_duration(poll_wait(&front, sent_at)));
         let read = read_operator(&front, &mut client, position, wait).await;
-        limit.record(&read);
+        timeout.record(&read);
         let outcome = match read {
             Ok(page) => observe_position(&front, "operator", page.position).map(|()| {
                 if position.replace(page.position).is_none() {
                     checksum.clear();
                     front.state().evacuations.begin_full_read();
                 }
-                // A question that was held at the store proves what was in force when it answered.
+                // The response of a long poll proves which configuration was in force when the
+                // store answered.
                 let proven_at =
                     store_clock.earliest_answer_time(sent_at, page.store_ms, front.now());
                 apply_rows(&front, page, proven_at, &mut foreign_rows, &mut checksum);
@@ -89,8 +92,8 @@
     }
 }
 
-/// For how long the next question may be held at the store: one of a front that others tell, or
-/// that others go by, is to answer at once.
+/// Duration of the next long poll. A front that relies on the reads of others, or that others rely
+/// on, requests an immediate response.
 fn poll_wait(
     front: &FrontContext,
     now: Micros,
@@ -103,7 +106,7 @@
     }
 }
 
-/// Reads all that the operator wrote, or waits for what changed since.
+/// Reads all rows of the operator, or waits for changes after a position.
 async fn read_operator(
     front: &FrontContext,
     client: &mut StoreClient,
@@ -148,10 +151,12 @@
         }
     };
     apply_evacuations(front, &changes, "row");
-    // A configuration that cannot be read may take keys away.
+    // An unreadable configuration may revoke keys, so it does not renew their freshness.
     if !foreign_rows.contains(CONFIG_KEY) {
         let now = front.now();
-        front.state().record_config_read(checksum.value(), proven_at, now);
+        front
+            .state()
+            .record_config_read(checksum.value(), proven_at, now);
         front.greeting_due.wake();
     }
 }
@@ -166,10 +171,7 @@
             update_config(front, config, text, "row");
         }
         RowUpdate::Weights(weights) => publish_weights(front, &weights),
-        RowUpdate::Evacuation {
-            domain,
-            is_requested,
-        } => {
+        RowUpdate::Evacuation { domain, is_requested } => {
             let change = front.state().evacuations.set(&domain, is_requested);
             apply_evacuations(front, change.as_slice(), "row");
         }
@@ -188,10 +190,11 @@
     let now = front.now();
     let mut guard = front.state();
     let state = &mut *guard;
-    let proven_at = state.key_freshness.proven_at();
+    let last_absent_at = state.key_freshness.proven_at();
     let planner = &mut state.planner;
-    let is_newer = planner.publish(&weights.model, weights.version, proven_at, now);
-    // What was known before, by whomever, did not show it yet.
+    let is_newer = planner.publish(&weights.model, weights.version, last_absent_at, now);
+    // The configuration known so far, from any source, did not contain this version: its age bounds
+    // that of the publication.
     if let Some(age) = state.key_freshness.age(now).filter(|_| is_newer) {
         planner.record_age(&weights.model, weights.version, age, now);
     }
@@ -204,7 +207,7 @@
     );
 }
 
-/// A configuration never goes back in one life of the process.
+/// Applies a configuration. Its version never decreases within one incarnation of the process.
 pub(super) fn update_config(
     front: &FrontContext,
     config: ServingConfig,
