--- a/entry/src/front/digest_receiver.rs
+++ b/entry/src/front/digest_receiver.rs
@@ -1,6 +1,6 @@
 use {
     super::{
-        apply_store_update, handle_endpoint_changes, is_engine, update_weights, reader_id,
+        apply_store_update, handle_endpoint_changes, is_engine, reader_id, update_weights,
         FrontContext, FrontState, TableProofs,
     },
     pitchhitch_core::{
@@ -11,7 +11,7 @@
         time::Micros,
     },
     pitchhitch_process::to_duration,
-    pitchhitch_wire::engine_agent::{DatagramSocket, EngineDigest, GreetingEcho, DigestMessage},
+    pitchhitch_wire::engine_agent::{DatagramSocket, DigestMessage, EngineDigest, GreetingEcho},
     smol::Timer,
     std::{
         hash::{DefaultHasher, Hash, Hasher},
--- a/entry/src/front/exit_probe.rs
+++ b/entry/src/front/exit_probe.rs
@@ -77,7 +77,11 @@
     let limit = PROBE_TIMEOUT + PROBE_TIMEOUT;
     let started_at = front.now();
     loop {
-        let outcome = front.state().exit_probes.get(&key).map(|probe| probe.has_exited);
+        let outcome = front
+            .state()
+            .exit_probes
+            .get(&key)
+            .map(|probe| probe.has_exited);
         match outcome {
             Some(None) if front.now().since(started_at) < limit => {}
             Some(Some(has_exited)) => return has_exited,
@@ -100,7 +104,10 @@
     };
     front.state().exit_probes.insert(key, probe(None));
     let has_exited = refuses_connections(front, key).await;
-    front.state().exit_probes.insert(key, probe(Some(has_exited)));
+    front
+        .state()
+        .exit_probes
+        .insert(key, probe(Some(has_exited)));
     has_exited
 }
 
--- a/entry/src/front/front_process.rs
+++ b/entry/src/front/front_process.rs
@@ -1,6 +1,6 @@
 use {
     super::{
-        handle_control, bootstrap_from_peers, maintain_endpoints, receive_digests,
+        bootstrap_from_peers, handle_control, maintain_endpoints, receive_digests,
         refresh_from_peers, run_fallback_controller, send_greetings, serve_caller, sync_held_rows,
         track_engines, watch_endpoint_list, watch_kv_stores, watch_operator, FrontContext,
         FrontSettings,
--- a/entry/src/front/front_state.rs
+++ b/entry/src/front/front_state.rs
@@ -1,5 +1,5 @@
 use {
-    super::{is_engine, ExitProbe, FrontSettings, GreetingSchedule, ConnectionPool, StoreReaders},
+    super::{is_engine, ConnectionPool, ExitProbe, FrontSettings, GreetingSchedule, StoreReaders},
     pitchhitch_core::{
         serving::{
             AdmissionController, CacheNamespace, EndpointEntry, EndpointKey, EndpointRegistry,
--- a/entry/src/front/list_watch.rs
+++ b/entry/src/front/list_watch.rs
@@ -1,6 +1,6 @@
 use {
     super::{
-        probe_rejoined, begin_slow_start, log_store_contact, observe_position, CallTimeout,
+        begin_slow_start, log_store_contact, observe_position, probe_rejoined, CallTimeout,
         ForeignRows, FrontContext, ReadSchedule,
     },
     pitchhitch_core::{
@@ -10,7 +10,7 @@
         },
         time::Micros,
     },
-    pitchhitch_platform::{decode_row, RowUpdate, RowPage, RowTable, StoreClient},
+    pitchhitch_platform::{decode_row, RowPage, RowTable, RowUpdate, StoreClient},
     pitchhitch_process::to_duration,
     smol::Timer,
     std::{collections::HashSet, net::SocketAddr, rc::Rc, time::Duration},
@@ -274,7 +274,9 @@
     state.registry.prune(now);
     state.suspects.prune(now);
     let registry = &state.registry;
-    state.pool.remove_expired(now, |key| registry.get(key).is_some());
+    state
+        .pool
+        .remove_expired(now, |key| registry.get(key).is_some());
     state
         .exit_probes
         .retain(|key, _| registry.get(*key).is_some());
--- a/entry/src/front/mod.rs
+++ b/entry/src/front/mod.rs
@@ -4,7 +4,6 @@
 //! It is single-threaded, since a box grants it a fifth of a core: the request path and the
 //! controllers are tasks of one executor and share their state without locks.
 
-mod greeting_sender;
 mod call_timeout;
 mod caller_conn;
 mod connection_pool;
@@ -14,6 +13,7 @@
 mod evacuations;
 mod event_splitter;
 mod exit_probe;
+mod fallback_controller;
 mod foreign_rows;
 mod front_context;
 mod front_metrics;
@@ -21,12 +21,13 @@
 mod front_settings;
 mod front_state;
 mod greeting_schedule;
+mod greeting_sender;
 mod held_rows;
+mod kv_store_watch;
 mod list_watch;
 mod lost_run;
 mod operator_watch;
 mod order_lease;
-mod fallback_controller;
 mod orphan_engine;
 mod part_reclaim;
 mod peer_state;
@@ -44,23 +45,22 @@
 mod slow_starts;
 mod store_contact;
 mod store_readers;
-mod kv_store_watch;
-mod watcher_assignment;
 mod stream_relay;
 mod wake_reason;
+mod watcher_assignment;
 mod weight_update;
 
-pub(crate) use {
-    greeting_sender::*, caller_conn::*, connection_pool::*, control_handler::*, digest_receiver::*,
-    endpoint_exchange::*, event_splitter::*, exit_probe::*, front_context::*, front_metrics::*,
-    front_state::*, list_watch::*, operator_watch::*, fallback_controller::*, plain_response::*,
-    request_handler::*, store_contact::*, store_readers::*, kv_store_watch::*, stream_relay::*,
-    wake_reason::*,
-};
 use {
-    call_timeout::*, evacuations::*, foreign_rows::*, greeting_schedule::*, held_rows::*, lost_run::*,
-    order_lease::*, orphan_engine::*, part_reclaim::*, peer_state::*, rejoin_probe::*,
+    call_timeout::*, evacuations::*, foreign_rows::*, greeting_schedule::*, held_rows::*,
+    lost_run::*, order_lease::*, orphan_engine::*, part_reclaim::*, peer_state::*, rejoin_probe::*,
     request_admit::*, request_attempt::*, request_transfers::*, request_trial::*, slow_starts::*,
     watcher_assignment::*, weight_update::*,
 };
+pub(crate) use {
+    caller_conn::*, connection_pool::*, control_handler::*, digest_receiver::*,
+    endpoint_exchange::*, event_splitter::*, exit_probe::*, fallback_controller::*,
+    front_context::*, front_metrics::*, front_state::*, greeting_sender::*, kv_store_watch::*,
+    list_watch::*, operator_watch::*, plain_response::*, request_handler::*, store_contact::*,
+    store_readers::*, stream_relay::*, wake_reason::*,
+};
 pub use {front_process::*, front_settings::*};
--- a/entry/src/front/operator_watch.rs
+++ b/entry/src/front/operator_watch.rs
@@ -11,8 +11,8 @@
         time::Micros,
     },
     pitchhitch_platform::{
-        decode_config, decode_row, PublishedVersion, RowError, RowUpdate, RowPage, RowTable, RowValue,
-        StoreClient, StoreError, StoreRow, CONFIG_KEY,
+        decode_config, decode_row, PublishedVersion, RowError, RowPage, RowTable, RowUpdate,
+        RowValue, StoreClient, StoreError, StoreRow, CONFIG_KEY,
     },
     pitchhitch_process::to_duration,
     smol::Timer,
@@ -171,7 +171,10 @@
             update_config(front, config, text, "row");
         }
         RowUpdate::Weights(weights) => publish_weights(front, &weights),
-        RowUpdate::Evacuation { domain, is_requested } => {
+        RowUpdate::Evacuation {
+            domain,
+            is_requested,
+        } => {
             let change = front.state().evacuations.set(&domain, is_requested);
             apply_evacuations(front, change.as_slice(), "row");
         }
--- a/entry/src/front/orphan_engine.rs
+++ b/entry/src/front/orphan_engine.rs
@@ -4,9 +4,9 @@
         serving::{EndpointKey, EngineLoad, OrderRight, SwapTurn},
         time::Micros,
     },
-    pitchhitch_http1::{HttpRequest, HttpClient},
+    pitchhitch_http1::{HttpClient, HttpRequest},
     pitchhitch_platform::{
-        decode_report, read_order_row, send_order, acquire_order_row, EngineReport, StoreClient,
+        acquire_order_row, decode_report, read_order_row, send_order, EngineReport, StoreClient,
         StoreError, WeightOrder, REPORT_PATH,
     },
     std::{net::SocketAddr, time::Duration},
--- a/entry/src/front/part_reclaim.rs
+++ b/entry/src/front/part_reclaim.rs
@@ -113,7 +113,9 @@
     }
     // A plain service at an address shows that the engine formerly there has exited.
     engines.retain(|(address, _)| !plain_services.contains(address));
-    state.fetch_completion.update_engines(engines.into_iter(), now);
+    state
+        .fetch_completion
+        .update_engines(engines.into_iter(), now);
     for address in plain_services {
         state.fetch_completion.forget(address);
     }
--- a/entry/src/front/request_attempt.rs
+++ b/entry/src/front/request_attempt.rs
@@ -146,9 +146,11 @@
         if let Some(prompt) = &self.info.prompt {
             let prefill_tokens = choice.prefill_tokens;
             let mut state = front.state();
-            state
-                .latency_estimator
-                .record_sent(prompt.tokens_in, prefill_tokens, prompt.tokens_out);
+            state.latency_estimator.record_sent(
+                prompt.tokens_in,
+                prefill_tokens,
+                prompt.tokens_out,
+            );
         }
         self.sends += 1;
         self.log_send(choice, "sent", "", slot.transfers.fetch_until_ms);
--- a/entry/src/front/request_choice.rs
+++ b/entry/src/front/request_choice.rs
@@ -76,9 +76,12 @@
     ) -> Micros {
         let state = self.front.state();
         let jitter = unit_fraction(self.id_hash);
-        state
-            .admission
-            .retry_after(&self.admission_request(), &state.latency_estimator, choice, jitter)
+        state.admission.retry_after(
+            &self.admission_request(),
+            &state.latency_estimator,
+            choice,
+            jitter,
+        )
     }
 
     fn admission_request(&self) -> AdmissionRequest<'_> {
@@ -122,7 +125,8 @@
             tried: &self.tried,
             trial,
             is_eligible: &|entry| {
-                state.is_available(entry, has_slow_start, now) && self.is_region_allowed(&entry.domain)
+                state.is_available(entry, has_slow_start, now)
+                    && self.is_region_allowed(&entry.domain)
             },
             is_connected: &|key| state.pool.has_open(key, now),
             estimator: &state.latency_estimator,
@@ -217,10 +221,13 @@
         let mut availability = Vec::new();
         for version in versions {
             let namespace = state.namespace_tag(&self.cache_namespace(version).salt());
-            let parts =
-                state
-                    .store_directory
-                    .locate_parts(&state.registry, group, namespace, &prompt.parts, now);
+            let parts = state.store_directory.locate_parts(
+                &state.registry,
+                group,
+                namespace,
+                &prompt.parts,
+                now,
+            );
             availability.push(VersionAvailability {
                 version,
                 namespace,
--- a/entry/src/front/request_feedback.rs
+++ b/entry/src/front/request_feedback.rs
@@ -56,7 +56,9 @@
             return;
         };
         let held_ms = self.front.now().since(sent_at).as_millis() as f64;
-        state.latency_estimator.record_ended(prompt.tokens_in, held_ms);
+        state
+            .latency_estimator
+            .record_ended(prompt.tokens_in, held_ms);
     }
 
     pub(super) fn record_version(
--- a/entry/src/front/request_handler.rs
+++ b/entry/src/front/request_handler.rs
@@ -97,7 +97,10 @@
     let id_hash = fnv1a_hash(&info.request_id);
     let service = route.target(id_hash).unwrap_or_default().to_string();
     let time_left = deadline.since(front.now());
-    front.state().retry_window(&service).record_request(front.now());
+    front
+        .state()
+        .retry_window(&service)
+        .record_request(front.now());
     let mut handler = RequestHandler {
         front,
         caller,
