--- a/entry/src/cli/entry_process.rs
+++ b/entry/src/cli/entry_process.rs
@@ -6,7 +6,7 @@
             poll_boxes, poll_config, send_beacons, take_beacons, BoxPlace, ControlHandle,
             ControlLoop, ControlMessage, LeaseController, ViewPublisher,
         },
-        once::OnceGate,
+        idempotency::OnceGate,
         operators::serve_operator,
         traffic::{EntryApp, TrafficView},
     },
--- a/entry/src/filter/mod.rs
+++ b/entry/src/filter/mod.rs
@@ -1,19 +1,19 @@
 //! The filter chain for requests: identify, admit, select, route, send, answer.
 
 mod admit;
-mod answer;
-mod answer_body;
+mod authenticate;
 mod caller_request;
 mod dispatch;
-mod identify;
-mod keep_plan;
+mod parsed_request;
 mod refusal;
 mod request_chain;
+mod response;
+mod response_body;
+mod retention_plan;
 mod route;
-mod select;
 mod send;
 
 pub use {
-    admit::*, answer::*, answer_body::*, caller_request::*, dispatch::*, identify::*, keep_plan::*,
-    refusal::*, request_chain::*, route::*, select::*, send::*,
+    admit::*, authenticate::*, caller_request::*, dispatch::*, parsed_request::*, refusal::*,
+    request_chain::*, response::*, response_body::*, retention_plan::*, route::*, send::*,
 };
--- a/entry/src/filter/request_chain.rs
+++ b/entry/src/filter/request_chain.rs
@@ -3,7 +3,7 @@
         admit, answer, identify, path_kind, select, AdmitPermit, CallerRequest, Dispatch,
         ReadyAnswer, Refusal, SelectedWork,
     },
-    crate::{once::intent_key, traffic::EntryApp},
+    crate::{idempotency::intent_key, traffic::EntryApp},
     pitchhitch_core::{
         errors::{ErrorKind, RunState},
         time::Micros,
--- a/entry/src/once/mod.rs
+++ b/entry/src/idempotency/mod.rs
@@ -1,6 +1,6 @@
 //! Requests that may run at most once, by idempotency key.
 
+mod idempotency_guard;
 mod intent_row;
-mod once_gate;
 
-pub use {intent_row::*, once_gate::*};
+pub use {idempotency_guard::*, intent_row::*};
--- a/entry/src/lib.rs
+++ b/entry/src/lib.rs
@@ -9,7 +9,7 @@
 pub mod explain;
 pub mod filter;
 pub mod front;
-pub mod once;
+pub mod idempotency;
 pub mod openai;
 pub mod operators;
 pub mod traffic;
--- a/entry/src/traffic/entry_app.rs
+++ b/entry/src/traffic/entry_app.rs
@@ -1,6 +1,8 @@
 use {
     super::TrafficView,
-    crate::{conf::EntrySettings, control::ControlHandle, explain::DecisionRing, once::OnceGate},
+    crate::{
+        conf::EntrySettings, control::ControlHandle, explain::DecisionRing, idempotency::OnceGate,
+    },
     arc_swap::ArcSwap,
     pitchhitch_core::{limit::LimitTable, retry::RetryBudget},
     pitchhitch_process::{MetricSet, ProcessClock},
