--- a/entry/src/callers/caller_server.rs
+++ b/entry/src/callers/caller_server.rs
@@ -1,6 +1,6 @@
 use {
     crate::{
-        filter::{identify, run_chain, Refusal},
+        filter::{authenticate, handle_request, Refusal},
         openai::ModelList,
         traffic::EntryApp,
     },
@@ -27,7 +27,7 @@
             .halt(),
         (Method::Get, "/v1/models") => list_models(&app, conn),
         (Method::Get, path) if path.starts_with(REQUESTS_PREFIX) => explain_own(&app, conn),
-        _ => run_chain(app, conn).await,
+        _ => handle_request(app, conn).await,
     }
 }
 
@@ -36,7 +36,7 @@
     conn: Conn,
 ) -> Conn {
     let view = app.view.load();
-    if let Err(refusal) = identify(&conn, &view) {
+    if let Err(refusal) = authenticate(&conn, &view) {
         return refusal.write(conn, &app.request_id(app.next_number()));
     }
     let list = ModelList::of(&view.table.config);
@@ -51,7 +51,7 @@
 ) -> Conn {
     let view = app.view.load();
     let id = app.request_id(app.next_number());
-    let organisation = match identify(&conn, &view) {
+    let organisation = match authenticate(&conn, &view) {
         Ok(organisation) => organisation,
         Err(refusal) => return refusal.write(conn, &id),
     };
--- a/entry/src/cli/entry_process.rs
+++ b/entry/src/cli/entry_process.rs
@@ -3,10 +3,10 @@
         callers::serve_caller,
         conf::EntrySettings,
         control::{
-            poll_boxes, poll_config, send_beacons, take_beacons, BoxPlace, ControlHandle,
+            poll_boxes, poll_config, receive_beacons, send_beacons, BoxLocation, ControlHandle,
             ControlLoop, ControlMessage, LeaseController, ViewPublisher,
         },
-        idempotency::OnceGate,
+        idempotency::IdempotencyGuard,
         operators::serve_operator,
         traffic::{EntryApp, TrafficView},
     },
@@ -66,7 +66,7 @@
     let control = ControlHandle::new(messages);
     let table = TableClient::new(settings.table, PLATFORM_TIMEOUT);
     let metrics = Arc::new(MetricSet::new(settings.metrics).context("cannot open metrics")?);
-    let once = OnceGate::start(table.clone(), clock.incarnation());
+    let once = IdempotencyGuard::start(table.clone(), clock.incarnation());
     let app = Arc::new(EntryApp::new(
         settings.clone(),
         clock,
@@ -113,7 +113,7 @@
     Timer::after(settings.stop_notice).await;
     stopper.stop();
     wait_at_most(STOP_LIMIT, caller_server).await;
-    wait_at_most(RELEASE_LIMIT, control.release()).await;
+    wait_at_most(RELEASE_LIMIT, control.release_leases()).await;
     log::info!(event = "stopped", entry = settings.box_id.as_str(), cut_off = app.limits().running(); "");
     Ok(())
 }
@@ -162,7 +162,7 @@
     });
     let objects = ObjectClient::new(settings.objects, PLATFORM_TIMEOUT);
     let store = ConfigStore::new(start.table.clone(), objects);
-    let place = BoxPlace {
+    let location = BoxLocation {
         box_id: settings.box_id.clone(),
         failure_domain: settings.failure_domain.clone(),
     };
@@ -177,10 +177,10 @@
     );
     executor.spawn(config_poll).detach();
     executor
-        .spawn(poll_boxes(boxes, place, control.clone(), peers))
+        .spawn(poll_boxes(boxes, location, control.clone(), peers))
         .detach();
     executor
-        .spawn(take_beacons(socket.clone(), start.app.clone()))
+        .spawn(receive_beacons(socket.clone(), start.app.clone()))
         .detach();
     let sending = send_beacons(
         socket,
--- a/entry/src/control/agent_calls.rs
+++ b/entry/src/control/agent_calls.rs
@@ -9,9 +9,9 @@
 };
 
 /// Tries of telling an agent a notice.
-const NOTICE_TRIES: u32 = 5;
+const NOTICE_ATTEMPTS: u32 = 5;
 /// Pause between two of them.
-const NOTICE_PAUSE: Duration = Duration::from_millis(200);
+const NOTICE_RETRY_DELAY: Duration = Duration::from_millis(200);
 /// Time limit of listing a store box.
 const LIST_TIMEOUT: Duration = Duration::from_secs(5);
 
@@ -30,11 +30,11 @@
     link: Arc<EndpointLink>,
     notice: ConfigNotice,
 ) {
-    for _ in 0..NOTICE_TRIES {
+    for _ in 0..NOTICE_ATTEMPTS {
         if call_once(&link, &LinkCall::Notice(notice)).await == Some(LinkReply::Taken) {
             return;
         }
-        Timer::after(NOTICE_PAUSE).await;
+        Timer::after(NOTICE_RETRY_DELAY).await;
     }
     let endpoint = link.endpoint_id.as_str();
     log::warn!(event = "notice-not-taken", endpoint = endpoint, revision = notice.revision; "");
@@ -53,7 +53,7 @@
     let endpoint = link.endpoint_id.as_str();
     let reply = format!("{reply:?}");
     log::warn!(event = "order-not-taken", endpoint = endpoint, reply = reply.as_str(); "");
-    control.tell(EntryEvent::OrderFailed {
+    control.send_event(EntryEvent::OrderFailed {
         endpoint_id: link.endpoint_id.clone(),
     });
 }
@@ -90,7 +90,7 @@
     control: ControlHandle,
 ) {
     match StoreClient::new(address, LIST_TIMEOUT).list().await {
-        Ok(content) => control.tell(EntryEvent::StoreListed {
+        Ok(content) => control.send_event(EntryEvent::StoreListed {
             store,
             pieces: content.pieces.into_iter().map(StoredPiece::from).collect(),
         }),
--- a/entry/src/control/beacon_controller.rs
+++ b/entry/src/control/beacon_controller.rs
@@ -14,19 +14,19 @@
 /// Time between two beacons to peers.
 const BEACON_INTERVAL: Duration = Duration::from_millis(500);
 /// Pause after the socket failed.
-const SOCKET_PAUSE: Duration = Duration::from_millis(100);
+const SOCKET_RETRY_DELAY: Duration = Duration::from_millis(100);
 
 /// Takes beacons for good.
-pub async fn take_beacons(
+pub async fn receive_beacons(
     socket: Arc<BeaconSocket>,
     app: Arc<EntryApp>,
 ) {
     loop {
         match socket.receive().await {
-            Ok(beacon) => take(&app, beacon),
+            Ok(beacon) => handle_beacon(&app, beacon),
             Err(ReceiveError::Io(error)) => {
                 log::warn!(event = "beacon-socket", error = error.to_string().as_str(); "");
-                Timer::after(SOCKET_PAUSE).await;
+                Timer::after(SOCKET_RETRY_DELAY).await;
             }
             Err(refused) => {
                 app.metrics.count("beacon.refused", 1);
@@ -36,16 +36,17 @@
     }
 }
 
-fn take(
+fn handle_beacon(
     app: &EntryApp,
     beacon: Beacon,
 ) {
     app.metrics.count("beacon.taken", 1);
     match beacon {
-        Beacon::Agent(beacon) => app.control.agent_heard(beacon),
+        Beacon::Agent(beacon) => app.control.forward_agent_beacon(beacon),
         Beacon::Entry(beacon) => {
             if beacon.entry_id != app.settings.box_id {
-                app.control.tell(EntryEvent::PeerBeaconReceived(beacon));
+                app.control
+                    .send_event(EntryEvent::PeerBeaconReceived(beacon));
             }
         }
     }
@@ -61,8 +62,8 @@
 ) {
     let mut targets = Vec::new();
     loop {
-        while let Ok(newer) = peers.try_recv() {
-            targets = newer;
+        while let Ok(update) = peers.try_recv() {
+            targets = update;
         }
         let Some(revision) = control.query(|core, _| core.config().revision).await else {
             return;
--- a/entry/src/control/box_controller.rs
+++ b/entry/src/control/box_controller.rs
@@ -13,11 +13,11 @@
 /// Time between two readings of the box list.
 const LIST_INTERVAL: Duration = Duration::from_secs(1);
 /// Peers that beacons are sent to.
-const PEER_LIMIT: usize = 16;
+const MAX_PEERS: usize = 16;
 
 /// Where a process stands, for choosing its peers.
 #[derive(Debug, Clone)]
-pub struct BoxPlace {
+pub struct BoxLocation {
     /// Id of the box.
     pub box_id: String,
     /// Its failure domain.
@@ -27,16 +27,16 @@
 /// Reads the box list for good, tells the core and says where peers take beacons.
 pub async fn poll_boxes(
     boxes: BoxClient,
-    place: BoxPlace,
+    location: BoxLocation,
     control: ControlHandle,
     peers: Sender<Vec<SocketAddr>>,
 ) {
     loop {
         match boxes.list().await {
             Ok(list) => {
-                let _ = peers.try_send(choose_peers(&place, &list.boxes));
+                let _ = peers.try_send(choose_peers(&location, &list.boxes));
                 let notices = list.boxes.into_iter().map(ListedBox::from);
-                control.tell(EntryEvent::BoxesListed(notices.collect()));
+                control.send_event(EntryEvent::BoxesListed(notices.collect()));
             }
             Err(error) => {
                 log::debug!(event = "boxes-not-read", error = error.to_string().as_str(); "");
@@ -47,12 +47,12 @@
 }
 
 fn choose_peers(
-    place: &BoxPlace,
+    location: &BoxLocation,
     rows: &[BoxRow],
 ) -> Vec<SocketAddr> {
     let entries = rows
         .iter()
-        .filter(|b| b.role == ListedRole::Entry && b.id != place.box_id);
+        .filter(|b| b.role == ListedRole::Entry && b.id != location.box_id);
     let candidates: Vec<RendezvousCandidate<SocketAddr>> = entries
         .map(|row| RendezvousCandidate {
             id: row.id.clone(),
@@ -61,10 +61,10 @@
         })
         .collect();
     let chosen = rendezvous_select(
-        &place.box_id,
-        &place.failure_domain,
+        &location.box_id,
+        &location.failure_domain,
         &candidates,
-        PEER_LIMIT,
+        MAX_PEERS,
     );
-    chosen.into_iter().map(|home| home.value).collect()
+    chosen.into_iter().map(|peer| peer.value).collect()
 }
--- a/entry/src/control/config_controller.rs
+++ b/entry/src/control/config_controller.rs
@@ -15,7 +15,7 @@
 /// Path under which a process gives its configuration to its peers.
 pub const PEER_CONFIG_PATH: &str = "/peer/config";
 /// Factor on the interval for processes that hear of changes from their peers.
-const SELDOM_FACTOR: u32 = 4;
+const SLOW_POLL_FACTOR: u32 = 4;
 /// Time limit of asking a peer.
 const PEER_TIMEOUT: Duration = Duration::from_secs(2);
 
@@ -32,17 +32,17 @@
     let mut random = Pcg32::seed_from_u64(seed);
     let mut failures = 0;
     loop {
-        let look = control.query(|core, _| (core.config().clone(), core.polls_table()));
-        let Some((known, often)) = look.await else {
+        let state = control.query(|core, _| (core.config().clone(), core.polls_table()));
+        let Some((known, polls_often)) = state.await else {
             return;
         };
         match store.refresh(&known).await {
-            Ok(fresh) => {
+            Ok(current) => {
                 failures = 0;
-                control.tell(EntryEvent::TableReached);
-                control.tell(EntryEvent::ChangesRead(fresh.recent));
-                if fresh.config.revision > known.revision {
-                    control.tell(EntryEvent::ConfigRead(Arc::new(fresh.config)));
+                control.send_event(EntryEvent::TableReached);
+                control.send_event(EntryEvent::ChangesRead(current.recent));
+                if current.config.revision > known.revision {
+                    control.send_event(EntryEvent::ConfigRead(Arc::new(current.config)));
                 }
             }
             Err(error) => {
@@ -52,8 +52,8 @@
             }
         }
         let pause = match failures {
-            0 if often => interval,
-            0 => interval * SELDOM_FACTOR,
+            0 if polls_often => interval,
+            0 => interval * SLOW_POLL_FACTOR,
             _ => to_duration(BackoffPolicy::PLATFORM.delay(failures, &mut random)),
         };
         Timer::after(pause).await;
--- a/entry/src/control/control_handle.rs
+++ b/entry/src/control/control_handle.rs
@@ -52,7 +52,7 @@
     }
 
     /// Tells the core an event.
-    pub fn tell(
+    pub fn send_event(
         &self,
         event: EntryEvent,
     ) {
@@ -61,7 +61,7 @@
     }
 
     /// Passes an agent's beacon on.
-    pub fn agent_heard(
+    pub fn forward_agent_beacon(
         &self,
         beacon: AgentBeacon,
     ) {
@@ -71,18 +71,18 @@
     /// Asks the control state something; none when the control thread is gone.
     pub async fn query<T: Send + 'static>(
         &self,
-        question: impl FnOnce(&mut EntryCore, Micros) -> T + Send + 'static,
+        operation: impl FnOnce(&mut EntryCore, Micros) -> T + Send + 'static,
     ) -> Option<T> {
         let (sender, receiver) = async_channel::bounded(1);
         let query: CoreQuery = Box::new(move |core, now| {
-            let _ = sender.try_send(question(core, now));
+            let _ = sender.try_send(operation(core, now));
         });
         let _ = self.messages.try_send(ControlMessage::Query(query));
         receiver.recv().await.ok()
     }
 
     /// Hands back leases, and waits until that is done.
-    pub async fn release(&self) {
+    pub async fn release_leases(&self) {
         let (sender, receiver) = async_channel::bounded(1);
         let _ = self.messages.try_send(ControlMessage::Release(sender));
         let _ = receiver.recv().await;
@@ -90,12 +90,12 @@
 
     /// Notes that a try was answered. Only the first success after a failure is
     /// news, so the others cost the control thread nothing.
-    pub fn try_succeeded(
+    pub fn attempt_succeeded(
         &self,
         link: &EndpointLink,
     ) {
         if link.clear_failed() {
-            self.tell(EntryEvent::AttemptEnded {
+            self.send_event(EntryEvent::AttemptEnded {
                 endpoint_id: link.endpoint_id.clone(),
                 failure: None,
             });
@@ -103,7 +103,7 @@
     }
 
     /// Notes that a try failed at the endpoint. Refusals are no failures.
-    pub fn try_failed(
+    pub fn attempt_failed(
         &self,
         link: &EndpointLink,
         kind: ErrorKind,
@@ -117,7 +117,7 @@
         );
         if counts {
             link.mark_failed();
-            self.tell(EntryEvent::AttemptEnded {
+            self.send_event(EntryEvent::AttemptEnded {
                 endpoint_id: link.endpoint_id.clone(),
                 failure: Some(kind),
             });
--- a/entry/src/control/control_loop.rs
+++ b/entry/src/control/control_loop.rs
@@ -1,7 +1,7 @@
 use {
     super::{
         control_handle::CoreQuery, drop_plan, list_store, pull_config, send_drop, send_notice,
-        send_order, ControlHandle, ControlMessage, LeaseController, LeaseWrite, LinkKeeper,
+        send_order, ControlHandle, ControlMessage, LeaseController, LeaseWrite, LinkSupervisor,
         ViewPublisher,
     },
     async_channel::{Receiver, Sender},
@@ -26,11 +26,11 @@
 };
 
 /// Time between two ticks of the core.
-const TICK: Duration = Duration::from_millis(50);
+const TICK_INTERVAL: Duration = Duration::from_millis(50);
 /// Messages taken in one go before the core's view is published.
-const BATCH: usize = 1_024;
+const MAX_BATCH_MESSAGES: usize = 1_024;
 
-struct KeptLink {
+struct SupervisedLink {
     _task: Task<()>,
     resync: Sender<()>,
     state: Arc<EndpointState>,
@@ -52,9 +52,9 @@
     pub leases: LeaseController,
     /// Runs the controllers' calls on this thread.
     pub executor: Rc<LocalExecutor<'static>>,
-    links: BTreeMap<String, KeptLink>,
+    links: BTreeMap<String, SupervisedLink>,
     lease_writes: Vec<LeaseWrite>,
-    pulling: Arc<AtomicBool>,
+    is_pulling: Arc<AtomicBool>,
 }
 
 impl ControlLoop {
@@ -77,7 +77,7 @@
             executor,
             links: BTreeMap::new(),
             lease_writes: Vec::new(),
-            pulling: Arc::default(),
+            is_pulling: Arc::default(),
         }
     }
 
@@ -86,55 +86,55 @@
         mut self,
         inbox: Receiver<ControlMessage>,
     ) {
-        let mut next_tick = Instant::now() + TICK;
+        let mut next_tick = Instant::now() + TICK_INTERVAL;
         loop {
             let message = future::or(async { Some(inbox.recv().await) }, async {
                 Timer::at(next_tick).await;
                 None
             });
             match message.await {
-                Some(Ok(message)) => self.take(message),
+                Some(Ok(message)) => self.handle_message(message),
                 Some(Err(_)) => return,
                 None => {}
             }
-            for _ in 0..BATCH {
+            for _ in 0..MAX_BATCH_MESSAGES {
                 match inbox.try_recv() {
-                    Ok(message) => self.take(message),
+                    Ok(message) => self.handle_message(message),
                     Err(_) => break,
                 }
             }
             if Instant::now() >= next_tick {
-                next_tick = Instant::now() + TICK;
+                next_tick = Instant::now() + TICK_INTERVAL;
                 self.step(EntryEvent::Tick);
             }
         }
     }
 
-    fn take(
+    fn handle_message(
         &mut self,
         message: ControlMessage,
     ) {
         match message {
             ControlMessage::Event(event) => self.step(event),
             ControlMessage::AgentBeacon(beacon) => {
-                let link = self.publisher.known_link(&beacon.endpoint_id);
+                let link = self.publisher.find_link(&beacon.endpoint_id);
                 let own = link.map(|l| l.sent()).unwrap_or_default();
                 self.step(EntryEvent::AgentBeaconReceived { beacon, own });
             }
-            ControlMessage::Query(query) => self.answer(query),
+            ControlMessage::Query(query) => self.run_query(query),
             ControlMessage::Release(done) => self.release(done),
         }
     }
 
     /// Whoever is told something may act on it at once: traffic must know it too.
-    fn answer(
+    fn run_query(
         &mut self,
         query: CoreQuery,
     ) {
         let mut actions = Vec::new();
         self.core.publish(&mut actions);
         for action in actions {
-            self.act(action);
+            self.execute(action);
         }
         query(&mut self.core, self.clock.now());
     }
@@ -145,7 +145,7 @@
     ) {
         let actions = self.core.step(self.clock.now(), event);
         for action in actions {
-            self.act(action);
+            self.execute(action);
         }
         let writes = std::mem::take(&mut self.lease_writes);
         if !writes.is_empty() {
@@ -155,7 +155,7 @@
         }
     }
 
-    fn act(
+    fn execute(
         &mut self,
         action: EntryAction,
     ) {
@@ -172,27 +172,27 @@
             EntryAction::Disconnect { endpoint_id } => self.disconnect(&endpoint_id),
             EntryAction::DropLink { endpoint_id } => self.reconnect(&endpoint_id),
             EntryAction::Resync { endpoint_id } => {
-                if let Some(kept) = self.links.get(&endpoint_id) {
-                    let _ = kept.resync.try_send(());
+                if let Some(supervised) = self.links.get(&endpoint_id) {
+                    let _ = supervised.resync.try_send(());
                 }
             }
             EntryAction::Notify {
                 endpoint_id,
                 notice,
             } => {
-                if let Some(link) = self.publisher.known_link(&endpoint_id) {
+                if let Some(link) = self.publisher.find_link(&endpoint_id) {
                     self.executor.spawn(send_notice(link, notice)).detach();
                 }
             }
             EntryAction::Order { endpoint_id, order } => {
-                if let Some(link) = self.publisher.known_link(&endpoint_id) {
+                if let Some(link) = self.publisher.find_link(&endpoint_id) {
                     let control = self.handle.clone();
                     self.executor
                         .spawn(send_order(link, order, control))
                         .detach();
                 }
             }
-            EntryAction::PullConfig { peer } => self.pull(peer),
+            EntryAction::PullConfig { peer } => self.start_config_pull(peer),
             EntryAction::ListStore { store, address } => {
                 let control = self.handle.clone();
                 self.executor
@@ -205,7 +205,7 @@
                 address,
                 pieces,
             } => {
-                if let Some(link) = self.publisher.known_link(&endpoint_id) {
+                if let Some(link) = self.publisher.find_link(&endpoint_id) {
                     let plan = drop_plan(store, address, &pieces);
                     self.executor.spawn(send_drop(link, plan)).detach();
                 }
@@ -233,19 +233,19 @@
         state: Arc<EndpointState>,
     ) {
         let (resync, resync_inbox) = async_channel::bounded(1);
-        let keeper = LinkKeeper {
+        let supervisor = LinkSupervisor {
             entry_id: self.entry_id.clone(),
             state: state.clone(),
-            link: self.publisher.link(&state.id),
+            link: self.publisher.get_or_insert_link(&state.id),
             control: self.handle.clone(),
             resync: resync_inbox,
         };
-        let kept = KeptLink {
-            _task: self.executor.spawn(keeper.run()),
+        let supervised = SupervisedLink {
+            _task: self.executor.spawn(supervisor.run()),
             resync,
             state: state.clone(),
         };
-        self.links.insert(state.id.clone(), kept);
+        self.links.insert(state.id.clone(), supervised);
     }
 
     fn disconnect(
@@ -253,10 +253,10 @@
         endpoint_id: &str,
     ) {
         self.links.remove(endpoint_id);
-        if let Some(link) = self.publisher.known_link(endpoint_id) {
+        if let Some(link) = self.publisher.find_link(endpoint_id) {
             link.set(None);
         }
-        self.publisher.forget(endpoint_id);
+        self.publisher.remove_link(endpoint_id);
     }
 
     /// Closes a link that hangs and begins anew.
@@ -264,38 +264,40 @@
         &mut self,
         endpoint_id: &str,
     ) {
-        let Some(kept) = self.links.remove(endpoint_id) else {
+        let Some(supervised) = self.links.remove(endpoint_id) else {
             return;
         };
-        if let Some(link) = self.publisher.known_link(endpoint_id) {
+        if let Some(link) = self.publisher.find_link(endpoint_id) {
             link.set(None);
         }
         log::warn!(event = "link-dropped", endpoint = endpoint_id; "its agent is silent");
-        self.connect(kept.state.clone());
+        self.connect(supervised.state.clone());
     }
 
-    fn pull(
+    fn start_config_pull(
         &mut self,
         peer: SocketAddr,
     ) {
-        if self.pulling.swap(true, Ordering::Relaxed) {
+        if self.is_pulling.swap(true, Ordering::Relaxed) {
             return;
         }
         let since = self.core.config().revision;
         let control = self.handle.clone();
-        let pulling = self.pulling.clone();
+        let is_pulling = self.is_pulling.clone();
         let task = async move {
             match pull_config(peer, since).await {
-                Ok(PeerConfig::Changes(records)) => control.tell(EntryEvent::ChangesRead(records)),
+                Ok(PeerConfig::Changes(records)) => {
+                    control.send_event(EntryEvent::ChangesRead(records))
+                }
                 Ok(PeerConfig::Whole(config)) => {
-                    control.tell(EntryEvent::ConfigRead(Arc::new(*config)))
+                    control.send_event(EntryEvent::ConfigRead(Arc::new(*config)))
                 }
                 Err(error) => {
                     let error = error.to_string();
                     log::info!(event = "config-not-pulled", error = error.as_str(); "");
                 }
             }
-            pulling.store(false, Ordering::Relaxed);
+            is_pulling.store(false, Ordering::Relaxed);
         };
         self.executor.spawn(task).detach();
     }
@@ -305,7 +307,7 @@
         done: Sender<()>,
     ) {
         for action in self.core.release() {
-            self.act(action);
+            self.execute(action);
         }
         let writes = std::mem::take(&mut self.lease_writes);
         let leases = self.leases.clone();
--- a/entry/src/control/lease_controller.rs
+++ b/entry/src/control/lease_controller.rs
@@ -38,11 +38,11 @@
         for shard in shards {
             let key = format!("{LEASE_PREFIX}{shard}");
             let row = rows.iter().find(|row| row.key == key);
-            self.tell_row(shard, row, asked_at);
+            self.report_row(shard, row, asked_at);
         }
     }
 
-    fn tell_row(
+    fn report_row(
         &self,
         shard: String,
         row: Option<&TableRow>,
@@ -57,7 +57,7 @@
                 return;
             }
         };
-        self.control.tell(EntryEvent::LeaseRead {
+        self.control.send_event(EntryEvent::LeaseRead {
             shard,
             row: lease,
             version: row.map_or(0, |row| row.version),
@@ -81,20 +81,20 @@
                     for (write, version) in writes.drain(..).zip(versions) {
                         let shard = write.shard;
                         self.control
-                            .tell(EntryEvent::LeaseWritten { shard, version });
+                            .send_event(EntryEvent::LeaseWritten { shard, version });
                     }
                 }
                 CommitOutcome::Conflict { keys } => {
-                    let before = writes.len();
-                    writes = self.tell_refused(writes, &keys);
-                    if writes.len() == before {
+                    let previous_count = writes.len();
+                    writes = self.report_conflicts(writes, &keys);
+                    if writes.len() == previous_count {
                         return;
                     }
                 }
                 CommitOutcome::Unknown { .. } => {
                     for write in writes.drain(..) {
                         self.control
-                            .tell(EntryEvent::LeaseWriteUnknown { shard: write.shard });
+                            .send_event(EntryEvent::LeaseWriteUnknown { shard: write.shard });
                     }
                 }
             }
@@ -102,16 +102,16 @@
     }
 
     /// Tells which writes were refused; gives the others.
-    fn tell_refused(
+    fn report_conflicts(
         &self,
         writes: Vec<LeaseWrite>,
         keys: &[String],
     ) -> Vec<LeaseWrite> {
-        let is_refused = |write: &LeaseWrite| keys.contains(&write.key());
-        let (refused, others): (Vec<_>, Vec<_>) = writes.into_iter().partition(is_refused);
-        for write in refused {
+        let is_conflicting = |write: &LeaseWrite| keys.contains(&write.key());
+        let (conflicting, others): (Vec<_>, Vec<_>) = writes.into_iter().partition(is_conflicting);
+        for write in conflicting {
             self.control
-                .tell(EntryEvent::LeaseWriteConflict { shard: write.shard });
+                .send_event(EntryEvent::LeaseWriteConflict { shard: write.shard });
         }
         others
     }
--- a/entry/src/control/link_supervisor.rs
+++ b/entry/src/control/link_supervisor.rs
@@ -20,7 +20,7 @@
 
 /// Keeps the link to one life of an agent up, and passes its events on.
 #[derive(Debug)]
-pub struct LinkKeeper {
+pub struct LinkSupervisor {
     /// Id of the entry process, for the agent's log.
     pub entry_id: String,
     /// The endpoint.
@@ -33,7 +33,7 @@
     pub resync: Receiver<()>,
 }
 
-impl LinkKeeper {
+impl LinkSupervisor {
     /// Keeps the link up for good; dropping the future takes it down.
     pub async fn run(self) {
         let mut random = Pcg32::seed_from_u64(self.state.incarnation);
@@ -43,7 +43,7 @@
                 failures = 0;
             }
             self.link.set(None);
-            self.control.tell(EntryEvent::LinkLost {
+            self.control.send_event(EntryEvent::LinkLost {
                 endpoint_id: self.state.id.clone(),
             });
             failures += 1;
@@ -94,7 +94,7 @@
         if !self.is_expected(replies.next().await?) {
             return Ok(false);
         }
-        self.control.tell(EntryEvent::StreamOpened {
+        self.control.send_event(EntryEvent::StreamOpened {
             endpoint_id: self.state.id.clone(),
             incarnation: self.state.incarnation,
         });
@@ -110,9 +110,9 @@
     /// Whether the agent at the address is the one that the beacon spoke of.
     fn is_expected(
         &self,
-        hello: Option<LinkReply>,
+        greeting: Option<LinkReply>,
     ) -> bool {
-        match hello {
+        match greeting {
             Some(LinkReply::Hello {
                 endpoint_id,
                 incarnation,
@@ -127,7 +127,7 @@
     ) -> Result<bool, LinkError> {
         while let Some(reply) = replies.next().await? {
             if let LinkReply::Events(batch) = reply {
-                self.control.tell(EntryEvent::AgentEventsReceived {
+                self.control.send_event(EntryEvent::AgentEventsReceived {
                     endpoint_id: self.state.id.clone(),
                     incarnation: self.state.incarnation,
                     batch,
--- a/entry/src/control/view_publisher.rs
+++ b/entry/src/control/view_publisher.rs
@@ -15,7 +15,7 @@
     view: Arc<ArcSwap<TrafficView>>,
     links: BTreeMap<String, Arc<EndpointLink>>,
     arena: Arc<EndpointArena>,
-    by_key: Arc<SecondaryMap<EndpointKey, Arc<EndpointLink>>>,
+    links_by_key: Arc<SecondaryMap<EndpointKey, Arc<EndpointLink>>>,
     keys: Arc<KeyIndex>,
     revision: u64,
 }
@@ -27,14 +27,14 @@
             view,
             links: BTreeMap::new(),
             arena: Arc::default(),
-            by_key: Arc::default(),
+            links_by_key: Arc::default(),
             keys: Arc::default(),
             revision: 0,
         }
     }
 
     /// The link of an endpoint; made if there is none.
-    pub fn link(
+    pub fn get_or_insert_link(
         &mut self,
         endpoint_id: &str,
     ) -> Arc<EndpointLink> {
@@ -44,7 +44,7 @@
     }
 
     /// The link of an endpoint, if there is one.
-    pub fn known_link(
+    pub fn find_link(
         &self,
         endpoint_id: &str,
     ) -> Option<Arc<EndpointLink>> {
@@ -52,7 +52,7 @@
     }
 
     /// Forgets the link of an endpoint that is gone.
-    pub fn forget(
+    pub fn remove_link(
         &mut self,
         endpoint_id: &str,
     ) {
@@ -78,7 +78,7 @@
         self.view.store(Arc::new(TrafficView {
             table,
             returns,
-            links: self.by_key.clone(),
+            links: self.links_by_key.clone(),
             keys: self.keys.clone(),
             entries,
             ready,
@@ -86,12 +86,12 @@
     }
 
     fn index_links(&mut self) {
-        let mut by_key = SecondaryMap::with_capacity(self.arena.capacity());
+        let mut links_by_key = SecondaryMap::with_capacity(self.arena.capacity());
         for (key, state) in self.arena.iter() {
             if let Some(link) = self.links.get(&state.id) {
-                by_key.insert(key, link.clone());
+                links_by_key.insert(key, link.clone());
             }
         }
-        self.by_key = Arc::new(by_key);
+        self.links_by_key = Arc::new(links_by_key);
     }
 }
--- a/entry/src/filter/admit.rs
+++ b/entry/src/filter/admit.rs
@@ -7,12 +7,12 @@
 
 /// Room that a request holds until it is over.
 #[derive(Debug)]
-pub struct AdmitPermit {
+pub struct AdmissionPermit {
     app: Arc<EntryApp>,
     organisation: String,
 }
 
-impl Drop for AdmitPermit {
+impl Drop for AdmissionPermit {
     fn drop(&mut self) {
         self.app.limits().release(&self.organisation);
     }
@@ -26,7 +26,7 @@
     app: &Arc<EntryApp>,
     view: &TrafficView,
     organisation: &str,
-) -> Result<AdmitPermit, Refusal> {
+) -> Result<AdmissionPermit, Refusal> {
     let conf = view.table.config.organisations.get(organisation);
     let limits = conf.map(|c| c.limits).unwrap_or_default();
     let share = view.limit_share();
@@ -42,7 +42,7 @@
         refusal.retry_after = Some(refused.retry_after);
         refusal
     })?;
-    Ok(AdmitPermit {
+    Ok(AdmissionPermit {
         app: app.clone(),
         organisation: organisation.to_string(),
     })
--- a/entry/src/filter/authenticate.rs
+++ b/entry/src/filter/authenticate.rs
@@ -8,7 +8,7 @@
 ///
 /// # Errors
 /// [`ErrorKind::NotReady`] without a configuration, [`ErrorKind::BadKey`] without a valid key.
-pub fn identify(
+pub fn authenticate(
     conn: &Conn,
     view: &TrafficView,
 ) -> Result<String, Refusal> {
--- a/entry/src/filter/caller_request.rs
+++ b/entry/src/filter/caller_request.rs
@@ -19,11 +19,11 @@
 pub const RAN_HEADER: &str = "x-pitchhitch-ran";
 
 /// Longest deadline that is believed, in milliseconds.
-const DEADLINE_LIMIT: u64 = 24 * 3_600 * 1_000;
+const MAX_DEADLINE_MS: u64 = 24 * 3_600 * 1_000;
 /// Longest label and idempotency key, in bytes.
-const WORD_LIMIT: usize = 256;
+const MAX_TEXT_BYTES: usize = 256;
 /// Headers that stay with the entry process.
-const OWN_HEADERS: [&str; 5] = [
+const STRIPPED_HEADERS: [&str; 5] = [
     "authorization",
     "content-length",
     REPEATABLE_HEADER,
@@ -33,7 +33,7 @@
 
 /// What a caller marked its request with.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct RequestMarks {
+pub struct RequestOptions {
     /// Whether it may run more than once, if the caller says so.
     pub repeatable: Option<bool>,
     /// Key under which it runs at most once.
@@ -60,7 +60,7 @@
     /// Headers that are passed on.
     pub headers: Vec<HeaderField>,
     /// What the caller marked it with.
-    pub marks: RequestMarks,
+    pub options: RequestOptions,
 }
 
 impl CallerRequest {
@@ -68,7 +68,7 @@
     ///
     /// # Errors
     /// [`Refusal`] when one of our headers has no usable value.
-    pub fn read(
+    pub fn from_conn(
         conn: &Conn,
         id: String,
         number: u64,
@@ -79,8 +79,8 @@
             method: conn.method(),
             path: conn.path().to_string(),
             query: conn.querystring().to_string(),
-            headers: passed_headers(conn),
-            marks: read_marks(conn)?,
+            headers: forwarded_headers(conn),
+            options: parse_options(conn)?,
         })
     }
 
@@ -94,11 +94,11 @@
     }
 }
 
-fn passed_headers(conn: &Conn) -> Vec<HeaderField> {
+fn forwarded_headers(conn: &Conn) -> Vec<HeaderField> {
     let mut fields = Vec::new();
     for (name, values) in conn.request_headers() {
         let name = name.to_string().to_ascii_lowercase();
-        if is_hop_by_hop(&name) || OWN_HEADERS.contains(&name.as_str()) {
+        if is_hop_by_hop(&name) || STRIPPED_HEADERS.contains(&name.as_str()) {
             continue;
         }
         for value in values.iter().filter_map(|v| v.as_str()) {
@@ -111,13 +111,13 @@
     fields
 }
 
-fn read_marks(conn: &Conn) -> Result<RequestMarks, Refusal> {
+fn parse_options(conn: &Conn) -> Result<RequestOptions, Refusal> {
     let headers = conn.request_headers();
     let repeatable = match headers.get_str(REPEATABLE_HEADER) {
         None => None,
         Some("yes") => Some(true),
         Some("no") => Some(false),
-        Some(other) => return Err(bad_header(REPEATABLE_HEADER, other, "yes or no")),
+        Some(other) => return Err(invalid_header(REPEATABLE_HEADER, other, "yes or no")),
     };
     let deadline = match headers.get_str(DEADLINE_HEADER) {
         None => None,
@@ -125,17 +125,17 @@
             let millis = text
                 .parse()
                 .ok()
-                .filter(|m| (1..=DEADLINE_LIMIT).contains(m));
+                .filter(|m| (1..=MAX_DEADLINE_MS).contains(m));
             let wanted = "a whole number of milliseconds";
-            let millis = millis.ok_or_else(|| bad_header(DEADLINE_HEADER, text, wanted))?;
+            let millis = millis.ok_or_else(|| invalid_header(DEADLINE_HEADER, text, wanted))?;
             Some(Micros::from_millis(millis))
         }
     };
     let idempotency_key = match headers.get_str(IDEMPOTENCY_HEADER) {
         None => None,
-        Some(key) if !key.is_empty() && key.len() <= WORD_LIMIT => Some(key.to_string()),
+        Some(key) if !key.is_empty() && key.len() <= MAX_TEXT_BYTES => Some(key.to_string()),
         Some(_) => {
-            return Err(bad_header(
+            return Err(invalid_header(
                 IDEMPOTENCY_HEADER,
                 "an empty or overlong key",
                 "1 to 256 bytes",
@@ -143,14 +143,14 @@
         }
     };
     let label = headers.get_str(LABEL_HEADER).unwrap_or_default();
-    if label.len() > WORD_LIMIT {
-        return Err(bad_header(
+    if label.len() > MAX_TEXT_BYTES {
+        return Err(invalid_header(
             LABEL_HEADER,
             "an overlong label",
             "at most 256 bytes",
         ));
     }
-    Ok(RequestMarks {
+    Ok(RequestOptions {
         repeatable,
         idempotency_key,
         deadline,
@@ -158,7 +158,7 @@
     })
 }
 
-fn bad_header(
+fn invalid_header(
     name: &str,
     found: &str,
     wanted: &str,
--- a/entry/src/filter/dispatch.rs
+++ b/entry/src/filter/dispatch.rs
@@ -1,5 +1,5 @@
 use {
-    super::{route, send, EarlierTries, Refusal, RoutedTry, SelectedWork, StartedTry},
+    super::{route, send, ParsedRequest, PreviousAttempts, Refusal, RoutedAttempt, StartedAttempt},
     crate::traffic::{EntryApp, TrafficView},
     pitchhitch_core::{
         errors::{ErrorKind, RunState},
@@ -19,9 +19,9 @@
     /// What all requests share.
     pub app: Arc<EntryApp>,
     /// The work.
-    pub work: SelectedWork,
+    pub parsed: ParsedRequest,
     tried: Vec<EndpointKey>,
-    tries: u32,
+    attempts: u32,
     version: Option<String>,
     may_have_run: bool,
 }
@@ -30,13 +30,13 @@
     /// A request that was not sent anywhere yet.
     pub fn new(
         app: Arc<EntryApp>,
-        work: SelectedWork,
+        parsed: ParsedRequest,
     ) -> Self {
         Dispatch {
             app,
-            work,
+            parsed,
             tried: Vec::new(),
-            tries: 0,
+            attempts: 0,
             version: None,
             may_have_run: false,
         }
@@ -51,16 +51,16 @@
     pub async fn start(
         &mut self,
         resume_after: Option<u64>,
-    ) -> Result<StartedTry, Refusal> {
-        if self.tries == 0 {
+    ) -> Result<StartedAttempt, Refusal> {
+        if self.attempts == 0 {
             self.app.budget().earn();
         }
         loop {
-            if self.app.clock.now() >= self.work.deadline {
+            if self.app.clock.now() >= self.parsed.deadline {
                 return Err(self.refusal(ErrorKind::DeadlinePassed, "the deadline has passed"));
             }
-            self.tries += 1;
-            let failed = match self.try_once(resume_after).await {
+            self.attempts += 1;
+            let failed = match self.attempt_once(resume_after).await {
                 Ok(started) => return Ok(started),
                 Err(failed) => failed,
             };
@@ -75,28 +75,29 @@
             if all_refused {
                 self.tried.clear();
             }
-            if !self.may_try_again(kind) {
+            if !self.may_retry(kind) {
                 return Err(refusal);
             }
             self.app.metrics.count("request.retried", 1);
-            self.pause().await;
+            self.wait_backoff().await;
         }
     }
 
-    async fn try_once(
+    async fn attempt_once(
         &mut self,
         resume_after: Option<u64>,
-    ) -> Result<StartedTry, TryFailure> {
+    ) -> Result<StartedAttempt, AttemptError> {
         let view = self.app.view.load_full();
-        let earlier = EarlierTries {
+        let previous = PreviousAttempts {
             tried: &self.tried,
-            attempt: self.tries,
+            attempt: self.attempts,
             pinned_version: self.version.as_deref(),
         };
-        let routed = route(&self.app, &view, &self.work, earlier).map_err(TryFailure::Unrouted)?;
-        self.note_routed(&view, &routed);
+        let routed =
+            route(&self.app, &view, &self.parsed, previous).map_err(AttemptError::Routing)?;
+        self.report_routed(&view, &routed);
         let endpoint = routed.choice.endpoint;
-        match send(&self.app, &view, &self.work, &routed, resume_after).await {
+        match send(&self.app, &view, &self.parsed, &routed, resume_after).await {
             Ok(started) => {
                 self.tried.push(endpoint);
                 self.version = Some(routed.version);
@@ -106,20 +107,20 @@
                 self.tried.push(endpoint);
                 self.app
                     .ring
-                    .ended(&self.work.request.id, kind.response().code);
+                    .ended(&self.parsed.request.id, kind.response().code);
                 self.may_have_run |= kind.run_state() == RunState::Unknown;
-                Err(TryFailure::Sent(kind))
+                Err(AttemptError::Sending(kind))
             }
         }
     }
 
-    fn note_routed(
+    fn report_routed(
         &self,
         view: &TrafficView,
-        routed: &RoutedTry,
+        routed: &RoutedAttempt,
     ) {
         if let Some(state) = view.table.endpoints.get(routed.choice.endpoint) {
-            self.app.control.tell(EntryEvent::Routed {
+            self.app.control.send_event(EntryEvent::Routed {
                 endpoint_id: state.id.clone(),
                 pieces: routed.pieces.clone(),
             });
@@ -127,15 +128,15 @@
     }
 
     /// Whether another try is allowed, by the rules and by the budget.
-    pub fn may_try_again(
+    pub fn may_retry(
         &mut self,
         kind: ErrorKind,
     ) -> bool {
         let step = decide_retry(&FailedAttempt {
             kind,
-            repeatable: self.work.repeatable,
-            attempts: self.tries,
-            deadline: self.work.deadline,
+            repeatable: self.parsed.repeatable,
+            attempts: self.attempts,
+            deadline: self.parsed.deadline,
             now: self.app.clock.now(),
         });
         step == RetryStep::RetryElsewhere && self.app.budget().spend()
@@ -144,18 +145,18 @@
     /// The caller has the beginning of its answer in time; to go on after a break
     /// there is the time that a beginning has.
     pub fn renew_deadline(&mut self) {
-        self.work.deadline = self.app.clock.now() + self.app.settings.default_deadline;
+        self.parsed.deadline = self.app.clock.now() + self.app.settings.default_deadline;
     }
 
     /// Notes that an answer broke off after it began.
-    pub fn broke_off(
+    pub fn record_interrupted(
         &mut self,
         kind: ErrorKind,
     ) {
         self.may_have_run = true;
         self.app
             .ring
-            .ended(&self.work.request.id, kind.response().code);
+            .ended(&self.parsed.request.id, kind.response().code);
     }
 
     fn refusal(
@@ -164,31 +165,31 @@
         detail: &str,
     ) -> Refusal {
         let mut refusal = Refusal::new(kind, detail);
-        refusal.ran_before = self.may_have_run;
+        refusal.may_have_run = self.may_have_run;
         refusal
     }
 
-    async fn pause(&self) {
-        let mut random = Pcg32::seed_from_u64(self.work.request.number);
-        let pause = BackoffPolicy::LINK.delay(self.tries, &mut random);
-        let left = self.work.deadline.since(self.app.clock.now());
-        Timer::after(Duration::from_micros(pause.0.min(left.0))).await;
+    async fn wait_backoff(&self) {
+        let mut random = Pcg32::seed_from_u64(self.parsed.request.number);
+        let backoff = BackoffPolicy::LINK.delay(self.attempts, &mut random);
+        let time_left = self.parsed.deadline.since(self.app.clock.now());
+        Timer::after(Duration::from_micros(backoff.0.min(time_left.0))).await;
     }
 }
 
-enum TryFailure {
-    Unrouted(Refusal),
-    Sent(ErrorKind),
+enum AttemptError {
+    Routing(Refusal),
+    Sending(ErrorKind),
 }
 
-impl TryFailure {
+impl AttemptError {
     fn into_refusal(
         self,
         may_have_run: bool,
     ) -> Refusal {
         let mut refusal = match self {
-            TryFailure::Unrouted(refusal) => refusal,
-            TryFailure::Sent(kind) => {
+            AttemptError::Routing(refusal) => refusal,
+            AttemptError::Sending(kind) => {
                 let detail = match kind.run_state() {
                     RunState::NotRun => "no endpoint took the request",
                     RunState::Unknown => "the endpoint was lost after the request was sent",
@@ -196,7 +197,7 @@
                 Refusal::new(kind, detail)
             }
         };
-        refusal.ran_before |= may_have_run;
+        refusal.may_have_run |= may_have_run;
         refusal
     }
 }
--- a/entry/src/filter/parsed_request.rs
+++ b/entry/src/filter/parsed_request.rs
@@ -13,7 +13,7 @@
 
 /// What a request asks for, as the third filter finds it.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct SelectedWork {
+pub struct ParsedRequest {
     /// The request.
     pub request: CallerRequest,
     /// Organisation.
@@ -81,16 +81,16 @@
 ///
 /// # Errors
 /// [`Refusal`] when the body is no prompt or the model is not known.
-pub fn select(
+pub fn parse_request(
     view: &TrafficView,
     request: CallerRequest,
     organisation: String,
     kind: PathKind,
     body: Vec<u8>,
     deadline: Micros,
-) -> Result<SelectedWork, Refusal> {
-    let keyed = request.marks.idempotency_key.is_some();
-    let marked = request.marks.repeatable;
+) -> Result<ParsedRequest, Refusal> {
+    let has_key = request.options.idempotency_key.is_some();
+    let caller_choice = request.options.repeatable;
     match kind {
         PathKind::Prompt(shape) => {
             let prompt = PromptRequest::parse(shape, &body)
@@ -99,11 +99,11 @@
                 let detail = format!("there is no model '{}'", prompt.model);
                 return Err(Refusal::new(ErrorKind::UnknownModel, detail));
             }
-            Ok(SelectedWork {
+            Ok(ParsedRequest {
                 input_tokens: estimate_tokens(prompt.text.len()),
                 target: WorkTarget::Model(prompt.model),
                 prompt: prompt.text,
-                repeatable: marked.unwrap_or(!keyed) && !keyed,
+                repeatable: caller_choice.unwrap_or(!has_key) && !has_key,
                 request,
                 organisation,
                 deadline,
@@ -111,12 +111,12 @@
             })
         }
         PathKind::Service(name) => {
-            let by_method = is_repeatable(request.method);
-            Ok(SelectedWork {
+            let idempotent = is_idempotent(request.method);
+            Ok(ParsedRequest {
                 input_tokens: 0,
                 target: WorkTarget::Service(name),
                 prompt: Vec::new(),
-                repeatable: marked.unwrap_or(by_method) && !keyed,
+                repeatable: caller_choice.unwrap_or(idempotent) && !has_key,
                 request,
                 organisation,
                 deadline,
@@ -127,7 +127,7 @@
 }
 
 /// Methods that HTTP itself lets be repeated.
-fn is_repeatable(method: Method) -> bool {
+fn is_idempotent(method: Method) -> bool {
     matches!(
         method,
         Method::Get | Method::Head | Method::Put | Method::Delete | Method::Options | Method::Trace
--- a/entry/src/filter/refusal.rs
+++ b/entry/src/filter/refusal.rs
@@ -16,7 +16,7 @@
     /// When to come back, if it differs from the table.
     pub retry_after: Option<Micros>,
     /// Whether the request may have run in an earlier try.
-    pub ran_before: bool,
+    pub may_have_run: bool,
 }
 
 impl Refusal {
@@ -29,13 +29,13 @@
             kind,
             detail: detail.into(),
             retry_after: None,
-            ran_before: false,
+            may_have_run: false,
         }
     }
 
     /// Whether the request may have run.
     pub fn run_state(&self) -> RunState {
-        if self.ran_before {
+        if self.may_have_run {
             RunState::Unknown
         } else {
             self.kind.run_state()
@@ -43,7 +43,7 @@
     }
 
     /// Seconds after which the caller may come back.
-    pub fn retry_seconds(&self) -> Option<u64> {
+    pub fn retry_after_seconds(&self) -> Option<u64> {
         let own = self.retry_after.map(|t| t.0.div_ceil(1_000_000).max(1));
         own.or(self.kind.response().retry_after.map(u64::from))
     }
--- a/entry/src/filter/request_chain.rs
+++ b/entry/src/filter/request_chain.rs
@@ -1,7 +1,7 @@
 use {
     super::{
-        admit, answer, identify, path_kind, select, AdmitPermit, CallerRequest, Dispatch,
-        ReadyAnswer, Refusal, SelectedWork,
+        admit, authenticate, build_response, parse_request, path_kind, AdmissionPermit,
+        CallerRequest, Dispatch, ParsedRequest, ReadyResponse, Refusal,
     },
     crate::{idempotency::intent_key, traffic::EntryApp},
     pitchhitch_core::{
@@ -13,14 +13,14 @@
 };
 
 /// Takes a request through all filters and writes its answer.
-pub async fn run_chain(
+pub async fn handle_request(
     app: Arc<EntryApp>,
     mut conn: Conn,
 ) -> Conn {
     let number = app.next_number();
     let id = app.request_id(number);
     app.metrics.count("request.taken", 1);
-    match chain(&app, &mut conn, &id, number).await {
+    match run_filters(&app, &mut conn, &id, number).await {
         Ok(Some(ready)) => ready.write(conn, &id),
         Ok(None) => {
             // The caller has gone; whatever is written now is lost.
@@ -44,27 +44,27 @@
 }
 
 /// All filters in order; none when the caller has gone.
-async fn chain(
+async fn run_filters(
     app: &Arc<EntryApp>,
     conn: &mut Conn,
     id: &str,
     number: u64,
-) -> Result<Option<ReadyAnswer>, Refusal> {
-    let began_at = app.clock.now();
+) -> Result<Option<ReadyResponse>, Refusal> {
+    let received_at = app.clock.now();
     let view = app.view.load_full();
-    let organisation = identify(conn, &view)?;
-    let request = CallerRequest::read(conn, id.to_string(), number)?;
+    let organisation = authenticate(conn, &view)?;
+    let request = CallerRequest::from_conn(conn, id.to_string(), number)?;
     let kind = path_kind(&view.table.config, request.method, &request.path)?;
     let permit = admit(app, &view, &organisation)?;
     let body = read_body(app, conn).await?;
-    let deadline = began_at
+    let deadline = received_at
         + request
-            .marks
+            .options
             .deadline
             .unwrap_or(app.settings.default_deadline);
-    let work = select(&view, request, organisation, kind, body, deadline)?;
+    let parsed = parse_request(&view, request, organisation, kind, body, deadline)?;
     drop(view);
-    let rest = route_and_send(app.clone(), work, began_at, permit);
+    let rest = route_and_send(app.clone(), parsed, received_at, permit);
     conn.cancel_on_disconnect(rest).await.transpose()
 }
 
@@ -102,28 +102,28 @@
 
 async fn route_and_send(
     app: Arc<EntryApp>,
-    work: SelectedWork,
-    began_at: Micros,
-    permit: AdmitPermit,
-) -> Result<ReadyAnswer, Refusal> {
-    let intent = work.request.marks.idempotency_key.as_ref();
-    let intent = intent.map(|key| intent_key(&work.organisation, key));
-    let request_id = work.request.id.clone();
+    parsed: ParsedRequest,
+    received_at: Micros,
+    permit: AdmissionPermit,
+) -> Result<ReadyResponse, Refusal> {
+    let intent = parsed.request.options.idempotency_key.as_ref();
+    let intent = intent.map(|key| intent_key(&parsed.organisation, key));
+    let request_id = parsed.request.id.clone();
     if let Some(key) = &intent {
         let begun = app.once.begin(key, &request_id).await;
         begun.map_err(|kind| Refusal::new(kind, "the idempotency key"))?;
     }
-    let mut dispatch = Dispatch::new(app.clone(), work);
+    let mut dispatch = Dispatch::new(app.clone(), parsed);
     let started = dispatch.start(None).await;
-    let ended = match started {
-        Ok(started) => answer(dispatch, started, began_at, permit).await,
+    let outcome = match started {
+        Ok(started) => build_response(dispatch, started, received_at, permit).await,
         Err(refusal) => Err(refusal),
     };
-    if let (Some(key), Err(refusal)) = (&intent, &ended) {
+    if let (Some(key), Err(refusal)) = (&intent, &outcome) {
         if refusal.run_state() == RunState::NotRun {
             // If this fails the key stays used, which is on the safe side.
             let _ = app.once.release(key, &request_id).await;
         }
     }
-    ended
+    outcome
 }
--- a/entry/src/filter/response.rs
+++ b/entry/src/filter/response.rs
@@ -1,6 +1,7 @@
 use {
     super::{
-        AdmitPermit, AnswerBody, Dispatch, Refusal, StartedTry, RAN_HEADER, REQUEST_ID_HEADER,
+        AdmissionPermit, Dispatch, Refusal, ResponseBody, StartedAttempt, RAN_HEADER,
+        REQUEST_ID_HEADER,
     },
     pitchhitch_core::{errors::ErrorKind, time::Micros},
     pitchhitch_wire::messages::{HeaderField, LinkReply},
@@ -9,11 +10,11 @@
 
 /// Answers up to this length are put together before the caller sees anything,
 /// so that a break can still be answered by another try.
-const WHOLE_LIMIT: usize = 1024 * 1024;
+const MAX_BUFFERED_BYTES: usize = 1024 * 1024;
 const EVENT_STREAM: &str = "text/event-stream";
 
 /// An answer that may go to the caller.
-pub struct ReadyAnswer {
+pub struct ReadyResponse {
     status: u16,
     headers: Vec<HeaderField>,
     body: Body,
@@ -23,38 +24,46 @@
 ///
 /// # Errors
 /// [`Refusal`] when the answer broke off and no other try is allowed.
-pub async fn answer(
+pub async fn build_response(
     mut dispatch: Dispatch,
-    mut started: StartedTry,
-    began_at: Micros,
-    permit: AdmitPermit,
-) -> Result<ReadyAnswer, Refusal> {
+    mut started: StartedAttempt,
+    received_at: Micros,
+    permit: AdmissionPermit,
+) -> Result<ReadyResponse, Refusal> {
     loop {
         let status = started.head.status;
         let headers = started.head.headers.clone();
         if is_event_stream(&headers) {
-            let body = AnswerBody::new(started, dispatch, Vec::new(), true, began_at, permit);
-            return Ok(ready(status, headers, Body::new_streaming(body, None)));
+            let body = ResponseBody::new(started, dispatch, Vec::new(), true, received_at, permit);
+            return Ok(ready_response(
+                status,
+                headers,
+                Body::new_streaming(body, None),
+            ));
         }
-        match collect(&mut started).await {
-            Collected::Whole(bytes) => {
-                let span = dispatch.app.clock.now().since(began_at);
-                dispatch.app.metrics.time("first_token", span.0);
+        match collect_body(&mut started).await {
+            CollectedBody::Complete(bytes) => {
+                let elapsed = dispatch.app.clock.now().since(received_at);
+                dispatch.app.metrics.time("first_token", elapsed.0);
                 dispatch.app.metrics.count("request.answered", 1);
                 dispatch
                     .app
                     .ring
-                    .ended(&dispatch.work.request.id, "answered");
-                return Ok(ready(status, headers, Body::new_static(bytes)));
+                    .ended(&dispatch.parsed.request.id, "answered");
+                return Ok(ready_response(status, headers, Body::new_static(bytes)));
             }
-            Collected::Long(bytes) => {
-                let body = AnswerBody::new(started, dispatch, bytes, false, began_at, permit);
-                return Ok(ready(status, headers, Body::new_streaming(body, None)));
+            CollectedBody::TooLong(bytes) => {
+                let body = ResponseBody::new(started, dispatch, bytes, false, received_at, permit);
+                return Ok(ready_response(
+                    status,
+                    headers,
+                    Body::new_streaming(body, None),
+                ));
             }
-            Collected::Broken(kind) => {
+            CollectedBody::Interrupted(kind) => {
                 drop(started);
-                dispatch.broke_off(kind);
-                if !dispatch.may_try_again(kind) {
+                dispatch.record_interrupted(kind);
+                if !dispatch.may_retry(kind) {
                     return Err(Refusal::new(kind, "the answer broke off"));
                 }
                 dispatch.app.metrics.count("request.retried", 1);
@@ -64,29 +73,29 @@
     }
 }
 
-enum Collected {
-    Whole(Vec<u8>),
-    Long(Vec<u8>),
-    Broken(ErrorKind),
+enum CollectedBody {
+    Complete(Vec<u8>),
+    TooLong(Vec<u8>),
+    Interrupted(ErrorKind),
 }
 
-async fn collect(started: &mut StartedTry) -> Collected {
+async fn collect_body(started: &mut StartedAttempt) -> CollectedBody {
     let mut bytes = Vec::new();
     loop {
         let reply = started.replies.next().await;
         let kind = match reply {
             Ok(Some(LinkReply::Chunk(chunk))) => {
-                started.tracker.first_token();
+                started.tracker.record_first_token();
                 bytes.extend_from_slice(&chunk);
-                if bytes.len() > WHOLE_LIMIT {
-                    return Collected::Long(bytes);
+                if bytes.len() > MAX_BUFFERED_BYTES {
+                    return CollectedBody::TooLong(bytes);
                 }
                 continue;
             }
             Ok(Some(LinkReply::End { body_bytes, pulse })) => {
                 if body_bytes == bytes.len() as u64 {
-                    started.tracker.answered(pulse);
-                    return Collected::Whole(bytes);
+                    started.tracker.record_success(pulse);
+                    return CollectedBody::Complete(bytes);
                 }
                 ErrorKind::BadAnswer
             }
@@ -94,17 +103,17 @@
             Ok(_) => ErrorKind::BadMessage,
             Err(error) => error.kind(),
         };
-        started.tracker.failed(kind, None);
-        return Collected::Broken(kind);
+        started.tracker.record_failure(kind, None);
+        return CollectedBody::Interrupted(kind);
     }
 }
 
-fn ready(
+fn ready_response(
     status: u16,
     headers: Vec<HeaderField>,
     body: Body,
-) -> ReadyAnswer {
-    ReadyAnswer {
+) -> ReadyResponse {
+    ReadyResponse {
         status,
         headers,
         body,
@@ -116,7 +125,7 @@
     types.any(|h| h.value.starts_with(EVENT_STREAM))
 }
 
-impl ReadyAnswer {
+impl ReadyResponse {
     /// Puts the answer on the connection.
     pub fn write(
         self,
@@ -141,13 +150,13 @@
         mut conn: Conn,
         request_id: &str,
     ) -> Conn {
-        let row = self.kind.response();
-        let status = Status::try_from(row.status).unwrap_or(Status::InternalServerError);
+        let response = self.kind.response();
+        let status = Status::try_from(response.status).unwrap_or(Status::InternalServerError);
         let headers = conn.response_headers_mut();
         headers.insert("content-type", "application/json");
         headers.insert(REQUEST_ID_HEADER, request_id.to_string());
         headers.insert(RAN_HEADER, self.run_state().as_str());
-        if let Some(seconds) = self.retry_seconds() {
+        if let Some(seconds) = self.retry_after_seconds() {
             headers.insert("retry-after", seconds.to_string());
         }
         conn.with_status(status).with_body(self.body()).halt()
--- a/entry/src/filter/response_body.rs
+++ b/entry/src/filter/response_body.rs
@@ -1,5 +1,5 @@
 use {
-    super::{AdmitPermit, Dispatch, Refusal, StartedTry},
+    super::{AdmissionPermit, Dispatch, Refusal, StartedAttempt},
     crate::openai::SseSplitter,
     futures_lite::AsyncRead,
     pitchhitch_core::{errors::ErrorKind, time::Micros},
@@ -15,34 +15,34 @@
 
 /// Blanks that open a stream of events: the HTTP library holds back the first
 /// bytes of a body until its buffer is full, and the first token must not wait.
-const OPENING_COMMENT: usize = 512;
+const PADDING_COMMENT_BYTES: usize = 512;
 
-type ResumeFuture = Pin<Box<dyn Future<Output = ResumeEnd> + Send>>;
+type ResumeFuture = Pin<Box<dyn Future<Output = ResumeOutcome> + Send>>;
 
-struct ResumeEnd {
+struct ResumeOutcome {
     dispatch: Dispatch,
-    started: Result<StartedTry, Refusal>,
+    started: Result<StartedAttempt, Refusal>,
 }
 
 enum BodyState {
-    Live {
-        started: Box<StartedTry>,
+    Streaming {
+        started: Box<StartedAttempt>,
         dispatch: Box<Dispatch>,
     },
     Resuming(ResumeFuture),
-    Ended,
-    Broken,
+    Finished,
+    Aborted,
 }
 
 struct BodyInner {
     state: BodyState,
-    ready: Vec<u8>,
-    taken: usize,
+    pending: Vec<u8>,
+    consumed: usize,
     splitter: Option<SseSplitter>,
-    received: u64,
-    began_at: Micros,
-    first: bool,
-    _permit: AdmitPermit,
+    received_bytes: u64,
+    received_at: Micros,
+    awaits_first_event: bool,
+    _permit: AdmissionPermit,
 }
 
 /// The body of an answer, as it comes from the agent.
@@ -50,50 +50,54 @@
 /// A stream of events that breaks is taken up again at another endpoint, after
 /// the last whole event. A body that cannot be completed ends in an error, so
 /// that the connection is closed without its end mark.
-pub struct AnswerBody {
+pub struct ResponseBody {
     // Never contended: the lock only makes the body shareable, as HTTP wants it.
     inner: Mutex<BodyInner>,
 }
 
-impl AnswerBody {
-    /// A body that goes on from `ready`.
+impl ResponseBody {
+    /// A body that goes on from `collected`.
     pub fn new(
-        started: StartedTry,
+        started: StartedAttempt,
         dispatch: Dispatch,
-        ready: Vec<u8>,
+        collected: Vec<u8>,
         is_events: bool,
-        began_at: Micros,
-        permit: AdmitPermit,
+        received_at: Micros,
+        permit: AdmissionPermit,
     ) -> Self {
-        let received = ready.len() as u64;
-        let opening = if is_events { opening_comment() } else { ready };
-        AnswerBody {
+        let received_bytes = collected.len() as u64;
+        let initial_bytes = if is_events {
+            padding_comment()
+        } else {
+            collected
+        };
+        ResponseBody {
             inner: Mutex::new(BodyInner {
-                state: BodyState::Live {
+                state: BodyState::Streaming {
                     started: Box::new(started),
                     dispatch: Box::new(dispatch),
                 },
-                ready: opening,
-                taken: 0,
+                pending: initial_bytes,
+                consumed: 0,
                 splitter: is_events.then(SseSplitter::default),
-                received,
-                began_at,
-                first: true,
+                received_bytes,
+                received_at,
+                awaits_first_event: true,
                 _permit: permit,
             }),
         }
     }
 }
 
-fn opening_comment() -> Vec<u8> {
-    let mut comment = vec![b' '; OPENING_COMMENT];
+fn padding_comment() -> Vec<u8> {
+    let mut comment = vec![b' '; PADDING_COMMENT_BYTES];
     comment[0] = b':';
-    comment[OPENING_COMMENT - 2] = b'\n';
-    comment[OPENING_COMMENT - 1] = b'\n';
+    comment[PADDING_COMMENT_BYTES - 2] = b'\n';
+    comment[PADDING_COMMENT_BYTES - 1] = b'\n';
     comment
 }
 
-impl AsyncRead for AnswerBody {
+impl AsyncRead for ResponseBody {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -112,187 +116,187 @@
     ) -> Poll<io::Result<usize>> {
         loop {
             // The opening of a stream goes out together with its first event.
-            let holding = self.first && self.splitter.is_some();
-            if self.taken < self.ready.len() && !holding {
-                return Poll::Ready(Ok(self.take(buffer)));
+            let is_held = self.awaits_first_event && self.splitter.is_some();
+            if self.consumed < self.pending.len() && !is_held {
+                return Poll::Ready(Ok(self.copy_pending(buffer)));
             }
             match &mut self.state {
-                BodyState::Ended => return Poll::Ready(Ok(0)),
-                BodyState::Broken => {
+                BodyState::Finished => return Poll::Ready(Ok(0)),
+                BodyState::Aborted => {
                     let error = io::Error::other("the answer could not be completed");
                     return Poll::Ready(Err(error));
                 }
-                BodyState::Live { started, .. } => {
+                BodyState::Streaming { started, .. } => {
                     let reply = std::task::ready!(started.replies.poll_next(cx));
-                    self.take_reply(reply.map_err(|e| e.kind()));
+                    self.on_reply(reply.map_err(|e| e.kind()));
                 }
                 BodyState::Resuming(resume) => {
-                    let end = std::task::ready!(resume.as_mut().poll(cx));
-                    self.resumed(end);
+                    let outcome = std::task::ready!(resume.as_mut().poll(cx));
+                    self.on_resumed(outcome);
                 }
             }
         }
     }
 
-    fn take(
+    fn copy_pending(
         &mut self,
         buffer: &mut [u8],
     ) -> usize {
-        let rest = &self.ready[self.taken..];
+        let rest = &self.pending[self.consumed..];
         let length = rest.len().min(buffer.len());
         buffer[..length].copy_from_slice(&rest[..length]);
-        self.taken += length;
-        if self.taken == self.ready.len() {
-            self.ready.clear();
-            self.taken = 0;
+        self.consumed += length;
+        if self.consumed == self.pending.len() {
+            self.pending.clear();
+            self.consumed = 0;
         }
         length
     }
 
-    fn take_reply(
+    fn on_reply(
         &mut self,
         reply: Result<Option<LinkReply>, ErrorKind>,
     ) {
         match reply {
-            Ok(Some(LinkReply::Chunk(bytes))) => self.take_chunk(&bytes),
+            Ok(Some(LinkReply::Chunk(bytes))) => self.on_chunk(&bytes),
             Ok(Some(LinkReply::End { body_bytes, pulse })) => {
-                let whole = body_bytes == self.received;
-                let closed = self.splitter.as_ref().is_none_or(SseSplitter::is_done);
-                if whole && closed {
-                    self.end(pulse);
+                let is_complete = body_bytes == self.received_bytes;
+                let is_closed = self.splitter.as_ref().is_none_or(SseSplitter::is_done);
+                if is_complete && is_closed {
+                    self.finish(pulse);
                 } else {
-                    self.break_off(ErrorKind::BadAnswer);
+                    self.on_interrupted(ErrorKind::BadAnswer);
                 }
             }
             Ok(Some(LinkReply::Failed { kind, pulse })) => {
-                if let BodyState::Live { started, .. } = &self.state {
-                    started.tracker.failed(kind, Some(pulse));
+                if let BodyState::Streaming { started, .. } = &self.state {
+                    started.tracker.record_failure(kind, Some(pulse));
                 }
-                self.break_off(kind);
+                self.on_interrupted(kind);
             }
-            Ok(_) => self.break_off(ErrorKind::BadMessage),
+            Ok(_) => self.on_interrupted(ErrorKind::BadMessage),
             Err(kind) => {
-                if let BodyState::Live { started, .. } = &self.state {
-                    started.tracker.failed(kind, None);
+                if let BodyState::Streaming { started, .. } = &self.state {
+                    started.tracker.record_failure(kind, None);
                 }
-                self.break_off(kind);
+                self.on_interrupted(kind);
             }
         }
     }
 
-    fn take_chunk(
+    fn on_chunk(
         &mut self,
         bytes: &[u8],
     ) {
-        self.received += bytes.len() as u64;
-        let BodyState::Live { started, dispatch } = &mut self.state else {
+        self.received_bytes += bytes.len() as u64;
+        let BodyState::Streaming { started, dispatch } = &mut self.state else {
             return;
         };
-        started.tracker.first_token();
-        let passed = match &mut self.splitter {
+        started.tracker.record_first_token();
+        let events = match &mut self.splitter {
             None => Ok(bytes.to_vec()),
             Some(splitter) => splitter.feed(bytes),
         };
-        match passed {
-            Ok(passed) => {
-                if self.first && !passed.is_empty() {
-                    self.first = false;
-                    note_first_token(dispatch, self.began_at);
+        match events {
+            Ok(events) => {
+                if self.awaits_first_event && !events.is_empty() {
+                    self.awaits_first_event = false;
+                    measure_first_token(dispatch, self.received_at);
                 }
-                self.ready.extend_from_slice(&passed);
+                self.pending.extend_from_slice(&events);
             }
-            Err(_) => self.break_off(ErrorKind::BadAnswer),
+            Err(_) => self.on_interrupted(ErrorKind::BadAnswer),
         }
     }
 
-    fn end(
+    fn finish(
         &mut self,
         pulse: pitchhitch_core::role::AgentPulse,
     ) {
-        let state = std::mem::replace(&mut self.state, BodyState::Ended);
-        self.first = false;
-        if let BodyState::Live { started, dispatch } = state {
-            started.tracker.answered(pulse);
+        let state = std::mem::replace(&mut self.state, BodyState::Finished);
+        self.awaits_first_event = false;
+        if let BodyState::Streaming { started, dispatch } = state {
+            started.tracker.record_success(pulse);
             dispatch
                 .app
                 .ring
-                .ended(&dispatch.work.request.id, "answered");
+                .ended(&dispatch.parsed.request.id, "answered");
             dispatch.app.metrics.count("request.answered", 1);
         }
     }
 
     /// The answer broke off: it is taken up again elsewhere, or given up.
-    fn break_off(
+    fn on_interrupted(
         &mut self,
         kind: ErrorKind,
     ) {
-        let state = std::mem::replace(&mut self.state, BodyState::Broken);
-        let BodyState::Live { mut dispatch, .. } = state else {
+        let state = std::mem::replace(&mut self.state, BodyState::Aborted);
+        let BodyState::Streaming { mut dispatch, .. } = state else {
             return;
         };
-        dispatch.broke_off(kind);
+        dispatch.record_interrupted(kind);
         let Some(splitter) = &mut self.splitter else {
             dispatch.app.metrics.count("request.broken", 1);
-            self.first = false;
+            self.awaits_first_event = false;
             return;
         };
         if splitter.is_done() {
             // The caller has all of it; only the end of the transport was lost.
-            self.state = BodyState::Ended;
-            self.first = false;
+            self.state = BodyState::Finished;
+            self.awaits_first_event = false;
             return;
         }
-        let after = splitter.last_id();
-        let untouched = !splitter.has_data();
-        if !untouched {
+        let last_event_id = splitter.last_id();
+        let nothing_sent = !splitter.has_data();
+        if !nothing_sent {
             dispatch.renew_deadline();
         }
-        if (after.is_none() && !untouched) || !dispatch.may_try_again(kind) {
+        if (last_event_id.is_none() && !nothing_sent) || !dispatch.may_retry(kind) {
             dispatch.app.metrics.count("request.broken", 1);
             let error = Refusal::new(kind, "the stream broke off");
-            self.ready.extend_from_slice(&error_event(&error));
-            self.first = false;
+            self.pending.extend_from_slice(&error_event(&error));
+            self.awaits_first_event = false;
             return;
         }
         splitter.drop_partial();
-        self.received = 0;
+        self.received_bytes = 0;
         dispatch.app.metrics.count("request.resumed", 1);
         self.state = BodyState::Resuming(Box::pin(async move {
             let mut dispatch = *dispatch;
-            let started = dispatch.start(after).await;
-            ResumeEnd { dispatch, started }
+            let started = dispatch.start(last_event_id).await;
+            ResumeOutcome { dispatch, started }
         }));
     }
 
-    fn resumed(
+    fn on_resumed(
         &mut self,
-        end: ResumeEnd,
+        outcome: ResumeOutcome,
     ) {
-        let ResumeEnd { dispatch, started } = end;
+        let ResumeOutcome { dispatch, started } = outcome;
         match started {
             Ok(started) if started.head.status == 200 => {
-                self.state = BodyState::Live {
+                self.state = BodyState::Streaming {
                     started: Box::new(started),
                     dispatch: Box::new(dispatch),
                 };
             }
-            Ok(_) => self.give_up(
+            Ok(_) => self.abort(
                 &dispatch,
                 &Refusal::new(ErrorKind::BadAnswer, "not resumed"),
             ),
-            Err(refusal) => self.give_up(&dispatch, &refusal),
+            Err(refusal) => self.abort(&dispatch, &refusal),
         }
     }
 
-    fn give_up(
+    fn abort(
         &mut self,
         dispatch: &Dispatch,
         refusal: &Refusal,
     ) {
         dispatch.app.metrics.count("request.broken", 1);
-        self.ready.extend_from_slice(&error_event(refusal));
-        self.state = BodyState::Broken;
-        self.first = false;
+        self.pending.extend_from_slice(&error_event(refusal));
+        self.state = BodyState::Aborted;
+        self.awaits_first_event = false;
     }
 }
 
@@ -301,10 +305,10 @@
     format!("data: {}\n\n", refusal.body()).into_bytes()
 }
 
-fn note_first_token(
+fn measure_first_token(
     dispatch: &Dispatch,
-    began_at: Micros,
+    received_at: Micros,
 ) {
-    let span = dispatch.app.clock.now().since(began_at);
-    dispatch.app.metrics.time("first_token", span.0);
+    let elapsed = dispatch.app.clock.now().since(received_at);
+    dispatch.app.metrics.time("first_token", elapsed.0);
 }
--- a/entry/src/filter/retention_plan.rs
+++ b/entry/src/filter/retention_plan.rs
@@ -13,11 +13,11 @@
 };
 
 /// Pieces that one request exports at most.
-const EXPORT_LIMIT: usize = 128;
+const MAX_EXPORTED_PIECES: usize = 128;
 
 /// What a plan for keeping is made from.
 #[derive(Debug, Clone, Copy)]
-pub struct KeepQuestion<'a> {
+pub struct RetentionRequest<'a> {
     /// Kind of work.
     pub label: &'a ReuseLabel,
     /// Keys of the whole pieces of the prompt.
@@ -32,16 +32,16 @@
 
 /// A decision about keeping, with the pieces to export if there are any.
 #[derive(Debug, Clone, PartialEq)]
-pub struct KeepPlan {
+pub struct RetentionPlan {
     /// The decision.
     pub decision: RetentionDecision,
     /// What the agent is to export.
     pub export: Option<ExportPlan>,
 }
 
-impl KeepPlan {
+impl RetentionPlan {
     /// The word in log lines.
-    pub fn word(&self) -> &'static str {
+    pub fn as_str(&self) -> &'static str {
         match &self.export {
             None => "no",
             Some(plan) => match plan.tier {
@@ -53,33 +53,33 @@
 }
 
 /// Decides whether the state of a prompt is kept on a store box after it ran.
-pub fn plan_keep(
+pub fn plan_retention(
     view: &TrafficView,
-    question: &KeepQuestion<'_>,
-) -> KeepPlan {
-    let nothing = KeepPlan {
+    request: &RetentionRequest<'_>,
+) -> RetentionPlan {
+    let no_export = RetentionPlan {
         decision: RetentionDecision {
             tier: None,
             expected_gain: 0.0,
         },
         export: None,
     };
-    let Some(state) = view.table.endpoints.get(question.endpoint) else {
-        return nothing;
+    let Some(state) = view.table.endpoints.get(request.endpoint) else {
+        return no_export;
     };
-    let Some(choice) = choose_store(view, state, question.pieces) else {
-        return nothing;
+    let Some(choice) = choose_store(view, state, request.pieces) else {
+        return no_export;
     };
-    let Some(identity) = prompt_identity(question.pieces) else {
-        return nothing;
+    let Some(identity) = prompt_identity(request.pieces) else {
+        return no_export;
     };
-    let missing = missing_pieces(view, question.pieces, choice.key);
+    let missing = missing_pieces(view, request.pieces, choice.key);
     if missing.is_empty() {
-        return nothing;
+        return no_export;
     }
-    let decision = decide_retention(&keep_case(
+    let decision = decide_retention(&retention_case(
         view,
-        question,
+        request,
         choice.state,
         missing.len() as u32,
     ));
@@ -90,7 +90,7 @@
         identity,
         pieces: missing,
     });
-    KeepPlan { decision, export }
+    RetentionPlan { decision, export }
 }
 
 struct StoreChoice<'a> {
@@ -126,14 +126,14 @@
     pieces
         .iter()
         .filter(|key| !is_stored(key))
-        .take(EXPORT_LIMIT)
+        .take(MAX_EXPORTED_PIECES)
         .copied()
         .collect()
 }
 
-fn keep_case(
+fn retention_case(
     view: &TrafficView,
-    question: &KeepQuestion<'_>,
+    request: &RetentionRequest<'_>,
     store: &StoreState,
     pieces: u32,
 ) -> RetentionCase {
@@ -141,17 +141,17 @@
     let load = view
         .table
         .loads
-        .get(question.endpoint)
+        .get(request.endpoint)
         .copied()
         .unwrap_or_default();
-    let bytes = u64::from(tokens) * question.token_bytes;
+    let bytes = u64::from(tokens) * request.token_bytes;
     RetentionCase {
-        reuse_probability: view.returns.reuse_probability(question.label, Micros::ZERO),
-        expected_gap: view.returns.median_gap(question.label, Micros::ZERO),
+        reuse_probability: view.returns.reuse_probability(request.label, Micros::ZERO),
+        expected_gap: view.returns.median_gap(request.label, Micros::ZERO),
         tokens,
-        token_bytes: question.token_bytes,
+        token_bytes: request.token_bytes,
         token_cost: token_cost(&load),
         import_time: import_time(store, pitchhitch_core::kv_cache::StoreTier::Memory, bytes),
-        weights: question.weights,
+        weights: request.weights,
     }
 }
--- a/entry/src/filter/route.rs
+++ b/entry/src/filter/route.rs
@@ -1,5 +1,5 @@
 use {
-    super::{plan_keep, KeepPlan, KeepQuestion, Refusal, SelectedWork},
+    super::{plan_retention, ParsedRequest, Refusal, RetentionPlan, RetentionRequest},
     crate::{
         explain::DecisionRecord,
         traffic::{EntryApp, TrafficView},
@@ -15,7 +15,7 @@
 
 /// Fourth filter's result: where a try goes and with what.
 #[derive(Debug, Clone, PartialEq)]
-pub struct RoutedTry {
+pub struct RoutedAttempt {
     /// The decision.
     pub choice: RouteChoice,
     /// Version that answers; empty for plain services.
@@ -25,12 +25,12 @@
     /// What the agent imports first.
     pub import: Option<ImportPlan>,
     /// What is kept afterwards.
-    pub keep: KeepPlan,
+    pub retention: RetentionPlan,
 }
 
 /// What has happened to a request before this try.
 #[derive(Debug, Clone, Copy)]
-pub struct EarlierTries<'a> {
+pub struct PreviousAttempts<'a> {
     /// Endpoints that were tried.
     pub tried: &'a [EndpointKey],
     /// Number of this try, counted from one.
@@ -52,51 +52,54 @@
 pub fn route(
     app: &EntryApp,
     view: &TrafficView,
-    work: &SelectedWork,
-    earlier: EarlierTries<'_>,
-) -> Result<RoutedTry, Refusal> {
-    let best = best_version(app, view, work, earlier)?;
+    parsed: &ParsedRequest,
+    previous: PreviousAttempts<'_>,
+) -> Result<RoutedAttempt, Refusal> {
+    let best = cheapest_version(app, view, parsed, previous)?;
     let label = ReuseLabel {
-        organisation: work.organisation.clone(),
-        label: work.request.marks.label.clone(),
+        organisation: parsed.organisation.clone(),
+        label: parsed.request.options.label.clone(),
     };
-    let question = KeepQuestion {
+    let request = RetentionRequest {
         label: &label,
         pieces: &best.pieces,
-        token_bytes: token_bytes(view, work),
-        weights: weights(view, work),
+        token_bytes: token_bytes(view, parsed),
+        weights: cost_weights(view, parsed),
         endpoint: best.choice.endpoint,
     };
-    let routed = RoutedTry {
+    let routed = RoutedAttempt {
         import: import_plan(view, &best.choice),
-        keep: plan_keep(view, &question),
+        retention: plan_retention(view, &request),
         version: best.version,
         pieces: best.pieces,
         choice: best.choice,
     };
-    let record = record_of(view, work, &routed, earlier.attempt);
+    let record = decision_record(view, parsed, &routed, previous.attempt);
     record.log();
     app.ring.push(record);
     Ok(routed)
 }
 
 /// Tries every version that may answer and takes the cheapest choice.
-fn best_version(
+fn cheapest_version(
     app: &EntryApp,
     view: &TrafficView,
-    work: &SelectedWork,
-    earlier: EarlierTries<'_>,
+    parsed: &ParsedRequest,
+    previous: PreviousAttempts<'_>,
 ) -> Result<VersionChoice, Refusal> {
-    let pools = view.table.pools.versions(&work.organisation, &work.target);
+    let pools = view
+        .table
+        .pools
+        .versions(&parsed.organisation, &parsed.target);
     let mut best: Option<VersionChoice> = None;
     let mut worst_error = ErrorKind::NothingSelected;
     for pool in pools {
-        let pinned_elsewhere = earlier.pinned_version.is_some_and(|v| v != pool.version);
+        let pinned_elsewhere = previous.pinned_version.is_some_and(|v| v != pool.version);
         if pinned_elsewhere {
             continue;
         }
-        let pieces = prefix_keys(&work.organisation, &pool.version, &work.prompt);
-        match choose(app, view, work, earlier, &pool.version, &pieces) {
+        let pieces = prefix_keys(&parsed.organisation, &pool.version, &parsed.prompt);
+        match choose_endpoint(app, view, parsed, previous, &pool.version, &pieces) {
             Ok(choice) => {
                 let cheaper = best
                     .as_ref()
@@ -114,7 +117,7 @@
         }
     }
     best.ok_or_else(|| {
-        let name = work.target.name();
+        let name = parsed.target.name();
         let detail = match worst_error {
             ErrorKind::NoneAvailable => format!("no endpoint for '{name}' is usable now"),
             _ => format!("the selectors admit no endpoint for '{name}'"),
@@ -123,44 +126,44 @@
     })
 }
 
-fn choose(
+fn choose_endpoint(
     app: &EntryApp,
     view: &TrafficView,
-    work: &SelectedWork,
-    earlier: EarlierTries<'_>,
+    parsed: &ParsedRequest,
+    previous: PreviousAttempts<'_>,
     version: &str,
     pieces: &[PieceKey],
 ) -> Result<RouteChoice, ErrorKind> {
     let request = RouteRequest {
-        organisation: &work.organisation,
-        target: &work.target,
+        organisation: &parsed.organisation,
+        target: &parsed.target,
         version,
         pieces,
-        input_tokens: work.input_tokens,
-        weights: weights(view, work),
-        token_bytes: token_bytes(view, work),
-        excluded: earlier.tried,
+        input_tokens: parsed.input_tokens,
+        weights: cost_weights(view, parsed),
+        token_bytes: token_bytes(view, parsed),
+        excluded: previous.tried,
         now: app.clock.now(),
         // Processes that count from the same number must not choose alike.
-        seed: work.request.number.wrapping_add(app.clock.incarnation()),
+        seed: parsed.request.number.wrapping_add(app.clock.incarnation()),
     };
     view.table.choose(&request, |endpoint| view.sent(endpoint))
 }
 
-fn weights(
+fn cost_weights(
     view: &TrafficView,
-    work: &SelectedWork,
+    parsed: &ParsedRequest,
 ) -> pitchhitch_core::conf::CostWeights {
-    let conf = view.table.config.organisations.get(&work.organisation);
+    let conf = view.table.config.organisations.get(&parsed.organisation);
     conf.map(|c| c.weights).unwrap_or_default()
 }
 
 /// Bytes of kept state for one token of the model that is asked for.
 pub fn token_bytes(
     view: &TrafficView,
-    work: &SelectedWork,
+    parsed: &ParsedRequest,
 ) -> u64 {
-    let conf = view.table.config.models.get(work.target.name());
+    let conf = view.table.config.models.get(parsed.target.name());
     conf.map_or(0, |m| m.token_bytes)
 }
 
@@ -180,10 +183,10 @@
     })
 }
 
-fn record_of(
+fn decision_record(
     view: &TrafficView,
-    work: &SelectedWork,
-    routed: &RoutedTry,
+    parsed: &ParsedRequest,
+    routed: &RoutedAttempt,
     attempt: u32,
 ) -> DecisionRecord {
     let name = |key: EndpointKey| {
@@ -193,23 +196,23 @@
     let choice = &routed.choice;
     let estimate = &choice.estimate;
     DecisionRecord {
-        request_id: work.request.id.clone(),
-        organisation: work.organisation.clone(),
-        target: work.target.name().to_string(),
+        request_id: parsed.request.id.clone(),
+        organisation: parsed.organisation.clone(),
+        target: parsed.target.name().to_string(),
         version: routed.version.clone(),
         attempt,
         chosen: name(choice.endpoint),
         runner_up: choice.runner_up.map(|r| name(r.endpoint)),
         reason: choice.reason.as_str().to_string(),
         candidates: choice.candidates,
-        input_tokens: work.input_tokens,
+        input_tokens: parsed.input_tokens,
         reused_tokens: estimate.reused_pieces * PIECE_TOKENS,
         imported_tokens: estimate.imported_pieces * PIECE_TOKENS,
         queue_us: estimate.queue as u64,
         import_us: estimate.import as u64,
         compute_us: estimate.compute as u64,
         runner_up_us: choice.runner_up.map(|r| r.estimate.first_token() as u64),
-        keep: routed.keep.word().to_string(),
+        keep: routed.retention.as_str().to_string(),
         revision: view.table.config.revision,
         outcome: String::new(),
     }
--- a/entry/src/filter/send.rs
+++ b/entry/src/filter/send.rs
@@ -1,5 +1,5 @@
 use {
-    super::{RoutedTry, SelectedWork},
+    super::{ParsedRequest, RoutedAttempt},
     crate::{
         control::ControlHandle,
         traffic::{EndpointLink, EntryApp, TrafficView},
@@ -18,87 +18,87 @@
 };
 
 /// Time in which an agent must say that it has a request.
-const ACKNOWLEDGE_LIMIT: Duration = Duration::from_millis(1_000);
+const ACKNOWLEDGE_TIMEOUT: Duration = Duration::from_millis(1_000);
 
 /// A try that the endpoint has begun to answer.
 #[derive(Debug)]
-pub struct StartedTry {
+pub struct StartedAttempt {
     /// Status and headers.
     pub head: ReplyHead,
     /// The rest of the answer.
     pub replies: ReplyStream,
     /// Keeps the books about it.
-    pub tracker: TryTracker,
+    pub tracker: AttemptTracker,
 }
 
 /// Keeps the books about one try: what is under way at the endpoint, and how it ended.
 #[derive(Debug)]
-pub struct TryTracker {
+pub struct AttemptTracker {
     control: ControlHandle,
     link: Arc<EndpointLink>,
     tokens: u32,
-    computed: bool,
+    is_prefilled: bool,
 }
 
-impl TryTracker {
-    fn begin(
+impl AttemptTracker {
+    fn start(
         app: &EntryApp,
         link: Arc<EndpointLink>,
         tokens: u32,
     ) -> Self {
         link.began(tokens);
-        TryTracker {
+        AttemptTracker {
             control: app.control.clone(),
             link,
             tokens,
-            computed: false,
+            is_prefilled: false,
         }
     }
 
     /// The agent has the request, and owes a report that counts it.
-    fn taken_up(
+    fn record_acknowledged(
         &self,
         ticket: WorkTicket,
     ) {
-        self.control.tell(EntryEvent::TakenUp {
+        self.control.send_event(EntryEvent::TakenUp {
             endpoint_id: self.link.endpoint_id.clone(),
             ticket,
         });
     }
 
     /// The endpoint has computed the prompt.
-    pub fn first_token(&mut self) {
-        if !std::mem::replace(&mut self.computed, true) {
+    pub fn record_first_token(&mut self) {
+        if !std::mem::replace(&mut self.is_prefilled, true) {
             self.link.computed(self.tokens);
         }
     }
 
     /// The endpoint has answered wholly.
-    pub fn answered(
+    pub fn record_success(
         &self,
         pulse: AgentPulse,
     ) {
-        self.pulse(pulse);
-        self.control.try_succeeded(&self.link);
+        self.report_pulse(pulse);
+        self.control.attempt_succeeded(&self.link);
     }
 
     /// The endpoint failed or refused.
-    pub fn failed(
+    pub fn record_failure(
         &self,
         kind: ErrorKind,
         pulse: Option<AgentPulse>,
     ) {
         if let Some(pulse) = pulse {
-            self.pulse(pulse);
+            self.report_pulse(pulse);
         }
-        self.control.try_failed(&self.link, kind);
+        self.control.attempt_failed(&self.link, kind);
     }
 
-    fn pulse(
+    fn report_pulse(
         &self,
         pulse: AgentPulse,
     ) {
-        self.control.tell(EntryEvent::PulseReceived {
+        self.control.send_event(EntryEvent::PulseReceived {
             endpoint_id: self.link.endpoint_id.clone(),
             pulse,
             own: self.link.sent(),
@@ -106,9 +106,9 @@
     }
 }
 
-impl Drop for TryTracker {
+impl Drop for AttemptTracker {
     fn drop(&mut self) {
-        self.first_token();
+        self.record_first_token();
         self.link.ended();
     }
 }
@@ -120,52 +120,52 @@
 pub async fn send(
     app: &EntryApp,
     view: &TrafficView,
-    work: &SelectedWork,
-    routed: &RoutedTry,
+    parsed: &ParsedRequest,
+    routed: &RoutedAttempt,
     resume_after: Option<u64>,
-) -> Result<StartedTry, ErrorKind> {
+) -> Result<StartedAttempt, ErrorKind> {
     let link = view.links.get(routed.choice.endpoint).cloned();
     let link = link.ok_or(ErrorKind::EndpointUnreachable)?;
     let agent = link.get().ok_or(ErrorKind::EndpointUnreachable)?;
     let tokens = routed.choice.estimate.recomputed_tokens;
-    let tracker = TryTracker::begin(app, link, tokens);
-    let call = LinkCall::HandOver(Box::new(hand_over(app, work, routed, resume_after)));
+    let tracker = AttemptTracker::start(app, link, tokens);
+    let call = LinkCall::HandOver(Box::new(build_hand_over(app, parsed, routed, resume_after)));
     let called = agent.call(&call).await;
-    let mut replies = called.map_err(|error| note_failure(&tracker, error))?;
-    let ticket = acknowledged(&mut replies).await;
-    let ticket = ticket.map_err(|error| note_failure(&tracker, error))?;
-    tracker.taken_up(ticket);
+    let mut replies = called.map_err(|error| record_link_error(&tracker, error))?;
+    let ticket = wait_acknowledged(&mut replies).await;
+    let ticket = ticket.map_err(|error| record_link_error(&tracker, error))?;
+    tracker.record_acknowledged(ticket);
     match replies.next().await {
         Ok(Some(LinkReply::Head(head))) => {
-            measure_import(app, view, routed, work, &head);
-            Ok(StartedTry {
+            report_import_rate(app, view, routed, parsed, &head);
+            Ok(StartedAttempt {
                 head,
                 replies,
                 tracker,
             })
         }
         Ok(Some(LinkReply::Refused { kind, pulse } | LinkReply::Failed { kind, pulse })) => {
-            tracker.failed(kind, Some(pulse));
+            tracker.record_failure(kind, Some(pulse));
             Err(kind)
         }
         Ok(_) => {
-            tracker.failed(ErrorKind::BadMessage, None);
+            tracker.record_failure(ErrorKind::BadMessage, None);
             Err(ErrorKind::BadMessage)
         }
-        Err(error) => Err(note_failure(&tracker, error)),
+        Err(error) => Err(record_link_error(&tracker, error)),
     }
 }
 
 /// Waits until the agent says that it has the request. One that does not say so
 /// in time is frozen or cut off, and may run the request later.
-async fn acknowledged(replies: &mut ReplyStream) -> Result<WorkTicket, LinkError> {
-    let late = async {
-        Timer::after(ACKNOWLEDGE_LIMIT).await;
+async fn wait_acknowledged(replies: &mut ReplyStream) -> Result<WorkTicket, LinkError> {
+    let timeout = async {
+        Timer::after(ACKNOWLEDGE_TIMEOUT).await;
         Err(LinkError::Broken {
-            reason: format!("the agent said nothing within {ACKNOWLEDGE_LIMIT:?}"),
+            reason: format!("the agent said nothing within {ACKNOWLEDGE_TIMEOUT:?}"),
         })
     };
-    match future::or(replies.next(), late).await? {
+    match future::or(replies.next(), timeout).await? {
         Some(LinkReply::TakenUp { ticket }) => Ok(ticket),
         other => Err(LinkError::Broken {
             reason: format!("the agent began with {other:?}"),
@@ -173,8 +173,8 @@
     }
 }
 
-fn note_failure(
-    tracker: &TryTracker,
+fn record_link_error(
+    tracker: &AttemptTracker,
     error: LinkError,
 ) -> ErrorKind {
     let kind = error.kind();
@@ -184,42 +184,42 @@
         reason = error.to_string().as_str();
         ""
     );
-    tracker.failed(kind, None);
+    tracker.record_failure(kind, None);
     kind
 }
 
-fn hand_over(
+fn build_hand_over(
     app: &EntryApp,
-    work: &SelectedWork,
-    routed: &RoutedTry,
+    parsed: &ParsedRequest,
+    routed: &RoutedAttempt,
     resume_after: Option<u64>,
 ) -> HandOver {
-    let left = work.deadline.since(app.clock.now());
+    let time_left = parsed.deadline.since(app.clock.now());
     HandOver {
-        request_id: work.request.id.clone(),
-        organisation: work.organisation.clone(),
-        label: work.request.marks.label.clone(),
+        request_id: parsed.request.id.clone(),
+        organisation: parsed.organisation.clone(),
+        label: parsed.request.options.label.clone(),
         version: (!routed.version.is_empty()).then(|| routed.version.clone()),
         tokens: routed.choice.estimate.recomputed_tokens,
-        deadline_millis: left.as_millis().max(1),
-        repeatable: work.repeatable,
-        method: work.request.method.to_string(),
-        path: work.request.path_and_query(),
-        headers: work.request.headers.clone(),
-        body: work.body.clone(),
+        deadline_millis: time_left.as_millis().max(1),
+        repeatable: parsed.repeatable,
+        method: parsed.request.method.to_string(),
+        path: parsed.request.path_and_query(),
+        headers: parsed.request.headers.clone(),
+        body: parsed.body.clone(),
         pieces: routed.pieces.clone(),
         import: routed.import.clone(),
-        export: routed.keep.export.clone(),
+        export: routed.retention.export.clone(),
         resume_after,
     }
 }
 
 /// Tells the control thread how fast the store box's link was.
-fn measure_import(
+fn report_import_rate(
     app: &EntryApp,
     view: &TrafficView,
-    routed: &RoutedTry,
-    work: &SelectedWork,
+    routed: &RoutedAttempt,
+    parsed: &ParsedRequest,
     head: &ReplyHead,
 ) {
     let Some(plan) = &routed.import else {
@@ -229,8 +229,8 @@
         return;
     }
     let tokens = u64::from(head.imported_pieces * pitchhitch_core::kv_cache::PIECE_TOKENS);
-    let bytes = tokens * super::token_bytes(view, work);
-    app.control.tell(EntryEvent::StoreMeasured {
+    let bytes = tokens * super::token_bytes(view, parsed);
+    app.control.send_event(EntryEvent::StoreMeasured {
         store: plan.store.clone(),
         link_rate: bytes as f64 / (head.import_micros as f64 / 1e6),
     });
--- a/entry/src/idempotency/idempotency_guard.rs
+++ b/entry/src/idempotency/idempotency_guard.rs
@@ -13,45 +13,45 @@
 
 /// Time that the first intent of a group waits for others. It bounds the writes
 /// of one process; see the decision note on requests that run at most once.
-const GROUP_WINDOW: Duration = Duration::from_millis(10);
+const BATCH_WINDOW: Duration = Duration::from_millis(10);
 /// Intents in one commit at most.
-const GROUP_LIMIT: usize = 128;
+const MAX_BATCH_REQUESTS: usize = 128;
 /// How long a lost answer of the table is looked for.
-const SETTLE_PATIENCE: Duration = Duration::from_millis(1_500);
+const CONFIRM_TIMEOUT: Duration = Duration::from_millis(1_500);
 /// Commits for one intent before it is given up.
-const COMMIT_TRIES: u32 = 4;
+const MAX_COMMIT_ATTEMPTS: u32 = 4;
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum IntentAim {
+enum IntentAction {
     Begin,
     Release,
 }
 
 #[derive(Debug)]
-struct IntentCall {
+struct IntentRequest {
     key: String,
     request_id: String,
-    aim: IntentAim,
+    action: IntentAction,
     done: Sender<Result<(), ErrorKind>>,
-    tries: u32,
+    attempts: u32,
 }
 
 /// Writes an intent row before a request that may run at most once is handed
 /// over. Intents that come together share one commit.
 #[derive(Debug, Clone)]
-pub struct OnceGate {
-    calls: Sender<IntentCall>,
+pub struct IdempotencyGuard {
+    requests: Sender<IntentRequest>,
 }
 
-impl OnceGate {
+impl IdempotencyGuard {
     /// Starts the committer.
     pub fn start(
         table: TableClient,
         seed: u64,
     ) -> Self {
-        let (calls, inbox) = async_channel::unbounded();
-        spawn_detached(commit_groups(table, inbox, seed));
-        OnceGate { calls }
+        let (requests, inbox) = async_channel::unbounded();
+        spawn_detached(commit_batches(table, inbox, seed));
+        IdempotencyGuard { requests }
     }
 
     /// Notes that the request of a key begins.
@@ -64,7 +64,7 @@
         key: &str,
         request_id: &str,
     ) -> Result<(), ErrorKind> {
-        self.call(key, request_id, IntentAim::Begin).await
+        self.submit(key, request_id, IntentAction::Begin).await
     }
 
     /// Notes that the request of a key is proven not to have run.
@@ -77,103 +77,105 @@
         key: &str,
         request_id: &str,
     ) -> Result<(), ErrorKind> {
-        self.call(key, request_id, IntentAim::Release).await
+        self.submit(key, request_id, IntentAction::Release).await
     }
 
-    async fn call(
+    async fn submit(
         &self,
         key: &str,
         request_id: &str,
-        aim: IntentAim,
+        action: IntentAction,
     ) -> Result<(), ErrorKind> {
         let (done, outcome) = async_channel::bounded(1);
-        let call = IntentCall {
+        let request = IntentRequest {
             key: key.to_string(),
             request_id: request_id.to_string(),
-            aim,
+            action,
             done,
-            tries: 0,
+            attempts: 0,
         };
-        if self.calls.try_send(call).is_err() {
+        if self.requests.try_send(request).is_err() {
             return Err(ErrorKind::CannotSettle);
         }
         outcome.recv().await.unwrap_or(Err(ErrorKind::CannotSettle))
     }
 }
 
-async fn commit_groups(
+async fn commit_batches(
     table: TableClient,
-    inbox: Receiver<IntentCall>,
+    inbox: Receiver<IntentRequest>,
     seed: u64,
 ) {
-    let mut leftover: Vec<IntentCall> = Vec::new();
-    let mut round = seed;
+    let mut pending: Vec<IntentRequest> = Vec::new();
+    let mut commit_seed = seed;
     loop {
-        let mut group = std::mem::take(&mut leftover);
-        if group.is_empty() {
+        let mut batch = std::mem::take(&mut pending);
+        if batch.is_empty() {
             match inbox.recv().await {
-                Ok(call) => group.push(call),
+                Ok(request) => batch.push(request),
                 Err(_) => return,
             }
-            Timer::after(GROUP_WINDOW).await;
+            Timer::after(BATCH_WINDOW).await;
         }
-        while group.len() < GROUP_LIMIT {
+        while batch.len() < MAX_BATCH_REQUESTS {
             match inbox.try_recv() {
-                Ok(call) => group.push(call),
+                Ok(request) => batch.push(request),
                 Err(_) => break,
             }
         }
-        round = round.wrapping_add(1);
-        leftover = commit_group(&table, group, round).await;
+        commit_seed = commit_seed.wrapping_add(1);
+        pending = commit_batch(&table, batch, commit_seed).await;
     }
 }
 
 /// Commits a group; gives the calls that must be tried again.
-async fn commit_group(
+async fn commit_batch(
     table: &TableClient,
-    group: Vec<IntentCall>,
+    batch: Vec<IntentRequest>,
     seed: u64,
-) -> Vec<IntentCall> {
+) -> Vec<IntentRequest> {
     // Two calls with one key cannot be in one commit; the later one waits.
-    let mut taken = BTreeSet::new();
-    let (now, later): (Vec<_>, Vec<_>) = group
+    let mut seen_keys = BTreeSet::new();
+    let (unique, duplicates): (Vec<_>, Vec<_>) = batch
         .into_iter()
-        .partition(|call| taken.insert(call.key.clone()));
-    let mut again = later;
-    let keys: Vec<String> = now.iter().map(|c| c.key.clone()).collect();
+        .partition(|request| seen_keys.insert(request.key.clone()));
+    let mut retries = duplicates;
+    let keys: Vec<String> = unique.iter().map(|c| c.key.clone()).collect();
     let rows = match table.read(&keys).await {
         Ok(rows) => rows,
         Err(_) => {
-            refuse_all(now, ErrorKind::CannotSettle);
-            return again;
+            fail_all(unique, ErrorKind::CannotSettle);
+            return retries;
         }
     };
     let rows: BTreeMap<String, TableRow> = rows.into_iter().map(|r| (r.key.clone(), r)).collect();
     let mut writes = Vec::new();
-    let mut writing = Vec::new();
-    for call in now {
-        match wanted_write(&call, rows.get(&call.key)) {
+    let mut committing = Vec::new();
+    for request in unique {
+        match intent_write(&request, rows.get(&request.key)) {
             Ok(write) => {
                 writes.push(write);
-                writing.push(call);
+                committing.push(request);
             }
-            Err(kind) => answer(&call, Err(kind)),
+            Err(kind) => send_result(&request, Err(kind)),
         }
     }
     if writes.is_empty() {
-        return again;
+        return retries;
     }
-    match table.commit_settled(&writes, SETTLE_PATIENCE, seed).await {
-        CommitOutcome::Done { .. } => writing.iter().for_each(|call| answer(call, Ok(()))),
-        CommitOutcome::Unknown { .. } => refuse_all(writing, ErrorKind::CannotSettle),
-        CommitOutcome::Conflict { .. } => again.extend(retried(writing)),
+    match table.commit_settled(&writes, CONFIRM_TIMEOUT, seed).await {
+        CommitOutcome::Done { .. } => committing
+            .iter()
+            .for_each(|request| send_result(request, Ok(()))),
+        CommitOutcome::Unknown { .. } => fail_all(committing, ErrorKind::CannotSettle),
+        CommitOutcome::Conflict { .. } => retries.extend(retry_or_fail(committing)),
     }
-    again
+    retries
 }
 
 /// The write for a call, given the row as it is.
-fn wanted_write(
-    call: &IntentCall,
+fn intent_write(
+    request: &IntentRequest,
     row: Option<&TableRow>,
 ) -> Result<RowWrite, ErrorKind> {
     let intent = match row {
@@ -184,49 +186,51 @@
         }
     };
     let started = intent.as_ref().filter(|i| i.state == IntentState::Started);
-    let state = match (call.aim, started) {
-        (IntentAim::Begin, Some(_)) => return Err(ErrorKind::AlreadyStarted),
-        (IntentAim::Begin, None) => IntentState::Started,
-        (IntentAim::Release, Some(i)) if i.request_id == call.request_id => IntentState::NotRun,
-        (IntentAim::Release, _) => return Err(ErrorKind::CannotSettle),
+    let state = match (request.action, started) {
+        (IntentAction::Begin, Some(_)) => return Err(ErrorKind::AlreadyStarted),
+        (IntentAction::Begin, None) => IntentState::Started,
+        (IntentAction::Release, Some(i)) if i.request_id == request.request_id => {
+            IntentState::NotRun
+        }
+        (IntentAction::Release, _) => return Err(ErrorKind::CannotSettle),
     };
     let value = serde_json::to_string(&IntentRow {
-        request_id: call.request_id.clone(),
+        request_id: request.request_id.clone(),
         state,
         at_secs: wall_seconds(),
     });
     Ok(RowWrite {
-        key: call.key.clone(),
+        key: request.key.clone(),
         expected: row.map_or(0, |r| r.version),
         value: Some(value.map_err(|_| ErrorKind::CannotSettle)?),
     })
 }
 
-fn retried(calls: Vec<IntentCall>) -> Vec<IntentCall> {
-    let mut again = Vec::new();
-    for mut call in calls {
-        call.tries += 1;
-        if call.tries >= COMMIT_TRIES {
-            answer(&call, Err(ErrorKind::CannotSettle));
+fn retry_or_fail(requests: Vec<IntentRequest>) -> Vec<IntentRequest> {
+    let mut retries = Vec::new();
+    for mut request in requests {
+        request.attempts += 1;
+        if request.attempts >= MAX_COMMIT_ATTEMPTS {
+            send_result(&request, Err(ErrorKind::CannotSettle));
         } else {
-            again.push(call);
+            retries.push(request);
         }
     }
-    again
+    retries
 }
 
-fn refuse_all(
-    calls: Vec<IntentCall>,
+fn fail_all(
+    requests: Vec<IntentRequest>,
     kind: ErrorKind,
 ) {
-    for call in calls {
-        answer(&call, Err(kind));
+    for request in requests {
+        send_result(&request, Err(kind));
     }
 }
 
-fn answer(
-    call: &IntentCall,
+fn send_result(
+    request: &IntentRequest,
     result: Result<(), ErrorKind>,
 ) {
-    let _ = call.done.try_send(result);
+    let _ = request.done.try_send(result);
 }
--- a/entry/src/traffic/entry_app.rs
+++ b/entry/src/traffic/entry_app.rs
@@ -1,7 +1,8 @@
 use {
     super::TrafficView,
     crate::{
-        conf::EntrySettings, control::ControlHandle, explain::DecisionRing, idempotency::OnceGate,
+        conf::EntrySettings, control::ControlHandle, explain::DecisionRing,
+        idempotency::IdempotencyGuard,
     },
     arc_swap::ArcSwap,
     pitchhitch_core::{limit::LimitTable, retry::RetryBudget},
@@ -26,7 +27,7 @@
     /// Recent decisions.
     pub ring: Arc<DecisionRing>,
     /// Requests that may run at most once.
-    pub once: OnceGate,
+    pub once: IdempotencyGuard,
     /// Metrics.
     pub metrics: Arc<MetricSet>,
     /// Set at a planned stop.
@@ -43,7 +44,7 @@
         clock: ProcessClock,
         view: Arc<ArcSwap<TrafficView>>,
         control: ControlHandle,
-        once: OnceGate,
+        once: IdempotencyGuard,
         metrics: Arc<MetricSet>,
     ) -> Self {
         EntryApp {
