--- a/entry/src/control/agent_calls.rs
+++ b/entry/src/control/agent_calls.rs
@@ -8,11 +8,11 @@
     std::{net::SocketAddr, sync::Arc, time::Duration},
 };
 
-/// Tries of telling an agent a notice.
+/// Attempts to deliver a notice to an agent.
 const NOTICE_ATTEMPTS: u32 = 5;
-/// Pause between two of them.
+/// Delay between two attempts to deliver a notice.
 const NOTICE_RETRY_DELAY: Duration = Duration::from_millis(200);
-/// Time limit of listing a store box.
+/// Timeout for listing the content of a store box.
 const LIST_TIMEOUT: Duration = Duration::from_secs(5);
 
 async fn call_once(
@@ -24,8 +24,8 @@
     replies.next().await.ok()?
 }
 
-/// Tells an agent what the configuration says. When the link breaks meanwhile,
-/// the agent is told again as soon as its event stream is open anew.
+/// Sends an agent its part of the configuration. If the link breaks in the meantime,
+/// the notice is sent again once the agent's event stream has been reopened.
 pub async fn send_notice(
     link: Arc<EndpointLink>,
     notice: ConfigNotice,
@@ -40,7 +40,7 @@
     log::warn!(event = "notice-not-taken", endpoint = endpoint, revision = notice.revision; "");
 }
 
-/// Gives an agent an order, once: the stamp forbids a second time.
+/// Sends an order to an agent, without retries: an agent accepts a stamp only once.
 pub async fn send_order(
     link: Arc<EndpointLink>,
     order: StampedOrder,
@@ -58,7 +58,7 @@
     });
 }
 
-/// The message for dropping pieces.
+/// Builds the message that drops pieces from a store box.
 pub fn drop_plan(
     store: String,
     address: SocketAddr,
@@ -75,7 +75,8 @@
     }
 }
 
-/// Has pieces dropped. If it fails, the store box stays full and says so again.
+/// Asks an agent to drop pieces. A failure is ignored: the store box stays full and
+/// reports that again.
 pub async fn send_drop(
     link: Arc<EndpointLink>,
     plan: DropPlan,
@@ -83,7 +84,7 @@
     let _ = call_once(&link, &LinkCall::Drop(plan)).await;
 }
 
-/// Asks a store box for all that it holds.
+/// Lists all pieces of a store box and sends them to the control thread.
 pub async fn list_store(
     store: String,
     address: SocketAddr,
--- a/entry/src/control/beacon_controller.rs
+++ b/entry/src/control/beacon_controller.rs
@@ -13,10 +13,10 @@
 
 /// Time between two beacons to peers.
 const BEACON_INTERVAL: Duration = Duration::from_millis(500);
-/// Pause after the socket failed.
+/// Delay before the next receive after a socket error.
 const SOCKET_RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// Takes beacons for good.
+/// Receives beacons for the lifetime of the process and sends them to the control thread.
 pub async fn receive_beacons(
     socket: Arc<BeaconSocket>,
     app: Arc<EntryApp>,
@@ -52,7 +52,7 @@
     }
 }
 
-/// Sends beacons to peers for good.
+/// Sends beacons to peers until the control thread ends.
 pub async fn send_beacons(
     socket: Arc<BeaconSocket>,
     app: Arc<EntryApp>,
--- a/entry/src/control/box_controller.rs
+++ b/entry/src/control/box_controller.rs
@@ -10,21 +10,22 @@
     std::{net::SocketAddr, time::Duration},
 };
 
-/// Time between two readings of the box list.
+/// Time between two reads of the box list.
 const LIST_INTERVAL: Duration = Duration::from_secs(1);
-/// Peers that beacons are sent to.
+/// Most peers that beacons are sent to.
 const MAX_PEERS: usize = 16;
 
-/// Where a process stands, for choosing its peers.
+/// The box of this process and its failure domain; peers are chosen by them.
 #[derive(Debug, Clone)]
 pub struct BoxLocation {
     /// Id of the box.
     pub box_id: String,
-    /// Its failure domain.
+    /// Failure domain of the box.
     pub failure_domain: String,
 }
 
-/// Reads the box list for good, tells the core and says where peers take beacons.
+/// Polls the box list for the lifetime of the process. Sends the list to the control
+/// thread and the beacon addresses of the chosen peers to `peers`.
 pub async fn poll_boxes(
     boxes: BoxClient,
     location: BoxLocation,
--- a/entry/src/control/config_controller.rs
+++ b/entry/src/control/config_controller.rs
@@ -12,17 +12,18 @@
     std::{net::SocketAddr, sync::Arc, time::Duration},
 };
 
-/// Path under which a process gives its configuration to its peers.
+/// Path under which a process serves its configuration to its peers.
 pub const PEER_CONFIG_PATH: &str = "/peer/config";
-/// Factor on the interval for processes that hear of changes from their peers.
+/// Factor on the poll interval of processes that receive changes from their peers.
 const SLOW_POLL_FACTOR: u32 = 4;
-/// Time limit of asking a peer.
+/// Timeout for a request to a peer.
 const PEER_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Query of that path: the revision that the peer has.
+/// Query of [`PEER_CONFIG_PATH`]: the revision that the requesting process has.
 pub const SINCE_QUERY: &str = "since=";
 
-/// Looks at the head row for good, with pauses, longer ones while the table is down.
+/// Polls the head row of the configuration until the control thread ends, with
+/// exponential backoff while the table is unavailable.
 pub async fn poll_config(
     store: ConfigStore,
     control: ControlHandle,
@@ -60,10 +61,10 @@
     }
 }
 
-/// Fetches what a peer has beyond a revision.
+/// Fetches the configuration changes after a revision from a peer.
 ///
 /// # Errors
-/// [`CallError`] when it does not answer in time.
+/// [`CallError`] when the peer does not respond in time.
 pub async fn pull_config(
     peer: SocketAddr,
     since: u64,
--- a/entry/src/control/control_handle.rs
+++ b/entry/src/control/control_handle.rs
@@ -10,18 +10,18 @@
     std::fmt,
 };
 
-/// A question about the control state.
+/// A closure that runs on the control thread with access to the control state.
 pub(super) type CoreQuery = Box<dyn FnOnce(&mut EntryCore, Micros) + Send>;
 
-/// What the control thread takes.
+/// A message to the control thread.
 pub enum ControlMessage {
     /// An event for the core.
     Event(EntryEvent),
     /// An agent's beacon.
     AgentBeacon(AgentBeacon),
-    /// A question about the control state.
+    /// A closure to run with access to the control state.
     Query(CoreQuery),
-    /// The process is stopping: hand back what others should take over.
+    /// The process is stopping: release the leases so that other processes can take over.
     Release(Sender<()>),
 }
 
@@ -39,28 +39,28 @@
     }
 }
 
-/// How traffic and controllers talk to the control thread.
+/// Sends messages to the control thread, for traffic threads and controllers.
 #[derive(Debug, Clone)]
 pub struct ControlHandle {
     messages: Sender<ControlMessage>,
 }
 
 impl ControlHandle {
-    /// A handle that sends into a channel.
+    /// A handle that sends to a channel.
     pub fn new(messages: Sender<ControlMessage>) -> Self {
         ControlHandle { messages }
     }
 
-    /// Tells the core an event.
+    /// Sends an event to the core.
     pub fn send_event(
         &self,
         event: EntryEvent,
     ) {
-        // The channel has no bound and lives as long as the process.
+        // The channel is unbounded and open as long as the process runs.
         let _ = self.messages.try_send(ControlMessage::Event(event));
     }
 
-    /// Passes an agent's beacon on.
+    /// Forwards an agent's beacon to the control thread.
     pub fn forward_agent_beacon(
         &self,
         beacon: AgentBeacon,
@@ -68,7 +68,8 @@
         let _ = self.messages.try_send(ControlMessage::AgentBeacon(beacon));
     }
 
-    /// Asks the control state something; none when the control thread is gone.
+    /// Runs a closure on the control thread and returns its result; `None` if the
+    /// control thread has ended.
     pub async fn query<T: Send + 'static>(
         &self,
         operation: impl FnOnce(&mut EntryCore, Micros) -> T + Send + 'static,
@@ -81,15 +82,15 @@
         receiver.recv().await.ok()
     }
 
-    /// Hands back leases, and waits until that is done.
+    /// Releases the leases of this process and waits until they are written.
     pub async fn release_leases(&self) {
         let (sender, receiver) = async_channel::bounded(1);
         let _ = self.messages.try_send(ControlMessage::Release(sender));
         let _ = receiver.recv().await;
     }
 
-    /// Notes that a try was answered. Only the first success after a failure is
-    /// news, so the others cost the control thread nothing.
+    /// Records a successful attempt. Only the first success after a failure is sent to
+    /// the control thread, to keep its load low.
     pub fn attempt_succeeded(
         &self,
         link: &EndpointLink,
@@ -102,7 +103,7 @@
         }
     }
 
-    /// Notes that a try failed at the endpoint. Refusals are no failures.
+    /// Records a failed attempt at the endpoint. Refusals do not count as failures.
     pub fn attempt_failed(
         &self,
         link: &EndpointLink,
--- a/entry/src/control/control_loop.rs
+++ b/entry/src/control/control_loop.rs
@@ -27,7 +27,7 @@
 
 /// Time between two ticks of the core.
 const TICK_INTERVAL: Duration = Duration::from_millis(50);
-/// Messages taken in one go before the core's view is published.
+/// Most messages handled in a row before a due tick, at which the core's view is published.
 const MAX_BATCH_MESSAGES: usize = 1_024;
 
 struct SupervisedLink {
@@ -36,21 +36,21 @@
     state: Arc<EndpointState>,
 }
 
-/// Runs the core and does what it asks for.
+/// Runs the core on the control thread and executes its actions.
 pub struct ControlLoop {
     /// The core.
     pub core: EntryCore,
     /// Clock of the process.
     pub clock: ProcessClock,
-    /// Id of the process's box.
+    /// Id of the box of this process.
     pub entry_id: String,
-    /// Makes views.
+    /// Publishes views to the traffic threads.
     pub publisher: ViewPublisher,
-    /// The thread's own handle.
+    /// Handle that sends to this loop.
     pub handle: ControlHandle,
-    /// Lease calls.
+    /// Reads and writes lease rows.
     pub leases: LeaseController,
-    /// Runs the controllers' calls on this thread.
+    /// Runs the calls to agents, peers and the platform on this thread.
     pub executor: Rc<LocalExecutor<'static>>,
     links: BTreeMap<String, SupervisedLink>,
     lease_writes: Vec<LeaseWrite>,
@@ -58,7 +58,7 @@
 }
 
 impl ControlLoop {
-    /// A loop over a core that knows nothing yet.
+    /// A loop for a new core, without any links.
     pub fn new(
         core: EntryCore,
         clock: ProcessClock,
@@ -81,7 +81,7 @@
         }
     }
 
-    /// Takes messages for good.
+    /// Handles messages and ticks until the channel is closed.
     pub async fn run(
         mut self,
         inbox: Receiver<ControlMessage>,
@@ -126,7 +126,8 @@
         }
     }
 
-    /// Whoever is told something may act on it at once: traffic must know it too.
+    /// Runs a query after publishing the current view. The receiver may act on the
+    /// result at once, so the traffic threads must see at least the same state.
     fn run_query(
         &mut self,
         query: CoreQuery,
@@ -259,7 +260,7 @@
         self.publisher.remove_link(endpoint_id);
     }
 
-    /// Closes a link that hangs and begins anew.
+    /// Closes an unresponsive link and connects again.
     fn reconnect(
         &mut self,
         endpoint_id: &str,
@@ -270,7 +271,7 @@
         if let Some(link) = self.publisher.find_link(endpoint_id) {
             link.set(None);
         }
-        log::warn!(event = "link-dropped", endpoint = endpoint_id; "its agent is silent");
+        log::warn!(event = "link-dropped", endpoint = endpoint_id; "no response from the agent; reconnecting");
         self.connect(supervised.state.clone());
     }
 
--- a/entry/src/control/lease_controller.rs
+++ b/entry/src/control/lease_controller.rs
@@ -9,8 +9,8 @@
     pitchhitch_services::table::{CommitOutcome, RowWrite, TableClient, TableRow},
 };
 
-/// Reads and writes lease rows for the core. Each call is made once: what comes
-/// of it, lost answers included, is the core's to judge.
+/// Reads and writes lease rows for the core. Calls are not retried here: the core
+/// handles every outcome, including lost responses.
 #[derive(Debug, Clone)]
 pub struct LeaseController {
     /// The table service.
@@ -22,7 +22,8 @@
 }
 
 impl LeaseController {
-    /// Reads lease rows. Without an answer nothing is told; the core asks again.
+    /// Reads lease rows and reports them to the core. A failed read is not reported;
+    /// the core requests the rows again.
     pub async fn read(
         self,
         shards: Vec<String>,
@@ -65,8 +66,8 @@
         });
     }
 
-    /// Replaces lease rows, as many as can be in one commit. A row that somebody
-    /// else has changed is left out, and the others are tried again without it.
+    /// Replaces lease rows in one commit. On a conflict, the rows that another process
+    /// has changed are reported and the others are committed again without them.
     pub async fn write_all(
         self,
         mut writes: Vec<LeaseWrite>,
@@ -101,7 +102,7 @@
         }
     }
 
-    /// Tells which writes were refused; gives the others.
+    /// Reports the writes with conflicting keys to the core and returns the others.
     fn report_conflicts(
         &self,
         writes: Vec<LeaseWrite>,
@@ -117,12 +118,12 @@
     }
 }
 
-/// A lease row that is to be replaced.
+/// A conditional write of a lease row.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct LeaseWrite {
     /// Shard of the lease.
     pub shard: String,
-    /// Table version that must still be there.
+    /// Version that the row must still have in the table.
     pub version: u64,
     /// The new row.
     pub row: LeaseRow,
--- a/entry/src/control/link_supervisor.rs
+++ b/entry/src/control/link_supervisor.rs
@@ -15,26 +15,26 @@
     std::{sync::Arc, time::Duration},
 };
 
-/// Time limit of connecting.
+/// Timeout for connecting to an agent.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Keeps the link to one life of an agent up, and passes its events on.
+/// Maintains the link to one incarnation of an agent and forwards its events to the core.
 #[derive(Debug)]
 pub struct LinkSupervisor {
     /// Id of the entry process, for the agent's log.
     pub entry_id: String,
     /// The endpoint.
     pub state: Arc<EndpointState>,
-    /// Where traffic finds the link.
+    /// The link as seen by the traffic threads.
     pub link: Arc<EndpointLink>,
     /// The control thread.
     pub control: ControlHandle,
-    /// Something comes in here when the event stream must be opened anew.
+    /// Receives a message when the event stream must be reopened.
     pub resync: Receiver<()>,
 }
 
 impl LinkSupervisor {
-    /// Keeps the link up for good; dropping the future takes it down.
+    /// Maintains the link, reconnecting with backoff; dropping the future closes it.
     pub async fn run(self) {
         let mut random = Pcg32::seed_from_u64(self.state.incarnation);
         let mut failures = 0;
@@ -52,7 +52,7 @@
         }
     }
 
-    /// Connects and stays until the link breaks; false if it never came up.
+    /// Connects and runs until the link breaks; returns false if it never came up.
     async fn connect_once(&self) -> bool {
         let connected = AgentLink::connect(self.state.address, CONNECT_TIMEOUT).await;
         let (link, driver) = match connected {
@@ -67,7 +67,7 @@
                 return false;
             }
         };
-        // Dropping the task closes the connection, also when the keeper is dropped.
+        // Dropping the task closes the connection, also when the supervisor is dropped.
         let driver = spawn(driver);
         let mut was_up = false;
         let events = async {
@@ -82,7 +82,7 @@
         was_up
     }
 
-    /// Reads one event stream; true when it should be opened anew.
+    /// Reads one event stream; returns true when it should be reopened.
     async fn subscribe(
         &self,
         link: &AgentLink,
@@ -107,7 +107,7 @@
         future::or(read, resync).await
     }
 
-    /// Whether the agent at the address is the one that the beacon spoke of.
+    /// Whether the agent at the address is the one announced by the beacon.
     fn is_expected(
         &self,
         greeting: Option<LinkReply>,
--- a/entry/src/control/mod.rs
+++ b/entry/src/control/mod.rs
@@ -1,5 +1,5 @@
-//! The one thread that holds the control state of an entry process, with the
-//! controllers that feed it.
+//! The control thread, which owns the control state of an entry process, and the
+//! controllers that send it events.
 
 mod agent_calls;
 mod beacon_controller;
--- a/entry/src/control/view_publisher.rs
+++ b/entry/src/control/view_publisher.rs
@@ -9,7 +9,7 @@
     std::{collections::BTreeMap, sync::Arc},
 };
 
-/// Makes the view that traffic reads, and the links that it uses.
+/// Publishes the view that the traffic threads read, and owns the links that they use.
 #[derive(Debug)]
 pub struct ViewPublisher {
     view: Arc<ArcSwap<TrafficView>>,
@@ -21,7 +21,7 @@
 }
 
 impl ViewPublisher {
-    /// A publisher into a shared place.
+    /// A publisher that stores its views in `view`.
     pub fn new(view: Arc<ArcSwap<TrafficView>>) -> Self {
         ViewPublisher {
             view,
@@ -33,7 +33,7 @@
         }
     }
 
-    /// The link of an endpoint; made if there is none.
+    /// The link of an endpoint; created if missing.
     pub fn get_or_insert_link(
         &mut self,
         endpoint_id: &str,
@@ -51,7 +51,7 @@
         self.links.get(endpoint_id).cloned()
     }
 
-    /// Forgets the link of an endpoint that is gone.
+    /// Removes the link of an endpoint that no longer exists.
     pub fn remove_link(
         &mut self,
         endpoint_id: &str,
@@ -59,7 +59,8 @@
         self.links.remove(endpoint_id);
     }
 
-    /// Publishes a new view.
+    /// Publishes a new view. Link and key indexes are rebuilt only if the endpoints or
+    /// the configuration have changed.
     pub fn publish(
         &mut self,
         table: Arc<RouteTable>,
--- a/entry/src/filter/admit.rs
+++ b/entry/src/filter/admit.rs
@@ -5,7 +5,7 @@
     std::sync::Arc,
 };
 
-/// Room that a request holds until it is over.
+/// Capacity that a request occupies; released on drop.
 #[derive(Debug)]
 pub struct AdmissionPermit {
     app: Arc<EntryApp>,
@@ -18,10 +18,10 @@
     }
 }
 
-/// Second filter: whether the organisation and this process have room for it.
+/// Second filter: checks the limits of the organisation and the capacity of this process.
 ///
 /// # Errors
-/// [`ErrorKind::OverLimit`] or [`ErrorKind::Overloaded`], with the time to come back.
+/// [`ErrorKind::OverLimit`] or [`ErrorKind::Overloaded`], with the time after which to retry.
 pub fn admit(
     app: &Arc<EntryApp>,
     view: &TrafficView,
--- a/entry/src/filter/authenticate.rs
+++ b/entry/src/filter/authenticate.rs
@@ -4,7 +4,7 @@
 
 const BEARER: &str = "Bearer ";
 
-/// First filter: which organisation is asking.
+/// First filter: finds the organisation of the caller's bearer key.
 ///
 /// # Errors
 /// [`ErrorKind::NotReady`] without a configuration, [`ErrorKind::BadKey`] without a valid key.
--- a/entry/src/filter/caller_request.rs
+++ b/entry/src/filter/caller_request.rs
@@ -5,24 +5,24 @@
     trillium::{Conn, Method},
 };
 
-/// Marks a request as repeatable (`yes`) or not (`no`).
+/// Whether the request may run more than once: `yes` or `no`.
 pub const REPEATABLE_HEADER: &str = "x-pitchhitch-repeatable";
-/// Milliseconds within which the answer must begin.
+/// Time within which the response must begin, in milliseconds.
 pub const DEADLINE_HEADER: &str = "x-pitchhitch-deadline-ms";
-/// Kind of work, for learning when prompts return.
+/// Kind of work; the reuse of prompts is predicted per label.
 pub const LABEL_HEADER: &str = "x-pitchhitch-label";
-/// Key under which a request runs at most once.
+/// Idempotency key: requests with the same key run at most once.
 pub const IDEMPOTENCY_HEADER: &str = "idempotency-key";
-/// Header of each answer: id of the request.
+/// Id of the request, on each response.
 pub const REQUEST_ID_HEADER: &str = "x-request-id";
-/// Header of a failure: whether the request ran.
+/// Whether the request ran, on error responses.
 pub const RAN_HEADER: &str = "x-pitchhitch-ran";
 
-/// Longest deadline that is believed, in milliseconds.
+/// Longest deadline that a caller may set.
 const MAX_DEADLINE_MS: u64 = 24 * 3_600 * 1_000;
-/// Longest label and idempotency key, in bytes.
+/// Longest label or idempotency key.
 const MAX_TEXT_BYTES: usize = 256;
-/// Headers that stay with the entry process.
+/// Headers that are not forwarded to the endpoint.
 const STRIPPED_HEADERS: [&str; 5] = [
     "authorization",
     "content-length",
@@ -31,25 +31,25 @@
     LABEL_HEADER,
 ];
 
-/// What a caller marked its request with.
+/// Options that the caller set by request headers.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct RequestOptions {
-    /// Whether it may run more than once, if the caller says so.
+    /// Whether the request may run more than once; `None` if the caller did not say.
     pub repeatable: Option<bool>,
-    /// Key under which it runs at most once.
+    /// Idempotency key; requests with the same key run at most once.
     pub idempotency_key: Option<String>,
-    /// Time within which the answer must begin.
+    /// Time within which the response must begin.
     pub deadline: Option<Micros>,
-    /// Kind of work.
+    /// Kind of work; empty if none was given.
     pub label: String,
 }
 
-/// A request as it came in, without its body.
+/// A request as received from the caller, without its body.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct CallerRequest {
-    /// Its id.
+    /// Id, unique in the deployment.
     pub id: String,
-    /// Its number in this process.
+    /// Sequence number in this process.
     pub number: u64,
     /// HTTP method.
     pub method: Method,
@@ -57,17 +57,17 @@
     pub path: String,
     /// Query without question mark.
     pub query: String,
-    /// Headers that are passed on.
+    /// Headers that are forwarded to the endpoint.
     pub headers: Vec<HeaderField>,
-    /// What the caller marked it with.
+    /// Options set by the caller.
     pub options: RequestOptions,
 }
 
 impl CallerRequest {
-    /// Reads the head of a request.
+    /// Reads the request head from a connection.
     ///
     /// # Errors
-    /// [`Refusal`] when one of our headers has no usable value.
+    /// [`Refusal`] when an option header has an invalid value.
     pub fn from_conn(
         conn: &Conn,
         id: String,
--- a/entry/src/filter/dispatch.rs
+++ b/entry/src/filter/dispatch.rs
@@ -13,12 +13,12 @@
     std::{sync::Arc, time::Duration},
 };
 
-/// One request on its way to an endpoint, over all its tries.
+/// One request and the state of all attempts to serve it.
 #[derive(Debug)]
 pub struct Dispatch {
-    /// What all requests share.
+    /// State shared by all requests.
     pub app: Arc<EntryApp>,
-    /// The work.
+    /// The request.
     pub parsed: ParsedRequest,
     tried: Vec<EndpointKey>,
     attempts: u32,
@@ -27,7 +27,7 @@
 }
 
 impl Dispatch {
-    /// A request that was not sent anywhere yet.
+    /// A request without any attempt yet.
     pub fn new(
         app: Arc<EntryApp>,
         parsed: ParsedRequest,
@@ -42,12 +42,12 @@
         }
     }
 
-    /// Sends the request, as often as the rules let it, until an endpoint begins to answer.
+    /// Sends the request until an endpoint begins to respond or no retry is allowed.
     ///
-    /// `resume_after` names the last event of the answer that the caller has.
+    /// `resume_after` is the id of the last event that the caller has received.
     ///
     /// # Errors
-    /// [`Refusal`] when no endpoint answers; it says whether the request may have run.
+    /// [`Refusal`] when no endpoint responds; it says whether the request may have run.
     pub async fn start(
         &mut self,
         resume_after: Option<u64>,
@@ -65,8 +65,8 @@
                 Err(failed) => failed,
             };
             let refusal = failed.into_refusal(self.may_have_run);
-            // All that were usable have refused, as in a change of versions: by
-            // the next try the view is newer, and any of them may be asked again.
+            // All usable endpoints have refused, as happens during a version change.
+            // The view is newer at the next attempt, so each of them may be tried again.
             let all_refused = refusal.kind == ErrorKind::NoneAvailable && !self.tried.is_empty();
             let kind = match all_refused && !self.may_have_run {
                 true => ErrorKind::EndpointFull,
@@ -127,7 +127,8 @@
         }
     }
 
-    /// Whether another try is allowed, by the rules and by the budget.
+    /// Whether the retry rules and the retry budget allow another attempt; an allowed
+    /// attempt is charged to the budget.
     pub fn may_retry(
         &mut self,
         kind: ErrorKind,
@@ -142,13 +143,13 @@
         step == RetryStep::RetryElsewhere && self.app.budget().spend()
     }
 
-    /// The caller has the beginning of its answer in time; to go on after a break
-    /// there is the time that a beginning has.
+    /// Restarts the deadline, which only covers the beginning of a response: the caller
+    /// got that in time, and a resumed response gets the default time to begin again.
     pub fn renew_deadline(&mut self) {
         self.parsed.deadline = self.app.clock.now() + self.app.settings.default_deadline;
     }
 
-    /// Notes that an answer broke off after it began.
+    /// Records that the response was interrupted after it began.
     pub fn record_interrupted(
         &mut self,
         kind: ErrorKind,
--- a/entry/src/filter/mod.rs
+++ b/entry/src/filter/mod.rs
@@ -1,4 +1,4 @@
-//! The filter chain for requests: identify, admit, select, route, send, answer.
+//! The filter chain for requests: authenticate, admit, parse, route, send, respond.
 
 mod admit;
 mod authenticate;
--- a/entry/src/filter/parsed_request.rs
+++ b/entry/src/filter/parsed_request.rs
@@ -11,40 +11,40 @@
     trillium::Method,
 };
 
-/// What a request asks for, as the third filter finds it.
+/// Result of the third filter: a request with its target and prompt.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ParsedRequest {
-    /// The request.
+    /// The request head.
     pub request: CallerRequest,
-    /// Organisation.
+    /// Organisation of the caller.
     pub organisation: String,
-    /// Model or service.
+    /// The requested model or service.
     pub target: WorkTarget,
     /// Text of the prompt; empty for plain services.
     pub prompt: Vec<u8>,
-    /// Length of the prompt, in tokens.
+    /// Estimated length of the prompt, in tokens.
     pub input_tokens: u32,
-    /// Whether it may run more than once.
+    /// Whether the request may run more than once.
     pub repeatable: bool,
-    /// When its answer must have begun.
+    /// Time by which the response must have begun.
     pub deadline: Micros,
-    /// Body, untouched.
+    /// Request body, unchanged.
     pub body: Vec<u8>,
 }
 
-/// Which kind of call a path is.
+/// What a path refers to.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum PathKind {
-    /// A prompt.
+    /// A prompt for a model.
     Prompt(PromptShape),
-    /// A call of a plain service.
+    /// A request to the plain service of this name.
     Service(String),
 }
 
-/// Finds what a path belongs to.
+/// Finds what a path refers to; of the services, the one with the longest prefix.
 ///
 /// # Errors
-/// [`ErrorKind::UnknownPath`] when it belongs to nothing.
+/// [`ErrorKind::UnknownPath`] when nothing matches.
 pub fn path_kind(
     config: &FleetConfig,
     method: Method,
@@ -77,10 +77,10 @@
     rest.is_some_and(|rest| rest.is_empty() || rest.starts_with('/'))
 }
 
-/// Third filter: what the request asks for.
+/// Third filter: finds the target of a request, its prompt and whether it may be retried.
 ///
 /// # Errors
-/// [`Refusal`] when the body is no prompt or the model is not known.
+/// [`Refusal`] when the body is not a valid prompt or the model is unknown.
 pub fn parse_request(
     view: &TrafficView,
     request: CallerRequest,
@@ -126,7 +126,7 @@
     }
 }
 
-/// Methods that HTTP itself lets be repeated.
+/// Whether HTTP defines the method as idempotent.
 fn is_idempotent(method: Method) -> bool {
     matches!(
         method,
--- a/entry/src/filter/refusal.rs
+++ b/entry/src/filter/refusal.rs
@@ -6,21 +6,21 @@
     },
 };
 
-/// Why a request is not answered, as a filter says it.
+/// Why a filter refused a request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Refusal {
-    /// The kind, which decides the answer.
+    /// Kind of error; determines the status and code of the response.
     pub kind: ErrorKind,
-    /// What a person should know.
+    /// Details for the caller, in plain text.
     pub detail: String,
-    /// When to come back, if it differs from the table.
+    /// Time after which to retry, if it differs from the default of the kind.
     pub retry_after: Option<Micros>,
-    /// Whether the request may have run in an earlier try.
+    /// Whether the request may have run in an earlier attempt.
     pub may_have_run: bool,
 }
 
 impl Refusal {
-    /// A refusal of a kind.
+    /// A refusal with the defaults of its kind.
     pub fn new(
         kind: ErrorKind,
         detail: impl Into<String>,
@@ -42,13 +42,13 @@
         }
     }
 
-    /// Seconds after which the caller may come back.
+    /// Seconds after which the caller may retry.
     pub fn retry_after_seconds(&self) -> Option<u64> {
         let own = self.retry_after.map(|t| t.0.div_ceil(1_000_000).max(1));
         own.or(self.kind.response().retry_after.map(u64::from))
     }
 
-    /// Body of the answer.
+    /// Body of the error response, as JSON.
     pub fn body(&self) -> String {
         ErrorBody::new(self.kind, &self.detail).to_json()
     }
--- a/entry/src/filter/request_chain.rs
+++ b/entry/src/filter/request_chain.rs
@@ -12,7 +12,7 @@
     trillium::Conn,
 };
 
-/// Takes a request through all filters and writes its answer.
+/// Runs a request through all filters and writes the response.
 pub async fn handle_request(
     app: Arc<EntryApp>,
     mut conn: Conn,
@@ -23,7 +23,7 @@
     match run_filters(&app, &mut conn, &id, number).await {
         Ok(Some(ready)) => ready.write(conn, &id),
         Ok(None) => {
-            // The caller has gone; whatever is written now is lost.
+            // The caller has disconnected, so this response is never delivered.
             app.metrics.count("request.caller_gone", 1);
             Refusal::new(ErrorKind::CallerGone, "the caller has gone").write(conn, &id)
         }
@@ -43,7 +43,7 @@
     }
 }
 
-/// All filters in order; none when the caller has gone.
+/// Runs all filters in order; returns `None` when the caller has disconnected.
 async fn run_filters(
     app: &Arc<EntryApp>,
     conn: &mut Conn,
@@ -121,7 +121,7 @@
     };
     if let (Some(key), Err(refusal)) = (&intent, &outcome) {
         if refusal.run_state() == RunState::NotRun {
-            // If this fails the key stays used, which is on the safe side.
+            // If this fails the key stays in use, and the request cannot run twice.
             let _ = app.once.release(key, &request_id).await;
         }
     }
--- a/entry/src/filter/response.rs
+++ b/entry/src/filter/response.rs
@@ -8,22 +8,22 @@
     trillium::{Body, Conn, HeaderName, Status},
 };
 
-/// Answers up to this length are put together before the caller sees anything,
-/// so that a break can still be answered by another try.
+/// Responses up to this length are buffered completely before anything goes to
+/// the caller, so that an interrupted response can still be retried.
 const MAX_BUFFERED_BYTES: usize = 1024 * 1024;
 const EVENT_STREAM: &str = "text/event-stream";
 
-/// An answer that may go to the caller.
+/// A response that is ready to be sent to the caller.
 pub struct ReadyResponse {
     status: u16,
     headers: Vec<HeaderField>,
     body: Body,
 }
 
-/// Sixth filter: makes the answer of what the agent sends.
+/// Sixth filter: builds the response from the agent's replies.
 ///
 /// # Errors
-/// [`Refusal`] when the answer broke off and no other try is allowed.
+/// [`Refusal`] when the response was interrupted and no other attempt is allowed.
 pub async fn build_response(
     mut dispatch: Dispatch,
     mut started: StartedAttempt,
@@ -126,7 +126,7 @@
 }
 
 impl ReadyResponse {
-    /// Puts the answer on the connection.
+    /// Writes the response to the connection.
     pub fn write(
         self,
         mut conn: Conn,
@@ -144,7 +144,7 @@
 }
 
 impl Refusal {
-    /// Puts the refusal on the connection.
+    /// Writes the refusal to the connection as an error response.
     pub fn write(
         &self,
         mut conn: Conn,
--- a/entry/src/filter/response_body.rs
+++ b/entry/src/filter/response_body.rs
@@ -13,8 +13,9 @@
     },
 };
 
-/// Blanks that open a stream of events: the HTTP library holds back the first
-/// bytes of a body until its buffer is full, and the first token must not wait.
+/// Length of the comment that pads the start of an event stream. The HTTP library
+/// holds back the first bytes of a body until its buffer is full, which would
+/// delay the first token.
 const PADDING_COMMENT_BYTES: usize = 512;
 
 type ResumeFuture = Pin<Box<dyn Future<Output = ResumeOutcome> + Send>>;
@@ -45,18 +46,18 @@
     _permit: AdmissionPermit,
 }
 
-/// The body of an answer, as it comes from the agent.
+/// The body of a response, streamed from the agent.
 ///
-/// A stream of events that breaks is taken up again at another endpoint, after
-/// the last whole event. A body that cannot be completed ends in an error, so
-/// that the connection is closed without its end mark.
+/// An interrupted event stream is resumed at another endpoint after the last
+/// complete event. A body that cannot be completed ends in an error, so that the
+/// connection is closed without the terminating chunk.
 pub struct ResponseBody {
-    // Never contended: the lock only makes the body shareable, as HTTP wants it.
+    // Never contended: the lock only makes the body `Sync`, which trillium requires.
     inner: Mutex<BodyInner>,
 }
 
 impl ResponseBody {
-    /// A body that goes on from `collected`.
+    /// A body that starts with `collected`, the bytes received so far.
     pub fn new(
         started: StartedAttempt,
         dispatch: Dispatch,
@@ -115,7 +116,7 @@
         buffer: &mut [u8],
     ) -> Poll<io::Result<usize>> {
         loop {
-            // The opening of a stream goes out together with its first event.
+            // The padding comment is sent together with the first event.
             let is_held = self.awaits_first_event && self.splitter.is_some();
             if self.consumed < self.pending.len() && !is_held {
                 return Poll::Ready(Ok(self.copy_pending(buffer)));
@@ -123,7 +124,7 @@
             match &mut self.state {
                 BodyState::Finished => return Poll::Ready(Ok(0)),
                 BodyState::Aborted => {
-                    let error = io::Error::other("the answer could not be completed");
+                    let error = io::Error::other("the response could not be completed");
                     return Poll::Ready(Err(error));
                 }
                 BodyState::Streaming { started, .. } => {
@@ -225,7 +226,7 @@
         }
     }
 
-    /// The answer broke off: it is taken up again elsewhere, or given up.
+    /// Resumes an interrupted response at another endpoint, or aborts it.
     fn on_interrupted(
         &mut self,
         kind: ErrorKind,
@@ -241,7 +242,7 @@
             return;
         };
         if splitter.is_done() {
-            // The caller has all of it; only the end of the transport was lost.
+            // The caller has the closing event; only the agent's end message was lost.
             self.state = BodyState::Finished;
             self.awaits_first_event = false;
             return;
@@ -300,7 +301,7 @@
     }
 }
 
-/// What the caller of a stream is told before the connection is closed.
+/// The event that reports an error to the caller before the connection is closed.
 fn error_event(refusal: &Refusal) -> Vec<u8> {
     format!("data: {}\n\n", refusal.body()).into_bytes()
 }
--- a/entry/src/filter/retention_plan.rs
+++ b/entry/src/filter/retention_plan.rs
@@ -12,35 +12,35 @@
     pitchhitch_wire::messages::ExportPlan,
 };
 
-/// Pieces that one request exports at most.
+/// Most pieces that one request exports.
 const MAX_EXPORTED_PIECES: usize = 128;
 
-/// What a plan for keeping is made from.
+/// Input of [`plan_retention`].
 #[derive(Debug, Clone, Copy)]
 pub struct RetentionRequest<'a> {
     /// Kind of work.
     pub label: &'a ReuseLabel,
-    /// Keys of the whole pieces of the prompt.
+    /// Keys of the complete pieces of the prompt.
     pub pieces: &'a [PieceKey],
-    /// Bytes of kept state for one token.
+    /// Bytes of cached KV state per token.
     pub token_bytes: u64,
-    /// What the organisation weighs.
+    /// Cost weights of the organisation.
     pub weights: CostWeights,
-    /// Who takes the request.
+    /// Endpoint that serves the request.
     pub endpoint: EndpointKey,
 }
 
-/// A decision about keeping, with the pieces to export if there are any.
+/// Whether the state of a prompt is retained on a store box, and which pieces are exported.
 #[derive(Debug, Clone, PartialEq)]
 pub struct RetentionPlan {
     /// The decision.
     pub decision: RetentionDecision,
-    /// What the agent is to export.
+    /// The export that the agent does after the request, if any.
     pub export: Option<ExportPlan>,
 }
 
 impl RetentionPlan {
-    /// The word in log lines.
+    /// The value in log lines.
     pub fn as_str(&self) -> &'static str {
         match &self.export {
             None => "no",
@@ -52,7 +52,7 @@
     }
 }
 
-/// Decides whether the state of a prompt is kept on a store box after it ran.
+/// Decides whether the state of a prompt is retained on a store box after the request.
 pub fn plan_retention(
     view: &TrafficView,
     request: &RetentionRequest<'_>,
@@ -98,7 +98,7 @@
     state: &'a StoreState,
 }
 
-/// The store box of the endpoint's group that a prompt belongs on.
+/// The store box for a prompt: chosen by rendezvous hashing among those of the endpoint's group.
 fn choose_store<'a>(
     view: &'a TrafficView,
     endpoint: &EndpointState,
--- a/entry/src/filter/route.rs
+++ b/entry/src/filter/route.rs
@@ -13,29 +13,29 @@
     pitchhitch_wire::messages::{ImportPlan, PinnedPiece},
 };
 
-/// Fourth filter's result: where a try goes and with what.
+/// Result of the fourth filter: the endpoint of an attempt and the transfers of cached state.
 #[derive(Debug, Clone, PartialEq)]
 pub struct RoutedAttempt {
-    /// The decision.
+    /// The chosen endpoint, with estimates.
     pub choice: RouteChoice,
-    /// Version that answers; empty for plain services.
+    /// Version that serves the request; empty for plain services.
     pub version: String,
-    /// Keys of the whole pieces of the prompt.
+    /// Keys of the complete pieces of the prompt.
     pub pieces: Vec<PieceKey>,
-    /// What the agent imports first.
+    /// Pieces that the agent imports before the request, if any.
     pub import: Option<ImportPlan>,
-    /// What is kept afterwards.
+    /// Pieces that are retained after the request.
     pub retention: RetentionPlan,
 }
 
-/// What has happened to a request before this try.
+/// Outcome of the previous attempts of a request.
 #[derive(Debug, Clone, Copy)]
 pub struct PreviousAttempts<'a> {
-    /// Endpoints that were tried.
+    /// Endpoints that were already tried.
     pub tried: &'a [EndpointKey],
-    /// Number of this try, counted from one.
+    /// Number of the current attempt, counted from one.
     pub attempt: u32,
-    /// Version that an answer has begun with; another must not go on with it.
+    /// Version that began the response; no other version may continue it.
     pub pinned_version: Option<&'a str>,
 }
 
@@ -45,7 +45,7 @@
     choice: RouteChoice,
 }
 
-/// Fourth filter: which endpoint takes the request.
+/// Fourth filter: chooses the endpoint of an attempt.
 ///
 /// # Errors
 /// [`ErrorKind::NothingSelected`] or [`ErrorKind::NoneAvailable`].
@@ -80,7 +80,7 @@
     Ok(routed)
 }
 
-/// Tries every version that may answer and takes the cheapest choice.
+/// Chooses an endpoint for each eligible version and returns the cheapest choice.
 fn cheapest_version(
     app: &EntryApp,
     view: &TrafficView,
@@ -144,7 +144,7 @@
         token_bytes: token_bytes(view, parsed),
         excluded: previous.tried,
         now: app.clock.now(),
-        // Processes that count from the same number must not choose alike.
+        // Request numbers start alike in all processes; the incarnation makes the seeds differ.
         seed: parsed.request.number.wrapping_add(app.clock.incarnation()),
     };
     view.table.choose(&request, |endpoint| view.sent(endpoint))
@@ -158,7 +158,7 @@
     conf.map(|c| c.weights).unwrap_or_default()
 }
 
-/// Bytes of kept state for one token of the model that is asked for.
+/// Bytes of cached KV state per token of the requested model; 0 if it is not configured.
 pub fn token_bytes(
     view: &TrafficView,
     parsed: &ParsedRequest,
--- a/entry/src/filter/send.rs
+++ b/entry/src/filter/send.rs
@@ -17,21 +17,21 @@
     std::{sync::Arc, time::Duration},
 };
 
-/// Time in which an agent must say that it has a request.
+/// Time within which an agent must acknowledge a request.
 const ACKNOWLEDGE_TIMEOUT: Duration = Duration::from_millis(1_000);
 
-/// A try that the endpoint has begun to answer.
+/// An attempt whose response has begun.
 #[derive(Debug)]
 pub struct StartedAttempt {
-    /// Status and headers.
+    /// Status and headers of the response.
     pub head: ReplyHead,
-    /// The rest of the answer.
+    /// The rest of the response.
     pub replies: ReplyStream,
-    /// Keeps the books about it.
+    /// Tracks the load and outcome of the attempt.
     pub tracker: AttemptTracker,
 }
 
-/// Keeps the books about one try: what is under way at the endpoint, and how it ended.
+/// Tracks one attempt: its load at the endpoint while in flight, and its outcome.
 #[derive(Debug)]
 pub struct AttemptTracker {
     control: ControlHandle,
@@ -55,7 +55,8 @@
         }
     }
 
-    /// The agent has the request, and owes a report that counts it.
+    /// Records that the agent has accepted the request. A later report of the agent
+    /// must include it in its load.
     fn record_acknowledged(
         &self,
         ticket: WorkTicket,
@@ -66,14 +67,14 @@
         });
     }
 
-    /// The endpoint has computed the prompt.
+    /// Records that the endpoint has finished prefill; only the first call has an effect.
     pub fn record_first_token(&mut self) {
         if !std::mem::replace(&mut self.is_prefilled, true) {
             self.link.computed(self.tokens);
         }
     }
 
-    /// The endpoint has answered wholly.
+    /// Records a complete response.
     pub fn record_success(
         &self,
         pulse: AgentPulse,
@@ -82,7 +83,7 @@
         self.control.attempt_succeeded(&self.link);
     }
 
-    /// The endpoint failed or refused.
+    /// Records that the endpoint failed or refused the request.
     pub fn record_failure(
         &self,
         kind: ErrorKind,
@@ -113,7 +114,7 @@
     }
 }
 
-/// Fifth filter: hands the request to the agent and waits for the answer to begin.
+/// Fifth filter: sends the request to the agent and waits until the response begins.
 ///
 /// # Errors
 /// The kind of failure, which says whether the request may have run.
@@ -156,19 +157,23 @@
     }
 }
 
-/// Waits until the agent says that it has the request. One that does not say so
-/// in time is frozen or cut off, and may run the request later.
+/// Waits until the agent acknowledges the request. An agent that does not do so in
+/// time is frozen or disconnected, and may still run the request later.
 async fn wait_acknowledged(replies: &mut ReplyStream) -> Result<WorkTicket, LinkError> {
     let timeout = async {
         Timer::after(ACKNOWLEDGE_TIMEOUT).await;
         Err(LinkError::Broken {
-            reason: format!("the agent said nothing within {ACKNOWLEDGE_TIMEOUT:?}"),
+            reason: format!(
+                "the agent did not acknowledge the request within {ACKNOWLEDGE_TIMEOUT:?}"
+            ),
         })
     };
     match future::or(replies.next(), timeout).await? {
         Some(LinkReply::TakenUp { ticket }) => Ok(ticket),
         other => Err(LinkError::Broken {
-            reason: format!("the agent began with {other:?}"),
+            reason: format!(
+                "expected an acknowledgement of the request from the agent, got {other:?}"
+            ),
         }),
     }
 }
@@ -214,7 +219,7 @@
     }
 }
 
-/// Tells the control thread how fast the store box's link was.
+/// Reports the measured transfer rate of the store box to the control thread, in bytes per second.
 fn report_import_rate(
     app: &EntryApp,
     view: &TrafficView,
--- a/entry/src/idempotency/idempotency_guard.rs
+++ b/entry/src/idempotency/idempotency_guard.rs
@@ -11,14 +11,14 @@
     },
 };
 
-/// Time that the first intent of a group waits for others. It bounds the writes
+/// Time that the first intent of a batch waits for others. It bounds the write rate
 /// of one process; see the decision note on requests that run at most once.
 const BATCH_WINDOW: Duration = Duration::from_millis(10);
-/// Intents in one commit at most.
+/// Most intents in one commit.
 const MAX_BATCH_REQUESTS: usize = 128;
-/// How long a lost answer of the table is looked for.
+/// Time within which the outcome of a commit with a lost response is looked up.
 const CONFIRM_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// Commits for one intent before it is given up.
+/// Most commits of one intent; it fails after this many conflicts.
 const MAX_COMMIT_ATTEMPTS: u32 = 4;
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -36,15 +36,15 @@
     attempts: u32,
 }
 
-/// Writes an intent row before a request that may run at most once is handed
-/// over. Intents that come together share one commit.
+/// Ensures that requests with the same idempotency key run at most once, by writing an
+/// intent row before a request is sent. Intents that arrive together share one commit.
 #[derive(Debug, Clone)]
 pub struct IdempotencyGuard {
     requests: Sender<IntentRequest>,
 }
 
 impl IdempotencyGuard {
-    /// Starts the committer.
+    /// Starts the task that commits intents in batches.
     pub fn start(
         table: TableClient,
         seed: u64,
@@ -54,11 +54,11 @@
         IdempotencyGuard { requests }
     }
 
-    /// Notes that the request of a key begins.
+    /// Records that the request of a key begins.
     ///
     /// # Errors
-    /// [`ErrorKind::AlreadyStarted`] when the key was used before and that
-    /// request may have run, [`ErrorKind::CannotSettle`] when the table does not tell.
+    /// [`ErrorKind::AlreadyStarted`] when an earlier request used the key and may
+    /// have run, [`ErrorKind::CannotSettle`] when the outcome at the table is unknown.
     pub async fn begin(
         &self,
         key: &str,
@@ -67,11 +67,11 @@
         self.submit(key, request_id, IntentAction::Begin).await
     }
 
-    /// Notes that the request of a key is proven not to have run.
+    /// Records that the request of a key is known not to have run.
     ///
     /// # Errors
-    /// [`ErrorKind::CannotSettle`] when the table does not take it; the key
-    /// then stays used, which is on the safe side.
+    /// [`ErrorKind::CannotSettle`] when the table does not accept the write. The key
+    /// then stays in use, so the request cannot run twice.
     pub async fn release(
         &self,
         key: &str,
@@ -128,13 +128,13 @@
     }
 }
 
-/// Commits a group; gives the calls that must be tried again.
+/// Commits a batch; returns the requests to include in the next batch.
 async fn commit_batch(
     table: &TableClient,
     batch: Vec<IntentRequest>,
     seed: u64,
 ) -> Vec<IntentRequest> {
-    // Two calls with one key cannot be in one commit; the later one waits.
+    // A commit cannot contain two requests with the same key; the later one waits.
     let mut seen_keys = BTreeSet::new();
     let (unique, duplicates): (Vec<_>, Vec<_>) = batch
         .into_iter()
@@ -173,7 +173,7 @@
     retries
 }
 
-/// The write for a call, given the row as it is.
+/// The write for a request, given the current row.
 fn intent_write(
     request: &IntentRequest,
     row: Option<&TableRow>,
--- a/entry/src/idempotency/intent_row.rs
+++ b/entry/src/idempotency/intent_row.rs
@@ -3,28 +3,28 @@
 /// Prefix of intent rows in the table.
 pub const INTENT_PREFIX: &str = "once/";
 
-/// The row that says that somebody began to run the request of a key.
+/// Row in the table that records the use of an idempotency key by a request.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct IntentRow {
-    /// Request that the key was used for last.
+    /// Id of the last request that used the key.
     pub request_id: String,
-    /// How far it is.
+    /// State of that request.
     pub state: IntentState,
-    /// Seconds since 1970, for clearing up.
+    /// Unix time of the write in seconds, for deleting old rows.
     pub at_secs: u64,
 }
 
-/// How far the request of a key is.
+/// State of the request of an idempotency key.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum IntentState {
-    /// It may have run.
+    /// The request may have run.
     Started,
-    /// It is proven not to have run; the key may be used again.
+    /// The request is known not to have run; the key may be used again.
     NotRun,
 }
 
-/// Key of the row for an idempotency key. The key itself is not stored.
+/// Table key of the row for an idempotency key: a hash, so the key itself is not stored.
 pub fn intent_key(
     organisation: &str,
     idempotency_key: &str,
--- a/entry/src/idempotency/mod.rs
+++ b/entry/src/idempotency/mod.rs
@@ -1,4 +1,4 @@
-//! Requests that may run at most once, by idempotency key.
+//! At-most-once execution of requests with an idempotency key.
 
 mod idempotency_guard;
 mod intent_row;
--- a/entry/tests/sse_splitter.rs
+++ b/entry/tests/sse_splitter.rs
@@ -1,4 +1,4 @@
-//! Cutting streams at the ends of events.
+//! Splitting streams of server-sent events at event boundaries.
 
 use pitchhitch_entry::openai::SseSplitter;
 
@@ -7,7 +7,7 @@
     let mut splitter = SseSplitter::default();
     let passed = splitter.feed(b": opening\n\nid: 0\nda").expect("short");
     assert_eq!(passed, b": opening\n\n");
-    // A stream that breaks here can still be asked from its beginning.
+    // A stream that is interrupted here can still be requested again from the start.
     assert!(!splitter.has_data());
     assert_eq!(splitter.last_id(), None);
     splitter.feed(b"ta: x\n\n").expect("short");
