--- a/entry/src/control/config_controller.rs
+++ b/entry/src/control/config_controller.rs
@@ -52,12 +52,12 @@
                 log::warn!(event = "config-not-read", failures = failures, error = error.as_str(); "");
             }
         }
-        let pause = match failures {
+        let delay = match failures {
             0 if polls_often => interval,
             0 => interval * SLOW_POLL_FACTOR,
             _ => to_duration(BackoffPolicy::PLATFORM.delay(failures, &mut random)),
         };
-        Timer::after(pause).await;
+        Timer::after(delay).await;
     }
 }
 
--- a/entry/src/control/control_handle.rs
+++ b/entry/src/control/control_handle.rs
@@ -109,14 +109,14 @@
         link: &EndpointLink,
         kind: ErrorKind,
     ) {
-        let counts = matches!(
+        let is_failure = matches!(
             kind,
             ErrorKind::EndpointLost
                 | ErrorKind::EndpointUnreachable
                 | ErrorKind::BadAnswer
                 | ErrorKind::BadMessage
         );
-        if counts {
+        if is_failure {
             link.mark_failed();
             self.send_event(EntryEvent::AttemptEnded {
                 endpoint_id: link.endpoint_id.clone(),
--- a/entry/src/control/link_supervisor.rs
+++ b/entry/src/control/link_supervisor.rs
@@ -47,8 +47,8 @@
                 endpoint_id: self.state.id.clone(),
             });
             failures += 1;
-            let pause = BackoffPolicy::LINK.delay(failures, &mut random);
-            Timer::after(to_duration(pause)).await;
+            let backoff = BackoffPolicy::LINK.delay(failures, &mut random);
+            Timer::after(to_duration(backoff)).await;
         }
     }
 
--- a/entry/src/filter/request_chain.rs
+++ b/entry/src/filter/request_chain.rs
@@ -77,11 +77,11 @@
         let detail = format!("the body is over {limit} bytes");
         Refusal::new(ErrorKind::BodyTooLarge, detail)
     };
-    let announced = conn
+    let content_length = conn
         .request_headers()
         .get_str("content-length")
         .and_then(|t| t.parse::<u64>().ok());
-    if announced.is_some_and(|length| length > limit) {
+    if content_length.is_some_and(|length| length > limit) {
         return Err(too_large());
     }
     let body = conn.request_body().await.with_max_len(limit + 1);
--- a/entry/src/filter/send.rs
+++ b/entry/src/filter/send.rs
@@ -131,8 +131,8 @@
     let tokens = routed.choice.estimate.recomputed_tokens;
     let tracker = AttemptTracker::start(app, link, tokens);
     let call = LinkCall::HandOver(Box::new(build_hand_over(app, parsed, routed, resume_after)));
-    let called = agent.call(&call).await;
-    let mut replies = called.map_err(|error| record_link_error(&tracker, error))?;
+    let sent = agent.call(&call).await;
+    let mut replies = sent.map_err(|error| record_link_error(&tracker, error))?;
     let ticket = wait_acknowledged(&mut replies).await;
     let ticket = ticket.map_err(|error| record_link_error(&tracker, error))?;
     tracker.record_acknowledged(ticket);
