--- a/entry/src/control/agent_calls.rs
+++ b/entry/src/control/agent_calls.rs
@@ -8,7 +8,7 @@
     std::{net::SocketAddr, sync::Arc, time::Duration},
 };
 
-/// Attempts to deliver a notice to an agent.
+/// Most attempts to deliver a notice to an agent.
 const NOTICE_ATTEMPTS: u32 = 5;
 /// Delay between two attempts to deliver a notice.
 const NOTICE_RETRY_DELAY: Duration = Duration::from_millis(200);
@@ -24,7 +24,7 @@
     replies.next().await.ok()?
 }
 
-/// Sends an agent its part of the configuration. If the link breaks in the meantime,
+/// Sends an agent the configuration of its endpoint. If the link breaks in the meantime,
 /// the notice is sent again once the agent's event stream has been reopened.
 pub async fn send_notice(
     link: Arc<EndpointLink>,
--- a/entry/src/filter/response_body.rs
+++ b/entry/src/filter/response_body.rs
@@ -242,7 +242,7 @@
             return;
         };
         if splitter.is_done() {
-            // The caller has the closing event; only the agent's end message was lost.
+            // The caller has received the closing event; only the agent's end message was lost.
             self.state = BodyState::Finished;
             self.awaits_first_event = false;
             return;
