--- a/entry/src/callers/caller_server.rs
+++ b/entry/src/callers/caller_server.rs
@@ -26,7 +26,7 @@
             .with_body("not ready\n")
             .halt(),
         (Method::Get, "/v1/models") => list_models(&app, conn),
-        (Method::Get, path) if path.starts_with(REQUESTS_PREFIX) => explain_own(&app, conn),
+        (Method::Get, path) if path.starts_with(REQUESTS_PREFIX) => explain_own_request(&app, conn),
         _ => run_chain(app, conn).await,
     }
 }
@@ -39,13 +39,13 @@
     if let Err(refusal) = identify(&conn, &view) {
         return refusal.write(conn, &app.request_id(app.next_number()));
     }
-    let list = ModelList::of(&view.table.config);
-    json(conn, &list)
+    let list = ModelList::from_config(&view.table.config);
+    json_response(conn, &list)
 }
 
 /// Tells a caller about its own request; that of another organisation does not
 /// exist for it.
-fn explain_own(
+fn explain_own_request(
     app: &EntryApp,
     conn: Conn,
 ) -> Conn {
@@ -55,18 +55,18 @@
         Ok(organisation) => organisation,
         Err(refusal) => return refusal.write(conn, &id),
     };
-    let wanted = conn.path().trim_start_matches(REQUESTS_PREFIX).to_string();
-    let mut records = app.ring.find(&wanted);
+    let request_id = conn.path().trim_start_matches(REQUESTS_PREFIX).to_string();
+    let mut records = app.ring.find(&request_id);
     records.retain(|r| r.organisation == organisation);
     if records.is_empty() {
-        let detail = format!("there is no recent request '{wanted}'");
+        let detail = format!("there is no recent request '{request_id}'");
         return Refusal::new(ErrorKind::UnknownRequest, detail).write(conn, &id);
     }
-    json(conn, &records)
+    json_response(conn, &records)
 }
 
 /// Answers with a value as JSON.
-pub fn json(
+pub fn json_response(
     mut conn: Conn,
     value: &impl serde::Serialize,
 ) -> Conn {
--- a/entry/src/cli/command_line.rs
+++ b/entry/src/cli/command_line.rs
@@ -8,64 +8,64 @@
 };
 
 /// One command.
-struct CommandRow {
+struct CommandSpec {
     name: &'static str,
     summary: &'static str,
     run: fn(&[String]) -> Result<(), CliError>,
 }
 
-const COMMANDS: [CommandRow; 11] = [
-    CommandRow {
+const COMMANDS: [CommandSpec; 11] = [
+    CommandSpec {
         name: "serve",
         summary: "run an entry process",
         run: run_serve,
     },
-    CommandRow {
+    CommandSpec {
         name: "front",
         summary: "take requests on a box of the platform",
         run: run_front_command,
     },
-    CommandRow {
+    CommandSpec {
         name: "check",
         summary: "check settings files and name every problem",
         run: run_check,
     },
-    CommandRow {
+    CommandSpec {
         name: "label",
         summary: "set or remove labels",
         run: run_label,
     },
-    CommandRow {
+    CommandSpec {
         name: "select",
         summary: "set or remove a placement rule",
         run: run_select,
     },
-    CommandRow {
+    CommandSpec {
         name: "apply",
         summary: "make the changes in a file",
         run: run_apply,
     },
-    CommandRow {
+    CommandSpec {
         name: "show",
         summary: "show the configuration in force",
         run: run_show,
     },
-    CommandRow {
+    CommandSpec {
         name: "drain",
         summary: "take an endpoint out of service and wait until its box may stop",
         run: run_drain,
     },
-    CommandRow {
+    CommandSpec {
         name: "status",
         summary: "show what an entry process knows",
         run: run_status,
     },
-    CommandRow {
+    CommandSpec {
         name: "suspects",
         summary: "show requests that end endpoints, or let one go",
         run: run_suspects,
     },
-    CommandRow {
+    CommandSpec {
         name: "explain",
         summary: "tell why a request went where it went, or who holds a piece",
         run: run_explain,
--- a/entry/src/cli/entry_process.rs
+++ b/entry/src/cli/entry_process.rs
@@ -34,14 +34,14 @@
     trillium_smol::Stopper,
 };
 
-/// Time limit of one call of the platform.
+/// Time timeout of one call of the platform.
 const PLATFORM_TIMEOUT: Duration = Duration::from_secs(2);
 /// Longest wait for requests that run at a planned stop.
-const STOP_LIMIT: Duration = Duration::from_secs(600);
+const SHUTDOWN_TIMEOUT: Duration = Duration::from_secs(600);
 /// Longest wait for leases to be handed back.
-const RELEASE_LIMIT: Duration = Duration::from_secs(3);
+const LEASE_RELEASE_TIMEOUT: Duration = Duration::from_secs(3);
 
-struct ControlStart {
+struct ControlSetup {
     settings: EntrySettings,
     clock: ProcessClock,
     view: Arc<ArcSwap<TrafficView>>,
@@ -66,16 +66,16 @@
     let control = ControlHandle::new(messages);
     let table = TableClient::new(settings.table, PLATFORM_TIMEOUT);
     let metrics = Arc::new(MetricSet::new(settings.metrics).context("cannot open metrics")?);
-    let once = OnceGate::start(table.clone(), clock.incarnation());
+    let idempotency = OnceGate::start(table.clone(), clock.incarnation());
     let app = Arc::new(EntryApp::new(
         settings.clone(),
         clock,
         view.clone(),
         control.clone(),
-        once,
+        idempotency,
         metrics,
     ));
-    start_control(ControlStart {
+    start_control(ControlSetup {
         settings: settings.clone(),
         clock,
         view,
@@ -112,8 +112,8 @@
     // The balancer is given time to notice that no new requests should come.
     Timer::after(settings.stop_notice).await;
     stopper.stop();
-    wait_at_most(STOP_LIMIT, caller_server).await;
-    wait_at_most(RELEASE_LIMIT, control.release()).await;
+    wait_with_timeout(SHUTDOWN_TIMEOUT, caller_server).await;
+    wait_with_timeout(LEASE_RELEASE_TIMEOUT, control.release()).await;
     log::info!(event = "stopped", entry = settings.box_id.as_str(), cut_off = app.limits().running(); "");
     Ok(())
 }
@@ -123,80 +123,80 @@
     listener.with_context(|| format!("cannot listen on {address}"))
 }
 
-async fn wait_at_most(
-    limit: Duration,
-    wanted: impl std::future::IntoFuture<Output = ()>,
+async fn wait_with_timeout(
+    timeout: Duration,
+    future: impl std::future::IntoFuture<Output = ()>,
 ) {
-    futures_lite::future::or(wanted.into_future(), async {
-        Timer::after(limit).await;
+    futures_lite::future::or(future.into_future(), async {
+        Timer::after(timeout).await;
     })
     .await;
 }
 
 /// Starts the control thread with everything that feeds it.
-async fn start_control(start: ControlStart) -> anyhow::Result<()> {
-    let secret = start.settings.beacon_secret.clone().unwrap_or_default();
+async fn start_control(setup: ControlSetup) -> anyhow::Result<()> {
+    let secret = setup.settings.beacon_secret.clone().unwrap_or_default();
     let key = BeaconKey::from_secret(&secret);
-    let socket = BeaconSocket::bind(start.settings.beacons, key).await;
-    let address = start.settings.beacons;
+    let socket = BeaconSocket::bind(setup.settings.beacons, key).await;
+    let address = setup.settings.beacons;
     let socket = Arc::new(socket.with_context(|| format!("cannot take beacons on {address}"))?);
     let thread = thread::Builder::new().name("control".to_string());
     thread.spawn(move || {
         let executor = Rc::new(LocalExecutor::new());
-        smol::block_on(executor.run(run_control(start, socket, executor.clone())))
+        smol::block_on(executor.run(run_control(setup, socket, executor.clone())))
     })?;
     Ok(())
 }
 
 async fn run_control(
-    start: ControlStart,
+    setup: ControlSetup,
     socket: Arc<BeaconSocket>,
     executor: Rc<LocalExecutor<'static>>,
 ) {
-    let settings = &start.settings;
+    let settings = &setup.settings;
     let core = EntryCore::new(EntrySetup {
         box_id: settings.box_id.clone(),
-        holder: format!("{}.{:x}", settings.box_id, start.clock.incarnation()),
+        holder: format!("{}.{:x}", settings.box_id, setup.clock.incarnation()),
         policy: settings.policy,
         lease: LeaseTimes::default(),
     });
     let objects = ObjectClient::new(settings.objects, PLATFORM_TIMEOUT);
-    let store = ConfigStore::new(start.table.clone(), objects);
-    let place = BoxPlace {
+    let store = ConfigStore::new(setup.table.clone(), objects);
+    let location = BoxPlace {
         box_id: settings.box_id.clone(),
         failure_domain: settings.failure_domain.clone(),
     };
     let boxes = BoxClient::new(settings.boxes, PLATFORM_TIMEOUT);
     let (peers, peer_inbox) = async_channel::bounded(8);
-    let control = start.control.clone();
+    let control = setup.control.clone();
     let config_poll = poll_config(
         store,
         control.clone(),
         settings.table_poll,
-        start.clock.incarnation(),
+        setup.clock.incarnation(),
     );
     executor.spawn(config_poll).detach();
     executor
-        .spawn(poll_boxes(boxes, place, control.clone(), peers))
+        .spawn(poll_boxes(boxes, location, control.clone(), peers))
         .detach();
     executor
-        .spawn(take_beacons(socket.clone(), start.app.clone()))
+        .spawn(take_beacons(socket.clone(), setup.app.clone()))
         .detach();
-    let sending = send_beacons(
+    let beacon_sender = send_beacons(
         socket,
-        start.app.clone(),
+        setup.app.clone(),
         control.clone(),
         peer_inbox,
-        start.peer_address,
+        setup.peer_address,
     );
-    executor.spawn(sending).detach();
+    executor.spawn(beacon_sender).detach();
     let leases = LeaseController {
-        table: start.table.clone(),
+        table: setup.table.clone(),
         control,
-        clock: start.clock,
+        clock: setup.clock,
     };
-    let publisher = ViewPublisher::new(start.view.clone());
+    let publisher = ViewPublisher::new(setup.view.clone());
     let entry_id = settings.box_id.clone();
-    let control_loop = ControlLoop::new(core, start.clock, entry_id, publisher, leases, executor);
-    control_loop.run(start.inbox.clone()).await;
+    let control_loop = ControlLoop::new(core, setup.clock, entry_id, publisher, leases, executor);
+    control_loop.run(setup.inbox.clone()).await;
 }
--- a/entry/src/command/apply.rs
+++ b/entry/src/command/apply.rs
@@ -1,5 +1,5 @@
 use {
-    super::{change_options, make_change, CommandArgs, CommandShape},
+    super::{add_change_options, submit_change, CommandArgs, CommandHelp},
     crate::{cli::CliError, conf::OperatorSettings},
     getopts::Options,
     pitchhitch_core::conf::ConfigChange,
@@ -7,7 +7,7 @@
     std::{fs, time::Duration},
 };
 
-const SHAPE: CommandShape = CommandShape {
+const HELP: CommandHelp = CommandHelp {
     usage: "apply --settings FILE CHANGES",
     about: "Makes the changes in the file CHANGES, a JSON list, one after the other.\n\
             Organisations, models and services are added and removed so.\n\
@@ -22,11 +22,11 @@
 /// [`CliError`] at the first change that is not known to be in force.
 pub fn run_apply(args: &[String]) -> Result<(), CliError> {
     let mut options = Options::new();
-    change_options(&mut options);
-    let Some(args) = CommandArgs::read(SHAPE, options, args)? else {
+    add_change_options(&mut options);
+    let Some(args) = CommandArgs::parse(HELP, options, args)? else {
         return Ok(());
     };
-    let file = args.free(0, "CHANGES")?;
+    let file = args.positional(0, "CHANGES")?;
     let text = fs::read_to_string(file)
         .map_err(|e| CliError::Usage(format!("{file}: cannot be read: {e}")))?;
     let changes: Vec<ConfigChange> = serde_json::from_str(&text)
@@ -35,12 +35,12 @@
         let text = "--change-id settles one change; this file has several";
         return Err(CliError::Usage(text.to_string()));
     }
-    let settings = args.operator()?;
+    let settings = args.operator_settings()?;
     for change in &changes {
         check_weights(&settings, change)?;
     }
     for change in changes {
-        make_change(&args, &settings, change)?;
+        submit_change(&args, &settings, change)?;
     }
     Ok(())
 }
--- a/entry/src/command/check.rs
+++ b/entry/src/command/check.rs
@@ -1,5 +1,5 @@
 use {
-    super::{CommandArgs, CommandShape, SettingsText},
+    super::{CommandArgs, CommandHelp, SettingsText},
     crate::{
         cli::CliError,
         conf::{EntrySettings, OperatorSettings},
@@ -8,7 +8,7 @@
     getopts::Options,
 };
 
-const SHAPE: CommandShape = CommandShape {
+const HELP: CommandHelp = CommandHelp {
     usage: "check FILE...",
     about: "Checks settings files of entry processes and operators and names every problem.\n\
             A file with the field 'operator' is taken for an operator's, one with 'digests'\n\
@@ -21,7 +21,7 @@
 /// # Errors
 /// [`CliError::Settings`] with every problem of every file.
 pub fn run_check(args: &[String]) -> Result<(), CliError> {
-    let Some(args) = CommandArgs::read(SHAPE, Options::new(), args)? else {
+    let Some(args) = CommandArgs::parse(HELP, Options::new(), args)? else {
         return Ok(());
     };
     let mut files = args.matches.free.clone();
--- a/entry/src/command/command_args.rs
+++ b/entry/src/command/command_args.rs
@@ -20,7 +20,7 @@
 
 /// What a command takes besides the common options.
 #[derive(Debug, Clone, Copy)]
-pub struct CommandShape {
+pub struct CommandHelp {
     /// First line of the help text.
     pub usage: &'static str,
     /// What the command does, in a few lines.
@@ -32,8 +32,8 @@
     ///
     /// # Errors
     /// [`CliError::Usage`] when they do not fit.
-    pub fn read(
-        shape: CommandShape,
+    pub fn parse(
+        help: CommandHelp,
         mut options: Options,
         args: &[String],
     ) -> Result<Option<Self>, CliError> {
@@ -43,7 +43,7 @@
         let matches = options.parse(args);
         let matches = matches.map_err(|e| CliError::Usage(format!("{e}; see --help")))?;
         if matches.opt_present("help") {
-            let brief = format!("Usage: pitchhitch {}\n\n{}", shape.usage, shape.about);
+            let brief = format!("Usage: pitchhitch {}\n\n{}", help.usage, help.about);
             println!("{}\n{EXIT_CODES}", options.usage(&brief));
             return Ok(None);
         }
@@ -59,7 +59,7 @@
     ///
     /// # Errors
     /// [`CliError::Usage`] when it is missing.
-    pub fn free(
+    pub fn positional(
         &self,
         index: usize,
         name: &str,
@@ -83,7 +83,7 @@
     ///
     /// # Errors
     /// [`CliError`] when there are none that can be used.
-    pub fn operator(&self) -> Result<OperatorSettings, CliError> {
+    pub fn operator_settings(&self) -> Result<OperatorSettings, CliError> {
         let text = self.settings_text()?;
         OperatorSettings::parse(&text.file, &text.text)
             .map_err(|e| CliError::Settings(e.to_string()))
@@ -121,7 +121,7 @@
 ///
 /// # Errors
 /// [`CliError::Settings`] when they name none.
-pub fn entry_caller(settings: &OperatorSettings) -> Result<HttpCaller, CliError> {
+pub fn entry_client(settings: &OperatorSettings) -> Result<HttpCaller, CliError> {
     let entry = settings.entry.ok_or_else(|| {
         let text = "the settings name no 'entry'; add the operator address of an entry process";
         CliError::Settings(text.to_string())
--- a/entry/src/command/config_access.rs
+++ b/entry/src/command/config_access.rs
@@ -16,10 +16,10 @@
 /// Time limit of one call of the platform.
 const PLATFORM_TIMEOUT: Duration = Duration::from_secs(3);
 /// How long a change is tried.
-const CHANGE_PATIENCE: Duration = Duration::from_secs(15);
+const CHANGE_TIMEOUT: Duration = Duration::from_secs(15);
 
 /// Adds the options that all commands have that change something.
-pub fn change_options(options: &mut Options) {
+pub fn add_change_options(options: &mut Options) {
     options.optopt(
         "",
         "change-id",
@@ -57,7 +57,7 @@
 ///
 /// # Errors
 /// [`CliError::Refused`] or [`CliError::Unknown`].
-pub fn make_change(
+pub fn submit_change(
     args: &CommandArgs,
     settings: &OperatorSettings,
     change: ConfigChange,
@@ -65,7 +65,7 @@
     let change_id = args
         .matches
         .opt_str("change-id")
-        .unwrap_or_else(fresh_change_id);
+        .unwrap_or_else(new_change_id);
     let expected = match args.matches.opt_str("expect") {
         None => None,
         Some(text) => {
@@ -85,13 +85,13 @@
     };
     let store = config_store(settings);
     let seed = ProcessClock::start().incarnation();
-    let accepted = smol::block_on(store.change(&request, CHANGE_PATIENCE, seed));
+    let accepted = smol::block_on(store.change(&request, CHANGE_TIMEOUT, seed));
     let accepted = accepted.map_err(cli_error)?;
     print_accepted(args, &accepted, &change_id);
     Ok(accepted.revision)
 }
 
-fn fresh_change_id() -> String {
+fn new_change_id() -> String {
     format!("{:032x}", rand::thread_rng().gen::<u128>())
 }
 
--- a/entry/src/command/drain.rs
+++ b/entry/src/command/drain.rs
@@ -1,5 +1,5 @@
 use {
-    super::{change_options, entry_caller, make_change, CommandArgs, CommandShape},
+    super::{add_change_options, entry_client, submit_change, CommandArgs, CommandHelp},
     crate::{
         cli::CliError,
         operators::{DrainReport, DRAIN_PREFIX},
@@ -14,12 +14,12 @@
     std::time::{Duration, Instant},
 };
 
-const SHAPE: CommandShape = CommandShape {
+const HELP: CommandHelp = CommandHelp {
     usage: "drain --settings FILE ENDPOINT [--undo] [--no-wait] [--timeout SECONDS]",
     about: "Takes an endpoint out of service by the label 'leaving', waits until nothing runs on\n\
             it any more, and says when its box may stop.",
 };
-const DEFAULT_TIMEOUT: u64 = 600;
+const DEFAULT_TIMEOUT_S: u64 = 600;
 const POLL_INTERVAL: Duration = Duration::from_millis(200);
 
 /// Runs `pitchhitch drain`.
@@ -28,39 +28,39 @@
 /// [`CliError`] when the endpoint is not drained in time.
 pub fn run_drain(args: &[String]) -> Result<(), CliError> {
     let mut options = Options::new();
-    change_options(&mut options);
+    add_change_options(&mut options);
     options.optflag("", "undo", "put the endpoint back into service");
     options.optflag("", "no-wait", "do not wait until it is drained");
     options.optopt("", "timeout", "longest wait; 600 if not given", "SECONDS");
-    let Some(args) = CommandArgs::read(SHAPE, options, args)? else {
+    let Some(args) = CommandArgs::parse(HELP, options, args)? else {
         return Ok(());
     };
-    let endpoint = args.free(0, "ENDPOINT")?.to_string();
+    let endpoint = args.positional(0, "ENDPOINT")?.to_string();
     let timeout = match args.matches.opt_str("timeout") {
-        None => DEFAULT_TIMEOUT,
+        None => DEFAULT_TIMEOUT_S,
         Some(text) => text
             .parse()
             .map_err(|_| CliError::Usage(format!("--timeout: '{text}' is no whole number")))?,
     };
     let undo = args.matches.opt_present("undo");
-    let settings = args.operator()?;
+    let settings = args.operator_settings()?;
     let change = ConfigChange::Label {
         target: LabelTarget::Endpoint(endpoint.clone()),
         key: LEAVING_LABEL.to_string(),
         value: (!undo).then(|| "true".to_string()),
     };
-    make_change(&args, &settings, change)?;
+    submit_change(&args, &settings, change)?;
     if undo || args.matches.opt_present("no-wait") {
         return Ok(());
     }
-    let caller = entry_caller(&settings)?;
-    let wait = wait_drained(&args, &caller, &endpoint, Duration::from_secs(timeout));
+    let client = entry_client(&settings)?;
+    let wait = wait_until_drained(&args, &client, &endpoint, Duration::from_secs(timeout));
     smol::block_on(wait)
 }
 
-async fn wait_drained(
+async fn wait_until_drained(
     args: &CommandArgs,
-    caller: &HttpCaller,
+    client: &HttpCaller,
     endpoint: &str,
     timeout: Duration,
 ) -> Result<(), CliError> {
@@ -68,7 +68,7 @@
     let started = Instant::now();
     let mut last = None;
     loop {
-        let report: Result<DrainReport, _> = caller.get_json(&path).await;
+        let report: Result<DrainReport, _> = client.get_json(&path).await;
         let state = report.map(|r| r.state);
         match &state {
             Ok(state) if last.as_ref() != Some(state) => {
@@ -82,8 +82,8 @@
             return Ok(());
         }
         if started.elapsed() >= timeout {
-            let waits = last.map_or("nothing was heard".to_string(), |s| s.describe());
-            let text = format!("{endpoint} is not drained after {timeout:?}: {waits}");
+            let reason = last.map_or("nothing was heard".to_string(), |s| s.describe());
+            let text = format!("{endpoint} is not drained after {timeout:?}: {reason}");
             return Err(CliError::Failed(text));
         }
         Timer::after(POLL_INTERVAL).await;
--- a/entry/src/command/explain.rs
+++ b/entry/src/command/explain.rs
@@ -1,8 +1,8 @@
 use {
-    super::{entry_caller, pretty_json, CommandArgs, CommandShape},
+    super::{entry_client, pretty_json, CommandArgs, CommandHelp},
     crate::{
         cli::CliError,
-        explain::{DecisionRecord, LogLine, LogStory, PartReads},
+        explain::{DecisionRecord, LogLine, PrefillSummary, RequestTrace},
         operators::{PieceReport, EXPLAIN_PREFIX, PIECE_PREFIX},
     },
     getopts::Options,
@@ -13,7 +13,7 @@
     },
 };
 
-const SHAPE: CommandShape = CommandShape {
+const HELP: CommandHelp = CommandHelp {
     usage:
         "explain --settings FILE REQUEST-ID\n       pitchhitch explain --settings FILE --piece KEY\n       \
          pitchhitch explain --log FILE REQUEST-ID\n       \
@@ -39,29 +39,29 @@
         "FILE",
     );
     options.optflag("", "reads", "with --log: why shared parts were read");
-    let Some(args) = CommandArgs::read(SHAPE, options, args)? else {
+    let Some(args) = CommandArgs::parse(HELP, options, args)? else {
         return Ok(());
     };
     let wants_reads = args.matches.opt_present("reads");
     if let Some(file) = args.matches.opt_str("log") {
         if wants_reads {
-            return explain_reads(&file);
+            return explain_prefills(&file);
         }
-        return explain_log(&file, args.free(0, "REQUEST-ID")?);
+        return explain_log(&file, args.positional(0, "REQUEST-ID")?);
     }
     if wants_reads {
         let help = "--reads needs --log FILE, the lines of the fronts";
         return Err(CliError::Usage(help.to_string()));
     }
-    let settings = args.operator()?;
-    let caller = entry_caller(&settings)?;
+    let settings = args.operator_settings()?;
+    let client = entry_client(&settings)?;
     match args.matches.opt_str("piece") {
-        Some(key) => explain_piece(&args, &caller, &key),
-        None => explain_request(&args, &caller, args.free(0, "REQUEST-ID")?),
+        Some(key) => explain_piece(&args, &client, &key),
+        None => explain_request(&args, &client, args.positional(0, "REQUEST-ID")?),
     }
 }
 
-fn unread(
+fn read_error(
     file: &str,
     error: &io::Error,
 ) -> CliError {
@@ -72,35 +72,35 @@
     Ok(match file {
         "-" => Box::new(io::stdin().lock()),
         name => {
-            let opened = File::open(name).map_err(|e| unread(file, &e))?;
+            let opened = File::open(name).map_err(|e| read_error(file, &e))?;
             Box::new(BufReader::new(opened))
         }
     })
 }
 
-fn tell_broken(
+fn warn_malformed(
     file: &str,
-    broken: u64,
+    count: u64,
 ) {
-    if broken > 0 {
-        eprintln!("{file}: {broken} lines are no log lines of pitchhitch; passed over");
+    if count > 0 {
+        eprintln!("{file}: {count} lines are no log lines of pitchhitch; passed over");
     }
 }
 
-fn explain_reads(file: &str) -> Result<(), CliError> {
-    let reads = PartReads::gather(open_log(file)?).map_err(|e| unread(file, &e))?;
-    tell_broken(file, reads.broken);
-    if reads.by_cause.is_empty() {
+fn explain_prefills(file: &str) -> Result<(), CliError> {
+    let summary = PrefillSummary::read(open_log(file)?).map_err(|e| read_error(file, &e))?;
+    warn_malformed(file, summary.malformed_lines);
+    if summary.by_cause.is_empty() {
         return Err(CliError::Failed(format!(
             "{file}: no prompt was sent that had shared parts to read; add the logs of all fronts"
         )));
     }
-    for (cause, sum) in &reads.by_cause {
+    for (cause, totals) in &summary.by_cause {
         println!(
             "{:>12.0} tokens {:>8} parts: {}",
-            sum.tokens,
-            sum.parts,
-            cause.words()
+            totals.tokens,
+            totals.parts,
+            cause.as_str()
         );
     }
     Ok(())
@@ -110,18 +110,18 @@
     file: &str,
     request: &str,
 ) -> Result<(), CliError> {
-    let story = LogStory::gather(open_log(file)?, request).map_err(|e| unread(file, &e))?;
-    tell_broken(file, story.broken);
-    if story.own.is_empty() {
+    let trace = RequestTrace::read(open_log(file)?, request).map_err(|e| read_error(file, &e))?;
+    warn_malformed(file, trace.malformed_lines);
+    if trace.request_lines.is_empty() {
         return Err(CliError::Failed(format!(
             "{file}: no line has request={request}; add the logs of the other boxes"
         )));
     }
-    print_lines(&story.own);
-    if !story.around.is_empty() {
+    print_lines(&trace.request_lines);
+    if !trace.endpoint_lines.is_empty() {
         println!("\nwhat was noticed of the endpoints it went to:");
     }
-    print_lines(&story.around);
+    print_lines(&trace.endpoint_lines);
     Ok(())
 }
 
@@ -132,19 +132,19 @@
             line.time(),
             line.origin,
             line.event(),
-            line.told()
+            line.details()
         );
     }
 }
 
 fn explain_request(
     args: &CommandArgs,
-    caller: &HttpCaller,
+    client: &HttpCaller,
     request_id: &str,
 ) -> Result<(), CliError> {
     let path = format!("{EXPLAIN_PREFIX}{request_id}");
     let records: Vec<DecisionRecord> =
-        smol::block_on(caller.get_json(&path)).map_err(|e| not_found(e, request_id))?;
+        smol::block_on(client.get_json(&path)).map_err(|e| not_found(e, request_id))?;
     if args.wants_json() {
         println!("{}", pretty_json(&records)?);
         return Ok(());
@@ -206,12 +206,12 @@
 
 fn explain_piece(
     args: &CommandArgs,
-    caller: &HttpCaller,
+    client: &HttpCaller,
     key: &str,
 ) -> Result<(), CliError> {
     let path = format!("{PIECE_PREFIX}{key}");
     let report: PieceReport =
-        smol::block_on(caller.get_json(&path)).map_err(|e| not_found(e, key))?;
+        smol::block_on(client.get_json(&path)).map_err(|e| not_found(e, key))?;
     if args.wants_json() {
         println!("{}", pretty_json(&report)?);
         return Ok(());
--- a/entry/src/command/front.rs
+++ b/entry/src/command/front.rs
@@ -1,5 +1,5 @@
 use {
-    super::{CommandArgs, CommandShape},
+    super::{CommandArgs, CommandHelp},
     crate::{
         cli::CliError,
         front::{run_front, FrontSettings},
@@ -12,7 +12,7 @@
 /// Variable that names the settings file on the platform's boxes.
 const SETTINGS_VARIABLE: &str = "PITCHHITCH_NODE_FILE";
 
-const SHAPE: CommandShape = CommandShape {
+const HELP: CommandHelp = CommandHelp {
     usage: "front [--settings FILE]",
     about: "Takes requests on a box of the platform until SIGTERM, which cuts off no request.\n\
             Without --settings the file is the one that PITCHHITCH_NODE_FILE names.",
@@ -23,7 +23,7 @@
 /// # Errors
 /// [`CliError`] when it cannot run.
 pub fn run_front_command(args: &[String]) -> Result<(), CliError> {
-    let Some(args) = CommandArgs::read(SHAPE, Options::new(), args)? else {
+    let Some(args) = CommandArgs::parse(HELP, Options::new(), args)? else {
         return Ok(());
     };
     let named = args.matches.opt_str("settings");
--- a/entry/src/command/label.rs
+++ b/entry/src/command/label.rs
@@ -1,11 +1,11 @@
 use {
-    super::{change_options, make_change, refused, CommandArgs, CommandShape},
+    super::{add_change_options, refused, submit_change, CommandArgs, CommandHelp},
     crate::cli::CliError,
     getopts::Options,
     pitchhitch_core::conf::{ConfigChange, LabelTarget},
 };
 
-const SHAPE: CommandShape = CommandShape {
+const HELP: CommandHelp = CommandHelp {
     usage: "label --settings FILE TARGET KEY=VALUE | TARGET KEY-",
     about: "Sets a label, or removes it with 'KEY-'.\n\
             TARGET is endpoint/NAME, organisation/NAME or version/MODEL/NAME.",
@@ -17,14 +17,14 @@
 /// [`CliError`] when the change is not known to be in force.
 pub fn run_label(args: &[String]) -> Result<(), CliError> {
     let mut options = Options::new();
-    change_options(&mut options);
-    let Some(args) = CommandArgs::read(SHAPE, options, args)? else {
+    add_change_options(&mut options);
+    let Some(args) = CommandArgs::parse(HELP, options, args)? else {
         return Ok(());
     };
-    let target = LabelTarget::parse(args.free(0, "TARGET")?).map_err(refused)?;
-    let change = label_change(target, args.free(1, "KEY=VALUE")?)?;
-    let settings = args.operator()?;
-    make_change(&args, &settings, change).map(|_| ())
+    let target = LabelTarget::parse(args.positional(0, "TARGET")?).map_err(refused)?;
+    let change = label_change(target, args.positional(1, "KEY=VALUE")?)?;
+    let settings = args.operator_settings()?;
+    submit_change(&args, &settings, change).map(|_| ())
 }
 
 fn label_change(
--- a/entry/src/command/select.rs
+++ b/entry/src/command/select.rs
@@ -1,5 +1,5 @@
 use {
-    super::{change_options, make_change, CommandArgs, CommandShape},
+    super::{add_change_options, submit_change, CommandArgs, CommandHelp},
     crate::cli::CliError,
     getopts::Options,
     pitchhitch_core::{
@@ -8,7 +8,7 @@
     },
 };
 
-const SHAPE: CommandShape = CommandShape {
+const HELP: CommandHelp = CommandHelp {
     usage: "select --settings FILE NAME --work SELECTOR --endpoints SELECTOR [--deny] [--precedence N]\n       pitchhitch select --settings FILE NAME --remove",
     about: "Sets or removes a placement rule: which labelled work may go to which labelled endpoints.\n\
             Of the rules that match a request's work, those of the highest precedence decide;\n\
@@ -21,7 +21,7 @@
 /// [`CliError`] when the change is not known to be in force.
 pub fn run_select(args: &[String]) -> Result<(), CliError> {
     let mut options = Options::new();
-    change_options(&mut options);
+    add_change_options(&mut options);
     options.optopt(
         "",
         "work",
@@ -42,20 +42,20 @@
     );
     options.optflag("", "deny", "the work may not go there");
     options.optflag("", "remove", "remove the rule");
-    let Some(args) = CommandArgs::read(SHAPE, options, args)? else {
+    let Some(args) = CommandArgs::parse(HELP, options, args)? else {
         return Ok(());
     };
-    let name = args.free(0, "NAME")?.to_string();
+    let name = args.positional(0, "NAME")?.to_string();
     let rule = if args.matches.opt_present("remove") {
         None
     } else {
-        Some(read_rule(&args)?)
+        Some(parse_rule(&args)?)
     };
-    let settings = args.operator()?;
-    make_change(&args, &settings, ConfigChange::Rule { name, rule }).map(|_| ())
+    let settings = args.operator_settings()?;
+    submit_change(&args, &settings, ConfigChange::Rule { name, rule }).map(|_| ())
 }
 
-fn read_rule(args: &CommandArgs) -> Result<PlacementRule, CliError> {
+fn parse_rule(args: &CommandArgs) -> Result<PlacementRule, CliError> {
     let precedence = args
         .matches
         .opt_str("precedence")
@@ -70,13 +70,13 @@
     };
     Ok(PlacementRule {
         precedence,
-        work: read_selector(args, "work")?,
-        endpoints: read_selector(args, "endpoints")?,
+        work: parse_selector(args, "work")?,
+        endpoints: parse_selector(args, "endpoints")?,
         effect,
     })
 }
 
-fn read_selector(
+fn parse_selector(
     args: &CommandArgs,
     option: &str,
 ) -> Result<LabelSelector, CliError> {
--- a/entry/src/command/serve.rs
+++ b/entry/src/command/serve.rs
@@ -1,5 +1,5 @@
 use {
-    super::{CommandArgs, CommandShape},
+    super::{CommandArgs, CommandHelp},
     crate::{
         cli::{run_entry, CliError},
         conf::EntrySettings,
@@ -8,7 +8,7 @@
     pitchhitch_process::{start_logging, start_traffic},
 };
 
-const SHAPE: CommandShape = CommandShape {
+const HELP: CommandHelp = CommandHelp {
     usage: "serve --settings FILE",
     about: "Runs an entry process until SIGTERM, which cuts off no request.",
 };
@@ -18,7 +18,7 @@
 /// # Errors
 /// [`CliError`] when it cannot run.
 pub fn run_serve(args: &[String]) -> Result<(), CliError> {
-    let Some(args) = CommandArgs::read(SHAPE, Options::new(), args)? else {
+    let Some(args) = CommandArgs::parse(HELP, Options::new(), args)? else {
         return Ok(());
     };
     let text = args.settings_text()?;
--- a/entry/src/command/show.rs
+++ b/entry/src/command/show.rs
@@ -1,11 +1,11 @@
 use {
-    super::{pretty_json, read_config, CommandArgs, CommandShape},
+    super::{pretty_json, read_config, CommandArgs, CommandHelp},
     crate::cli::CliError,
     getopts::Options,
     pitchhitch_core::conf::FleetConfig,
 };
 
-const SHAPE: CommandShape = CommandShape {
+const HELP: CommandHelp = CommandHelp {
     usage: "show --settings FILE",
     about: "Shows the configuration in force, as the table has it.",
 };
@@ -15,10 +15,10 @@
 /// # Errors
 /// [`CliError`] when the platform does not answer.
 pub fn run_show(args: &[String]) -> Result<(), CliError> {
-    let Some(args) = CommandArgs::read(SHAPE, Options::new(), args)? else {
+    let Some(args) = CommandArgs::parse(HELP, Options::new(), args)? else {
         return Ok(());
     };
-    let settings = args.operator()?;
+    let settings = args.operator_settings()?;
     let config = read_config(&settings)?;
     if args.wants_json() {
         println!("{}", pretty_json(&config)?);
--- a/entry/src/command/status.rs
+++ b/entry/src/command/status.rs
@@ -1,5 +1,5 @@
 use {
-    super::{entry_caller, pretty_json, CommandArgs, CommandShape},
+    super::{entry_client, pretty_json, CommandArgs, CommandHelp},
     crate::{
         cli::CliError,
         operators::{StatusReport, STATUS_PATH},
@@ -7,7 +7,7 @@
     getopts::Options,
 };
 
-const SHAPE: CommandShape = CommandShape {
+const HELP: CommandHelp = CommandHelp {
     usage: "status --settings FILE",
     about: "Shows what an entry process knows: endpoints, peers, stores, counts and its own use\n\
             of processor and memory.",
@@ -19,12 +19,12 @@
 /// # Errors
 /// [`CliError`] when the entry process does not answer.
 pub fn run_status(args: &[String]) -> Result<(), CliError> {
-    let Some(args) = CommandArgs::read(SHAPE, Options::new(), args)? else {
+    let Some(args) = CommandArgs::parse(HELP, Options::new(), args)? else {
         return Ok(());
     };
-    let settings = args.operator()?;
-    let caller = entry_caller(&settings)?;
-    let report: StatusReport = smol::block_on(caller.get_json(STATUS_PATH))
+    let settings = args.operator_settings()?;
+    let client = entry_client(&settings)?;
+    let report: StatusReport = smol::block_on(client.get_json(STATUS_PATH))
         .map_err(|e| CliError::Failed(format!("{e}; does the entry process run?")))?;
     if args.wants_json() {
         println!("{}", pretty_json(&report)?);
--- a/entry/src/command/suspects.rs
+++ b/entry/src/command/suspects.rs
@@ -1,5 +1,5 @@
 use {
-    super::{CommandArgs, CommandShape},
+    super::{CommandArgs, CommandHelp},
     crate::{
         cli::CliError,
         front::{release_path, FrontSettings, SuspectRow, SUSPECTS_PATH},
@@ -11,9 +11,9 @@
 };
 
 /// Time limit of a call.
-const CALL_LIMIT: Duration = Duration::from_secs(5);
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(5);
 
-const SHAPE: CommandShape = CommandShape {
+const HELP: CommandHelp = CommandHelp {
     usage: "suspects --settings FILE [--release FINGERPRINT]",
     about: "Shows requests under which endpoints ended, as a front knows them, and lets one go:\n\
             it may run again, at all fronts. FILE is the settings file of the front.",
@@ -26,24 +26,24 @@
 pub fn run_suspects(args: &[String]) -> Result<(), CliError> {
     let mut options = Options::new();
     options.optopt("", "release", "let this request go", "FINGERPRINT");
-    let Some(args) = CommandArgs::read(SHAPE, options, args)? else {
+    let Some(args) = CommandArgs::parse(HELP, options, args)? else {
         return Ok(());
     };
     let text = args.settings_text()?;
     let settings = FrontSettings::parse(&text.file, &text.text)
         .map_err(|e| CliError::Settings(e.to_string()))?;
     match args.matches.opt_str("release") {
-        Some(fingerprint) => release(&settings, &fingerprint),
-        None => show(&args, &settings),
+        Some(fingerprint) => release_suspect(&settings, &fingerprint),
+        None => list_suspects(&args, &settings),
     }
 }
 
-fn show(
+fn list_suspects(
     args: &CommandArgs,
     settings: &FrontSettings,
 ) -> Result<(), CliError> {
-    let answer = ask(settings, SUSPECTS_PATH)?;
-    let text = String::from_utf8_lossy(&answer.body);
+    let response = send_get(settings, SUSPECTS_PATH)?;
+    let text = String::from_utf8_lossy(&response.body);
     if args.wants_json() {
         println!("{text}");
         return Ok(());
@@ -68,7 +68,7 @@
     Ok(())
 }
 
-fn release(
+fn release_suspect(
     settings: &FrontSettings,
     fingerprint: &str,
 ) -> Result<(), CliError> {
@@ -76,31 +76,31 @@
         let help = "--release takes a fingerprint of 32 hex digits, as the list shows it";
         return Err(CliError::Usage(help.to_string()));
     }
-    let answer = ask(
+    let response = send_get(
         settings,
         &release_path(fingerprint, settings.peer_key.as_ref()),
     )?;
-    println!("{}", String::from_utf8_lossy(&answer.body).trim_end());
+    println!("{}", String::from_utf8_lossy(&response.body).trim_end());
     Ok(())
 }
 
-fn ask(
+fn send_get(
     settings: &FrontSettings,
     target: &str,
 ) -> Result<HttpAnswer, CliError> {
     let address = settings.control.unwrap_or(settings.digests);
-    let mut client = HttpClient::new(address, CALL_LIMIT);
-    let call = HttpCall {
+    let mut client = HttpClient::new(address, REQUEST_TIMEOUT);
+    let request = HttpCall {
         method: "GET",
         target,
         ..HttpCall::default()
     };
-    let answer = smol::block_on(client.call(call))
+    let response = smol::block_on(client.call(request))
         .map_err(|e| CliError::Failed(format!("{address}: {e}; does the front run?")))?;
-    match answer.status {
-        200 => Ok(answer),
+    match response.status {
+        200 => Ok(response),
         status => {
-            let text = String::from_utf8_lossy(&answer.body);
+            let text = String::from_utf8_lossy(&response.body);
             Err(CliError::Failed(format!(
                 "{address}: {status}: {}",
                 text.trim_end()
--- a/entry/src/conf/entry_settings.rs
+++ b/entry/src/conf/entry_settings.rs
@@ -58,7 +58,7 @@
         text: &str,
     ) -> Result<Self, SettingsErrors> {
         let mut reader = SettingsReader::parse(file, text)?;
-        let policy_wanted = "one of estimate, round_robin, least_load, prefix_affinity, always_import, always_recompute";
+        let policy_names = "one of estimate, round_robin, least_load, prefix_affinity, always_import, always_recompute";
         let settings = EntrySettings {
             box_id: reader.text("box_id"),
             failure_domain: reader.text("failure_domain"),
@@ -78,7 +78,7 @@
                 1..=86_400_000,
             )),
             policy: reader
-                .value("policy", Some(RoutePolicy::default()), policy_wanted)
+                .value("policy", Some(RoutePolicy::default()), policy_names)
                 .unwrap_or_default(),
             table_poll: millis(reader.number("table_poll_ms", 1_000, 50..=10_000)),
             stop_notice: millis(reader.number("stop_notice_ms", 2_000, 0..=600_000)),
--- a/entry/src/control/control_loop.rs
+++ b/entry/src/control/control_loop.rs
@@ -118,7 +118,7 @@
             ControlMessage::Event(event) => self.step(event),
             ControlMessage::AgentBeacon(beacon) => {
                 let link = self.publisher.known_link(&beacon.endpoint_id);
-                let own = link.map(|l| l.sent()).unwrap_or_default();
+                let own = link.map(|l| l.in_flight()).unwrap_or_default();
                 self.step(EntryEvent::AgentBeaconReceived { beacon, own });
             }
             ControlMessage::Query(query) => self.answer(query),
--- a/entry/src/control/link_keeper.rs
+++ b/entry/src/control/link_keeper.rs
@@ -131,7 +131,7 @@
                     endpoint_id: self.state.id.clone(),
                     incarnation: self.state.incarnation,
                     batch,
-                    own: self.link.sent(),
+                    own: self.link.in_flight(),
                 });
             }
         }
--- a/entry/src/control/view_publisher.rs
+++ b/entry/src/control/view_publisher.rs
@@ -63,8 +63,8 @@
     pub fn publish(
         &mut self,
         table: Arc<RouteTable>,
-        returns: Arc<ReuseModel>,
-        entries: u32,
+        reuse_model: Arc<ReuseModel>,
+        entry_count: u32,
         ready: bool,
     ) {
         if !Arc::ptr_eq(&self.arena, &table.endpoints) {
@@ -77,10 +77,10 @@
         }
         self.view.store(Arc::new(TrafficView {
             table,
-            returns,
+            reuse_model,
             links: self.by_key.clone(),
             keys: self.keys.clone(),
-            entries,
+            entry_count,
             ready,
         }));
     }
--- a/entry/src/explain/decision_ring.rs
+++ b/entry/src/explain/decision_ring.rs
@@ -10,15 +10,15 @@
 #[derive(Debug)]
 pub struct DecisionRing {
     records: Mutex<VecDeque<DecisionRecord>>,
-    room: usize,
+    capacity: usize,
 }
 
 impl DecisionRing {
     /// A ring for so many decisions.
-    pub fn new(room: usize) -> Self {
+    pub fn new(capacity: usize) -> Self {
         DecisionRing {
             records: Mutex::new(VecDeque::new()),
-            room,
+            capacity,
         }
     }
 
@@ -28,14 +28,14 @@
         record: DecisionRecord,
     ) {
         let mut records = self.lock();
-        if records.len() >= self.room {
+        if records.len() >= self.capacity {
             records.pop_front();
         }
         records.push_back(record);
     }
 
     /// Notes how the last try of a request ended.
-    pub fn ended(
+    pub fn record_outcome(
         &self,
         request_id: &str,
         outcome: &str,
--- a/entry/src/explain/log_line.rs
+++ b/entry/src/explain/log_line.rs
@@ -16,7 +16,7 @@
         };
         let mut rest = &text[start..];
         while let Some((name, tail)) = rest.trim_start().split_once('=') {
-            let (value, after) = take_value(tail);
+            let (value, after) = parse_value(tail);
             line.fields.push((name.to_string(), value));
             rest = after;
         }
@@ -43,32 +43,32 @@
     }
 
     /// The line without what every line has.
-    pub fn told(&self) -> String {
+    pub fn details(&self) -> String {
         let common = ["time", "level", "event", "request"];
-        let told = self
+        let details = self
             .fields
             .iter()
             .filter(|(name, _)| !common.contains(&name.as_str()));
-        let told: Vec<String> = told
+        let details: Vec<String> = details
             .map(|(name, value)| format!("{name}={value}"))
             .collect();
-        told.join(" ")
+        details.join(" ")
     }
 }
 
 /// A value, quoted or up to the next blank, and what follows.
-fn take_value(text: &str) -> (String, &str) {
+fn parse_value(text: &str) -> (String, &str) {
     let Some(quoted) = text.strip_prefix('"') else {
         let end = text.find(' ').unwrap_or(text.len());
         return (text[..end].to_string(), &text[end..]);
     };
     let mut value = String::new();
     let mut chars = quoted.char_indices();
-    while let Some((at, sign)) = chars.next() {
-        match sign {
-            '"' => return (value, &quoted[at + 1..]),
-            '\\' => value.extend(chars.next().map(|(_, sign)| sign)),
-            sign => value.push(sign),
+    while let Some((index, ch)) = chars.next() {
+        match ch {
+            '"' => return (value, &quoted[index + 1..]),
+            '\\' => value.extend(chars.next().map(|(_, ch)| ch)),
+            ch => value.push(ch),
         }
     }
     (value, "")
--- a/entry/src/explain/log_story.rs
+++ b/entry/src/explain/log_story.rs
@@ -8,13 +8,13 @@
 
 /// What the log lines of all processes say of one request.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct LogStory {
+pub struct RequestTrace {
     /// Lines with the id of the request, in the order of their times.
-    pub own: Vec<LogLine>,
+    pub request_lines: Vec<LogLine>,
     /// Lines about endpoints that it went to: what was believed of them changed.
-    pub around: Vec<LogLine>,
+    pub endpoint_lines: Vec<LogLine>,
     /// Lines that are none of ours.
-    pub broken: u64,
+    pub malformed_lines: u64,
 }
 
 /// Events about an endpoint that can explain what became of a request.
@@ -27,35 +27,39 @@
     "weights-seen",
 ];
 
-impl LogStory {
+impl RequestTrace {
     /// Gathers the story of a request.
     ///
     /// # Errors
     /// When the lines cannot be read.
-    pub fn gather(
+    pub fn read(
         lines: impl BufRead,
         request: &str,
     ) -> io::Result<Self> {
-        let mut story = LogStory::default();
-        let mut others = Vec::new();
+        let mut trace = RequestTrace::default();
+        let mut endpoint_lines = Vec::new();
         for line in lines.split(b'\n') {
             let line = line?;
             if line.trim_ascii().is_empty() {
                 continue;
             }
             match LogLine::parse(&String::from_utf8_lossy(&line)) {
-                None => story.broken += 1,
-                Some(line) if line.field("request") == Some(request) => story.own.push(line),
-                Some(line) if ENDPOINT_EVENTS.contains(&line.event()) => others.push(line),
+                None => trace.malformed_lines += 1,
+                Some(line) if line.field("request") == Some(request) => {
+                    trace.request_lines.push(line)
+                }
+                Some(line) if ENDPOINT_EVENTS.contains(&line.event()) => endpoint_lines.push(line),
                 Some(_) => {}
             }
         }
-        let tried = |line: &LogLine| line.field("endpoint").map(str::to_string);
-        let endpoints: BTreeSet<String> = story.own.iter().filter_map(tried).collect();
-        let is_near = |line: &LogLine| tried(line).is_some_and(|id| endpoints.contains(&id));
-        story.around = others.into_iter().filter(is_near).collect();
-        story.own.sort_by(|one, two| one.time().cmp(two.time()));
-        story.around.sort_by(|one, two| one.time().cmp(two.time()));
-        Ok(story)
+        let endpoint_id = |line: &LogLine| line.field("endpoint").map(str::to_string);
+        let endpoints: BTreeSet<String> =
+            trace.request_lines.iter().filter_map(endpoint_id).collect();
+        let is_relevant =
+            |line: &LogLine| endpoint_id(line).is_some_and(|id| endpoints.contains(&id));
+        trace.endpoint_lines = endpoint_lines.into_iter().filter(is_relevant).collect();
+        trace.request_lines.sort_by(|a, b| a.time().cmp(b.time()));
+        trace.endpoint_lines.sort_by(|a, b| a.time().cmp(b.time()));
+        Ok(trace)
     }
 }
--- a/entry/src/explain/part_reads.rs
+++ b/entry/src/explain/part_reads.rs
@@ -8,41 +8,41 @@
 };
 
 /// Time within which a part that is read again might have been kept, in seconds.
-const AGAIN_S: f64 = 20.0;
+const EXPECTED_CACHE_LIFETIME_S: f64 = 20.0;
 /// Time in which a prompt begins where its log lines do not say, in seconds.
-const USUAL_READ_S: f64 = 1.0;
+const DEFAULT_FIRST_TOKEN_S: f64 = 1.0;
 
 /// Why an engine read a shared part of a prompt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub enum ReadCause {
+pub enum PrefillCause {
     /// Nobody had read it for these weights.
     First,
     /// The same front had just sent another prompt with it, which had not begun.
-    AtOnceSameFront,
+    InProgressSameFront,
     /// Another front had.
-    AtOnceOtherFront,
+    InProgressOtherFront,
     /// It was read a while ago, and no engine or store offered it any more.
-    KeptNowhere,
+    NotCached,
     /// It was read longer ago than it can be expected to be kept.
-    LongAgo,
+    Expired,
 }
 
-impl ReadCause {
+impl PrefillCause {
     /// Words for operators.
-    pub fn words(self) -> &'static str {
+    pub fn as_str(self) -> &'static str {
         match self {
-            ReadCause::First => "first for these weights",
-            ReadCause::AtOnceSameFront => "being read already, asked for by the same front",
-            ReadCause::AtOnceOtherFront => "being read already, asked for by another front",
-            ReadCause::KeptNowhere => "read within 20 s before, offered by nobody",
-            ReadCause::LongAgo => "read longer ago",
+            PrefillCause::First => "first for these weights",
+            PrefillCause::InProgressSameFront => "being read already, asked for by the same front",
+            PrefillCause::InProgressOtherFront => "being read already, asked for by another front",
+            PrefillCause::NotCached => "read within 20 s before, offered by nobody",
+            PrefillCause::Expired => "read longer ago",
         }
     }
 }
 
 /// How often parts were read for one cause, and how much.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
-pub struct ReadSum {
+pub struct PrefillTotals {
     /// Parts.
     pub parts: u64,
     /// Tokens; those of one prompt are shared out evenly to the parts it reads.
@@ -51,31 +51,31 @@
 
 /// Why shared parts were read, from the log lines of all fronts.
 #[derive(Debug, Clone, Default, PartialEq)]
-pub struct PartReads {
+pub struct PrefillSummary {
     /// Sums by cause.
-    pub by_cause: BTreeMap<ReadCause, ReadSum>,
+    pub by_cause: BTreeMap<PrefillCause, PrefillTotals>,
     /// Lines that are none of ours.
-    pub broken: u64,
+    pub malformed_lines: u64,
 }
 
 /// A part under one version of the weights.
-type PartName = (String, String);
+type PartKey = (String, String);
 
 /// A read of a part that was asked for.
 #[derive(Debug, Clone)]
-struct PartRead {
-    at: f64,
-    began_at: f64,
+struct PartPrefill {
+    sent_at: f64,
+    first_token_at: f64,
     front: String,
 }
 
-impl PartReads {
+impl PrefillSummary {
     /// Adds up the reads that the lines tell of.
     ///
     /// # Errors
     /// When the lines cannot be read.
-    pub fn gather(lines: impl BufRead) -> io::Result<Self> {
-        let mut reads = PartReads::default();
+    pub fn read(lines: impl BufRead) -> io::Result<Self> {
+        let mut summary = PrefillSummary::default();
         let mut sends = Vec::new();
         let mut first_ms = HashMap::new();
         for line in lines.split(b'\n') {
@@ -84,62 +84,68 @@
                 continue;
             }
             match LogLine::parse(&String::from_utf8_lossy(&line)) {
-                None => reads.broken += 1,
-                Some(line) if line.event() == "end" => note_begin(&mut first_ms, &line),
+                None => summary.malformed_lines += 1,
+                Some(line) if line.event() == "end" => record_first_token(&mut first_ms, &line),
                 Some(line) if line.field("outcome") == Some("sent") => sends.push(line),
                 Some(_) => {}
             }
         }
-        sends.sort_by(|one, two| one.time().cmp(two.time()));
-        let mut known: HashMap<PartName, PartRead> = HashMap::new();
+        sends.sort_by(|a, b| a.time().cmp(b.time()));
+        let mut known: HashMap<PartKey, PartPrefill> = HashMap::new();
         for send in &sends {
-            reads.add_send(send, &first_ms, &mut known);
+            summary.add_send(send, &first_ms, &mut known);
         }
-        Ok(reads)
+        Ok(summary)
     }
 
     fn add_send(
         &mut self,
         send: &LogLine,
         first_ms: &HashMap<String, f64>,
-        known: &mut HashMap<PartName, PartRead>,
+        known: &mut HashMap<PartKey, PartPrefill>,
     ) {
-        let parts = read_parts(send);
-        let Some(at) = seconds(send.time()).filter(|_| !parts.is_empty()) else {
+        let parts = prefilled_parts(send);
+        let Some(sent_at) = parse_seconds(send.time()).filter(|_| !parts.is_empty()) else {
             return;
         };
-        let tokens = number(send, "shared_unread").unwrap_or(0.0) / parts.len() as f64;
+        let tokens = parse_number(send, "shared_unread").unwrap_or(0.0) / parts.len() as f64;
         let request = send.field("request").unwrap_or_default();
-        let took_s = first_ms
+        let first_token_s = first_ms
             .get(request)
-            .map_or(USUAL_READ_S, |ms| ms / 1_000.0);
+            .map_or(DEFAULT_FIRST_TOKEN_S, |ms| ms / 1_000.0);
         for part in parts {
-            let read = PartRead {
-                at,
-                began_at: at + took_s,
+            let prefill = PartPrefill {
+                sent_at,
+                first_token_at: sent_at + first_token_s,
                 front: front_name(send),
             };
-            let cause = cause_of(&read, known.get(&part));
-            let sum = self.by_cause.entry(cause).or_default();
-            sum.parts += 1;
-            sum.tokens += tokens;
-            known.insert(part, read);
+            let cause = prefill_cause(&prefill, known.get(&part));
+            let totals = self.by_cause.entry(cause).or_default();
+            totals.parts += 1;
+            totals.tokens += tokens;
+            known.insert(part, prefill);
         }
     }
 }
 
-fn cause_of(
-    read: &PartRead,
-    before: Option<&PartRead>,
-) -> ReadCause {
-    match before {
-        None => ReadCause::First,
-        Some(before) if before.began_at > read.at && before.front == read.front => {
-            ReadCause::AtOnceSameFront
+fn prefill_cause(
+    prefill: &PartPrefill,
+    previous: Option<&PartPrefill>,
+) -> PrefillCause {
+    match previous {
+        None => PrefillCause::First,
+        Some(previous)
+            if previous.first_token_at > prefill.sent_at && previous.front == prefill.front =>
+        {
+            PrefillCause::InProgressSameFront
         }
-        Some(before) if before.began_at > read.at => ReadCause::AtOnceOtherFront,
-        Some(before) if read.at - before.at < AGAIN_S => ReadCause::KeptNowhere,
-        Some(_) => ReadCause::LongAgo,
+        Some(previous) if previous.first_token_at > prefill.sent_at => {
+            PrefillCause::InProgressOtherFront
+        }
+        Some(previous) if prefill.sent_at - previous.sent_at < EXPECTED_CACHE_LIFETIME_S => {
+            PrefillCause::NotCached
+        }
+        Some(_) => PrefillCause::Expired,
     }
 }
 
@@ -150,32 +156,33 @@
 }
 
 /// The parts that the line says are read, with the weights.
-fn read_parts(send: &LogLine) -> Vec<PartName> {
+fn prefilled_parts(send: &LogLine) -> Vec<PartKey> {
     let weights = send.field("weights").unwrap_or_default();
     let parts = send.field("parts").unwrap_or_default().split(',');
-    let read = parts.filter_map(|part| part.strip_suffix(":r"));
-    read.map(|part| (part.to_string(), weights.to_string()))
+    let prefilled = parts.filter_map(|part| part.strip_suffix(":r"));
+    prefilled
+        .map(|part| (part.to_string(), weights.to_string()))
         .collect()
 }
 
-fn note_begin(
+fn record_first_token(
     first_ms: &mut HashMap<String, f64>,
     end: &LogLine,
 ) {
-    let begun = number(end, "first_ms").filter(|ms| *ms >= 0.0);
-    if let (Some(request), Some(ms)) = (end.field("request"), begun) {
+    let first_token_ms = parse_number(end, "first_ms").filter(|ms| *ms >= 0.0);
+    if let (Some(request), Some(ms)) = (end.field("request"), first_token_ms) {
         first_ms.insert(request.to_string(), ms);
     }
 }
 
-fn number(
+fn parse_number(
     line: &LogLine,
     name: &str,
 ) -> Option<f64> {
     line.field(name)?.parse().ok()
 }
 
-fn seconds(time: &str) -> Option<f64> {
-    let stamp: Timestamp = time.parse().ok()?;
-    Some(stamp.as_millisecond() as f64 / 1_000.0)
+fn parse_seconds(time: &str) -> Option<f64> {
+    let timestamp: Timestamp = time.parse().ok()?;
+    Some(timestamp.as_millisecond() as f64 / 1_000.0)
 }
--- a/entry/src/filter/answer.rs
+++ b/entry/src/filter/answer.rs
@@ -44,7 +44,7 @@
                 dispatch
                     .app
                     .ring
-                    .ended(&dispatch.work.request.id, "answered");
+                    .record_outcome(&dispatch.work.request.id, "answered");
                 return Ok(ready(status, headers, Body::new_static(bytes)));
             }
             Collected::Long(bytes) => {
--- a/entry/src/filter/answer_body.rs
+++ b/entry/src/filter/answer_body.rs
@@ -216,7 +216,7 @@
             dispatch
                 .app
                 .ring
-                .ended(&dispatch.work.request.id, "answered");
+                .record_outcome(&dispatch.work.request.id, "answered");
             dispatch.app.metrics.count("request.answered", 1);
         }
     }
@@ -254,7 +254,7 @@
             self.first = false;
             return;
         }
-        splitter.drop_partial();
+        splitter.discard_partial();
         self.received = 0;
         dispatch.app.metrics.count("request.resumed", 1);
         self.state = BodyState::Resuming(Box::pin(async move {
--- a/entry/src/filter/dispatch.rs
+++ b/entry/src/filter/dispatch.rs
@@ -106,7 +106,7 @@
                 self.tried.push(endpoint);
                 self.app
                     .ring
-                    .ended(&self.work.request.id, kind.response().code);
+                    .record_outcome(&self.work.request.id, kind.response().code);
                 self.may_have_run |= kind.run_state() == RunState::Unknown;
                 Err(TryFailure::Sent(kind))
             }
@@ -155,7 +155,7 @@
         self.may_have_run = true;
         self.app
             .ring
-            .ended(&self.work.request.id, kind.response().code);
+            .record_outcome(&self.work.request.id, kind.response().code);
     }
 
     fn refusal(
--- a/entry/src/filter/keep_plan.rs
+++ b/entry/src/filter/keep_plan.rs
@@ -146,8 +146,10 @@
         .unwrap_or_default();
     let bytes = u64::from(tokens) * question.token_bytes;
     RetentionCase {
-        reuse_probability: view.returns.reuse_probability(question.label, Micros::ZERO),
-        expected_gap: view.returns.median_gap(question.label, Micros::ZERO),
+        reuse_probability: view
+            .reuse_model
+            .reuse_probability(question.label, Micros::ZERO),
+        expected_gap: view.reuse_model.median_gap(question.label, Micros::ZERO),
         tokens,
         token_bytes: question.token_bytes,
         token_cost: token_cost(&load),
--- a/entry/src/filter/request_chain.rs
+++ b/entry/src/filter/request_chain.rs
@@ -29,7 +29,7 @@
         }
         Err(refusal) => {
             app.metrics.count("request.refused", 1);
-            app.ring.ended(&id, refusal.kind.response().code);
+            app.ring.record_outcome(&id, refusal.kind.response().code);
             log::info!(
                 event = "refused",
                 request = id.as_str(),
@@ -110,7 +110,7 @@
     let intent = intent.map(|key| intent_key(&work.organisation, key));
     let request_id = work.request.id.clone();
     if let Some(key) = &intent {
-        let begun = app.once.begin(key, &request_id).await;
+        let begun = app.idempotency.begin(key, &request_id).await;
         begun.map_err(|kind| Refusal::new(kind, "the idempotency key"))?;
     }
     let mut dispatch = Dispatch::new(app.clone(), work);
@@ -122,7 +122,7 @@
     if let (Some(key), Err(refusal)) = (&intent, &ended) {
         if refusal.run_state() == RunState::NotRun {
             // If this fails the key stays used, which is on the safe side.
-            let _ = app.once.release(key, &request_id).await;
+            let _ = app.idempotency.release(key, &request_id).await;
         }
     }
     ended
--- a/entry/src/filter/route.rs
+++ b/entry/src/filter/route.rs
@@ -144,7 +144,8 @@
         // Processes that count from the same number must not choose alike.
         seed: work.request.number.wrapping_add(app.clock.incarnation()),
     };
-    view.table.choose(&request, |endpoint| view.sent(endpoint))
+    view.table
+        .choose(&request, |endpoint| view.in_flight(endpoint))
 }
 
 fn weights(
--- a/entry/src/filter/send.rs
+++ b/entry/src/filter/send.rs
@@ -46,7 +46,7 @@
         link: Arc<EndpointLink>,
         tokens: u32,
     ) -> Self {
-        link.began(tokens);
+        link.record_sent(tokens);
         TryTracker {
             control: app.control.clone(),
             link,
@@ -69,7 +69,7 @@
     /// The endpoint has computed the prompt.
     pub fn first_token(&mut self) {
         if !std::mem::replace(&mut self.computed, true) {
-            self.link.computed(self.tokens);
+            self.link.record_prefilled(self.tokens);
         }
     }
 
@@ -101,7 +101,7 @@
         self.control.tell(EntryEvent::PulseReceived {
             endpoint_id: self.link.endpoint_id.clone(),
             pulse,
-            own: self.link.sent(),
+            own: self.link.in_flight(),
         });
     }
 }
@@ -109,7 +109,7 @@
 impl Drop for TryTracker {
     fn drop(&mut self) {
         self.first_token();
-        self.link.ended();
+        self.link.record_ended();
     }
 }
 
--- a/entry/src/openai/error_body.rs
+++ b/entry/src/openai/error_body.rs
@@ -20,13 +20,13 @@
         kind: ErrorKind,
         detail: &str,
     ) -> Self {
-        let row = kind.response();
+        let response = kind.response();
         ErrorBody {
             error: ErrorObject {
-                message: format!("{detail}; {}", row.remedy),
-                r#type: row.error_type,
+                message: format!("{detail}; {}", response.remedy),
+                r#type: response.error_type,
                 param: None,
-                code: row.code,
+                code: response.code,
             },
         }
     }
--- a/entry/src/openai/model_list.rs
+++ b/entry/src/openai/model_list.rs
@@ -4,11 +4,11 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct ModelList {
     object: &'static str,
-    data: Vec<ModelRow>,
+    data: Vec<ModelObject>,
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
-struct ModelRow {
+struct ModelObject {
     id: String,
     object: &'static str,
     created: u64,
@@ -17,8 +17,8 @@
 
 impl ModelList {
     /// The models of a configuration.
-    pub fn of(config: &FleetConfig) -> Self {
-        let data = config.models.keys().map(|name| ModelRow {
+    pub fn from_config(config: &FleetConfig) -> Self {
+        let data = config.models.keys().map(|name| ModelObject {
             id: name.clone(),
             object: "model",
             created: 0,
--- a/entry/src/openai/prompt_request.rs
+++ b/entry/src/openai/prompt_request.rs
@@ -25,7 +25,7 @@
 pub enum PromptError {
     /// It is not JSON of that shape.
     #[error("the body cannot be read: {reason}")]
-    Shape {
+    Malformed {
         /// What the decoder found.
         reason: String,
     },
@@ -98,7 +98,7 @@
     }
 
     fn parse_chat(body: &[u8]) -> Result<Self, PromptError> {
-        let chat: ChatBody = serde_json::from_slice(body).map_err(shape_error)?;
+        let chat: ChatBody = serde_json::from_slice(body).map_err(malformed)?;
         let mut text = Vec::with_capacity(body.len());
         for message in &chat.messages {
             text.extend_from_slice(message.role.as_bytes());
@@ -121,7 +121,7 @@
     }
 
     fn parse_completion(body: &[u8]) -> Result<Self, PromptError> {
-        let completion: CompletionBody = serde_json::from_slice(body).map_err(shape_error)?;
+        let completion: CompletionBody = serde_json::from_slice(body).map_err(malformed)?;
         let text = match completion.prompt {
             CompletionPrompt::One(text) => text.into_bytes(),
             CompletionPrompt::Many(texts) => texts.concat().into_bytes(),
@@ -137,8 +137,8 @@
     }
 }
 
-fn shape_error(error: serde_json::Error) -> PromptError {
-    PromptError::Shape {
+fn malformed(error: serde_json::Error) -> PromptError {
+    PromptError::Malformed {
         reason: error.to_string(),
     }
 }
--- a/entry/src/openai/sse_splitter.rs
+++ b/entry/src/openai/sse_splitter.rs
@@ -15,33 +15,33 @@
 const DATA_FIELD: &[u8] = b"data:";
 const DONE_EVENT: &[u8] = b"data: [DONE]";
 /// Longest event that is held back, in bytes.
-const EVENT_LIMIT: usize = 1024 * 1024;
+const MAX_EVENT_BYTES: usize = 1024 * 1024;
 
 /// An event that does not end.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct EndlessEvent;
+pub struct EventTooLong;
 
 impl SseSplitter {
     /// Takes the next bytes; gives all that forms whole events.
     ///
     /// # Errors
-    /// [`EndlessEvent`] when one event is longer than anything reasonable.
+    /// [`EventTooLong`] when one event is longer than anything reasonable.
     pub fn feed(
         &mut self,
         bytes: &[u8],
-    ) -> Result<Vec<u8>, EndlessEvent> {
+    ) -> Result<Vec<u8>, EventTooLong> {
         self.partial.extend_from_slice(bytes);
         let Some(end) = last_event_end(&self.partial) else {
-            return if self.partial.len() > EVENT_LIMIT {
-                Err(EndlessEvent)
+            return if self.partial.len() > MAX_EVENT_BYTES {
+                Err(EventTooLong)
             } else {
                 Ok(Vec::new())
             };
         };
         let rest = self.partial.split_off(end);
-        let whole = std::mem::replace(&mut self.partial, rest);
-        self.note_events(&whole);
-        Ok(whole)
+        let events = std::mem::replace(&mut self.partial, rest);
+        self.scan_events(&events);
+        Ok(events)
     }
 
     /// Number of the last whole event, if events are numbered.
@@ -60,15 +60,15 @@
     }
 
     /// Forgets the part of an event that came before the stream broke.
-    pub fn drop_partial(&mut self) {
+    pub fn discard_partial(&mut self) {
         self.partial.clear();
     }
 
-    fn note_events(
+    fn scan_events(
         &mut self,
-        whole: &[u8],
+        events: &[u8],
     ) {
-        for line in whole.split(|b| *b == b'\n') {
+        for line in events.split(|b| *b == b'\n') {
             if let Some(number) = line.strip_prefix(ID_FIELD) {
                 let number = std::str::from_utf8(number)
                     .ok()
--- a/entry/src/operators/operator_server.rs
+++ b/entry/src/operators/operator_server.rs
@@ -1,7 +1,7 @@
 use {
     super::StatusReport,
     crate::{
-        callers::json,
+        callers::json_response,
         control::{PEER_CONFIG_PATH, SINCE_QUERY},
         explain::DecisionRecord,
         traffic::EntryApp,
@@ -25,7 +25,7 @@
 /// Path prefix for the drain of an endpoint.
 pub const DRAIN_PREFIX: &str = "/operator/drain/";
 /// Mark of a question that a peer has passed on; it goes no further.
-const PASSED_QUERY: &str = "passed=1";
+const FORWARDED_QUERY: &str = "passed=1";
 /// Time limit of asking a peer.
 const PEER_TIMEOUT: Duration = Duration::from_secs(2);
 
@@ -68,8 +68,8 @@
     }
     let path = conn.path().to_string();
     if path == STATUS_PATH {
-        return match StatusReport::gather(&app).await {
-            Some(report) => json(conn, &report),
+        return match StatusReport::collect(&app).await {
+            Some(report) => json_response(conn, &report),
             None => conn.with_status(Status::ServiceUnavailable).halt(),
         };
     }
@@ -80,35 +80,35 @@
             .and_then(|t| t.parse().ok());
         let since = since.unwrap_or(0);
         return match app.control.query(move |core, _| core.for_peer(since)).await {
-            Some(config) => json(conn, &config),
+            Some(config) => json_response(conn, &config),
             None => conn.with_status(Status::ServiceUnavailable).halt(),
         };
     }
     if let Some(request_id) = path.strip_prefix(EXPLAIN_PREFIX) {
-        return explain(&app, conn, request_id).await;
+        return explain_request(&app, conn, request_id).await;
     }
     if let Some(key) = path.strip_prefix(PIECE_PREFIX) {
         return explain_piece(&app, conn, key);
     }
     if let Some(endpoint) = path.strip_prefix(DRAIN_PREFIX) {
-        return drain(&app, conn, endpoint).await;
+        return drain_report(&app, conn, endpoint).await;
     }
     conn.with_status(Status::NotFound).halt()
 }
 
-async fn drain(
+async fn drain_report(
     app: &EntryApp,
     conn: Conn,
     endpoint: &str,
 ) -> Conn {
     let id = endpoint.to_string();
-    let asked = id.clone();
+    let endpoint_id = id.clone();
     let state = app
         .control
-        .query(move |core, now| core.drain_state(&asked, now))
+        .query(move |core, now| core.drain_state(&endpoint_id, now))
         .await;
     match state {
-        Some(state) => json(
+        Some(state) => json_response(
             conn,
             &DrainReport {
                 endpoint: id,
@@ -119,18 +119,18 @@
     }
 }
 
-/// The id of a request names the process that decided; that one is asked.
-async fn explain(
+/// The id of a request names the process that decided; that one is endpoint_id.
+async fn explain_request(
     app: &EntryApp,
     conn: Conn,
     request_id: &str,
 ) -> Conn {
     let own = app.ring.find(request_id);
     if !own.is_empty() {
-        return json(conn, &own);
+        return json_response(conn, &own);
     }
     let box_id = request_id.split('.').next().unwrap_or_default().to_string();
-    if box_id == app.settings.box_id || conn.querystring() == PASSED_QUERY {
+    if box_id == app.settings.box_id || conn.querystring() == FORWARDED_QUERY {
         return conn.with_status(Status::NotFound).halt();
     }
     let peer = app.control.query(move |core, _| {
@@ -142,17 +142,17 @@
     let Some(Some(peer)) = peer.await else {
         return conn.with_status(Status::NotFound).halt();
     };
-    match ask_peer(peer, request_id).await {
-        Some(records) => json(conn, &records),
+    match fetch_from_peer(peer, request_id).await {
+        Some(records) => json_response(conn, &records),
         None => conn.with_status(Status::NotFound).halt(),
     }
 }
 
-async fn ask_peer(
+async fn fetch_from_peer(
     peer: SocketAddr,
     request_id: &str,
 ) -> Option<Vec<DecisionRecord>> {
-    let path = format!("{EXPLAIN_PREFIX}{request_id}?{PASSED_QUERY}");
+    let path = format!("{EXPLAIN_PREFIX}{request_id}?{FORWARDED_QUERY}");
     HttpCaller::new(peer, PEER_TIMEOUT)
         .get_json(&path)
         .await
@@ -195,5 +195,5 @@
             }
         }
     }
-    json(conn, &PieceReport { key, holders })
+    json_response(conn, &PieceReport { key, holders })
 }
--- a/entry/src/operators/status_report.rs
+++ b/entry/src/operators/status_report.rs
@@ -73,7 +73,7 @@
 
 /// The part of a report that only the control thread knows.
 #[derive(Debug)]
-pub struct ControlPart {
+pub struct ControlStatus {
     revision: u64,
     endpoints: Vec<EndpointRow>,
     peers: Vec<PeerRow>,
@@ -82,9 +82,9 @@
     shards: Vec<String>,
 }
 
-impl ControlPart {
+impl ControlStatus {
     /// Reads the control state.
-    pub fn of(
+    pub fn read(
         core: &EntryCore,
         now: Micros,
     ) -> Self {
@@ -93,7 +93,7 @@
             revision: peer.beacon.revision,
             running: peer.beacon.running,
         });
-        ControlPart {
+        ControlStatus {
             revision: core.config().revision,
             endpoints: endpoint_rows(core, now),
             peers: peers.collect(),
@@ -136,25 +136,25 @@
 
 impl StatusReport {
     /// Gathers a report; none when the control thread is gone.
-    pub async fn gather(app: &EntryApp) -> Option<Self> {
-        let part = app
+    pub async fn collect(app: &EntryApp) -> Option<Self> {
+        let control = app
             .control
-            .query(|core, now| ControlPart::of(core, now))
+            .query(|core, now| ControlStatus::read(core, now))
             .await?;
         let view = app.view.load();
         let counts = app.metrics.counts();
         Some(StatusReport {
             box_id: app.settings.box_id.clone(),
-            revision: part.revision,
+            revision: control.revision,
             ready: app.is_ready(),
             up_seconds: app.clock.now().as_secs_f64(),
             running: app.limits().running(),
-            endpoints: part.endpoints,
-            peers: part.peers,
+            endpoints: control.endpoints,
+            peers: control.peers,
             stores: view.table.stores.values().map(|s| s.id.clone()).collect(),
-            pieces: part.pieces,
-            prompts: part.prompts,
-            shards: part.shards,
+            pieces: control.pieces,
+            prompts: control.prompts,
+            shards: control.shards,
             counts: counts
                 .into_iter()
                 .map(|(name, n)| (name.to_string(), n))
--- a/entry/src/traffic/endpoint_link.rs
+++ b/entry/src/traffic/endpoint_link.rs
@@ -52,7 +52,7 @@
     }
 
     /// What is under way.
-    pub fn sent(&self) -> InFlightLoad {
+    pub fn in_flight(&self) -> InFlightLoad {
         InFlightLoad {
             tokens: self.tokens.load(Ordering::Relaxed),
             running: self.running.load(Ordering::Relaxed),
@@ -60,7 +60,7 @@
     }
 
     /// Notes a request that is handed over.
-    pub fn began(
+    pub fn record_sent(
         &self,
         tokens: u32,
     ) {
@@ -69,7 +69,7 @@
     }
 
     /// Notes that the prompt of a request is computed, or never will be.
-    pub fn computed(
+    pub fn record_prefilled(
         &self,
         tokens: u32,
     ) {
@@ -77,7 +77,7 @@
     }
 
     /// Notes that a request is over.
-    pub fn ended(&self) {
+    pub fn record_ended(&self) {
         self.running.fetch_sub(1, Ordering::Relaxed);
     }
 }
--- a/entry/src/traffic/entry_app.rs
+++ b/entry/src/traffic/entry_app.rs
@@ -24,7 +24,7 @@
     /// Recent decisions.
     pub ring: Arc<DecisionRing>,
     /// Requests that may run at most once.
-    pub once: OnceGate,
+    pub idempotency: OnceGate,
     /// Metrics.
     pub metrics: Arc<MetricSet>,
     /// Set at a planned stop.
@@ -41,7 +41,7 @@
         clock: ProcessClock,
         view: Arc<ArcSwap<TrafficView>>,
         control: ControlHandle,
-        once: OnceGate,
+        idempotency: OnceGate,
         metrics: Arc<MetricSet>,
     ) -> Self {
         EntryApp {
@@ -51,7 +51,7 @@
             clock,
             view,
             control,
-            once,
+            idempotency,
             metrics,
             stopping: AtomicBool::new(false),
             budget: Mutex::new(RetryBudget::default()),
--- a/entry/src/traffic/key_index.rs
+++ b/entry/src/traffic/key_index.rs
@@ -4,7 +4,7 @@
 const BUCKET_BYTES: usize = 4;
 
 #[derive(Debug)]
-struct KeyRow {
+struct KeyEntry {
     hash: [u8; 32],
     organisation: String,
 }
@@ -15,7 +15,7 @@
 /// within a bucket whole hashes are compared in constant time.
 #[derive(Debug, Default)]
 pub struct KeyIndex {
-    buckets: HashMap<[u8; BUCKET_BYTES], Vec<KeyRow>>,
+    buckets: HashMap<[u8; BUCKET_BYTES], Vec<KeyEntry>>,
 }
 
 impl KeyIndex {
@@ -42,11 +42,11 @@
         hash: [u8; 32],
         organisation: &str,
     ) {
-        let row = KeyRow {
+        let entry = KeyEntry {
             hash,
             organisation: organisation.to_string(),
         };
-        self.buckets.entry(bucket(&hash)).or_default().push(row);
+        self.buckets.entry(bucket(&hash)).or_default().push(entry);
     }
 
     /// The organisation that a key belongs to.
@@ -55,11 +55,11 @@
         key: &str,
     ) -> Option<&str> {
         let hash = blake3::hash(key.as_bytes());
-        let rows = self.buckets.get(&bucket(hash.as_bytes()))?;
+        let bucket_entries = self.buckets.get(&bucket(hash.as_bytes()))?;
         let mut found = None;
-        for row in rows {
-            if bool::from(row.hash.ct_eq(hash.as_bytes())) {
-                found = Some(row.organisation.as_str());
+        for entry in bucket_entries {
+            if bool::from(entry.hash.ct_eq(hash.as_bytes())) {
+                found = Some(entry.organisation.as_str());
             }
         }
         found
--- a/entry/tests/command_line.rs
+++ b/entry/tests/command_line.rs
@@ -77,7 +77,7 @@
     }
 }
 
-const LINES: &str = "\
+const LOG_LINES: &str = "\
 edge-1 time=2026-02-26T06:46:13.100Z level=INFO event=try request=r1 endpoint=e1 outcome=sent cause=\"\" send=1
 edge-1 time=2026-02-26T06:46:13.000Z level=INFO event=try request=r0 endpoint=e2 outcome=sent cause=\"\" send=1
 nonsense
@@ -88,7 +88,7 @@
 #[test]
 fn story_from_logs() {
     let file = std::env::temp_dir().join(format!("pitchhitch-log-{}.txt", std::process::id()));
-    std::fs::write(&file, LINES).expect("file");
+    std::fs::write(&file, LOG_LINES).expect("file");
     let path = file.to_str().expect("path");
     let output = run(&["explain", "--log", path, "r1"]);
     let unknown = run(&["explain", "--log", path, "r9"]);
--- a/entry/tests/part_reads.rs
+++ b/entry/tests/part_reads.rs
@@ -1,7 +1,7 @@
 //! Why shared parts of prompts were read, from the lines of all fronts.
 
 use {
-    pitchhitch_entry::explain::{PartReads, ReadCause, ReadSum},
+    pitchhitch_entry::explain::{PrefillCause, PrefillSummary, PrefillTotals},
     std::process::Command,
 };
 
@@ -48,17 +48,17 @@
 
 #[test]
 fn causes_told_apart() {
-    let reads = PartReads::gather(log().as_bytes()).expect("lines");
+    let reads = PrefillSummary::read(log().as_bytes()).expect("lines");
     let expected = [
-        (ReadCause::First, 3, 2_000.0),
-        (ReadCause::AtOnceSameFront, 1, 1_000.0),
-        (ReadCause::AtOnceOtherFront, 1, 1_000.0),
-        (ReadCause::KeptNowhere, 1, 1_000.0),
-        (ReadCause::LongAgo, 1, 1_000.0),
+        (PrefillCause::First, 3, 2_000.0),
+        (PrefillCause::InProgressSameFront, 1, 1_000.0),
+        (PrefillCause::InProgressOtherFront, 1, 1_000.0),
+        (PrefillCause::NotCached, 1, 1_000.0),
+        (PrefillCause::Expired, 1, 1_000.0),
     ];
-    let expected = expected.map(|(cause, parts, tokens)| (cause, ReadSum { parts, tokens }));
+    let expected = expected.map(|(cause, parts, tokens)| (cause, PrefillTotals { parts, tokens }));
     assert_eq!(reads.by_cause, expected.into_iter().collect());
-    assert_eq!(reads.broken, 1);
+    assert_eq!(reads.malformed_lines, 1);
 }
 
 /// Lines of many fronts come in any order.
@@ -66,10 +66,10 @@
 fn order_does_not_matter() {
     let mut lines: Vec<String> = log().lines().map(|line| format!("{line}\n")).collect();
     lines.reverse();
-    let reversed = PartReads::gather(lines.concat().as_bytes()).expect("lines");
+    let reversed = PrefillSummary::read(lines.concat().as_bytes()).expect("lines");
     assert_eq!(
         reversed,
-        PartReads::gather(log().as_bytes()).expect("lines")
+        PrefillSummary::read(log().as_bytes()).expect("lines")
     );
 }
 
