--- a/entry/src/filter/dispatch.rs
+++ b/entry/src/filter/dispatch.rs
@@ -107,7 +107,7 @@
                 self.tried.push(endpoint);
                 self.app
                     .ring
-                    .ended(&self.parsed.request.id, kind.response().code);
+                    .record_outcome(&self.parsed.request.id, kind.response().code);
                 self.may_have_run |= kind.run_state() == RunState::Unknown;
                 Err(AttemptError::Sending(kind))
             }
@@ -157,7 +157,7 @@
         self.may_have_run = true;
         self.app
             .ring
-            .ended(&self.parsed.request.id, kind.response().code);
+            .record_outcome(&self.parsed.request.id, kind.response().code);
     }
 
     fn refusal(
--- a/entry/src/filter/response.rs
+++ b/entry/src/filter/response.rs
@@ -49,7 +49,7 @@
                 dispatch
                     .app
                     .ring
-                    .ended(&dispatch.parsed.request.id, "answered");
+                    .record_outcome(&dispatch.parsed.request.id, "answered");
                 return Ok(ready_response(status, headers, Body::new_static(bytes)));
             }
             CollectedBody::TooLong(bytes) => {
--- a/entry/src/filter/response_body.rs
+++ b/entry/src/filter/response_body.rs
@@ -221,7 +221,7 @@
             dispatch
                 .app
                 .ring
-                .ended(&dispatch.parsed.request.id, "answered");
+                .record_outcome(&dispatch.parsed.request.id, "answered");
             dispatch.app.metrics.count("request.answered", 1);
         }
     }
@@ -259,7 +259,7 @@
             self.awaits_first_event = false;
             return;
         }
-        splitter.drop_partial();
+        splitter.discard_partial();
         self.received_bytes = 0;
         dispatch.app.metrics.count("request.resumed", 1);
         self.state = BodyState::Resuming(Box::pin(async move {
--- a/entry/src/filter/send.rs
+++ b/entry/src/filter/send.rs
@@ -46,7 +46,7 @@
         link: Arc<EndpointLink>,
         tokens: u32,
     ) -> Self {
-        link.began(tokens);
+        link.record_sent(tokens);
         AttemptTracker {
             control: app.control.clone(),
             link,
@@ -70,7 +70,7 @@
     /// Records that the endpoint has finished prefill; only the first call has an effect.
     pub fn record_first_token(&mut self) {
         if !std::mem::replace(&mut self.is_prefilled, true) {
-            self.link.computed(self.tokens);
+            self.link.record_prefilled(self.tokens);
         }
     }
 
@@ -102,7 +102,7 @@
         self.control.send_event(EntryEvent::PulseReceived {
             endpoint_id: self.link.endpoint_id.clone(),
             pulse,
-            own: self.link.sent(),
+            own: self.link.in_flight(),
         });
     }
 }
@@ -110,7 +110,7 @@
 impl Drop for AttemptTracker {
     fn drop(&mut self) {
         self.record_first_token();
-        self.link.ended();
+        self.link.record_ended();
     }
 }
 
--- a/entry/src/traffic/entry_app.rs
+++ b/entry/src/traffic/entry_app.rs
@@ -27,7 +27,7 @@
     /// Recent decisions.
     pub ring: Arc<DecisionRing>,
     /// Requests that may run at most once.
-    pub once: IdempotencyGuard,
+    pub idempotency: IdempotencyGuard,
     /// Metrics.
     pub metrics: Arc<MetricSet>,
     /// Set at a planned stop.
@@ -44,7 +44,7 @@
         clock: ProcessClock,
         view: Arc<ArcSwap<TrafficView>>,
         control: ControlHandle,
-        once: IdempotencyGuard,
+        idempotency: IdempotencyGuard,
         metrics: Arc<MetricSet>,
     ) -> Self {
         EntryApp {
@@ -54,7 +54,7 @@
             clock,
             view,
             control,
-            once,
+            idempotency,
             metrics,
             stopping: AtomicBool::new(false),
             budget: Mutex::new(RetryBudget::default()),
