--- a/entry/src/explain/mod.rs
+++ b/entry/src/explain/mod.rs
@@ -3,7 +3,7 @@
 mod decision_record;
 mod decision_ring;
 mod log_line;
-mod log_story;
-mod part_reads;
+mod prefill_summary;
+mod request_trace;
 
-pub use {decision_record::*, decision_ring::*, log_line::*, log_story::*, part_reads::*};
+pub use {decision_record::*, decision_ring::*, log_line::*, prefill_summary::*, request_trace::*};
