--- a/entry/src/callers/caller_server.rs
+++ b/entry/src/callers/caller_server.rs
@@ -9,10 +9,10 @@
     trillium::{Conn, Method, Status},
 };
 
-/// Path under which callers look up a decision about their own request.
+/// Path prefix under which callers look up the routing decisions about their own requests.
 const REQUESTS_PREFIX: &str = "/pitchhitch/requests/";
 
-/// Serves one request of a caller.
+/// Handles one HTTP request from a caller.
 pub async fn serve_caller(
     app: Arc<EntryApp>,
     conn: Conn,
@@ -43,8 +43,8 @@
     json_response(conn, &list)
 }
 
-/// Tells a caller about its own request; that of another organisation does not
-/// exist for it.
+/// Responds with the routing decisions about a request of the caller's organisation; a request of
+/// another organisation is reported as unknown.
 fn explain_own_request(
     app: &EntryApp,
     conn: Conn,
@@ -65,7 +65,7 @@
     json_response(conn, &records)
 }
 
-/// Answers with a value as JSON.
+/// Responds with a value as JSON, or with status 500 if it cannot be serialised.
 pub fn json_response(
     mut conn: Conn,
     value: &impl serde::Serialize,
--- a/entry/src/callers/mod.rs
+++ b/entry/src/callers/mod.rs
@@ -1,4 +1,4 @@
-//! The callers' side over HTTP.
+//! The HTTP server for callers.
 
 mod caller_server;
 
--- a/entry/src/cli/cli_error.rs
+++ b/entry/src/cli/cli_error.rs
@@ -1,26 +1,27 @@
 use std::{fmt, process::ExitCode};
 
-/// How a command failed; each has its exit code.
+/// Why a command failed; each variant has its own exit code.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum CliError {
-    /// It could not be done.
+    /// The command could not be carried out.
     Failed(String),
-    /// The call was wrong.
+    /// The arguments are invalid.
     Usage(String),
-    /// The settings are wrong.
+    /// The settings are invalid.
     Settings(String),
-    /// A change was refused; nothing changed.
+    /// A change was rejected; nothing changed.
     Refused(String),
-    /// Nobody knows whether a change took effect.
+    /// It is unknown whether a change took effect.
     Unknown(String),
 }
 
 /// Exit codes, as `--help` prints them.
-pub const EXIT_CODES: &str = "Exit codes: 0 done, 1 failed, 2 wrong call, 3 wrong settings, \
-     4 change refused, 5 unknown whether the change took effect";
+pub const EXIT_CODES: &str =
+    "Exit codes: 0 success, 1 failure, 2 usage error, 3 invalid settings, \
+     4 change rejected, 5 unknown whether the change took effect";
 
 impl CliError {
-    /// The exit code.
+    /// Returns the exit code of the process.
     pub fn exit_code(&self) -> ExitCode {
         ExitCode::from(match self {
             CliError::Failed(_) => 1,
--- a/entry/src/cli/command_line.rs
+++ b/entry/src/cli/command_line.rs
@@ -7,7 +7,7 @@
     std::process::ExitCode,
 };
 
-/// One command.
+/// A subcommand of `pitchhitch`.
 struct CommandSpec {
     name: &'static str,
     summary: &'static str,
@@ -22,12 +22,12 @@
     },
     CommandSpec {
         name: "front",
-        summary: "take requests on a box of the platform",
+        summary: "serve requests on a box of the platform",
         run: run_front_command,
     },
     CommandSpec {
         name: "check",
-        summary: "check settings files and name every problem",
+        summary: "check settings files and report every problem",
         run: run_check,
     },
     CommandSpec {
@@ -42,7 +42,7 @@
     },
     CommandSpec {
         name: "apply",
-        summary: "make the changes in a file",
+        summary: "apply the changes in a file",
         run: run_apply,
     },
     CommandSpec {
@@ -52,36 +52,36 @@
     },
     CommandSpec {
         name: "drain",
-        summary: "take an endpoint out of service and wait until its box may stop",
+        summary: "take an endpoint out of service and wait until its box may be stopped",
         run: run_drain,
     },
     CommandSpec {
         name: "status",
-        summary: "show what an entry process knows",
+        summary: "show the status of an entry process",
         run: run_status,
     },
     CommandSpec {
         name: "suspects",
-        summary: "show requests that end endpoints, or let one go",
+        summary: "list suspect requests, under which endpoints crashed, or release one",
         run: run_suspects,
     },
     CommandSpec {
         name: "explain",
-        summary: "tell why a request went where it went, or who holds a piece",
+        summary: "explain how a request was routed, or list the holders of a piece",
         run: run_explain,
     },
 ];
 
 fn print_help() {
-    println!("pitchhitch: serves prompts that return after long gaps\n");
+    println!("pitchhitch: routes prompts whose cached state is reused after long gaps\n");
     println!("Usage: pitchhitch COMMAND [OPTIONS]\n\nCommands:");
     for command in &COMMANDS {
         println!("    {:10} {}", command.name, command.summary);
     }
-    println!("\n'pitchhitch COMMAND --help' tells more.\n{EXIT_CODES}");
+    println!("\nRun 'pitchhitch COMMAND --help' for details of a command.\n{EXIT_CODES}");
 }
 
-/// Runs `pitchhitch` with the arguments of a command line.
+/// Runs `pitchhitch` with the given command line arguments, without the program name.
 pub fn run(args: &[String]) -> ExitCode {
     let Some(name) = args.first() else {
         print_help();
--- a/entry/src/cli/entry_process.rs
+++ b/entry/src/cli/entry_process.rs
@@ -34,13 +34,14 @@
     trillium_smol::Stopper,
 };
 
-/// Time timeout of one call of the platform.
+/// Timeout of a request to a service of the platform.
 const PLATFORM_TIMEOUT: Duration = Duration::from_secs(2);
-/// Longest wait for requests that run at a planned stop.
+/// Longest wait at a planned stop for running requests to end.
 const SHUTDOWN_TIMEOUT: Duration = Duration::from_secs(600);
-/// Longest wait for leases to be handed back.
+/// Longest wait at a planned stop for the leases to be released.
 const LEASE_RELEASE_TIMEOUT: Duration = Duration::from_secs(3);
 
+/// Inputs of the control thread.
 struct ControlSetup {
     settings: EntrySettings,
     clock: ProcessClock,
@@ -52,10 +53,11 @@
     peer_address: SocketAddr,
 }
 
-/// Runs an entry process until it is asked to stop and has nothing left to do.
+/// Runs an entry process until it receives a stop signal and its running requests have ended, or
+/// `SHUTDOWN_TIMEOUT` has passed.
 ///
 /// # Errors
-/// When an address cannot be bound or a signal cannot be watched.
+/// When an address cannot be bound or the signals cannot be watched.
 pub async fn run_entry(settings: EntrySettings) -> anyhow::Result<()> {
     let clock = ProcessClock::start();
     let callers = bind(settings.callers)?;
@@ -109,7 +111,7 @@
     stop_asked().await.context("cannot watch signals")?;
     log::info!(event = "stopping", entry = settings.box_id.as_str(); "");
     app.stopping.store(true, Ordering::Relaxed);
-    // The balancer is given time to notice that no new requests should come.
+    // The load balancer needs time to notice that the process is no longer ready.
     Timer::after(settings.stop_notice).await;
     stopper.stop();
     wait_with_timeout(SHUTDOWN_TIMEOUT, caller_server).await;
@@ -123,6 +125,7 @@
     listener.with_context(|| format!("cannot listen on {address}"))
 }
 
+/// Waits for a future to complete, at most for `timeout`.
 async fn wait_with_timeout(
     timeout: Duration,
     future: impl std::future::IntoFuture<Output = ()>,
@@ -133,13 +136,13 @@
     .await;
 }
 
-/// Starts the control thread with everything that feeds it.
+/// Starts the control thread, with the tasks that send it messages.
 async fn start_control(setup: ControlSetup) -> anyhow::Result<()> {
     let secret = setup.settings.beacon_secret.clone().unwrap_or_default();
     let key = BeaconKey::from_secret(&secret);
     let socket = BeaconSocket::bind(setup.settings.beacons, key).await;
     let address = setup.settings.beacons;
-    let socket = Arc::new(socket.with_context(|| format!("cannot take beacons on {address}"))?);
+    let socket = Arc::new(socket.with_context(|| format!("cannot receive beacons on {address}"))?);
     let thread = thread::Builder::new().name("control".to_string());
     thread.spawn(move || {
         let executor = Rc::new(LocalExecutor::new());
--- a/entry/src/command/apply.rs
+++ b/entry/src/command/apply.rs
@@ -9,17 +9,17 @@
 
 const HELP: CommandHelp = CommandHelp {
     usage: "apply --settings FILE CHANGES",
-    about: "Makes the changes in the file CHANGES, a JSON list, one after the other.\n\
-            Organisations, models and services are added and removed so.\n\
-            The whole file is read first; a file that cannot be read changes nothing.",
+    about: "Applies the changes in the file CHANGES, a JSON list, one after the other.\n\
+            This is how organisations, models and services are added and removed.\n\
+            The whole file is parsed first; a file that cannot be parsed changes nothing.",
 };
-/// Time limit of asking the weight store.
+/// Timeout of a request to the weight store.
 const WEIGHT_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// Runs `pitchhitch apply`.
 ///
 /// # Errors
-/// [`CliError`] at the first change that is not known to be in force.
+/// [`CliError`] at the first change that is not confirmed.
 pub fn run_apply(args: &[String]) -> Result<(), CliError> {
     let mut options = Options::new();
     add_change_options(&mut options);
@@ -30,9 +30,9 @@
     let text = fs::read_to_string(file)
         .map_err(|e| CliError::Usage(format!("{file}: cannot be read: {e}")))?;
     let changes: Vec<ConfigChange> = serde_json::from_str(&text)
-        .map_err(|e| CliError::Usage(format!("{file}: {e}; wanted a JSON list of changes")))?;
+        .map_err(|e| CliError::Usage(format!("{file}: {e}; expected a JSON list of changes")))?;
     if changes.len() > 1 && args.matches.opt_present("change-id") {
-        let text = "--change-id settles one change; this file has several";
+        let text = "--change-id identifies a single change; this file has several";
         return Err(CliError::Usage(text.to_string()));
     }
     let settings = args.operator_settings()?;
@@ -45,7 +45,7 @@
     Ok(())
 }
 
-/// Refuses a model whose active version the weight store does not have.
+/// Rejects a model whose active version is not in the weight store.
 fn check_weights(
     settings: &OperatorSettings,
     change: &ConfigChange,
--- a/entry/src/command/check.rs
+++ b/entry/src/command/check.rs
@@ -10,10 +10,10 @@
 
 const HELP: CommandHelp = CommandHelp {
     usage: "check FILE...",
-    about: "Checks settings files of entry processes and operators and names every problem.\n\
-            A file with the field 'operator' is taken for an operator's, one with 'digests'\n\
-            for a front's.\n\
-            Agents' files are checked by 'pitchhitch-agent --check --settings FILE'.",
+    about: "Checks settings files of entry processes, fronts and operators and reports every problem.\n\
+            A file with the field 'operator' is checked as operator settings, one with 'digests'\n\
+            as front settings.\n\
+            Agent settings are checked by 'pitchhitch-agent --check --settings FILE'.",
 };
 
 /// Runs `pitchhitch check`.
--- a/entry/src/command/command_args.rs
+++ b/entry/src/command/command_args.rs
@@ -8,30 +8,31 @@
     std::{fs, time::Duration},
 };
 
-/// Time limit of asking an entry process.
+/// Timeout of a request to an entry process.
 const ENTRY_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Arguments of one command, read.
+/// Parsed arguments of a command.
 #[derive(Debug)]
 pub struct CommandArgs {
-    /// What getopts found.
+    /// Options and positional arguments, as getopts found them.
     pub matches: Matches,
 }
 
-/// What a command takes besides the common options.
+/// Help text of a command; the options are added to it.
 #[derive(Debug, Clone, Copy)]
 pub struct CommandHelp {
-    /// First line of the help text.
+    /// Usage line, without the program name.
     pub usage: &'static str,
     /// What the command does, in a few lines.
     pub about: &'static str,
 }
 
 impl CommandArgs {
-    /// Reads arguments; none when the help text was asked for and printed.
+    /// Parses arguments, with the common options; `None` if `--help` was given and the help text was
+    /// printed.
     ///
     /// # Errors
-    /// [`CliError::Usage`] when they do not fit.
+    /// [`CliError::Usage`] when the arguments are invalid.
     pub fn parse(
         help: CommandHelp,
         mut options: Options,
@@ -50,12 +51,12 @@
         Ok(Some(CommandArgs { matches }))
     }
 
-    /// Whether JSON is wanted.
+    /// Whether JSON output was requested.
     pub fn wants_json(&self) -> bool {
         self.matches.opt_present("json")
     }
 
-    /// One free argument.
+    /// The positional argument at `index`.
     ///
     /// # Errors
     /// [`CliError::Usage`] when it is missing.
@@ -68,10 +69,10 @@
         found.ok_or_else(|| CliError::Usage(format!("{name} is missing; see --help")))
     }
 
-    /// The settings file's name and text.
+    /// Reads the settings file.
     ///
     /// # Errors
-    /// [`CliError`] when none is named or it cannot be read.
+    /// [`CliError`] when `--settings` is missing or the file cannot be read.
     pub fn settings_text(&self) -> Result<SettingsText, CliError> {
         let file = self.matches.opt_str("settings");
         let file =
@@ -79,10 +80,10 @@
         SettingsText::read(&file)
     }
 
-    /// The settings for operators.
+    /// Reads the settings file as operator settings.
     ///
     /// # Errors
-    /// [`CliError`] when there are none that can be used.
+    /// [`CliError`] when `--settings` is missing, or the file cannot be read or is invalid.
     pub fn operator_settings(&self) -> Result<OperatorSettings, CliError> {
         let text = self.settings_text()?;
         OperatorSettings::parse(&text.file, &text.text)
@@ -90,12 +91,12 @@
     }
 }
 
-/// A settings file.
+/// Name and content of a settings file.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct SettingsText {
-    /// Its name.
+    /// Path of the file.
     pub file: String,
-    /// Its text.
+    /// Content of the file.
     pub text: String,
 }
 
@@ -106,9 +107,7 @@
     /// [`CliError::Settings`] when it cannot be read.
     pub fn read(file: &str) -> Result<Self, CliError> {
         let text = fs::read_to_string(file).map_err(|e| {
-            CliError::Settings(format!(
-                "{file}: cannot be read: {e}; name a file that is there"
-            ))
+            CliError::Settings(format!("{file}: cannot be read: {e}; check the path"))
         })?;
         Ok(SettingsText {
             file: file.to_string(),
@@ -117,22 +116,22 @@
     }
 }
 
-/// A caller of the entry process that the settings name.
+/// Client for the entry process that the settings name.
 ///
 /// # Errors
-/// [`CliError::Settings`] when they name none.
+/// [`CliError::Settings`] when the settings name no entry process.
 pub fn entry_client(settings: &OperatorSettings) -> Result<HttpCaller, CliError> {
     let entry = settings.entry.ok_or_else(|| {
-        let text = "the settings name no 'entry'; add the operator address of an entry process";
+        let text = "the settings have no 'entry'; add the operator address of an entry process";
         CliError::Settings(text.to_string())
     })?;
     Ok(HttpCaller::new(entry, ENTRY_TIMEOUT))
 }
 
-/// A value as JSON for people and programs.
+/// Serialises a value as indented JSON.
 ///
 /// # Errors
-/// [`CliError::Failed`] when it cannot be written as JSON.
+/// [`CliError::Failed`] when the value cannot be serialised.
 pub fn pretty_json(value: &impl serde::Serialize) -> Result<String, CliError> {
     serde_json::to_string_pretty(value).map_err(|e| CliError::Failed(e.to_string()))
 }
--- a/entry/src/command/config_access.rs
+++ b/entry/src/command/config_access.rs
@@ -13,28 +13,28 @@
     std::time::Duration,
 };
 
-/// Time limit of one call of the platform.
+/// Timeout of a request to a service of the platform.
 const PLATFORM_TIMEOUT: Duration = Duration::from_secs(3);
-/// How long a change is tried.
+/// Time after which a change is no longer retried.
 const CHANGE_TIMEOUT: Duration = Duration::from_secs(15);
 
-/// Adds the options that all commands have that change something.
+/// Adds the options of the commands that change the configuration.
 pub fn add_change_options(options: &mut Options) {
     options.optopt(
         "",
         "change-id",
-        "id of the change; repeat it to settle a lost answer",
+        "id of the change; reuse it to retry a change whose outcome is unknown",
         "ID",
     );
     options.optopt(
         "",
         "expect",
-        "refuse unless the configuration is at this revision",
+        "reject the change unless the configuration is at this revision",
         "REVISION",
     );
 }
 
-/// The store of the configuration that the settings name.
+/// Returns the configuration store that the settings name.
 pub fn config_store(settings: &OperatorSettings) -> ConfigStore {
     ConfigStore::new(
         TableClient::new(settings.table, PLATFORM_TIMEOUT),
@@ -42,10 +42,10 @@
     )
 }
 
-/// Reads the newest configuration.
+/// Reads the current configuration.
 ///
 /// # Errors
-/// [`CliError::Failed`] when the platform does not answer.
+/// [`CliError::Failed`] when the configuration cannot be read from the platform.
 pub fn read_config(settings: &OperatorSettings) -> Result<FleetConfig, CliError> {
     let store = config_store(settings);
     let read = smol::block_on(store.refresh(&FleetConfig::default()));
@@ -53,10 +53,11 @@
     read.map_err(|e| CliError::Failed(format!("{e}; check 'table' and 'objects' in the settings")))
 }
 
-/// Makes one change and prints what came of it.
+/// Submits a change to the configuration, prints the outcome and returns the new revision.
 ///
 /// # Errors
-/// [`CliError::Refused`] or [`CliError::Unknown`].
+/// [`CliError::Refused`] when the change is rejected, [`CliError::Unknown`] when it is unknown
+/// whether it took effect, and [`CliError::Usage`] when `--expect` is not a number.
 pub fn submit_change(
     args: &CommandArgs,
     settings: &OperatorSettings,
@@ -72,7 +73,7 @@
             let revision = text.parse();
             Some(
                 revision
-                    .map_err(|_| CliError::Usage(format!("--expect: '{text}' is no number")))?,
+                    .map_err(|_| CliError::Usage(format!("--expect: '{text}' is not a number")))?,
             )
         }
     };
@@ -104,7 +105,7 @@
     }
 }
 
-/// A change that makes no sense, as a command says it.
+/// Converts an invalid change to the error of a command.
 pub fn refused(error: ChangeError) -> CliError {
     CliError::Refused(error.to_string())
 }
--- a/entry/src/command/drain.rs
+++ b/entry/src/command/drain.rs
@@ -16,22 +16,24 @@
 
 const HELP: CommandHelp = CommandHelp {
     usage: "drain --settings FILE ENDPOINT [--undo] [--no-wait] [--timeout SECONDS]",
-    about: "Takes an endpoint out of service by the label 'leaving', waits until nothing runs on\n\
-            it any more, and says when its box may stop.",
+    about:
+        "Takes an endpoint out of service by setting the label 'leaving', waits until no request\n\
+            runs on it, and reports when its box may be stopped.",
 };
+/// Default of `--timeout`.
 const DEFAULT_TIMEOUT_S: u64 = 600;
 const POLL_INTERVAL: Duration = Duration::from_millis(200);
 
 /// Runs `pitchhitch drain`.
 ///
 /// # Errors
-/// [`CliError`] when the endpoint is not drained in time.
+/// [`CliError`] when the change fails or the endpoint is not drained before the timeout.
 pub fn run_drain(args: &[String]) -> Result<(), CliError> {
     let mut options = Options::new();
     add_change_options(&mut options);
-    options.optflag("", "undo", "put the endpoint back into service");
+    options.optflag("", "undo", "return the endpoint to service");
     options.optflag("", "no-wait", "do not wait until it is drained");
-    options.optopt("", "timeout", "longest wait; 600 if not given", "SECONDS");
+    options.optopt("", "timeout", "longest wait; default 600", "SECONDS");
     let Some(args) = CommandArgs::parse(HELP, options, args)? else {
         return Ok(());
     };
@@ -40,7 +42,7 @@
         None => DEFAULT_TIMEOUT_S,
         Some(text) => text
             .parse()
-            .map_err(|_| CliError::Usage(format!("--timeout: '{text}' is no whole number")))?,
+            .map_err(|_| CliError::Usage(format!("--timeout: '{text}' is not a whole number")))?,
     };
     let undo = args.matches.opt_present("undo");
     let settings = args.operator_settings()?;
@@ -82,7 +84,7 @@
             return Ok(());
         }
         if started.elapsed() >= timeout {
-            let reason = last.map_or("nothing was heard".to_string(), |s| s.describe());
+            let reason = last.map_or("no status was received".to_string(), |s| s.describe());
             let text = format!("{endpoint} is not drained after {timeout:?}: {reason}");
             return Err(CliError::Failed(text));
         }
--- a/entry/src/command/explain.rs
+++ b/entry/src/command/explain.rs
@@ -18,27 +18,31 @@
         "explain --settings FILE REQUEST-ID\n       pitchhitch explain --settings FILE --piece KEY\n       \
          pitchhitch explain --log FILE REQUEST-ID\n       \
          pitchhitch explain --log FILE --reads",
-    about: "Tells why a recent request went where it went, or who holds a kept piece.\n\
-            Decisions are kept in the memory of the entry process that made them; what was\n\
-            lost with a process cannot be told.\n\
-            With --log the story is read from log lines of any number of processes;\n\
-            --reads adds up why engines read shared parts of prompts.",
+    about: "Explains how a recent request was routed, or lists the holders of a cached piece.\n\
+            Routing decisions are held in the memory of the entry process that made them and are\n\
+            lost when it ends.\n\
+            With --log the request is traced in the log lines of any number of processes;\n\
+            --reads counts why engines prefilled shared parts of prompts.",
 };
 
 /// Runs `pitchhitch explain`.
 ///
 /// # Errors
-/// [`CliError`] when nothing is known.
+/// [`CliError`] when the request or piece is unknown, or the log has no line about it.
 pub fn run_explain(args: &[String]) -> Result<(), CliError> {
     let mut options = Options::new();
-    options.optopt("", "piece", "tell who holds this piece", "KEY");
+    options.optopt("", "piece", "list the holders of this piece", "KEY");
     options.optopt(
         "l",
         "log",
-        "read log lines from here, - for standard input",
+        "read log lines from this file, - for standard input",
         "FILE",
     );
-    options.optflag("", "reads", "with --log: why shared parts were read");
+    options.optflag(
+        "",
+        "reads",
+        "with --log: count why shared parts were prefilled",
+    );
     let Some(args) = CommandArgs::parse(HELP, options, args)? else {
         return Ok(());
     };
@@ -50,7 +54,7 @@
         return explain_log(&file, args.positional(0, "REQUEST-ID")?);
     }
     if wants_reads {
-        let help = "--reads needs --log FILE, the lines of the fronts";
+        let help = "--reads requires --log FILE with the log lines of the fronts";
         return Err(CliError::Usage(help.to_string()));
     }
     let settings = args.operator_settings()?;
@@ -83,7 +87,7 @@
     count: u64,
 ) {
     if count > 0 {
-        eprintln!("{file}: {count} lines are no log lines of pitchhitch; passed over");
+        eprintln!("{file}: {count} lines are not pitchhitch log lines; skipped");
     }
 }
 
@@ -92,7 +96,7 @@
     warn_malformed(file, summary.malformed_lines);
     if summary.by_cause.is_empty() {
         return Err(CliError::Failed(format!(
-            "{file}: no prompt was sent that had shared parts to read; add the logs of all fronts"
+            "{file}: no prompt was sent with shared parts to prefill; add the logs of all fronts"
         )));
     }
     for (cause, totals) in &summary.by_cause {
@@ -119,7 +123,7 @@
     }
     print_lines(&trace.request_lines);
     if !trace.endpoint_lines.is_empty() {
-        println!("\nwhat was noticed of the endpoints it went to:");
+        println!("\nevents of the endpoints it was sent to:");
     }
     print_lines(&trace.endpoint_lines);
     Ok(())
@@ -161,12 +165,12 @@
 ) -> CliError {
     match error {
         CallError::Status { status: 404, .. } => CliError::Failed(format!(
-            "nothing is known of '{what}'; it is too old, or its entry process is gone"
+            "'{what}' is unknown; it is too old, or its entry process has ended"
         )),
         CallError::Status { status: 400, .. } => {
-            CliError::Usage(format!("'{what}' is no key; see --help"))
+            CliError::Usage(format!("'{what}' is not a valid key; see --help"))
         }
-        other => CliError::Failed(format!("{other}; does the entry process run?")),
+        other => CliError::Failed(format!("{other}; is the entry process running?")),
     }
 }
 
@@ -217,7 +221,7 @@
         return Ok(());
     }
     if report.holders.is_empty() {
-        println!("piece {key}: nobody is known to hold it");
+        println!("piece {key}: no known holder");
     }
     for holder in &report.holders {
         println!("piece {key}: {} in {}", holder.place, holder.tier);
--- a/entry/src/command/front.rs
+++ b/entry/src/command/front.rs
@@ -9,19 +9,20 @@
     std::fs,
 };
 
-/// Variable that names the settings file on the platform's boxes.
+/// Environment variable with the path of the settings file on the platform's boxes.
 const SETTINGS_VARIABLE: &str = "PITCHHITCH_NODE_FILE";
 
 const HELP: CommandHelp = CommandHelp {
     usage: "front [--settings FILE]",
-    about: "Takes requests on a box of the platform until SIGTERM, which cuts off no request.\n\
-            Without --settings the file is the one that PITCHHITCH_NODE_FILE names.",
+    about:
+        "Serves requests on a box of the platform until SIGTERM; running requests are completed.\n\
+            Without --settings the file named by PITCHHITCH_NODE_FILE is used.",
 };
 
 /// Runs `pitchhitch front`.
 ///
 /// # Errors
-/// [`CliError`] when it cannot run.
+/// [`CliError`] when the settings are invalid or the front cannot start.
 pub fn run_front_command(args: &[String]) -> Result<(), CliError> {
     let Some(args) = CommandArgs::parse(HELP, Options::new(), args)? else {
         return Ok(());
@@ -31,7 +32,7 @@
         .or_else(|| std::env::var(SETTINGS_VARIABLE).ok())
         .ok_or_else(|| {
             CliError::Usage(format!(
-                "name a settings file by --settings or in {SETTINGS_VARIABLE}"
+                "give a settings file with --settings or in {SETTINGS_VARIABLE}"
             ))
         })?;
     let settings = read_settings(&file).map_err(CliError::Settings)?;
@@ -42,6 +43,6 @@
 
 fn read_settings(file: &str) -> Result<FrontSettings, String> {
     let text = fs::read_to_string(file)
-        .map_err(|e| format!("{file}: cannot be read: {e}; name a settings file that is there"))?;
+        .map_err(|e| format!("{file}: cannot be read: {e}; check the path"))?;
     FrontSettings::parse(file, &text).map_err(|e| e.to_string())
 }
--- a/entry/src/command/label.rs
+++ b/entry/src/command/label.rs
@@ -14,7 +14,7 @@
 /// Runs `pitchhitch label`.
 ///
 /// # Errors
-/// [`CliError`] when the change is not known to be in force.
+/// [`CliError`] when the arguments are invalid or the change is not confirmed.
 pub fn run_label(args: &[String]) -> Result<(), CliError> {
     let mut options = Options::new();
     add_change_options(&mut options);
@@ -45,7 +45,7 @@
             value: None,
         }),
         None => Err(CliError::Usage(format!(
-            "'{text}': write KEY=VALUE, or KEY- to remove it"
+            "'{text}': expected KEY=VALUE, or KEY- to remove the label"
         ))),
     }
 }
--- a/entry/src/command/mod.rs
+++ b/entry/src/command/mod.rs
@@ -1,4 +1,4 @@
-//! The commands of `pitchhitch`, one file each.
+//! The subcommands of `pitchhitch`, one file each.
 
 mod apply;
 mod check;
--- a/entry/src/command/select.rs
+++ b/entry/src/command/select.rs
@@ -10,37 +10,32 @@
 
 const HELP: CommandHelp = CommandHelp {
     usage: "select --settings FILE NAME --work SELECTOR --endpoints SELECTOR [--deny] [--precedence N]\n       pitchhitch select --settings FILE NAME --remove",
-    about: "Sets or removes a placement rule: which labelled work may go to which labelled endpoints.\n\
-            Of the rules that match a request's work, those of the highest precedence decide;\n\
-            among them a --deny beats the others. Without any rule every endpoint is admitted.",
+    about: "Sets or removes a placement rule: which labelled work may be sent to which labelled endpoints.\n\
+            Of the rules that match a request's work, those of the highest precedence apply;\n\
+            among them --deny overrides the others. Without any rule every endpoint is allowed.",
 };
 
 /// Runs `pitchhitch select`.
 ///
 /// # Errors
-/// [`CliError`] when the change is not known to be in force.
+/// [`CliError`] when the arguments are invalid or the change is not confirmed.
 pub fn run_select(args: &[String]) -> Result<(), CliError> {
     let mut options = Options::new();
     add_change_options(&mut options);
     options.optopt(
         "",
         "work",
-        "work that the rule is about; empty for all",
+        "work that the rule applies to; empty for all",
         "SELECTOR",
     );
     options.optopt(
         "",
         "endpoints",
-        "endpoints that the rule is about; empty for all",
+        "endpoints that the rule applies to; empty for all",
         "SELECTOR",
     );
-    options.optopt(
-        "",
-        "precedence",
-        "higher decides first; 0 if not given",
-        "N",
-    );
-    options.optflag("", "deny", "the work may not go there");
+    options.optopt("", "precedence", "the highest applies; default 0", "N");
+    options.optflag("", "deny", "deny the work at these endpoints");
     options.optflag("", "remove", "remove the rule");
     let Some(args) = CommandArgs::parse(HELP, options, args)? else {
         return Ok(());
@@ -60,9 +55,11 @@
         .matches
         .opt_str("precedence")
         .unwrap_or("0".to_string());
-    let precedence = precedence
-        .parse()
-        .map_err(|_| CliError::Usage(format!("--precedence: '{precedence}' is no whole number")))?;
+    let precedence = precedence.parse().map_err(|_| {
+        CliError::Usage(format!(
+            "--precedence: '{precedence}' is not a whole number"
+        ))
+    })?;
     let effect = if args.matches.opt_present("deny") {
         RuleEffect::Deny
     } else {
--- a/entry/src/command/serve.rs
+++ b/entry/src/command/serve.rs
@@ -10,13 +10,13 @@
 
 const HELP: CommandHelp = CommandHelp {
     usage: "serve --settings FILE",
-    about: "Runs an entry process until SIGTERM, which cuts off no request.",
+    about: "Runs an entry process until SIGTERM; running requests are completed.",
 };
 
 /// Runs `pitchhitch serve`.
 ///
 /// # Errors
-/// [`CliError`] when it cannot run.
+/// [`CliError`] when the settings are invalid or the process cannot start.
 pub fn run_serve(args: &[String]) -> Result<(), CliError> {
     let Some(args) = CommandArgs::parse(HELP, Options::new(), args)? else {
         return Ok(());
--- a/entry/src/command/show.rs
+++ b/entry/src/command/show.rs
@@ -7,13 +7,13 @@
 
 const HELP: CommandHelp = CommandHelp {
     usage: "show --settings FILE",
-    about: "Shows the configuration in force, as the table has it.",
+    about: "Shows the configuration in force, as stored in the table.",
 };
 
 /// Runs `pitchhitch show`.
 ///
 /// # Errors
-/// [`CliError`] when the platform does not answer.
+/// [`CliError`] when the configuration cannot be read from the platform.
 pub fn run_show(args: &[String]) -> Result<(), CliError> {
     let Some(args) = CommandArgs::parse(HELP, Options::new(), args)? else {
         return Ok(());
--- a/entry/src/command/status.rs
+++ b/entry/src/command/status.rs
@@ -9,15 +9,15 @@
 
 const HELP: CommandHelp = CommandHelp {
     usage: "status --settings FILE",
-    about: "Shows what an entry process knows: endpoints, peers, stores, counts and its own use\n\
-            of processor and memory.",
+    about: "Shows the status of an entry process: endpoints, peers, stores, counters, and its\n\
+            CPU and memory usage.",
 };
 const MEBIBYTE: f64 = 1024.0 * 1024.0;
 
 /// Runs `pitchhitch status`.
 ///
 /// # Errors
-/// [`CliError`] when the entry process does not answer.
+/// [`CliError`] when the entry process does not respond.
 pub fn run_status(args: &[String]) -> Result<(), CliError> {
     let Some(args) = CommandArgs::parse(HELP, Options::new(), args)? else {
         return Ok(());
@@ -25,7 +25,7 @@
     let settings = args.operator_settings()?;
     let client = entry_client(&settings)?;
     let report: StatusReport = smol::block_on(client.get_json(STATUS_PATH))
-        .map_err(|e| CliError::Failed(format!("{e}; does the entry process run?")))?;
+        .map_err(|e| CliError::Failed(format!("{e}; is the entry process running?")))?;
     if args.wants_json() {
         println!("{}", pretty_json(&report)?);
     } else {
--- a/entry/src/command/suspects.rs
+++ b/entry/src/command/suspects.rs
@@ -10,22 +10,22 @@
     std::time::Duration,
 };
 
-/// Time limit of a call.
+/// Timeout of a request to the front.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(5);
 
 const HELP: CommandHelp = CommandHelp {
     usage: "suspects --settings FILE [--release FINGERPRINT]",
-    about: "Shows requests under which endpoints ended, as a front knows them, and lets one go:\n\
-            it may run again, at all fronts. FILE is the settings file of the front.",
+    about: "Lists the suspect requests that a front knows, under which endpoints crashed, or releases\n\
+            one: it may run again, at all fronts. FILE is the settings file of the front.",
 };
 
 /// Runs `pitchhitch suspects`.
 ///
 /// # Errors
-/// [`CliError`] when the front does not answer, or knows of no such request.
+/// [`CliError`] when the front does not respond or does not know the request.
 pub fn run_suspects(args: &[String]) -> Result<(), CliError> {
     let mut options = Options::new();
-    options.optopt("", "release", "let this request go", "FINGERPRINT");
+    options.optopt("", "release", "release this request", "FINGERPRINT");
     let Some(args) = CommandArgs::parse(HELP, options, args)? else {
         return Ok(());
     };
@@ -49,9 +49,9 @@
         return Ok(());
     }
     let rows: Vec<SuspectRow> = serde_json::from_str(&text)
-        .map_err(|e| CliError::Failed(format!("the front's answer cannot be read: {e}")))?;
+        .map_err(|e| CliError::Failed(format!("invalid response from the front: {e}")))?;
     if rows.is_empty() {
-        println!("no endpoint has ended under a request of late");
+        println!("no suspect requests");
     }
     for row in rows {
         let left = row
@@ -73,7 +73,7 @@
     fingerprint: &str,
 ) -> Result<(), CliError> {
     if RequestFingerprint::parse(fingerprint).is_none() {
-        let help = "--release takes a fingerprint of 32 hex digits, as the list shows it";
+        let help = "--release takes a fingerprint of 32 hex digits, as listed by this command";
         return Err(CliError::Usage(help.to_string()));
     }
     let response = send_get(
@@ -96,7 +96,7 @@
         ..HttpCall::default()
     };
     let response = smol::block_on(client.call(request))
-        .map_err(|e| CliError::Failed(format!("{address}: {e}; does the front run?")))?;
+        .map_err(|e| CliError::Failed(format!("{address}: {e}; is the front running?")))?;
     match response.status {
         200 => Ok(response),
         status => {
--- a/entry/src/conf/entry_settings.rs
+++ b/entry/src/conf/entry_settings.rs
@@ -7,52 +7,52 @@
     std::{net::SocketAddr, time::Duration},
 };
 
-/// Settings of one entry process, checked.
+/// Validated settings of an entry process.
 #[derive(Debug, Clone, PartialEq)]
 pub struct EntrySettings {
     /// Id of the box.
     pub box_id: String,
-    /// Failure domain that the box stands in.
+    /// Failure domain of the box.
     pub failure_domain: String,
-    /// Where callers are served.
+    /// Listen address for callers.
     pub callers: SocketAddr,
-    /// Where operators and peers are served.
+    /// Listen address for operators and peers.
     pub operators: SocketAddr,
-    /// Where beacons are taken.
+    /// Address on which beacons are received.
     pub beacons: SocketAddr,
-    /// Where the table service answers.
+    /// Address of the table service.
     pub table: SocketAddr,
-    /// Where the object store answers.
+    /// Address of the object store.
     pub objects: SocketAddr,
-    /// Where the box list answers.
+    /// Address of the service that lists the boxes.
     pub boxes: SocketAddr,
-    /// Secret shared by all processes of the deployment.
+    /// Secret shared by all processes of the deployment, which authenticates beacons.
     pub beacon_secret: Option<String>,
-    /// Threads for traffic.
+    /// Number of traffic threads.
     pub traffic_threads: usize,
-    /// Requests that run at the same time at most.
+    /// Most requests that run at the same time.
     pub max_running: u32,
-    /// Longest body of a request, in bytes.
+    /// Largest request body, in bytes.
     pub max_body_bytes: u64,
-    /// Time within which an answer must begin where the caller does not say.
+    /// Time within which a response must begin if the caller sets no deadline.
     pub default_deadline: Micros,
-    /// How endpoints are chosen.
+    /// Policy by which endpoints are chosen.
     pub policy: RoutePolicy,
-    /// Time between two looks at the configuration.
+    /// Interval at which the configuration is polled.
     pub table_poll: Duration,
-    /// Time for which the process says that it is not ready before it stops.
+    /// Time for which the process reports that it is not ready before it stops accepting requests.
     pub stop_notice: Duration,
-    /// Decisions that are kept for explaining.
+    /// Number of recent routing decisions held for `pitchhitch explain`.
     pub explain_ring: usize,
-    /// Where metrics are sent.
+    /// Address to which metrics are sent.
     pub metrics: Option<SocketAddr>,
 }
 
 impl EntrySettings {
-    /// Reads the text of a settings file.
+    /// Parses the text of a settings file; `file` names it in error messages.
     ///
     /// # Errors
-    /// [`SettingsErrors`] with everything that is wrong in it.
+    /// [`SettingsErrors`] with every problem found.
     pub fn parse(
         file: &str,
         text: &str,
@@ -89,7 +89,7 @@
             reader.add_problem(
                 "beacon_secret",
                 "nothing",
-                "a secret, as 'beacons' is no loopback address",
+                "a secret, because 'beacons' is not a loopback address",
             );
         }
         reader.finish()?;
--- a/entry/src/conf/mod.rs
+++ b/entry/src/conf/mod.rs
@@ -1,4 +1,4 @@
-//! Settings of an entry process and of the operator's commands.
+//! Settings of an entry process and of the operator commands.
 
 mod entry_settings;
 mod operator_settings;
--- a/entry/src/conf/operator_settings.rs
+++ b/entry/src/conf/operator_settings.rs
@@ -3,26 +3,26 @@
     std::net::SocketAddr,
 };
 
-/// Settings of the operator's commands, checked.
+/// Validated settings of the operator commands.
 #[derive(Debug, Clone, PartialEq)]
 pub struct OperatorSettings {
-    /// Who gives the commands; recorded with every change.
+    /// Name of the operator; recorded with every change.
     pub operator: String,
-    /// Where the table service answers.
+    /// Address of the table service.
     pub table: SocketAddr,
-    /// Where the object store answers.
+    /// Address of the object store.
     pub objects: SocketAddr,
-    /// Operator address of an entry process, for status and explanations.
+    /// Operator address of an entry process, for `drain`, `status` and `explain`.
     pub entry: Option<SocketAddr>,
-    /// Where the weight store answers; versions are looked up there if it is given.
+    /// Address of the weight store; if set, `apply` checks that a model's active version is there.
     pub weights: Option<SocketAddr>,
 }
 
 impl OperatorSettings {
-    /// Reads the text of a settings file.
+    /// Parses the text of a settings file; `file` names it in error messages.
     ///
     /// # Errors
-    /// [`SettingsErrors`] with everything that is wrong in it.
+    /// [`SettingsErrors`] with every problem found.
     pub fn parse(
         file: &str,
         text: &str,
--- a/entry/src/explain/decision_record.rs
+++ b/entry/src/explain/decision_record.rs
@@ -1,50 +1,50 @@
 use serde::{Deserialize, Serialize};
 
-/// One routing decision, as it is logged and explained.
+/// A routing decision, as it is logged and as `pitchhitch explain` prints it.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct DecisionRecord {
     /// Id of the request.
     pub request_id: String,
-    /// Organisation.
+    /// Organisation of the caller.
     pub organisation: String,
-    /// Model or service.
+    /// Requested model or service.
     pub target: String,
     /// Weight version; empty for plain services.
     pub version: String,
-    /// Number of the try, counted from one.
+    /// Number of the attempt, counted from one.
     pub attempt: u32,
-    /// Chosen endpoint.
+    /// Id of the chosen endpoint.
     pub chosen: String,
-    /// Second best endpoint, if there was one.
+    /// Id of the second-best endpoint, if there was one.
     pub runner_up: Option<String>,
-    /// Why.
+    /// Reason for the choice.
     pub reason: String,
-    /// Endpoints that were looked at.
+    /// Number of endpoints that were considered.
     pub candidates: u32,
     /// Prompt length, in tokens.
     pub input_tokens: u32,
-    /// Prompt tokens that are found in accelerator memory.
+    /// Prompt tokens whose state is already in accelerator memory.
     pub reused_tokens: u32,
-    /// Prompt tokens that are imported.
+    /// Prompt tokens whose state is imported.
     pub imported_tokens: u32,
-    /// Estimated wait before the work starts, in microseconds.
+    /// Estimated queueing time, in microseconds.
     pub queue_us: u64,
-    /// Estimated time of the import, in microseconds.
+    /// Estimated import time, in microseconds.
     pub import_us: u64,
-    /// Estimated time of computing the rest, in microseconds.
+    /// Estimated time to compute the remaining prompt tokens, in microseconds.
     pub compute_us: u64,
     /// Estimated time to first token at the runner-up, in microseconds.
     pub runner_up_us: Option<u64>,
-    /// Tier that the prompt's state is kept in afterwards.
+    /// Tier in which the prompt's state is retained afterwards.
     pub keep: String,
     /// Configuration revision.
     pub revision: u64,
-    /// How it ended; empty while it runs.
+    /// How the attempt ended; empty while it runs.
     pub outcome: String,
 }
 
 impl DecisionRecord {
-    /// Logs the decision: one line of key=value pairs.
+    /// Logs the decision as one line of key=value pairs.
     pub fn log(&self) {
         log::info!(
             event = "route",
--- a/entry/src/explain/decision_ring.rs
+++ b/entry/src/explain/decision_ring.rs
@@ -6,7 +6,7 @@
     },
 };
 
-/// The last decisions of this process, oldest first.
+/// Ring buffer of the most recent routing decisions of this process, oldest first.
 #[derive(Debug)]
 pub struct DecisionRing {
     records: Mutex<VecDeque<DecisionRecord>>,
@@ -14,7 +14,7 @@
 }
 
 impl DecisionRing {
-    /// A ring for so many decisions.
+    /// Creates a ring that holds at most `capacity` decisions.
     pub fn new(capacity: usize) -> Self {
         DecisionRing {
             records: Mutex::new(VecDeque::new()),
@@ -22,7 +22,7 @@
         }
     }
 
-    /// Keeps a decision.
+    /// Adds a decision; drops the oldest if the ring is full.
     pub fn push(
         &self,
         record: DecisionRecord,
@@ -34,7 +34,7 @@
         records.push_back(record);
     }
 
-    /// Notes how the last try of a request ended.
+    /// Records how the last attempt of a request ended.
     pub fn record_outcome(
         &self,
         request_id: &str,
@@ -50,7 +50,7 @@
         }
     }
 
-    /// All decisions about a request, first try first.
+    /// Returns the decisions about a request, first attempt first.
     pub fn find(
         &self,
         request_id: &str,
--- a/entry/src/explain/log_line.rs
+++ b/entry/src/explain/log_line.rs
@@ -1,13 +1,13 @@
-/// One line of a log: pairs of key and value, in their order.
+/// A log line: key=value pairs, in order.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct LogLine {
-    /// What stands before the pairs, such as the name of a box.
+    /// Text before the pairs, such as the name of a box.
     pub origin: String,
     fields: Vec<(String, String)>,
 }
 
 impl LogLine {
-    /// Reads a line; `None` where it has no time and no event.
+    /// Parses a line; `None` if it has no `time` or no `event`.
     pub fn parse(text: &str) -> Option<Self> {
         let start = text.find("time=")?;
         let mut line = LogLine {
@@ -23,7 +23,7 @@
         line.field("event").is_some().then_some(line)
     }
 
-    /// The value of a field.
+    /// Returns the value of a field.
     pub fn field(
         &self,
         name: &str,
@@ -32,17 +32,17 @@
         found.map(|(_, value)| value.as_str())
     }
 
-    /// The kind of event.
+    /// Returns the name of the event.
     pub fn event(&self) -> &str {
         self.field("event").unwrap_or_default()
     }
 
-    /// When it was written.
+    /// Returns the time at which the line was written.
     pub fn time(&self) -> &str {
         self.field("time").unwrap_or_default()
     }
 
-    /// The line without what every line has.
+    /// Returns the pairs without `time`, `level`, `event` and `request`, which are shown elsewhere.
     pub fn details(&self) -> String {
         let common = ["time", "level", "event", "request"];
         let details = self
@@ -56,7 +56,7 @@
     }
 }
 
-/// A value, quoted or up to the next blank, and what follows.
+/// Splits off a value, which is quoted or ends at the next space, and returns it with the rest.
 fn parse_value(text: &str) -> (String, &str) {
     let Some(quoted) = text.strip_prefix('"') else {
         let end = text.find(' ').unwrap_or(text.len());
--- a/entry/src/explain/mod.rs
+++ b/entry/src/explain/mod.rs
@@ -1,4 +1,4 @@
-//! Why a request went where it went.
+//! Explains from routing decisions and log lines how requests were routed.
 
 mod decision_record;
 mod decision_ring;
--- a/entry/src/explain/prefill_summary.rs
+++ b/entry/src/explain/prefill_summary.rs
@@ -7,28 +7,28 @@
     },
 };
 
-/// Time within which a part that is read again might have been kept, in seconds.
+/// Time after a prefill within which a part is expected to be still cached, in seconds.
 const EXPECTED_CACHE_LIFETIME_S: f64 = 20.0;
-/// Time in which a prompt begins where its log lines do not say, in seconds.
+/// Time to first token of a prompt whose log lines do not give it, in seconds.
 const DEFAULT_FIRST_TOKEN_S: f64 = 1.0;
 
-/// Why an engine read a shared part of a prompt.
+/// Why an engine prefilled a shared part of a prompt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum PrefillCause {
-    /// Nobody had read it for these weights.
+    /// No engine had prefilled it for these weights.
     First,
-    /// The same front had just sent another prompt with it, which had not begun.
+    /// The same front had sent another prompt with it, which had no first token yet.
     InProgressSameFront,
-    /// Another front had.
+    /// Another front had sent another prompt with it, which had no first token yet.
     InProgressOtherFront,
-    /// It was read a while ago, and no engine or store offered it any more.
+    /// It was prefilled recently enough to be cached, but no engine or store offered it.
     NotCached,
-    /// It was read longer ago than it can be expected to be kept.
+    /// It was prefilled longer ago than it can be expected to stay cached.
     Expired,
 }
 
 impl PrefillCause {
-    /// Words for operators.
+    /// Returns the cause as printed for operators.
     pub fn as_str(self) -> &'static str {
         match self {
             PrefillCause::First => "first for these weights",
@@ -40,28 +40,28 @@
     }
 }
 
-/// How often parts were read for one cause, and how much.
+/// Number of prefilled parts and tokens of one cause.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct PrefillTotals {
-    /// Parts.
+    /// Number of parts.
     pub parts: u64,
-    /// Tokens; those of one prompt are shared out evenly to the parts it reads.
+    /// Number of tokens; those of a prompt are divided evenly among the parts it prefills.
     pub tokens: f64,
 }
 
-/// Why shared parts were read, from the log lines of all fronts.
+/// Prefills of shared parts by cause, from the log lines of all fronts.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct PrefillSummary {
-    /// Sums by cause.
+    /// Totals by cause.
     pub by_cause: BTreeMap<PrefillCause, PrefillTotals>,
-    /// Lines that are none of ours.
+    /// Number of lines that are not pitchhitch log lines.
     pub malformed_lines: u64,
 }
 
-/// A part under one version of the weights.
+/// A part and the version of the weights that it was computed with.
 type PartKey = (String, String);
 
-/// A read of a part that was asked for.
+/// A prefill of a part that a front requested; times in seconds since the Unix epoch.
 #[derive(Debug, Clone)]
 struct PartPrefill {
     sent_at: f64,
@@ -70,7 +70,7 @@
 }
 
 impl PrefillSummary {
-    /// Adds up the reads that the lines tell of.
+    /// Reads log lines and counts the prefills in them.
     ///
     /// # Errors
     /// When the lines cannot be read.
@@ -149,13 +149,13 @@
     }
 }
 
-/// The last word before the pairs: collectors put times of their own before it.
+/// Returns the last word before the pairs: log collectors put timestamps of their own before it.
 fn front_name(line: &LogLine) -> String {
     let name = line.origin.split_whitespace().last();
     name.unwrap_or_default().to_string()
 }
 
-/// The parts that the line says are read, with the weights.
+/// Returns the parts that the line marks as prefilled (`:r`), with the version of the weights.
 fn prefilled_parts(send: &LogLine) -> Vec<PartKey> {
     let weights = send.field("weights").unwrap_or_default();
     let parts = send.field("parts").unwrap_or_default().split(',');
--- a/entry/src/explain/request_trace.rs
+++ b/entry/src/explain/request_trace.rs
@@ -6,18 +6,18 @@
     },
 };
 
-/// What the log lines of all processes say of one request.
+/// Log lines of any number of processes that concern one request.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct RequestTrace {
-    /// Lines with the id of the request, in the order of their times.
+    /// Lines with the id of the request, ordered by time.
     pub request_lines: Vec<LogLine>,
-    /// Lines about endpoints that it went to: what was believed of them changed.
+    /// Lines about status changes of the endpoints that the request was sent to, ordered by time.
     pub endpoint_lines: Vec<LogLine>,
-    /// Lines that are none of ours.
+    /// Number of lines that are not pitchhitch log lines.
     pub malformed_lines: u64,
 }
 
-/// Events about an endpoint that can explain what became of a request.
+/// Events of an endpoint that can explain the outcome of a request.
 const ENDPOINT_EVENTS: [&str; 6] = [
     "endpoint",
     "endpoint-out",
@@ -28,7 +28,7 @@
 ];
 
 impl RequestTrace {
-    /// Gathers the story of a request.
+    /// Reads log lines and selects those that concern a request.
     ///
     /// # Errors
     /// When the lines cannot be read.
--- a/entry/src/lib.rs
+++ b/entry/src/lib.rs
@@ -1,5 +1,5 @@
 //! The entry process: a filter chain for requests, controllers for state, and
-//! the operator's command line.
+//! the command line for operators.
 
 pub mod callers;
 pub mod cli;
--- a/entry/src/openai/error_body.rs
+++ b/entry/src/openai/error_body.rs
@@ -1,6 +1,6 @@
 use {pitchhitch_core::errors::ErrorKind, serde::Serialize};
 
-/// An error in the shape of that API.
+/// An error response in the format of the OpenAI API.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct ErrorBody {
     error: ErrorObject,
@@ -15,7 +15,7 @@
 }
 
 impl ErrorBody {
-    /// The body for an error.
+    /// Creates the body for an error.
     pub fn new(
         kind: ErrorKind,
         detail: &str,
@@ -31,7 +31,7 @@
         }
     }
 
-    /// The body as JSON.
+    /// Serialises the body as JSON.
     pub fn to_json(&self) -> String {
         serde_json::to_string(self).unwrap_or_default()
     }
--- a/entry/src/openai/mod.rs
+++ b/entry/src/openai/mod.rs
@@ -1,4 +1,5 @@
-//! The published OpenAI shapes, as far as the entry process looks into them.
+//! The request and response formats of the published OpenAI API, as far as the entry process reads
+//! or writes them.
 
 mod error_body;
 mod model_list;
--- a/entry/src/openai/model_list.rs
+++ b/entry/src/openai/model_list.rs
@@ -1,6 +1,6 @@
 use {pitchhitch_core::conf::FleetConfig, serde::Serialize};
 
-/// Answer to `GET /v1/models`.
+/// Response to `GET /v1/models`.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct ModelList {
     object: &'static str,
@@ -16,7 +16,7 @@
 }
 
 impl ModelList {
-    /// The models of a configuration.
+    /// Lists the models of a configuration.
     pub fn from_config(config: &FleetConfig) -> Self {
         let data = config.models.keys().map(|name| ModelObject {
             id: name.clone(),
--- a/entry/src/openai/prompt_request.rs
+++ b/entry/src/openai/prompt_request.rs
@@ -1,6 +1,6 @@
 use {serde::Deserialize, thiserror::Error};
 
-/// Shape of a prompt.
+/// Format of a prompt request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum PromptShape {
     /// `POST /v1/chat/completions`.
@@ -9,27 +9,27 @@
     Completion,
 }
 
-/// What the entry process reads of a prompt; the body itself goes on untouched.
+/// Fields of a prompt request that the entry process reads; the body itself is forwarded unchanged.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct PromptRequest {
-    /// Model that is asked for.
+    /// Requested model.
     pub model: String,
-    /// Whether the answer is streamed.
+    /// Whether the response is streamed.
     pub stream: bool,
-    /// Text of the whole prompt, as far as it counts for kept state.
+    /// Text of the whole prompt, as far as it determines the cached state.
     pub text: Vec<u8>,
 }
 
-/// Why a body is no prompt.
+/// Why a body is not a prompt request.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum PromptError {
-    /// It is not JSON of that shape.
+    /// The body is not JSON of the expected format.
     #[error("the body cannot be read: {reason}")]
     Malformed {
-        /// What the decoder found.
+        /// Error of the JSON decoder.
         reason: String,
     },
-    /// It has no messages or an empty prompt.
+    /// The body has no messages or an empty prompt.
     #[error("the body has no prompt")]
     Empty,
 }
@@ -79,10 +79,10 @@
 }
 
 impl PromptRequest {
-    /// Reads a body.
+    /// Parses a body.
     ///
     /// # Errors
-    /// [`PromptError`] when it is no prompt of that shape.
+    /// [`PromptError`] when the body is not a prompt request of this format.
     pub fn parse(
         shape: PromptShape,
         body: &[u8],
--- a/entry/src/openai/sse_splitter.rs
+++ b/entry/src/openai/sse_splitter.rs
@@ -1,7 +1,7 @@
-/// Cuts a stream of server-sent events at the ends of events.
+/// Splits a stream of server-sent events at event boundaries.
 ///
-/// Only whole events are passed on, so that a stream that breaks can be taken up
-/// again after the last one that the caller has.
+/// Only complete events are passed on, so that an interrupted stream can be resumed after the last
+/// event that the caller has received.
 #[derive(Debug, Default)]
 pub struct SseSplitter {
     partial: Vec<u8>,
@@ -14,18 +14,18 @@
 const ID_FIELD: &[u8] = b"id:";
 const DATA_FIELD: &[u8] = b"data:";
 const DONE_EVENT: &[u8] = b"data: [DONE]";
-/// Longest event that is held back, in bytes.
+/// Largest incomplete event that is buffered, in bytes.
 const MAX_EVENT_BYTES: usize = 1024 * 1024;
 
-/// An event that does not end.
+/// An incomplete event exceeds `MAX_EVENT_BYTES`.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct EventTooLong;
 
 impl SseSplitter {
-    /// Takes the next bytes; gives all that forms whole events.
+    /// Adds the next bytes of the stream and returns all complete events.
     ///
     /// # Errors
-    /// [`EventTooLong`] when one event is longer than anything reasonable.
+    /// [`EventTooLong`] when an incomplete event exceeds the size limit.
     pub fn feed(
         &mut self,
         bytes: &[u8],
@@ -44,22 +44,22 @@
         Ok(events)
     }
 
-    /// Number of the last whole event, if events are numbered.
+    /// Id of the last complete event, if the events have numeric ids.
     pub fn last_id(&self) -> Option<u64> {
         self.last_id
     }
 
-    /// Whether any event with data has come; comments are none.
+    /// Whether an event with data was received; comments do not count.
     pub fn has_data(&self) -> bool {
         self.has_data
     }
 
-    /// Whether the closing event has come.
+    /// Whether the final event, `[DONE]`, was received.
     pub fn is_done(&self) -> bool {
         self.done
     }
 
-    /// Forgets the part of an event that came before the stream broke.
+    /// Discards an incomplete event, after the stream was interrupted.
     pub fn discard_partial(&mut self) {
         self.partial.clear();
     }
--- a/entry/src/operators/mod.rs
+++ b/entry/src/operators/mod.rs
@@ -1,4 +1,4 @@
-//! What operators and peers are told over HTTP.
+//! The HTTP server for operators and peers.
 
 mod operator_server;
 mod status_report;
--- a/entry/src/operators/operator_server.rs
+++ b/entry/src/operators/operator_server.rs
@@ -18,47 +18,47 @@
 
 /// Path of the status report.
 pub const STATUS_PATH: &str = "/operator/status";
-/// Path prefix for explaining a request.
+/// Path prefix of the routing decisions about a request.
 pub const EXPLAIN_PREFIX: &str = "/operator/explain/";
-/// Path prefix for explaining a piece.
+/// Path prefix of the holders of a piece.
 pub const PIECE_PREFIX: &str = "/operator/piece/";
-/// Path prefix for the drain of an endpoint.
+/// Path prefix of the drain state of an endpoint.
 pub const DRAIN_PREFIX: &str = "/operator/drain/";
-/// Mark of a question that a peer has passed on; it goes no further.
+/// Query of a request that a peer has forwarded; it is not forwarded again.
 const FORWARDED_QUERY: &str = "passed=1";
-/// Time limit of asking a peer.
+/// Timeout of a request to a peer.
 const PEER_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// What is known of a piece.
+/// Known holders of a piece.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct PieceReport {
-    /// The piece.
+    /// Key of the piece.
     pub key: PieceKey,
-    /// Who holds it.
+    /// Its known holders.
     pub holders: Vec<HolderRow>,
 }
 
-/// One holder of a piece.
+/// A holder of a piece.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct HolderRow {
-    /// Endpoint or store box.
+    /// Id of the endpoint or store box.
     pub place: String,
     /// `accelerator`, `memory` or `disk`.
     pub tier: String,
-    /// Generation on a store box.
+    /// Generation of the copy on a store box; none at endpoints.
     pub generation: Option<u64>,
 }
 
-/// How far the drain of an endpoint is.
+/// Drain state of an endpoint.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct DrainReport {
-    /// The endpoint.
+    /// Id of the endpoint.
     pub endpoint: String,
-    /// How far its drain is.
+    /// Its drain state.
     pub state: DrainState,
 }
 
-/// Serves one question of an operator or a peer.
+/// Handles one HTTP request from an operator or a peer.
 pub async fn serve_operator(
     app: Arc<EntryApp>,
     conn: Conn,
@@ -119,7 +119,8 @@
     }
 }
 
-/// The id of a request names the process that decided; that one is endpoint_id.
+/// Responds with the routing decisions about a request. Its id names the process that made them; the
+/// request is forwarded there.
 async fn explain_request(
     app: &EntryApp,
     conn: Conn,
--- a/entry/src/operators/status_report.rs
+++ b/entry/src/operators/status_report.rs
@@ -6,72 +6,72 @@
     std::collections::BTreeMap,
 };
 
-/// What one entry process knows, for operators.
+/// Status of an entry process, for operators.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct StatusReport {
-    /// Id of the process's box.
+    /// Id of the box that the process runs on.
     pub box_id: String,
     /// Configuration revision in force.
     pub revision: u64,
-    /// Whether it wants new requests.
+    /// Whether the process is ready for new requests.
     pub ready: bool,
-    /// Time since its start, in seconds.
+    /// Time since the process started, in seconds.
     pub up_seconds: f64,
-    /// Requests running.
+    /// Number of running requests.
     pub running: u32,
-    /// Endpoints that it knows.
+    /// Known endpoints.
     pub endpoints: Vec<EndpointRow>,
-    /// Other entry processes that it hears.
+    /// Other entry processes whose beacons it receives.
     pub peers: Vec<PeerRow>,
-    /// Store boxes that it knows.
+    /// Ids of the known store boxes.
     pub stores: Vec<String>,
-    /// Kept pieces that it knows.
+    /// Number of known cached pieces.
     pub pieces: usize,
-    /// Prompts whose return it waits for.
+    /// Number of prompts in the history, which are expected to be reused.
     pub prompts: usize,
-    /// Shards of control whose lease it holds.
+    /// Control shards whose lease it holds.
     pub shards: Vec<String>,
-    /// Counts since its start.
+    /// Counters since the process started.
     pub counts: BTreeMap<String, u64>,
-    /// Processor time and memory.
+    /// CPU time and memory.
     pub usage: ProcessUsage,
 }
 
-/// One endpoint in a report.
+/// An endpoint in a status report.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct EndpointRow {
     /// Id of the endpoint.
     pub id: String,
-    /// Model or service.
+    /// Model or service that it serves.
     pub target: String,
     /// Weight version; empty for plain services.
     pub version: String,
-    /// Group.
+    /// Group of the endpoint.
     pub group: String,
-    /// Labels.
+    /// Labels of the endpoint.
     pub labels: String,
-    /// Whether it gets new work.
+    /// Whether it is eligible for new requests.
     pub alive: bool,
-    /// Requests that run on it.
+    /// Number of requests that run on it.
     pub running: u32,
-    /// Prompt tokens that it has still to compute.
+    /// Prompt tokens that it still has to compute.
     pub pending_tokens: u64,
-    /// How far its drain is.
+    /// Its drain state.
     pub drain: DrainState,
 }
 
-/// One other entry process in a report.
+/// Another entry process in a status report.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct PeerRow {
     /// Id of its box.
     pub id: String,
     /// Its configuration revision.
     pub revision: u64,
-    /// Requests running there.
+    /// Number of requests that run there.
     pub running: u32,
 }
 
-/// The part of a report that only the control thread knows.
+/// The fields of a status report that only the control thread knows.
 #[derive(Debug)]
 pub struct ControlStatus {
     revision: u64,
@@ -83,7 +83,7 @@
 }
 
 impl ControlStatus {
-    /// Reads the control state.
+    /// Reads them from the control state.
     pub fn read(
         core: &EntryCore,
         now: Micros,
@@ -135,7 +135,7 @@
 }
 
 impl StatusReport {
-    /// Gathers a report; none when the control thread is gone.
+    /// Collects a report; `None` if the control thread has ended.
     pub async fn collect(app: &EntryApp) -> Option<Self> {
         let control = app
             .control
--- a/entry/src/traffic/endpoint_link.rs
+++ b/entry/src/traffic/endpoint_link.rs
@@ -5,7 +5,7 @@
     std::sync::atomic::{AtomicBool, AtomicU32, AtomicU64, Ordering},
 };
 
-/// The link to one endpoint's agent, with what is under way over it.
+/// The link to an endpoint's agent, and the load that this process has in flight there.
 #[derive(Debug)]
 pub struct EndpointLink {
     /// Id of the endpoint.
@@ -17,7 +17,7 @@
 }
 
 impl EndpointLink {
-    /// A link that is not up yet.
+    /// Creates a link that is not connected.
     pub fn new(endpoint_id: &str) -> Self {
         EndpointLink {
             endpoint_id: endpoint_id.to_string(),
@@ -28,17 +28,17 @@
         }
     }
 
-    /// Notes that a try failed here.
+    /// Records that an attempt failed here.
     pub fn mark_failed(&self) {
         self.failed.store(true, Ordering::Relaxed);
     }
 
-    /// Forgets an earlier failure; true if there was one.
+    /// Clears a recorded failure; returns true if there was one.
     pub fn clear_failed(&self) -> bool {
         self.failed.load(Ordering::Relaxed) && self.failed.swap(false, Ordering::Relaxed)
     }
 
-    /// Replaces the link underneath; none when it is down.
+    /// Replaces the connection to the agent; `None` when it is lost.
     pub fn set(
         &self,
         link: Option<AgentLink>,
@@ -46,12 +46,12 @@
         self.link.store(link.map(std::sync::Arc::new));
     }
 
-    /// The link underneath, if it is up.
+    /// Returns the connection to the agent, if it is up.
     pub fn get(&self) -> Option<std::sync::Arc<AgentLink>> {
         self.link.load_full()
     }
 
-    /// What is under way.
+    /// Returns the load in flight.
     pub fn in_flight(&self) -> InFlightLoad {
         InFlightLoad {
             tokens: self.tokens.load(Ordering::Relaxed),
@@ -59,7 +59,7 @@
         }
     }
 
-    /// Notes a request that is handed over.
+    /// Records a request that is handed over to the agent, with its prompt tokens.
     pub fn record_sent(
         &self,
         tokens: u32,
@@ -68,7 +68,7 @@
         self.running.fetch_add(1, Ordering::Relaxed);
     }
 
-    /// Notes that the prompt of a request is computed, or never will be.
+    /// Records that the prompt of a request is computed or never will be.
     pub fn record_prefilled(
         &self,
         tokens: u32,
@@ -76,7 +76,7 @@
         self.tokens.fetch_sub(u64::from(tokens), Ordering::Relaxed);
     }
 
-    /// Notes that a request is over.
+    /// Records that a request ended.
     pub fn record_ended(&self) {
         self.running.fetch_sub(1, Ordering::Relaxed);
     }
--- a/entry/src/traffic/entry_app.rs
+++ b/entry/src/traffic/entry_app.rs
@@ -10,20 +10,20 @@
     },
 };
 
-/// What all requests of an entry process share.
+/// State shared by all requests of an entry process.
 #[derive(Debug)]
 pub struct EntryApp {
     /// Settings of the process.
     pub settings: EntrySettings,
     /// Clock of the process.
     pub clock: ProcessClock,
-    /// The present view.
+    /// The current view, published by the control thread.
     pub view: Arc<ArcSwap<TrafficView>>,
-    /// The control thread.
+    /// Handle of the control thread.
     pub control: ControlHandle,
-    /// Recent decisions.
+    /// Recent routing decisions.
     pub ring: Arc<DecisionRing>,
-    /// Requests that may run at most once.
+    /// Guard of requests that may run at most once.
     pub idempotency: OnceGate,
     /// Metrics.
     pub metrics: Arc<MetricSet>,
@@ -35,7 +35,7 @@
 }
 
 impl EntryApp {
-    /// Puts the parts together.
+    /// Creates the state, with limits from the settings.
     pub fn new(
         settings: EntrySettings,
         clock: ProcessClock,
@@ -59,22 +59,22 @@
         }
     }
 
-    /// The limits; never held over I/O.
+    /// Locks the limits; the guard must not be held across I/O.
     pub fn limits(&self) -> MutexGuard<'_, LimitTable> {
         self.limits.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// The budget for retries; never held over I/O.
+    /// Locks the retry budget; the guard must not be held across I/O.
     pub fn budget(&self) -> MutexGuard<'_, RetryBudget> {
         self.budget.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// The number of the next request.
+    /// Allocates the number of the next request.
     pub fn next_number(&self) -> u64 {
         self.next_request.fetch_add(1, Ordering::Relaxed)
     }
 
-    /// The id of a request: it names the process that decides about it.
+    /// Returns the id of a request, which names the process that routes it.
     pub fn request_id(
         &self,
         number: u64,
@@ -86,7 +86,7 @@
         )
     }
 
-    /// Whether the balancer should send new requests here.
+    /// Whether the load balancer should send new requests here.
     pub fn is_ready(&self) -> bool {
         !self.stopping.load(Ordering::Relaxed) && self.view.load().ready
     }
--- a/entry/src/traffic/key_index.rs
+++ b/entry/src/traffic/key_index.rs
@@ -1,6 +1,6 @@
 use {pitchhitch_core::conf::FleetConfig, std::collections::HashMap, subtle::ConstantTimeEq};
 
-/// Bytes of a key hash that choose the bucket.
+/// Number of leading bytes of a key hash that select the bucket.
 const BUCKET_BYTES: usize = 4;
 
 #[derive(Debug)]
@@ -9,17 +9,17 @@
     organisation: String,
 }
 
-/// Finds the organisation of a bearer key by its hash.
+/// Index of organisations by the hash of a bearer key.
 ///
-/// The bucket depends on the hash alone, which tells nothing about the key;
-/// within a bucket whole hashes are compared in constant time.
+/// The bucket depends only on the hash, which reveals nothing about the key; within a bucket full
+/// hashes are compared in constant time.
 #[derive(Debug, Default)]
 pub struct KeyIndex {
     buckets: HashMap<[u8; BUCKET_BYTES], Vec<KeyEntry>>,
 }
 
 impl KeyIndex {
-    /// Indexes the keys of a configuration.
+    /// Builds the index from a configuration; invalid key hashes are logged and skipped.
     pub fn build(config: &FleetConfig) -> Self {
         let mut index = KeyIndex::default();
         for (name, conf) in &config.organisations {
@@ -49,7 +49,7 @@
         self.buckets.entry(bucket(&hash)).or_default().push(entry);
     }
 
-    /// The organisation that a key belongs to.
+    /// Returns the organisation that a key belongs to.
     pub fn organisation(
         &self,
         key: &str,
--- a/entry/src/traffic/mod.rs
+++ b/entry/src/traffic/mod.rs
@@ -1,4 +1,4 @@
-//! What the traffic threads share: an immutable view, links and limits.
+//! State shared by the traffic threads: an immutable view, links to agents, and limits.
 
 mod endpoint_link;
 mod entry_app;
--- a/entry/src/traffic/traffic_view.rs
+++ b/entry/src/traffic/traffic_view.rs
@@ -8,25 +8,25 @@
     std::sync::Arc,
 };
 
-/// All that a request is decided on; replaced as a whole by the control thread.
+/// State that requests are routed by; the control thread replaces it as a whole.
 #[derive(Debug, Clone, Default)]
 pub struct TrafficView {
-    /// For routing.
+    /// Routing table.
     pub table: Arc<RouteTable>,
-    /// What is known of returns.
+    /// Model of when prompts are reused.
     pub reuse_model: Arc<ReuseModel>,
-    /// Links by endpoint.
+    /// Links to agents, by endpoint.
     pub links: Arc<SecondaryMap<EndpointKey, Arc<EndpointLink>>>,
-    /// Keys of organisations.
+    /// Bearer keys of the organisations.
     pub keys: Arc<KeyIndex>,
-    /// Entry processes that share the load.
+    /// Number of entry processes that share the load.
     pub entry_count: u32,
-    /// Whether new requests should come here.
+    /// Whether the process is ready for new requests.
     pub ready: bool,
 }
 
 impl TrafficView {
-    /// What this process has under way at an endpoint.
+    /// Returns the load that this process has in flight on an endpoint.
     pub fn in_flight(
         &self,
         endpoint: EndpointKey,
@@ -36,7 +36,7 @@
             .map_or(InFlightLoad::default(), |l| l.in_flight())
     }
 
-    /// This process's part of limits that hold for the whole deployment.
+    /// Returns this process's share of limits that apply to the whole deployment.
     pub fn limit_share(&self) -> f64 {
         1.0 / f64::from(self.entry_count.max(1))
     }
--- a/entry/tests/command_line.rs
+++ b/entry/tests/command_line.rs
@@ -105,7 +105,7 @@
         "{text}"
     );
     assert!(!text.contains("e2"), "{text}");
-    assert!(stderr(&output).contains("1 lines are no log lines"));
+    assert!(stderr(&output).contains("1 lines are not pitchhitch log lines"));
     assert_eq!(unknown.status.code(), Some(1));
     assert!(stderr(&unknown).contains("no line has request=r9"));
     let missing = run(&["explain", "--log", "/nowhere/at-all", "r1"]);
