--- a/entry/src/cli/entry_process.rs
+++ b/entry/src/cli/entry_process.rs
@@ -64,8 +64,8 @@
     let operators = bind(settings.operators)?;
     let peer_address = operators.local_addr()?;
     let view = Arc::new(ArcSwap::from_pointee(TrafficView::default()));
-    let (messages, inbox) = async_channel::unbounded();
-    let control = ControlHandle::new(messages);
+    let (message_sender, inbox) = async_channel::unbounded();
+    let control = ControlHandle::new(message_sender);
     let table = TableClient::new(settings.table, PLATFORM_TIMEOUT);
     let metrics = Arc::new(MetricSet::new(settings.metrics).context("cannot open metrics")?);
     let idempotency = OnceGate::start(table.clone(), clock.incarnation());
@@ -163,24 +163,29 @@
         policy: settings.policy,
         lease: LeaseTimes::default(),
     });
-    let objects = ObjectClient::new(settings.objects, PLATFORM_TIMEOUT);
-    let store = ConfigStore::new(setup.table.clone(), objects);
+    let object_client = ObjectClient::new(settings.objects, PLATFORM_TIMEOUT);
+    let config_store = ConfigStore::new(setup.table.clone(), object_client);
     let location = BoxPlace {
         box_id: settings.box_id.clone(),
         failure_domain: settings.failure_domain.clone(),
     };
-    let boxes = BoxClient::new(settings.boxes, PLATFORM_TIMEOUT);
-    let (peers, peer_inbox) = async_channel::bounded(8);
+    let box_client = BoxClient::new(settings.boxes, PLATFORM_TIMEOUT);
+    let (peer_sender, peer_inbox) = async_channel::bounded(8);
     let control = setup.control.clone();
     let config_poll = poll_config(
-        store,
+        config_store,
         control.clone(),
         settings.table_poll,
         setup.clock.incarnation(),
     );
     executor.spawn(config_poll).detach();
     executor
-        .spawn(poll_boxes(boxes, location, control.clone(), peers))
+        .spawn(poll_boxes(
+            box_client,
+            location,
+            control.clone(),
+            peer_sender,
+        ))
         .detach();
     executor
         .spawn(take_beacons(socket.clone(), setup.app.clone()))
--- a/entry/src/command/apply.rs
+++ b/entry/src/command/apply.rs
@@ -37,7 +37,7 @@
     }
     let settings = args.operator_settings()?;
     for change in &changes {
-        check_weights(&settings, change)?;
+        check_active_version(&settings, change)?;
     }
     for change in changes {
         submit_change(&args, &settings, change)?;
@@ -46,7 +46,7 @@
 }
 
 /// Rejects a model whose active version is not in the weight store.
-fn check_weights(
+fn check_active_version(
     settings: &OperatorSettings,
     change: &ConfigChange,
 ) -> Result<(), CliError> {
--- a/entry/src/command/check.rs
+++ b/entry/src/command/check.rs
@@ -1,5 +1,5 @@
 use {
-    super::{CommandArgs, CommandHelp, SettingsText},
+    super::{CommandArgs, CommandHelp, SettingsFile},
     crate::{
         cli::CliError,
         conf::{EntrySettings, OperatorSettings},
@@ -47,7 +47,7 @@
 }
 
 fn check_file(file: &str) -> Result<(), String> {
-    let text = SettingsText::read(file).map_err(|e| e.to_string())?.text;
+    let text = SettingsFile::read(file).map_err(|e| e.to_string())?.text;
     let checked = if text.contains("\"operator\"") {
         OperatorSettings::parse(file, &text).map(|_| ())
     } else if text.contains("\"digests\"") {
--- a/entry/src/command/command_args.rs
+++ b/entry/src/command/command_args.rs
@@ -73,11 +73,11 @@
     ///
     /// # Errors
     /// [`CliError`] when `--settings` is missing or the file cannot be read.
-    pub fn settings_text(&self) -> Result<SettingsText, CliError> {
+    pub fn settings_file(&self) -> Result<SettingsFile, CliError> {
         let file = self.matches.opt_str("settings");
         let file =
             file.ok_or_else(|| CliError::Usage("--settings FILE is missing; see --help".into()))?;
-        SettingsText::read(&file)
+        SettingsFile::read(&file)
     }
 
     /// Reads the settings file as operator settings.
@@ -85,32 +85,32 @@
     /// # Errors
     /// [`CliError`] when `--settings` is missing, or the file cannot be read or is invalid.
     pub fn operator_settings(&self) -> Result<OperatorSettings, CliError> {
-        let text = self.settings_text()?;
-        OperatorSettings::parse(&text.file, &text.text)
+        let file = self.settings_file()?;
+        OperatorSettings::parse(&file.path, &file.text)
             .map_err(|e| CliError::Settings(e.to_string()))
     }
 }
 
 /// Name and content of a settings file.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct SettingsText {
+pub struct SettingsFile {
     /// Path of the file.
-    pub file: String,
+    pub path: String,
     /// Content of the file.
     pub text: String,
 }
 
-impl SettingsText {
+impl SettingsFile {
     /// Reads a file.
     ///
     /// # Errors
     /// [`CliError::Settings`] when it cannot be read.
-    pub fn read(file: &str) -> Result<Self, CliError> {
-        let text = fs::read_to_string(file).map_err(|e| {
-            CliError::Settings(format!("{file}: cannot be read: {e}; check the path"))
+    pub fn read(path: &str) -> Result<Self, CliError> {
+        let text = fs::read_to_string(path).map_err(|e| {
+            CliError::Settings(format!("{path}: cannot be read: {e}; check the path"))
         })?;
-        Ok(SettingsText {
-            file: file.to_string(),
+        Ok(SettingsFile {
+            path: path.to_string(),
             text,
         })
     }
--- a/entry/src/command/config_access.rs
+++ b/entry/src/command/config_access.rs
@@ -48,9 +48,10 @@
 /// [`CliError::Failed`] when the configuration cannot be read from the platform.
 pub fn read_config(settings: &OperatorSettings) -> Result<FleetConfig, CliError> {
     let store = config_store(settings);
-    let read = smol::block_on(store.refresh(&FleetConfig::default()));
-    let read = read.map(|fresh| fresh.config);
-    read.map_err(|e| CliError::Failed(format!("{e}; check 'table' and 'objects' in the settings")))
+    let current = smol::block_on(store.refresh(&FleetConfig::default()));
+    let current = current.map(|c| c.config);
+    current
+        .map_err(|e| CliError::Failed(format!("{e}; check 'table' and 'objects' in the settings")))
 }
 
 /// Submits a change to the configuration, prints the outcome and returns the new revision.
--- a/entry/src/command/serve.rs
+++ b/entry/src/command/serve.rs
@@ -21,8 +21,8 @@
     let Some(args) = CommandArgs::parse(HELP, Options::new(), args)? else {
         return Ok(());
     };
-    let text = args.settings_text()?;
-    let settings = EntrySettings::parse(&text.file, &text.text)
+    let file = args.settings_file()?;
+    let settings = EntrySettings::parse(&file.path, &file.text)
         .map_err(|e| CliError::Settings(e.to_string()))?;
     start_logging();
     start_traffic(settings.traffic_threads);
--- a/entry/src/command/suspects.rs
+++ b/entry/src/command/suspects.rs
@@ -29,8 +29,8 @@
     let Some(args) = CommandArgs::parse(HELP, options, args)? else {
         return Ok(());
     };
-    let text = args.settings_text()?;
-    let settings = FrontSettings::parse(&text.file, &text.text)
+    let file = args.settings_file()?;
+    let settings = FrontSettings::parse(&file.path, &file.text)
         .map_err(|e| CliError::Settings(e.to_string()))?;
     match args.matches.opt_str("release") {
         Some(fingerprint) => release_suspect(&settings, &fingerprint),
--- a/entry/src/explain/prefill_summary.rs
+++ b/entry/src/explain/prefill_summary.rs
@@ -76,7 +76,7 @@
     /// When the lines cannot be read.
     pub fn read(lines: impl BufRead) -> io::Result<Self> {
         let mut summary = PrefillSummary::default();
-        let mut sends = Vec::new();
+        let mut sent_lines = Vec::new();
         let mut first_ms = HashMap::new();
         for line in lines.split(b'\n') {
             let line = line?;
@@ -86,30 +86,30 @@
             match LogLine::parse(&String::from_utf8_lossy(&line)) {
                 None => summary.malformed_lines += 1,
                 Some(line) if line.event() == "end" => record_first_token(&mut first_ms, &line),
-                Some(line) if line.field("outcome") == Some("sent") => sends.push(line),
+                Some(line) if line.field("outcome") == Some("sent") => sent_lines.push(line),
                 Some(_) => {}
             }
         }
-        sends.sort_by(|a, b| a.time().cmp(b.time()));
-        let mut known: HashMap<PartKey, PartPrefill> = HashMap::new();
-        for send in &sends {
-            summary.add_send(send, &first_ms, &mut known);
+        sent_lines.sort_by(|a, b| a.time().cmp(b.time()));
+        let mut last_prefills: HashMap<PartKey, PartPrefill> = HashMap::new();
+        for line in &sent_lines {
+            summary.add_sent_line(line, &first_ms, &mut last_prefills);
         }
         Ok(summary)
     }
 
-    fn add_send(
+    fn add_sent_line(
         &mut self,
-        send: &LogLine,
+        line: &LogLine,
         first_ms: &HashMap<String, f64>,
-        known: &mut HashMap<PartKey, PartPrefill>,
+        last_prefills: &mut HashMap<PartKey, PartPrefill>,
     ) {
-        let parts = prefilled_parts(send);
-        let Some(sent_at) = parse_seconds(send.time()).filter(|_| !parts.is_empty()) else {
+        let parts = prefilled_parts(line);
+        let Some(sent_at) = parse_seconds(line.time()).filter(|_| !parts.is_empty()) else {
             return;
         };
-        let tokens = parse_number(send, "shared_unread").unwrap_or(0.0) / parts.len() as f64;
-        let request = send.field("request").unwrap_or_default();
+        let tokens = parse_number(line, "shared_unread").unwrap_or(0.0) / parts.len() as f64;
+        let request = line.field("request").unwrap_or_default();
         let first_token_s = first_ms
             .get(request)
             .map_or(DEFAULT_FIRST_TOKEN_S, |ms| ms / 1_000.0);
@@ -117,13 +117,13 @@
             let prefill = PartPrefill {
                 sent_at,
                 first_token_at: sent_at + first_token_s,
-                front: front_name(send),
+                front: front_name(line),
             };
-            let cause = prefill_cause(&prefill, known.get(&part));
+            let cause = prefill_cause(&prefill, last_prefills.get(&part));
             let totals = self.by_cause.entry(cause).or_default();
             totals.parts += 1;
             totals.tokens += tokens;
-            known.insert(part, prefill);
+            last_prefills.insert(part, prefill);
         }
     }
 }
@@ -156,9 +156,9 @@
 }
 
 /// Returns the parts that the line marks as prefilled (`:r`), with the version of the weights.
-fn prefilled_parts(send: &LogLine) -> Vec<PartKey> {
-    let weights = send.field("weights").unwrap_or_default();
-    let parts = send.field("parts").unwrap_or_default().split(',');
+fn prefilled_parts(line: &LogLine) -> Vec<PartKey> {
+    let weights = line.field("weights").unwrap_or_default();
+    let parts = line.field("parts").unwrap_or_default().split(',');
     let prefilled = parts.filter_map(|part| part.strip_suffix(":r"));
     prefilled
         .map(|part| (part.to_string(), weights.to_string()))
--- a/entry/src/operators/operator_server.rs
+++ b/entry/src/operators/operator_server.rs
@@ -126,9 +126,9 @@
     conn: Conn,
     request_id: &str,
 ) -> Conn {
-    let own = app.ring.find(request_id);
-    if !own.is_empty() {
-        return json_response(conn, &own);
+    let records = app.ring.find(request_id);
+    if !records.is_empty() {
+        return json_response(conn, &records);
     }
     let box_id = request_id.split('.').next().unwrap_or_default().to_string();
     if box_id == app.settings.box_id || conn.querystring() == FORWARDED_QUERY {
