--- a/entry/src/command/check.rs
+++ b/entry/src/command/check.rs
@@ -1,5 +1,5 @@
 use {
-    super::{CommandArgs, CommandHelp, SettingsText},
+    super::{CommandArgs, CommandHelp, SettingsFile},
     crate::{
         cli::CliError,
         conf::{EntrySettings, OperatorSettings},
@@ -10,10 +10,10 @@
 
 const HELP: CommandHelp = CommandHelp {
     usage: "check FILE...",
-    about: "Checks settings files of entry processes and operators and names every problem.\n\
-            A file with the field 'operator' is taken for an operator's, one with 'digests'\n\
-            for a front's.\n\
-            Agents' files are checked by 'pitchhitch-agent --check --settings FILE'.",
+    about: "Checks settings files of entry processes, fronts and operators and reports every problem.\n\
+            A file with the field 'operator' is checked as operator settings, one with 'digests'\n\
+            as front settings.\n\
+            Agent settings are checked by 'pitchhitch-agent --check --settings FILE'.",
 };
 
 /// Runs `pitchhitch check`.
@@ -47,7 +47,7 @@
 }
 
 fn check_file(file: &str) -> Result<(), String> {
-    let text = SettingsText::read(file).map_err(|e| e.to_string())?.text;
+    let text = SettingsFile::read(file).map_err(|e| e.to_string())?.text;
     let checked = if text.contains("\"operator\"") {
         OperatorSettings::parse(file, &text).map(|_| ())
     } else if text.contains("\"digests\"") {
--- a/entry/src/command/serve.rs
+++ b/entry/src/command/serve.rs
@@ -10,19 +10,19 @@
 
 const HELP: CommandHelp = CommandHelp {
     usage: "serve --settings FILE",
-    about: "Runs an entry process until SIGTERM, which cuts off no request.",
+    about: "Runs an entry process until SIGTERM; running requests are completed.",
 };
 
 /// Runs `pitchhitch serve`.
 ///
 /// # Errors
-/// [`CliError`] when it cannot run.
+/// [`CliError`] when the settings are invalid or the process cannot start.
 pub fn run_serve(args: &[String]) -> Result<(), CliError> {
     let Some(args) = CommandArgs::parse(HELP, Options::new(), args)? else {
         return Ok(());
     };
-    let text = args.settings_text()?;
-    let settings = EntrySettings::parse(&text.file, &text.text)
+    let file = args.settings_file()?;
+    let settings = EntrySettings::parse(&file.path, &file.text)
         .map_err(|e| CliError::Settings(e.to_string()))?;
     start_logging();
     start_traffic_threads(settings.traffic_threads);
--- a/entry/src/explain/prefill_summary.rs
+++ b/entry/src/explain/prefill_summary.rs
@@ -7,28 +7,28 @@
     },
 };
 
-/// Time within which a part that is read again might have been kept, in seconds.
+/// Time after a prefill within which a part is expected to be still cached, in seconds.
 const EXPECTED_CACHE_LIFETIME_S: f64 = 20.0;
-/// Time in which a prompt begins where its log lines do not say, in seconds.
+/// Time to first token of a prompt whose log lines do not give it, in seconds.
 const DEFAULT_FIRST_TOKEN_S: f64 = 1.0;
 
-/// Why an engine read a shared part of a prompt.
+/// Why an engine prefilled a shared part of a prompt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum PrefillCause {
-    /// Nobody had read it for these weights.
+    /// No engine had prefilled it for these weights.
     First,
-    /// The same front had just sent another prompt with it, which had not begun.
+    /// The same front had sent another prompt with it, which had no first token yet.
     InProgressSameFront,
-    /// Another front had.
+    /// Another front had sent another prompt with it, which had no first token yet.
     InProgressOtherFront,
-    /// It was read a while ago, and no engine or store offered it any more.
+    /// It was prefilled recently enough to be cached, but no engine or store offered it.
     NotCached,
-    /// It was read longer ago than it can be expected to be kept.
+    /// It was prefilled longer ago than it can be expected to stay cached.
     Expired,
 }
 
 impl PrefillCause {
-    /// Words for operators.
+    /// Returns the cause as printed for operators.
     pub fn as_str(self) -> &'static str {
         match self {
             PrefillCause::First => "first for these weights",
@@ -40,28 +40,28 @@
     }
 }
 
-/// How often parts were read for one cause, and how much.
+/// Number of prefilled parts and tokens of one cause.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct PrefillTotals {
-    /// Parts.
+    /// Number of parts.
     pub parts: u64,
-    /// Tokens; those of one prompt are shared out evenly to the parts it reads.
+    /// Number of tokens; those of a prompt are divided evenly among the parts it prefills.
     pub tokens: f64,
 }
 
-/// Why shared parts were read, from the log lines of all fronts.
+/// Prefills of shared parts by cause, from the log lines of all fronts.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct PrefillSummary {
-    /// Sums by cause.
+    /// Totals by cause.
     pub by_cause: BTreeMap<PrefillCause, PrefillTotals>,
-    /// Lines that are none of ours.
+    /// Number of lines that are not pitchhitch log lines.
     pub malformed_lines: u64,
 }
 
-/// A part under one version of the weights.
+/// A part and the version of the weights that it was computed with.
 type PartKey = (String, String);
 
-/// A read of a part that was asked for.
+/// A prefill of a part that a front requested; times in seconds since the Unix epoch.
 #[derive(Debug, Clone)]
 struct PartPrefill {
     sent_at: f64,
@@ -70,13 +70,13 @@
 }
 
 impl PrefillSummary {
-    /// Adds up the reads that the lines tell of.
+    /// Reads log lines and counts the prefills in them.
     ///
     /// # Errors
     /// When the lines cannot be read.
     pub fn read(lines: impl BufRead) -> io::Result<Self> {
         let mut summary = PrefillSummary::default();
-        let mut sends = Vec::new();
+        let mut sent_lines = Vec::new();
         let mut first_ms = HashMap::new();
         for line in lines.split(b'\n') {
             let line = line?;
@@ -86,30 +86,30 @@
             match LogLine::parse(&String::from_utf8_lossy(&line)) {
                 None => summary.malformed_lines += 1,
                 Some(line) if line.event() == "end" => record_first_token(&mut first_ms, &line),
-                Some(line) if line.field("outcome") == Some("sent") => sends.push(line),
+                Some(line) if line.field("outcome") == Some("sent") => sent_lines.push(line),
                 Some(_) => {}
             }
         }
-        sends.sort_by(|a, b| a.time().cmp(b.time()));
-        let mut known: HashMap<PartKey, PartPrefill> = HashMap::new();
-        for send in &sends {
-            summary.add_send(send, &first_ms, &mut known);
+        sent_lines.sort_by(|a, b| a.time().cmp(b.time()));
+        let mut last_prefills: HashMap<PartKey, PartPrefill> = HashMap::new();
+        for line in &sent_lines {
+            summary.add_sent_line(line, &first_ms, &mut last_prefills);
         }
         Ok(summary)
     }
 
-    fn add_send(
+    fn add_sent_line(
         &mut self,
-        send: &LogLine,
+        line: &LogLine,
         first_ms: &HashMap<String, f64>,
-        known: &mut HashMap<PartKey, PartPrefill>,
+        last_prefills: &mut HashMap<PartKey, PartPrefill>,
     ) {
-        let parts = prefilled_parts(send);
-        let Some(sent_at) = parse_seconds(send.time()).filter(|_| !parts.is_empty()) else {
+        let parts = prefilled_parts(line);
+        let Some(sent_at) = parse_seconds(line.time()).filter(|_| !parts.is_empty()) else {
             return;
         };
-        let tokens = parse_number(send, "shared_unread").unwrap_or(0.0) / parts.len() as f64;
-        let request = send.field("request").unwrap_or_default();
+        let tokens = parse_number(line, "shared_unread").unwrap_or(0.0) / parts.len() as f64;
+        let request = line.field("request").unwrap_or_default();
         let first_token_s = first_ms
             .get(request)
             .map_or(DEFAULT_FIRST_TOKEN_S, |ms| ms / 1_000.0);
@@ -117,13 +117,13 @@
             let prefill = PartPrefill {
                 sent_at,
                 first_token_at: sent_at + first_token_s,
-                front: front_name(send),
+                front: front_name(line),
             };
-            let cause = prefill_cause(&prefill, known.get(&part));
+            let cause = prefill_cause(&prefill, last_prefills.get(&part));
             let totals = self.by_cause.entry(cause).or_default();
             totals.parts += 1;
             totals.tokens += tokens;
-            known.insert(part, prefill);
+            last_prefills.insert(part, prefill);
         }
     }
 }
@@ -149,16 +149,16 @@
     }
 }
 
-/// The last word before the pairs: collectors put times of their own before it.
+/// Returns the last word before the pairs: log collectors put timestamps of their own before it.
 fn front_name(line: &LogLine) -> String {
     let name = line.origin.split_whitespace().last();
     name.unwrap_or_default().to_string()
 }
 
-/// The parts that the line says are read, with the weights.
-fn prefilled_parts(send: &LogLine) -> Vec<PartKey> {
-    let weights = send.field("weights").unwrap_or_default();
-    let parts = send.field("parts").unwrap_or_default().split(',');
+/// Returns the parts that the line marks as prefilled (`:r`), with the version of the weights.
+fn prefilled_parts(line: &LogLine) -> Vec<PartKey> {
+    let weights = line.field("weights").unwrap_or_default();
+    let parts = line.field("parts").unwrap_or_default().split(',');
     let prefilled = parts.filter_map(|part| part.strip_suffix(":r"));
     prefilled
         .map(|part| (part.to_string(), weights.to_string()))
