--- a/entry/src/cli/entry_process.rs
+++ b/entry/src/cli/entry_process.rs
@@ -3,7 +3,7 @@
         callers::serve_caller,
         conf::EntrySettings,
         control::{
-            poll_boxes, poll_config, send_beacons, receive_beacons, BoxLocation, ControlHandle,
+            poll_boxes, poll_config, receive_beacons, send_beacons, BoxLocation, ControlHandle,
             ControlLoop, ControlMessage, LeaseController, ViewPublisher,
         },
         idempotency::IdempotencyGuard,
--- a/entry/src/command/suspects.rs
+++ b/entry/src/command/suspects.rs
@@ -6,7 +6,7 @@
     },
     getopts::Options,
     pitchhitch_core::serving::RequestFingerprint,
-    pitchhitch_http1::{HttpResponse, HttpRequest, HttpClient},
+    pitchhitch_http1::{HttpClient, HttpRequest, HttpResponse},
     std::time::Duration,
 };
 
--- a/entry/src/filter/retention_plan.rs
+++ b/entry/src/filter/retention_plan.rs
@@ -146,7 +146,9 @@
         .unwrap_or_default();
     let bytes = u64::from(tokens) * request.token_bytes;
     RetentionCase {
-        reuse_probability: view.reuse_model.reuse_probability(request.label, Micros::ZERO),
+        reuse_probability: view
+            .reuse_model
+            .reuse_probability(request.label, Micros::ZERO),
         expected_gap: view.reuse_model.median_gap(request.label, Micros::ZERO),
         tokens,
         token_bytes: request.token_bytes,
--- a/entry/src/filter/route.rs
+++ b/entry/src/filter/route.rs
@@ -147,7 +147,8 @@
         // Request numbers start alike in all processes; the incarnation makes the seeds differ.
         seed: parsed.request.number.wrapping_add(app.clock.incarnation()),
     };
-    view.table.choose(&request, |endpoint| view.in_flight(endpoint))
+    view.table
+        .choose(&request, |endpoint| view.in_flight(endpoint))
 }
 
 fn cost_weights(
--- a/entry/src/traffic/entry_app.rs
+++ b/entry/src/traffic/entry_app.rs
@@ -1,6 +1,9 @@
 use {
     super::TrafficView,
-    crate::{conf::EntrySettings, control::ControlHandle, explain::DecisionRing, idempotency::IdempotencyGuard},
+    crate::{
+        conf::EntrySettings, control::ControlHandle, explain::DecisionRing,
+        idempotency::IdempotencyGuard,
+    },
     arc_swap::ArcSwap,
     pitchhitch_core::{limit::LimitTable, retry::RetryBudget},
     pitchhitch_process::{MetricSet, ProcessClock},
--- a/entry/tests/part_reads.rs
+++ b/entry/tests/part_reads.rs
@@ -1,7 +1,7 @@
 //! Causes for which shared parts of prompts were prefilled, from the log lines of all fronts.
 
 use {
-    pitchhitch_entry::explain::{PrefillSummary, PrefillCause, PrefillTotals},
+    pitchhitch_entry::explain::{PrefillCause, PrefillSummary, PrefillTotals},
     std::process::Command,
 };
 
