--- a/agent/src/gate/request_runner.rs
+++ b/agent/src/gate/request_runner.rs
@@ -255,7 +255,7 @@
     wanted: impl std::future::Future<Output = T>,
 ) -> Option<T> {
     future::or(async { Some(wanted.await) }, async {
-        replies.gone().await;
+        replies.closed().await;
         None
     })
     .await
--- a/wire/src/beacon/beacon_socket.rs
+++ b/wire/src/beacon/beacon_socket.rs
@@ -1,5 +1,5 @@
 use {
-    super::{BeaconError, BeaconKey, NumberedBeacon, BEACON_LIMIT},
+    super::{BeaconError, BeaconKey, NumberedBeacon, MAX_BEACON_BYTES},
     pitchhitch_core::membership::{Beacon, ReplayGuard},
     smol::net::UdpSocket,
     std::{
@@ -43,7 +43,7 @@
     socket: UdpSocket,
     key: BeaconKey,
     counter: AtomicU64,
-    guard: Mutex<ReplayGuard>,
+    replay_guard: Mutex<ReplayGuard>,
 }
 
 impl BeaconSocket {
@@ -59,7 +59,7 @@
             socket: UdpSocket::bind(address).await?,
             key,
             counter: AtomicU64::new(0),
-            guard: Mutex::new(ReplayGuard::default()),
+            replay_guard: Mutex::new(ReplayGuard::default()),
         })
     }
 
@@ -103,12 +103,15 @@
     /// # Errors
     /// [`ReceiveError`] for a datagram that must be passed over.
     pub async fn receive(&self) -> Result<Beacon, ReceiveError> {
-        let mut datagram = [0; BEACON_LIMIT + 1];
+        let mut datagram = [0; MAX_BEACON_BYTES + 1];
         let (length, from) = self.socket.recv_from(&mut datagram).await?;
-        let opened = NumberedBeacon::open(&datagram[..length], &self.key);
-        let numbered = opened.map_err(|error| ReceiveError::Refused { from, error })?;
-        let mut guard = self.guard.lock().unwrap_or_else(PoisonError::into_inner);
-        if !guard.accept(numbered.sender(), numbered.number()) {
+        let result = NumberedBeacon::open(&datagram[..length], &self.key);
+        let numbered = result.map_err(|error| ReceiveError::Refused { from, error })?;
+        let mut guard = self
+            .replay_guard
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner);
+        if !guard.accept(numbered.sender(), numbered.sequence()) {
             return Err(ReceiveError::Replayed {
                 from,
                 sender: numbered.sender().to_string(),
--- a/wire/src/beacon/sealed_beacon.rs
+++ b/wire/src/beacon/sealed_beacon.rs
@@ -9,14 +9,14 @@
 /// Bytes of the keyed hash.
 const HASH_BYTES: usize = 32;
 /// Longest beacon, in bytes; it must fit one datagram.
-pub const BEACON_LIMIT: usize = 8 * 1024;
+pub const MAX_BEACON_BYTES: usize = 8 * 1024;
 
 /// Why a datagram is no beacon of this deployment.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum BeaconError {
     /// It is too short or too long, or of another version.
     #[error("datagram of {length} bytes is no beacon of version {WIRE_VERSION}")]
-    Shape {
+    Malformed {
         /// Bytes in the datagram.
         length: usize,
     },
@@ -47,7 +47,7 @@
     }
 
     /// Its place in the life of the sender.
-    pub fn number(&self) -> BeaconSequence {
+    pub fn sequence(&self) -> BeaconSequence {
         let incarnation = match &self.beacon {
             Beacon::Agent(agent) => agent.incarnation,
             Beacon::Entry(entry) => entry.incarnation,
@@ -71,8 +71,8 @@
         datagram.push(WIRE_VERSION);
         datagram.extend_from_slice(key.hash(&body).as_bytes());
         datagram.extend_from_slice(&body);
-        if datagram.len() > BEACON_LIMIT {
-            return Err(BeaconError::Shape {
+        if datagram.len() > MAX_BEACON_BYTES {
+            return Err(BeaconError::Malformed {
                 length: datagram.len(),
             });
         }
@@ -87,20 +87,20 @@
         datagram: &[u8],
         key: &BeaconKey,
     ) -> Result<Self, BeaconError> {
-        let shape = BeaconError::Shape {
+        let malformed = BeaconError::Malformed {
             length: datagram.len(),
         };
         let Some((&WIRE_VERSION, rest)) = datagram.split_first() else {
-            return Err(shape);
+            return Err(malformed);
         };
-        if rest.len() < HASH_BYTES || datagram.len() > BEACON_LIMIT {
-            return Err(shape);
+        if rest.len() < HASH_BYTES || datagram.len() > MAX_BEACON_BYTES {
+            return Err(malformed);
         }
-        let (hash, body) = rest.split_at(HASH_BYTES);
-        let mut wanted = [0; HASH_BYTES];
-        wanted.copy_from_slice(hash);
+        let (hash_bytes, body) = rest.split_at(HASH_BYTES);
+        let mut received_hash = [0; HASH_BYTES];
+        received_hash.copy_from_slice(hash_bytes);
         // Comparing two blake3 hashes takes the same time wherever they differ.
-        if key.hash(body) != blake3::Hash::from(wanted) {
+        if key.hash(body) != blake3::Hash::from(received_hash) {
             return Err(BeaconError::Forged);
         }
         Ok(decode_body(body)?)
--- a/wire/src/codec/frame_codec.rs
+++ b/wire/src/codec/frame_codec.rs
@@ -9,13 +9,13 @@
 /// Bytes in front of each body: version and length.
 pub const HEADER_BYTES: usize = 5;
 /// Longest body, in bytes.
-pub const BODY_LIMIT: usize = 16 * 1024 * 1024;
+pub const MAX_BODY_BYTES: usize = 16 * 1024 * 1024;
 
 const BINCODE: bincode::config::Configuration<
     bincode::config::LittleEndian,
     bincode::config::Varint,
-    bincode::config::Limit<BODY_LIMIT>,
-> = bincode::config::standard().with_limit::<BODY_LIMIT>();
+    bincode::config::Limit<MAX_BODY_BYTES>,
+> = bincode::config::standard().with_limit::<MAX_BODY_BYTES>();
 
 /// Makes a message without version and length.
 ///
@@ -33,12 +33,12 @@
 /// [`FrameError::Malformed`] for anything else.
 pub fn decode_body<T: DeserializeOwned>(body: &[u8]) -> Result<T, FrameError> {
     let decoded = bincode::serde::decode_from_slice(body, BINCODE);
-    let (message, used) = decoded.map_err(|e| FrameError::Malformed {
+    let (message, consumed) = decoded.map_err(|e| FrameError::Malformed {
         reason: e.to_string(),
     })?;
-    if used != body.len() {
+    if consumed != body.len() {
         return Err(FrameError::Malformed {
-            reason: format!("{} bytes too many", body.len() - used),
+            reason: format!("{} bytes too many", body.len() - consumed),
         });
     }
     Ok(message)
@@ -50,10 +50,10 @@
 /// [`FrameError`] when the message is over the limit.
 pub fn encode_frame<T: Serialize>(message: &T) -> Result<Bytes, FrameError> {
     let body = encode_body(message)?;
-    if body.len() > BODY_LIMIT {
+    if body.len() > MAX_BODY_BYTES {
         return Err(FrameError::TooLong {
             found: body.len(),
-            limit: BODY_LIMIT,
+            limit: MAX_BODY_BYTES,
         });
     }
     let mut frame = BytesMut::with_capacity(HEADER_BYTES + body.len());
@@ -121,10 +121,10 @@
         }
         let mut field = &self.buffer[1..HEADER_BYTES];
         let length = field.get_u32_le() as usize;
-        if length > BODY_LIMIT {
+        if length > MAX_BODY_BYTES {
             return Err(FrameError::TooLong {
                 found: length,
-                limit: BODY_LIMIT,
+                limit: MAX_BODY_BYTES,
             });
         }
         Ok(Some(length))
--- a/wire/src/link/agent_link.rs
+++ b/wire/src/link/agent_link.rs
@@ -1,5 +1,8 @@
 use {
-    super::{LinkError, ReplyStream, CALL_URI, CONNECTION_WINDOW, REPLY_WINDOW, STREAM_LIMIT},
+    super::{
+        LinkError, ReplyStream, CALL_URI, CONNECTION_WINDOW_BYTES, MAX_CONCURRENT_STREAMS,
+        REPLY_WINDOW_BYTES,
+    },
     crate::{codec::encode_frame, messages::LinkCall},
     async_compat::Compat,
     bytes::Bytes,
@@ -54,9 +57,9 @@
             .map_err(LinkError::not_sent)?;
         stream.set_nodelay(true).map_err(LinkError::not_sent)?;
         let mut builder = h2::client::Builder::new();
-        builder.initial_window_size(REPLY_WINDOW);
-        builder.initial_connection_window_size(CONNECTION_WINDOW);
-        builder.initial_max_send_streams(STREAM_LIMIT as usize);
+        builder.initial_window_size(REPLY_WINDOW_BYTES);
+        builder.initial_connection_window_size(CONNECTION_WINDOW_BYTES);
+        builder.initial_max_send_streams(MAX_CONCURRENT_STREAMS as usize);
         builder.max_concurrent_reset_streams(1_000);
         builder.enable_push(false);
         builder
--- a/wire/src/link/link_server.rs
+++ b/wire/src/link/link_server.rs
@@ -1,5 +1,7 @@
 use {
-    super::{LinkError, ReplySender, CALL_WINDOW, CONNECTION_WINDOW, STREAM_LIMIT},
+    super::{
+        LinkError, ReplySender, CALL_WINDOW_BYTES, CONNECTION_WINDOW_BYTES, MAX_CONCURRENT_STREAMS,
+    },
     crate::{
         codec::{FrameError, FrameReader},
         messages::LinkCall,
@@ -51,9 +53,9 @@
 ) -> Result<(), LinkError> {
     stream.set_nodelay(true).map_err(LinkError::not_sent)?;
     let mut builder = h2::server::Builder::new();
-    builder.initial_window_size(CALL_WINDOW);
-    builder.initial_connection_window_size(CONNECTION_WINDOW);
-    builder.max_concurrent_streams(STREAM_LIMIT);
+    builder.initial_window_size(CALL_WINDOW_BYTES);
+    builder.initial_connection_window_size(CONNECTION_WINDOW_BYTES);
+    builder.max_concurrent_streams(MAX_CONCURRENT_STREAMS);
     builder.max_concurrent_reset_streams(1_000);
     let handshake = builder.handshake(Compat::new(stream)).await;
     let mut connection = handshake.map_err(LinkError::broken)?;
--- a/wire/src/link/mod.rs
+++ b/wire/src/link/mod.rs
@@ -12,11 +12,11 @@
 /// Path of all calls; the message says what is asked.
 const CALL_URI: &str = "http://agent/call";
 /// Bytes of answer that may be under way to a caller that does not read.
-const REPLY_WINDOW: u32 = 64 * 1024;
+const REPLY_WINDOW_BYTES: u32 = 64 * 1024;
 /// Bytes of requests that may be under way on one stream.
-const CALL_WINDOW: u32 = 1024 * 1024;
+const CALL_WINDOW_BYTES: u32 = 1024 * 1024;
 /// Bytes under way on the whole connection: so many that streams that nobody
 /// reads never hold up the others.
-const CONNECTION_WINDOW: u32 = (1 << 31) - 1;
+const CONNECTION_WINDOW_BYTES: u32 = (1 << 31) - 1;
 /// Streams on one link at the same time.
-const STREAM_LIMIT: u32 = 100_000;
+const MAX_CONCURRENT_STREAMS: u32 = 100_000;
--- a/wire/src/link/reply_sender.rs
+++ b/wire/src/link/reply_sender.rs
@@ -21,7 +21,7 @@
         Ok(ReplySender { stream })
     }
 
-    /// Sends one answer, waiting until the entry process has room for it.
+    /// Sends one answer, waiting until the entry process has capacity for it.
     ///
     /// # Errors
     /// [`LinkError`] when nobody wants it any more.
@@ -31,8 +31,8 @@
     ) -> Result<(), LinkError> {
         let mut frame = encode_frame(reply)?;
         while !frame.is_empty() {
-            let room = self.room(frame.len()).await?;
-            let part = frame.split_to(room.min(frame.len()));
+            let capacity = self.reserve_capacity(frame.len()).await?;
+            let part = frame.split_to(capacity.min(frame.len()));
             self.stream
                 .send_data(part, false)
                 .map_err(LinkError::broken)?;
@@ -51,18 +51,18 @@
     }
 
     /// Waits until the entry process gives the stream up or the link breaks.
-    pub async fn gone(&mut self) {
+    pub async fn closed(&mut self) {
         let _ = poll_fn(|cx| self.stream.poll_reset(cx)).await;
     }
 
-    async fn room(
+    async fn reserve_capacity(
         &mut self,
-        wanted: usize,
+        bytes: usize,
     ) -> Result<usize, LinkError> {
-        self.stream.reserve_capacity(wanted);
-        let room = poll_fn(|cx| self.stream.poll_capacity(cx)).await;
-        match room {
-            Some(room) => room.map_err(LinkError::broken),
+        self.stream.reserve_capacity(bytes);
+        let capacity = poll_fn(|cx| self.stream.poll_capacity(cx)).await;
+        match capacity {
+            Some(capacity) => capacity.map_err(LinkError::broken),
             None => Err(LinkError::Broken {
                 reason: "the stream was given up".to_string(),
             }),
--- a/wire/src/link/reply_stream.rs
+++ b/wire/src/link/reply_stream.rs
@@ -8,7 +8,7 @@
 
 #[derive(Debug)]
 enum ReplyState {
-    Waiting(Box<ResponseFuture>),
+    AwaitingResponse(Box<ResponseFuture>),
     Open(RecvStream),
     Ended,
 }
@@ -20,15 +20,15 @@
 pub struct ReplyStream {
     state: ReplyState,
     reader: FrameReader,
-    held: usize,
+    unreleased_bytes: usize,
 }
 
 impl ReplyStream {
     pub(super) fn new(response: ResponseFuture) -> Self {
         ReplyStream {
-            state: ReplyState::Waiting(Box::new(response)),
+            state: ReplyState::AwaitingResponse(Box::new(response)),
             reader: FrameReader::default(),
-            held: 0,
+            unreleased_bytes: 0,
         }
     }
 
@@ -50,7 +50,7 @@
         loop {
             match self.reader.next_frame() {
                 Ok(Some(reply)) => return Poll::Ready(Ok(Some(reply))),
-                Ok(None) => self.release_held(),
+                Ok(None) => self.release_consumed(),
                 Err(error) => {
                     self.state = ReplyState::Ended;
                     return Poll::Ready(Err(error.into()));
@@ -58,7 +58,7 @@
             }
             match std::task::ready!(self.poll_bytes(cx)) {
                 Ok(Some(bytes)) => {
-                    self.held += bytes.len();
+                    self.unreleased_bytes += bytes.len();
                     self.reader.feed(&bytes);
                 }
                 Ok(None) => {
@@ -80,7 +80,7 @@
     ) -> Poll<Result<Option<Bytes>, LinkError>> {
         loop {
             match &mut self.state {
-                ReplyState::Waiting(response) => {
+                ReplyState::AwaitingResponse(response) => {
                     let pinned = std::pin::Pin::new(response.as_mut());
                     let response = std::task::ready!(std::future::Future::poll(pinned, cx));
                     let response = response.map_err(LinkError::broken)?;
@@ -95,14 +95,16 @@
         }
     }
 
-    fn release_held(&mut self) {
-        if self.held == 0 {
+    fn release_consumed(&mut self) {
+        if self.unreleased_bytes == 0 {
             return;
         }
         if let ReplyState::Open(stream) = &mut self.state {
             // An error means that the stream is over, which the next read shows.
-            let _ = stream.flow_control().release_capacity(self.held);
+            let _ = stream
+                .flow_control()
+                .release_capacity(self.unreleased_bytes);
         }
-        self.held = 0;
+        self.unreleased_bytes = 0;
     }
 }
--- a/wire/tests/beacon_seal.rs
+++ b/wire/tests/beacon_seal.rs
@@ -3,7 +3,7 @@
 use {
     pitchhitch_core::membership::{Beacon, EntryBeacon},
     pitchhitch_wire::beacon::{
-        BeaconError, BeaconKey, BeaconSocket, NumberedBeacon, ReceiveError, BEACON_LIMIT,
+        BeaconError, BeaconKey, BeaconSocket, NumberedBeacon, ReceiveError, MAX_BEACON_BYTES,
     },
     proptest::prelude::*,
     smol::{block_on, net::UdpSocket},
@@ -102,7 +102,7 @@
     })]
 
     #[test]
-    fn any_datagram_survives(bytes in proptest::collection::vec(any::<u8>(), 0..BEACON_LIMIT / 16)) {
+    fn any_datagram_survives(bytes in proptest::collection::vec(any::<u8>(), 0..MAX_BEACON_BYTES / 16)) {
         prop_assert!(NumberedBeacon::open(&bytes, &BeaconKey::from_secret("one")).is_err());
     }
 }
--- a/wire/tests/frame_codec.rs
+++ b/wire/tests/frame_codec.rs
@@ -3,7 +3,9 @@
 use {
     pitchhitch_core::{errors::ErrorKind, role::ConfigNotice},
     pitchhitch_wire::{
-        codec::{encode_frame, FrameError, FrameReader, BODY_LIMIT, HEADER_BYTES, WIRE_VERSION},
+        codec::{
+            encode_frame, FrameError, FrameReader, HEADER_BYTES, MAX_BODY_BYTES, WIRE_VERSION,
+        },
         messages::{HandOver, LinkCall, LinkReply},
     },
     proptest::prelude::*,
@@ -66,7 +68,7 @@
         matches!(
             error,
             FrameError::TooLong {
-                limit: BODY_LIMIT,
+                limit: MAX_BODY_BYTES,
                 ..
             }
         ),
@@ -108,7 +110,7 @@
 
 #[test]
 fn overlong_message_not_sent() {
-    let call = hand_over(vec![0; BODY_LIMIT + 1]);
+    let call = hand_over(vec![0; MAX_BODY_BYTES + 1]);
     assert!(encode_frame(&call).is_err());
 }
 
