--- a/agent/src/beacons/beacon_sender.rs
+++ b/agent/src/beacons/beacon_sender.rs
@@ -13,17 +13,17 @@
 };
 
 /// Entry processes that one agent sends its beacons to.
-pub const HOME_SIZE: usize = 8;
+pub const MAX_TARGETS: usize = 8;
 /// Time limit of reading the box list.
 const LIST_TIMEOUT: Duration = Duration::from_secs(2);
-/// Time between two readings of the box list while homes are known.
+/// Time between two readings of the box list while targets are known.
 const LIST_INTERVAL: Duration = Duration::from_secs(5);
 /// Time between two readings while none is known.
-const SEARCH_INTERVAL: Duration = Duration::from_millis(250);
-/// Factor on the interval while all homes are linked: the link tells them more.
-const LINKED_FACTOR: u32 = 20;
+const DISCOVERY_INTERVAL: Duration = Duration::from_millis(250);
+/// Factor on the interval while all targets are linked: the link tells them more.
+const LINKED_INTERVAL_FACTOR: u32 = 20;
 /// Pause before the socket is tried again.
-const BIND_PAUSE: Duration = Duration::from_millis(500);
+const BIND_RETRY_DELAY: Duration = Duration::from_millis(500);
 
 /// Sends beacons to the agent's home entry processes, for good.
 pub async fn send_beacons(
@@ -37,39 +37,39 @@
             Ok(socket) => break socket,
             Err(error) => {
                 log::warn!(event = "beacons-not-bound", error = error.to_string().as_str(); "");
-                Timer::after(BIND_PAUSE).await;
+                Timer::after(BIND_RETRY_DELAY).await;
             }
         }
     };
     let boxes = BoxClient::new(settings.boxes, LIST_TIMEOUT);
-    let mut homes = Vec::new();
+    let mut targets = Vec::new();
     let mut listed_at: Option<Instant> = None;
     loop {
-        let interval = if homes.is_empty() {
-            SEARCH_INTERVAL
+        let interval = if targets.is_empty() {
+            DISCOVERY_INTERVAL
         } else {
             LIST_INTERVAL
         };
         if listed_at.is_none_or(|t| t.elapsed() >= interval) {
             listed_at = Some(Instant::now());
-            if let Some(found) = find_homes(&settings, &boxes).await {
-                homes = found;
+            if let Some(selected) = select_targets(&settings, &boxes).await {
+                targets = selected;
             }
         }
         let beacon = Beacon::Agent(handle.view().beacon.clone());
         let was_refusing = handle.view().pulse.refusing;
-        socket.send(beacon, &homes).await;
-        let linked = handle.view().subscribers >= homes.len() && !homes.is_empty();
-        let interval = match linked {
-            true => settings.beacon_interval * LINKED_FACTOR,
+        socket.send(beacon, &targets).await;
+        let all_linked = handle.view().subscribers >= targets.len() && !targets.is_empty();
+        let interval = match all_linked {
+            true => settings.beacon_interval * LINKED_INTERVAL_FACTOR,
             false => settings.beacon_interval,
         };
-        wait_or_refusing(interval, &handle, was_refusing).await;
+        wait_interval_or_refusal(interval, &handle, was_refusing).await;
     }
 }
 
 /// Waits for the next beacon, but not once the agent begins to refuse work.
-async fn wait_or_refusing(
+async fn wait_interval_or_refusal(
     interval: Duration,
     handle: &ControlHandle,
     was_refusing: bool,
@@ -85,7 +85,7 @@
     future::or(timer, change).await;
 }
 
-async fn find_homes(
+async fn select_targets(
     settings: &AgentSettings,
     boxes: &BoxClient,
 ) -> Option<Vec<SocketAddr>> {
@@ -101,11 +101,11 @@
             value: row.address,
         })
         .collect();
-    let homes = rendezvous_select(
+    let targets = rendezvous_select(
         &settings.endpoint_id,
         &settings.failure_domain,
         &candidates,
-        HOME_SIZE,
+        MAX_TARGETS,
     );
-    Some(homes.into_iter().map(|home| home.value).collect())
+    Some(targets.into_iter().map(|target| target.value).collect())
 }
--- a/agent/src/cli/agent_cli.rs
+++ b/agent/src/cli/agent_cli.rs
@@ -28,7 +28,7 @@
 }
 
 impl AgentMode {
-    fn call(self) -> &'static str {
+    fn command(self) -> &'static str {
         match self {
             AgentMode::Endpoint => "pitchhitch-agent",
             AgentMode::Engine => "pitchhitch-agent beside",
@@ -40,10 +40,10 @@
         self,
         matches: &Matches,
     ) -> Option<String> {
-        let named = matches.opt_str("settings");
+        let given = matches.opt_str("settings");
         match self {
-            AgentMode::Endpoint => named,
-            AgentMode::Engine => named.or_else(|| env::var(SETTINGS_VARIABLE).ok()),
+            AgentMode::Endpoint => given,
+            AgentMode::Engine => given.or_else(|| env::var(SETTINGS_VARIABLE).ok()),
         }
     }
 
@@ -54,7 +54,7 @@
                 format!("name a settings file by --settings or in {SETTINGS_VARIABLE}")
             }
         };
-        format!("{missing}; see {} --help", self.call())
+        format!("{missing}; see {} --help", self.command())
     }
 }
 
@@ -70,12 +70,12 @@
 /// Runs the agent with the arguments of a command line.
 pub fn run(args: &[String]) -> ExitCode {
     let (mode, args) = match args.split_first() {
-        Some((word, rest)) if word == "beside" => (AgentMode::Engine, rest),
+        Some((subcommand, rest)) if subcommand == "beside" => (AgentMode::Engine, rest),
         _ => (AgentMode::Endpoint, args),
     };
     let matches = match options().parse(args) {
         Ok(matches) => matches,
-        Err(error) => return end_usage(mode, format!("{error}; see {} --help", mode.call())),
+        Err(error) => return exit_usage(mode, format!("{error}; see {} --help", mode.command())),
     };
     if matches.opt_present("help") {
         print_help();
@@ -86,14 +86,14 @@
         return ExitCode::SUCCESS;
     }
     let Some(file) = mode.settings_file(&matches) else {
-        return end_usage(mode, mode.usage());
+        return exit_usage(mode, mode.usage());
     };
-    let only_check = matches.opt_present("check");
-    let ended = match mode {
-        AgentMode::Endpoint => run_endpoint(&file, only_check),
-        AgentMode::Engine => run_engine(&file, only_check),
+    let check_only = matches.opt_present("check");
+    let result = match mode {
+        AgentMode::Endpoint => run_endpoint(&file, check_only),
+        AgentMode::Engine => run_engine(&file, check_only),
     };
-    match ended {
+    match result {
         Ok(()) => ExitCode::SUCCESS,
         Err(code) => code,
     }
@@ -109,30 +109,30 @@
 
 fn run_endpoint(
     file: &str,
-    only_check: bool,
+    check_only: bool,
 ) -> Result<(), ExitCode> {
-    let settings = read_settings(file, AgentSettings::parse).map_err(end_settings)?;
-    if only_check {
+    let settings = read_settings(file, AgentSettings::parse).map_err(exit_settings)?;
+    if check_only {
         println!("{file}: no problems");
         return Ok(());
     }
     start_logging();
     start_traffic(settings.traffic_threads);
-    smol::block_on(run_agent(settings)).map_err(end_failed)
+    smol::block_on(run_agent(settings)).map_err(exit_failed)
 }
 
 fn run_engine(
     file: &str,
-    only_check: bool,
+    check_only: bool,
 ) -> Result<(), ExitCode> {
     let read = || read_settings(file, BesideSettings::parse);
-    let settings = read().map_err(end_settings)?;
-    if only_check {
+    let settings = read().map_err(exit_settings)?;
+    if check_only {
         println!("{file}: no problems");
         return Ok(());
     }
     start_bounded_logging();
-    smol::block_on(run_beside(settings, &read)).map_err(end_failed)
+    smol::block_on(run_beside(settings, &read)).map_err(exit_failed)
 }
 
 fn read_settings<S, E: Display>(
@@ -144,20 +144,20 @@
     parse(file, &text).map_err(|e| e.to_string())
 }
 
-fn end_usage(
+fn exit_usage(
     mode: AgentMode,
     text: String,
 ) -> ExitCode {
-    eprintln!("{}: {text}", mode.call());
+    eprintln!("{}: {text}", mode.command());
     ExitCode::from(EXIT_USAGE)
 }
 
-fn end_settings(text: String) -> ExitCode {
+fn exit_settings(text: String) -> ExitCode {
     eprintln!("{text}");
     ExitCode::from(EXIT_SETTINGS)
 }
 
-fn end_failed(error: anyhow::Error) -> ExitCode {
+fn exit_failed(error: anyhow::Error) -> ExitCode {
     log::error!(event = "failed", error = format!("{error:#}").as_str(); "");
     flush_log();
     ExitCode::from(EXIT_FAILED)
--- a/agent/src/cli/agent_process.rs
+++ b/agent/src/cli/agent_process.rs
@@ -6,8 +6,8 @@
         endpoint::{watch_endpoint, EndpointClient},
         gate::GateContext,
         links::serve_links,
-        moves::PieceMover,
-        orders::OrderRunner,
+        moves::PieceTransfers,
+        orders::TaskRunner,
     },
     anyhow::Context,
     pitchhitch_core::role::{AgentEvent, AgentIdentity},
@@ -23,9 +23,9 @@
 /// Time limit of one call of the platform.
 const PLATFORM_TIMEOUT: Duration = Duration::from_secs(2);
 /// Time that beacons are given to tell everybody that the agent is leaving.
-const FAREWELL: Duration = Duration::from_millis(1_500);
+const LEAVE_NOTICE_DELAY: Duration = Duration::from_millis(1_500);
 /// How often a stopping agent looks whether it is idle.
-const IDLE_CHECK: Duration = Duration::from_millis(50);
+const IDLE_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Runs an agent until it is asked to stop and has nothing left to do.
 ///
@@ -40,21 +40,21 @@
     let client = EndpointClient::new(&settings);
     let table = TableClient::new(settings.table, PLATFORM_TIMEOUT);
     let metrics = Arc::new(MetricSet::new(settings.metrics).context("cannot open metrics")?);
-    let (handle, control) = start_control(identity, clock)?;
-    let mover = PieceMover::start(client.clone(), handle.clone(), metrics.clone());
-    let orders = OrderRunner {
+    let (handle, control_output) = start_control(identity, clock)?;
+    let transfers = PieceTransfers::start(client.clone(), handle.clone(), metrics.clone());
+    let task_runner = TaskRunner {
         client: client.clone(),
         table,
         handle: handle.clone(),
         group: settings.group.clone(),
     };
-    spawn_detached(orders.run(control.chores));
+    spawn_detached(task_runner.run(control_output.tasks));
     spawn_detached(watch_endpoint(client.clone(), handle.clone()));
     spawn_detached(send_beacons(settings.clone(), handle.clone()));
     let context = Arc::new(GateContext {
         client,
         handle: handle.clone(),
-        mover,
+        transfers,
         metrics,
         clock,
     });
@@ -67,7 +67,7 @@
         ""
     );
     stop_asked().await.context("cannot watch signals")?;
-    stop(&settings, &handle).await;
+    drain(&settings, &handle).await;
     Ok(())
 }
 
@@ -92,25 +92,25 @@
 }
 
 /// A planned stop: nothing new is taken, everything that runs is ended.
-async fn stop(
+async fn drain(
     settings: &AgentSettings,
     handle: &ControlHandle,
 ) {
     log::info!(event = "stopping", endpoint = settings.endpoint_id.as_str(); "");
-    handle.tell(AgentEvent::BoxLeaving);
-    let asked = Instant::now();
-    Timer::after(FAREWELL).await;
-    while !handle.is_idle() && asked.elapsed() < settings.stop_limit {
-        Timer::after(IDLE_CHECK).await;
+    handle.send_event(AgentEvent::BoxLeaving);
+    let requested_at = Instant::now();
+    Timer::after(LEAVE_NOTICE_DELAY).await;
+    while !handle.is_idle() && requested_at.elapsed() < settings.stop_limit {
+        Timer::after(IDLE_POLL_INTERVAL).await;
     }
     // The last bytes of the last answers are on their way out.
-    Timer::after(IDLE_CHECK).await;
+    Timer::after(IDLE_POLL_INTERVAL).await;
     let running = handle.view().pulse.load.running;
     log::info!(
         event = "stopped",
         endpoint = settings.endpoint_id.as_str(),
         cut_off = running,
-        waited_ms = asked.elapsed().as_millis() as u64;
+        waited_ms = requested_at.elapsed().as_millis() as u64;
         ""
     );
 }
--- a/agent/src/conf/agent_settings.rs
+++ b/agent/src/conf/agent_settings.rs
@@ -63,13 +63,13 @@
         let fallback = EndpointKind::Service {
             service: String::new(),
         };
-        let kind_wanted =
+        let kind_format =
             r#"{"engine": {"model": ..., "version": ...}} or {"service": {"service": ...}}"#;
         let settings = AgentSettings {
             endpoint_id: reader.text("endpoint_id"),
             failure_domain: reader.text("failure_domain"),
             group: reader.text("group"),
-            kind: reader.value("kind", None, kind_wanted).unwrap_or(fallback),
+            kind: reader.value("kind", None, kind_format).unwrap_or(fallback),
             labels: reader
                 .value("labels", Some(LabelSet::default()), "an object of texts")
                 .unwrap_or_default(),
--- a/agent/src/control/control_handle.rs
+++ b/agent/src/control/control_handle.rs
@@ -15,7 +15,7 @@
 
 /// What the gate said about a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum GateVerdict {
+pub enum GateDecision {
     /// It may go to the endpoint now.
     Start,
     /// It did not run and will not.
@@ -34,14 +34,14 @@
         /// What the gate needs to know.
         work: GateWork,
         /// Where the verdict goes.
-        verdict: Sender<GateVerdict>,
+        decision: Sender<GateDecision>,
     },
     /// An order for the fence.
     Order {
         /// The order.
         order: StampedOrder,
         /// Where the verdict goes.
-        verdict: Sender<Result<(), FenceRefusal>>,
+        result: Sender<Result<(), FenceRefusal>>,
     },
     /// A new subscriber.
     Subscribe {
@@ -60,7 +60,7 @@
 
 impl ControlHandle {
     /// Tells the core an event.
-    pub fn tell(
+    pub fn send_event(
         &self,
         event: AgentEvent,
     ) {
@@ -83,15 +83,15 @@
         work: GateWork,
     ) -> PendingWork {
         let ticket = WorkTicket(self.next_ticket.fetch_add(1, Ordering::Relaxed));
-        let (verdict, receiver) = async_channel::bounded(1);
+        let (decision, receiver) = async_channel::bounded(1);
         self.send(ControlMessage::HandOver {
             ticket,
             work,
-            verdict,
+            decision,
         });
         PendingWork {
             ticket,
-            verdict: receiver,
+            decision: receiver,
         }
     }
 
@@ -103,8 +103,8 @@
         &self,
         order: StampedOrder,
     ) -> Result<(), FenceRefusal> {
-        let (verdict, receiver) = async_channel::bounded(1);
-        self.send(ControlMessage::Order { order, verdict });
+        let (result, receiver) = async_channel::bounded(1);
+        self.send(ControlMessage::Order { order, result });
         receiver
             .recv()
             .await
@@ -133,13 +133,13 @@
 pub struct PendingWork {
     /// Its ticket.
     pub ticket: WorkTicket,
-    verdict: Receiver<GateVerdict>,
+    decision: Receiver<GateDecision>,
 }
 
 impl PendingWork {
     /// Waits for the verdict.
-    pub async fn verdict(&self) -> GateVerdict {
-        let verdict = self.verdict.recv().await;
-        verdict.unwrap_or(GateVerdict::Refuse(ErrorKind::EndpointUnreachable))
+    pub async fn decision(&self) -> GateDecision {
+        let decision = self.decision.recv().await;
+        decision.unwrap_or(GateDecision::Refuse(ErrorKind::EndpointUnreachable))
     }
 }
--- a/agent/src/control/control_loop.rs
+++ b/agent/src/control/control_loop.rs
@@ -1,5 +1,5 @@
 use {
-    super::{AgentView, ControlHandle, ControlMessage, GateVerdict, SubscriberSet},
+    super::{AgentView, ControlHandle, ControlMessage, GateDecision, SubscriberSet},
     arc_swap::ArcSwap,
     async_channel::{Receiver, Sender},
     futures_lite::future,
@@ -21,15 +21,15 @@
 };
 
 /// Time between two ticks of the core.
-const TICK: Duration = Duration::from_millis(100);
+const TICK_INTERVAL: Duration = Duration::from_millis(100);
 /// Ticks between two pulses to subscribers while something goes on.
-const PULSE_TICKS: u32 = 3;
+const PULSE_INTERVAL_TICKS: u32 = 3;
 /// Ticks between two pulses while nothing does.
-const IDLE_PULSE_TICKS: u32 = 117;
+const IDLE_PULSE_INTERVAL_TICKS: u32 = 117;
 
 /// Work that the core gives to others.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum AgentChore {
+pub enum AgentTask {
     /// Ask the engine for its whole cache.
     ListCache,
     /// Carry out an order.
@@ -42,17 +42,17 @@
 #[derive(Debug)]
 pub struct ControlOutput {
     /// Chores, in order.
-    pub chores: Receiver<AgentChore>,
+    pub tasks: Receiver<AgentTask>,
 }
 
 struct ControlLoop {
     core: AgentCore,
     clock: ProcessClock,
     view: Arc<ArcSwap<AgentView>>,
-    chores: Sender<AgentChore>,
-    verdicts: HashMap<WorkTicket, Sender<GateVerdict>>,
+    tasks: Sender<AgentTask>,
+    decisions: HashMap<WorkTicket, Sender<GateDecision>>,
     subscribers: SubscriberSet,
-    told: Option<AgentPulse>,
+    last_pulse: Option<AgentPulse>,
 }
 
 /// Starts the control thread.
@@ -65,8 +65,8 @@
 ) -> io::Result<(ControlHandle, ControlOutput)> {
     let core = AgentCore::new(identity);
     let (messages, inbox) = async_channel::unbounded();
-    let (chores, chore_inbox) = async_channel::unbounded();
-    let view = Arc::new(ArcSwap::from_pointee(view_of(&core)));
+    let (tasks, task_receiver) = async_channel::unbounded();
+    let view = Arc::new(ArcSwap::from_pointee(build_view(&core)));
     let handle = ControlHandle {
         messages,
         view: view.clone(),
@@ -76,20 +76,20 @@
         core,
         clock,
         view,
-        chores,
-        verdicts: HashMap::new(),
+        tasks,
+        decisions: HashMap::new(),
         subscribers: SubscriberSet::default(),
-        told: None,
+        last_pulse: None,
     };
     let thread = thread::Builder::new().name("control".to_string());
     thread.spawn(move || smol::block_on(control.run(inbox)))?;
     let output = ControlOutput {
-        chores: chore_inbox,
+        tasks: task_receiver,
     };
     Ok((handle, output))
 }
 
-fn view_of(core: &AgentCore) -> AgentView {
+fn build_view(core: &AgentCore) -> AgentView {
     AgentView {
         pulse: core.pulse(),
         beacon: core.beacon(),
@@ -103,7 +103,7 @@
         mut self,
         inbox: Receiver<ControlMessage>,
     ) {
-        let mut next_tick = Instant::now() + TICK;
+        let mut next_tick = Instant::now() + TICK_INTERVAL;
         let mut ticks = 0;
         loop {
             let message = future::or(async { Some(inbox.recv().await) }, async {
@@ -111,41 +111,45 @@
                 None
             });
             match message.await {
-                Some(Ok(message)) => self.take(message),
+                Some(Ok(message)) => self.handle_message(message),
                 Some(Err(_)) => return,
                 None => {
-                    next_tick = Instant::now() + TICK;
+                    next_tick = Instant::now() + TICK_INTERVAL;
                     ticks += 1;
                     self.step(AgentEvent::Tick, None);
-                    self.tell_pulse(ticks);
+                    self.publish_pulse(ticks);
                 }
             }
             while let Ok(message) = inbox.try_recv() {
-                self.take(message);
+                self.handle_message(message);
             }
-            let mut view = view_of(&self.core);
+            let mut view = build_view(&self.core);
             view.subscribers = self.subscribers.len();
             self.view.store(Arc::new(view));
         }
     }
 
     /// Tells the pulse often while something goes on, and now and then as a sign of life.
-    fn tell_pulse(
+    fn publish_pulse(
         &mut self,
         ticks: u32,
     ) {
         let pulse = self.core.pulse();
         // Whoever drains an endpoint waits for news of it.
         let awaited = pulse.load.running > 0 || pulse.refusing;
-        let busy = awaited || self.told != Some(pulse);
-        let due = if busy { PULSE_TICKS } else { IDLE_PULSE_TICKS };
+        let busy = awaited || self.last_pulse != Some(pulse);
+        let due = if busy {
+            PULSE_INTERVAL_TICKS
+        } else {
+            IDLE_PULSE_INTERVAL_TICKS
+        };
         if ticks % due == 0 {
             self.subscribers.publish(&[], pulse);
-            self.told = Some(pulse);
+            self.last_pulse = Some(pulse);
         }
     }
 
-    fn take(
+    fn handle_message(
         &mut self,
         message: ControlMessage,
     ) {
@@ -154,13 +158,13 @@
             ControlMessage::HandOver {
                 ticket,
                 work,
-                verdict,
+                decision,
             } => {
-                self.verdicts.insert(ticket, verdict);
+                self.decisions.insert(ticket, decision);
                 self.step(AgentEvent::HandedOver { ticket, work }, None);
             }
-            ControlMessage::Order { order, verdict } => {
-                self.step(AgentEvent::OrderReceived(order), Some(verdict));
+            ControlMessage::Order { order, result } => {
+                self.step(AgentEvent::OrderReceived(order), Some(result));
             }
             ControlMessage::Subscribe { batches } => {
                 let snapshot = self.core.snapshot();
@@ -172,35 +176,35 @@
     fn step(
         &mut self,
         event: AgentEvent,
-        order_verdict: Option<Sender<Result<(), FenceRefusal>>>,
+        order_result: Option<Sender<Result<(), FenceRefusal>>>,
     ) {
         if let AgentEvent::Ended { ticket } = &event {
-            self.verdicts.remove(ticket);
+            self.decisions.remove(ticket);
         }
         let actions = self.core.step(self.clock.now(), event);
         for action in actions {
-            self.act(action, &order_verdict);
+            self.execute(action, &order_result);
         }
     }
 
-    fn act(
+    fn execute(
         &mut self,
         action: AgentAction,
-        order_verdict: &Option<Sender<Result<(), FenceRefusal>>>,
+        order_result: &Option<Sender<Result<(), FenceRefusal>>>,
     ) {
         match action {
-            AgentAction::Start(ticket) => self.answer(ticket, GateVerdict::Start),
+            AgentAction::Start(ticket) => self.send_decision(ticket, GateDecision::Start),
             AgentAction::Refuse(refusal) => {
-                self.answer(refusal.ticket, GateVerdict::Refuse(refusal.kind))
+                self.send_decision(refusal.ticket, GateDecision::Refuse(refusal.kind))
             }
             AgentAction::Publish(events) => {
                 self.subscribers.publish(&events, self.core.pulse());
             }
-            AgentAction::ListCache => self.chore(AgentChore::ListCache),
-            AgentAction::ReadEpoch => self.chore(AgentChore::ReadEpoch),
+            AgentAction::ListCache => self.queue_task(AgentTask::ListCache),
+            AgentAction::ReadEpoch => self.queue_task(AgentTask::ReadEpoch),
             AgentAction::RunOrder(order) => {
-                tell_order(order_verdict, Ok(()));
-                self.chore(AgentChore::RunOrder(order));
+                send_order_result(order_result, Ok(()));
+                self.queue_task(AgentTask::RunOrder(order));
             }
             AgentAction::RefuseOrder(refusal) => {
                 log::warn!(
@@ -208,37 +212,37 @@
                     reason = refusal.to_string().as_str();
                     ""
                 );
-                tell_order(order_verdict, Err(refusal));
+                send_order_result(order_result, Err(refusal));
             }
         }
     }
 
-    fn answer(
+    fn send_decision(
         &mut self,
         ticket: WorkTicket,
-        verdict: GateVerdict,
+        decision: GateDecision,
     ) {
-        if let Some(sender) = self.verdicts.remove(&ticket) {
-            if sender.try_send(verdict).is_err() && verdict == GateVerdict::Start {
+        if let Some(sender) = self.decisions.remove(&ticket) {
+            if sender.try_send(decision).is_err() && decision == GateDecision::Start {
                 // Its caller has gone before its turn came.
                 self.step(AgentEvent::Ended { ticket }, None);
             }
         }
     }
 
-    fn chore(
+    fn queue_task(
         &self,
-        chore: AgentChore,
+        task: AgentTask,
     ) {
-        let _ = self.chores.try_send(chore);
+        let _ = self.tasks.try_send(task);
     }
 }
 
-fn tell_order(
-    verdict: &Option<Sender<Result<(), FenceRefusal>>>,
+fn send_order_result(
+    sender: &Option<Sender<Result<(), FenceRefusal>>>,
     result: Result<(), FenceRefusal>,
 ) {
-    if let Some(sender) = verdict {
+    if let Some(sender) = sender {
         let _ = sender.try_send(result);
     }
 }
--- a/agent/src/control/subscriber_set.rs
+++ b/agent/src/control/subscriber_set.rs
@@ -4,12 +4,12 @@
 };
 
 /// Events in one batch at most, so that a batch stays far below the frame limit.
-const BATCH_LIMIT: usize = 10_000;
+const MAX_BATCH_EVENTS: usize = 10_000;
 
 #[derive(Debug)]
 struct Subscriber {
     batches: Sender<EventBatch>,
-    next: u64,
+    next_sequence: u64,
 }
 
 /// Entry processes that get this agent's events.
@@ -36,7 +36,10 @@
         snapshot: Vec<EndpointEvent>,
         pulse: AgentPulse,
     ) {
-        let mut subscriber = Subscriber { batches, next: 0 };
+        let mut subscriber = Subscriber {
+            batches,
+            next_sequence: 0,
+        };
         if subscriber.send(&snapshot, pulse) {
             self.subscribers.push(subscriber);
         }
@@ -66,7 +69,7 @@
             return self.send_batch(&[], pulse);
         }
         events
-            .chunks(BATCH_LIMIT)
+            .chunks(MAX_BATCH_EVENTS)
             .all(|chunk| self.send_batch(chunk, pulse))
     }
 
@@ -76,11 +79,11 @@
         pulse: AgentPulse,
     ) -> bool {
         let batch = EventBatch {
-            first: self.next,
+            first: self.next_sequence,
             events: events.to_vec(),
             pulse,
         };
-        self.next += events.len() as u64;
+        self.next_sequence += events.len() as u64;
         !matches!(self.batches.try_send(batch), Err(TrySendError::Closed(_)))
     }
 }
--- a/agent/src/endpoint/endpoint_call.rs
+++ b/agent/src/endpoint/endpoint_call.rs
@@ -19,7 +19,7 @@
 }
 
 /// Makes the HTTP request that a hand-over asks for.
-pub fn build_call(
+pub fn build_request(
     client: &EndpointClient,
     hand_over: &mut HandOver,
 ) -> Conn {
@@ -47,7 +47,7 @@
 ///
 /// # Errors
 /// [`CallFailure`] saying whether it may have run.
-pub async fn send_call(conn: Conn) -> Result<Conn, CallFailure> {
+pub async fn send_request(conn: Conn) -> Result<Conn, CallFailure> {
     match conn.await {
         Ok(conn) => match conn.response_headers().get_str(REFUSED_HEADER) {
             None => Ok(conn),
@@ -65,7 +65,7 @@
 }
 
 /// Headers of an answer that are passed on.
-pub fn answer_headers(conn: &Conn) -> Vec<HeaderField> {
+pub fn response_headers(conn: &Conn) -> Vec<HeaderField> {
     let mut fields = Vec::new();
     for (name, values) in conn.response_headers() {
         let name = name.to_string().to_ascii_lowercase();
--- a/agent/src/endpoint/endpoint_client.rs
+++ b/agent/src/endpoint/endpoint_client.rs
@@ -1,5 +1,5 @@
 use {
-    super::{EngineCache, EngineHealth, EngineNews, EngineOrder},
+    super::{EngineCache, EngineChanges, EngineHealth, EngineOrder},
     crate::conf::AgentSettings,
     pitchhitch_core::{
         kv_cache::PieceKey,
@@ -28,7 +28,7 @@
 #[derive(Debug)]
 struct SharedClient {
     pooled: Client,
-    fresh: Client,
+    unpooled: Client,
     short: HttpCaller,
     pieces: HttpCaller,
     loads: HttpCaller,
@@ -45,7 +45,7 @@
         EndpointClient {
             shared: Arc::new(SharedClient {
                 pooled: Client::new(config).with_default_pool(),
-                fresh: Client::new(config),
+                unpooled: Client::new(config),
                 short: HttpCaller::new(settings.endpoint, SHORT_TIMEOUT),
                 pieces: HttpCaller::new(settings.endpoint, PIECE_TIMEOUT),
                 loads: HttpCaller::new(settings.endpoint, LOAD_TIMEOUT),
@@ -75,7 +75,7 @@
         let client = if repeatable {
             &self.shared.pooled
         } else {
-            &self.shared.fresh
+            &self.shared.unpooled
         };
         client.build_conn(method, format!("http://{}{path}", self.shared.address))
     }
@@ -109,10 +109,10 @@
     ///
     /// # Errors
     /// [`CallError`] when it does not answer in time.
-    pub async fn cache_news(
+    pub async fn cache_changes(
         &self,
         from: u64,
-    ) -> Result<EngineNews, CallError> {
+    ) -> Result<EngineChanges, CallError> {
         self.shared
             .short
             .get_json(&format!("/engine/cache/events?from={from}"))
--- a/agent/src/endpoint/endpoint_watch.rs
+++ b/agent/src/endpoint/endpoint_watch.rs
@@ -7,9 +7,9 @@
 };
 
 /// Time between two looks at the endpoint.
-const WATCH_INTERVAL: Duration = Duration::from_millis(150);
+const POLL_INTERVAL: Duration = Duration::from_millis(150);
 /// Looks without answer in a row after which the endpoint counts as gone.
-const FAILURE_LIMIT: u32 = 3;
+const UNHEALTHY_THRESHOLD: u32 = 3;
 
 /// Looks after the endpoint's health and an engine's cache news, for good.
 pub async fn watch_endpoint(
@@ -19,34 +19,34 @@
     let mut failures = 0;
     let mut next_change = None;
     loop {
-        match look(&client).await {
+        match check_health(&client).await {
             Some(version) => {
                 failures = 0;
-                handle.tell(AgentEvent::HealthChecked {
+                handle.send_event(AgentEvent::HealthChecked {
                     healthy: true,
                     version,
                 });
                 if client.is_engine() {
-                    next_change = read_news(&client, &handle, next_change).await;
+                    next_change = poll_cache_changes(&client, &handle, next_change).await;
                 }
             }
             None => {
                 failures += 1;
-                if failures >= FAILURE_LIMIT {
+                if failures >= UNHEALTHY_THRESHOLD {
                     next_change = None;
-                    handle.tell(AgentEvent::HealthChecked {
+                    handle.send_event(AgentEvent::HealthChecked {
                         healthy: false,
                         version: None,
                     });
                 }
             }
         }
-        Timer::after(WATCH_INTERVAL).await;
+        Timer::after(POLL_INTERVAL).await;
     }
 }
 
 /// Looks once; the inner value is the version of an engine.
-async fn look(client: &EndpointClient) -> Option<Option<String>> {
+async fn check_health(client: &EndpointClient) -> Option<Option<String>> {
     if client.is_engine() {
         let health = client.engine_health().await.ok()?;
         Some(Some(health.version))
@@ -57,7 +57,7 @@
 }
 
 /// Passes on news since the last look; gives the number that comes next.
-async fn read_news(
+async fn poll_cache_changes(
     client: &EndpointClient,
     handle: &ControlHandle,
     next_change: Option<u64>,
@@ -65,15 +65,15 @@
     let Some(from) = next_change else {
         return list_cache(client, handle).await;
     };
-    let news = client.cache_news(from).await.ok()?;
-    if news.first != from {
+    let batch = client.cache_changes(from).await.ok()?;
+    if batch.first != from {
         // The engine has dropped news that were not read in time.
         return list_cache(client, handle).await;
     }
-    let next = from + news.changes.len() as u64;
-    if !news.changes.is_empty() {
-        let changes = news.changes.into_iter().map(CacheChange::from).collect();
-        handle.tell(AgentEvent::CacheChanged {
+    let next = from + batch.changes.len() as u64;
+    if !batch.changes.is_empty() {
+        let changes = batch.changes.into_iter().map(CacheChange::from).collect();
+        handle.send_event(AgentEvent::CacheChanged {
             first: from,
             changes,
         });
@@ -88,7 +88,7 @@
 ) -> Option<u64> {
     let cache = client.list_cache().await.ok()?;
     let next = cache.next;
-    handle.tell(AgentEvent::CacheListed {
+    handle.send_event(AgentEvent::CacheListed {
         next,
         keys: cache.keys,
     });
--- a/agent/src/endpoint/engine_messages.rs
+++ b/agent/src/endpoint/engine_messages.rs
@@ -36,7 +36,7 @@
 
 /// Changes of an engine's cache.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct EngineNews {
+pub struct EngineChanges {
     /// Number of the first change.
     pub first: u64,
     /// The changes.
--- a/agent/src/gate/gate_context.rs
+++ b/agent/src/gate/gate_context.rs
@@ -1,5 +1,5 @@
 use {
-    crate::{control::ControlHandle, endpoint::EndpointClient, moves::PieceMover},
+    crate::{control::ControlHandle, endpoint::EndpointClient, moves::PieceTransfers},
     pitchhitch_process::{MetricSet, ProcessClock},
     std::sync::Arc,
 };
@@ -12,7 +12,7 @@
     /// The control thread.
     pub handle: ControlHandle,
     /// Carrier of pieces.
-    pub mover: PieceMover,
+    pub transfers: PieceTransfers,
     /// Metrics.
     pub metrics: Arc<MetricSet>,
     /// Clock of the process.
--- a/agent/src/gate/request_runner.rs
+++ b/agent/src/gate/request_runner.rs
@@ -1,8 +1,8 @@
 use {
     super::GateContext,
     crate::{
-        control::{GateVerdict, PendingWork},
-        endpoint::{answer_headers, build_call, computed_tokens, send_call, CallFailure},
+        control::{GateDecision, PendingWork},
+        endpoint::{build_request, computed_tokens, response_headers, send_request, CallFailure},
     },
     futures_lite::{future, AsyncReadExt},
     pitchhitch_core::{
@@ -32,9 +32,9 @@
 
 /// An import that is over.
 #[derive(Debug, Clone, Copy)]
-struct ImportDone {
+struct ImportResult {
     pieces: u32,
-    span: Micros,
+    duration: Micros,
 }
 
 /// Tells the gate that a request has ended, however that came about.
@@ -45,7 +45,7 @@
 
 impl Drop for EndedGuard {
     fn drop(&mut self) {
-        self.context.handle.tell(AgentEvent::Ended {
+        self.context.handle.send_event(AgentEvent::Ended {
             ticket: self.ticket,
         });
     }
@@ -64,10 +64,10 @@
         ticket: pending.ticket,
     };
     // The entry process goes elsewhere if it hears nothing from a frozen agent.
-    let taken = LinkReply::TakenUp {
+    let taken_up = LinkReply::TakenUp {
         ticket: pending.ticket,
     };
-    if replies.send(&taken).await.is_err() {
+    if replies.send(&taken_up).await.is_err() {
         return;
     }
     let end = admit_and_run(&context, pending, &mut hand_over, &mut replies).await;
@@ -79,7 +79,7 @@
         RunEnd::NotRun(kind) => Some(LinkReply::Refused { kind, pulse }),
         RunEnd::Failed(kind) => Some(LinkReply::Failed { kind, pulse }),
     };
-    context.metrics.count(metric_of(end), 1);
+    context.metrics.count(metric_name(end), 1);
     // An error here means that nobody waits any more.
     if let Some(last) = last {
         if replies.send(&last).await.is_err() {
@@ -91,7 +91,7 @@
     }
 }
 
-fn metric_of(end: RunEnd) -> &'static str {
+fn metric_name(end: RunEnd) -> &'static str {
     match end {
         RunEnd::Answered => "request.answered",
         RunEnd::NotRun(_) => "request.refused",
@@ -107,36 +107,36 @@
     replies: &mut ReplySender,
 ) -> RunEnd {
     let ticket = pending.ticket;
-    let verdict = or_gone(replies, pending.verdict()).await;
-    match verdict {
+    let decision = unless_closed(replies, pending.decision()).await;
+    match decision {
         None => return RunEnd::CallerGone,
-        Some(GateVerdict::Refuse(kind)) => return RunEnd::NotRun(kind),
-        Some(GateVerdict::Start) => {}
+        Some(GateDecision::Refuse(kind)) => return RunEnd::NotRun(kind),
+        Some(GateDecision::Start) => {}
     }
-    let began = context.clock.now();
+    let started_at = context.clock.now();
     let imported = import(context, hand_over, replies).await;
     let Some(imported) = imported else {
         return RunEnd::CallerGone;
     };
-    let import = ImportDone {
+    let import = ImportResult {
         pieces: imported,
-        span: context.clock.now().since(began),
+        duration: context.clock.now().since(started_at),
     };
-    context.handle.tell(AgentEvent::Sent {
+    context.handle.send_event(AgentEvent::Sent {
         ticket,
         prompt: prompt_use(hand_over),
     });
-    let conn = build_call(&context.client, hand_over);
-    let conn = match or_gone(replies, send_call(conn)).await {
+    let conn = build_request(&context.client, hand_over);
+    let conn = match unless_closed(replies, send_request(conn)).await {
         None => return RunEnd::CallerGone,
         Some(Ok(conn)) => conn,
         Some(Err(CallFailure::NotRun(kind))) => return RunEnd::NotRun(kind),
         Some(Err(CallFailure::Unknown(kind))) => return RunEnd::Failed(kind),
     };
-    let end = answer(context, ticket, conn, import, replies).await;
+    let end = relay_response(context, ticket, conn, import, replies).await;
     if end == RunEnd::Answered {
         if let Some(plan) = hand_over.export.take() {
-            context.mover.export_later(plan);
+            context.transfers.queue_export(plan);
         }
     }
     end
@@ -173,23 +173,23 @@
         return Some(0);
     };
     let version = hand_over.version.clone().unwrap_or_default();
-    or_gone(replies, context.mover.import(plan, &version)).await
+    unless_closed(replies, context.transfers.import(plan, &version)).await
 }
 
-async fn answer(
+async fn relay_response(
     context: &GateContext,
     ticket: WorkTicket,
     mut conn: Conn,
-    import: ImportDone,
+    import: ImportResult,
     replies: &mut ReplySender,
 ) -> RunEnd {
     let computed = computed_tokens(&conn);
     let head = LinkReply::Head(ReplyHead {
         status: conn.status().map_or(502, |s| s as u16),
-        headers: answer_headers(&conn),
+        headers: response_headers(&conn),
         computed_tokens: computed,
         imported_pieces: import.pieces,
-        import_micros: import.span.0,
+        import_micros: import.duration.0,
         pulse: context.handle.view().pulse,
     });
     let mut end = match replies.send(&head).await {
@@ -200,7 +200,7 @@
     let mut total = 0;
     let mut buffer = vec![0; CHUNK_BYTES];
     while end.is_none() {
-        let read = or_gone(replies, async {
+        let read = unless_closed(replies, async {
             conn.response_body().read(&mut buffer).await
         });
         let step = match read.await {
@@ -210,10 +210,10 @@
                 if std::mem::take(&mut first) {
                     context
                         .handle
-                        .tell(AgentEvent::FirstToken { ticket, computed });
+                        .send_event(AgentEvent::FirstToken { ticket, computed });
                 }
                 total += length as u64;
-                pass_on(context, &buffer[..length], total, replies).await
+                relay_chunk(context, &buffer[..length], total, replies).await
             }
         };
         end = step;
@@ -226,7 +226,7 @@
     end
 }
 
-async fn pass_on(
+async fn relay_chunk(
     context: &GateContext,
     chunk: &[u8],
     total: u64,
@@ -250,11 +250,11 @@
 }
 
 /// Waits for something as long as somebody wants the answer.
-async fn or_gone<T>(
+async fn unless_closed<T>(
     replies: &mut ReplySender,
-    wanted: impl std::future::Future<Output = T>,
+    operation: impl std::future::Future<Output = T>,
 ) -> Option<T> {
-    future::or(async { Some(wanted.await) }, async {
+    future::or(async { Some(operation.await) }, async {
         replies.closed().await;
         None
     })
--- a/agent/src/links/link_listener.rs
+++ b/agent/src/links/link_listener.rs
@@ -14,9 +14,9 @@
 };
 
 /// Batches that may wait for a slow subscriber.
-const BATCH_ROOM: usize = 256;
+const MAX_QUEUED_BATCHES: usize = 256;
 /// Pause after the listener failed, as when there are too many open files.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(100);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(100);
 
 /// Takes links for good.
 pub async fn serve_links(
@@ -25,23 +25,23 @@
 ) {
     loop {
         match listener.accept().await {
-            Ok((stream, _)) => spawn_detached(serve_one(stream, context.clone())),
+            Ok((stream, _)) => spawn_detached(serve_connection(stream, context.clone())),
             Err(error) => {
                 log::warn!(event = "accept-failed", error = error.to_string().as_str(); "");
-                Timer::after(ACCEPT_PAUSE).await;
+                Timer::after(ACCEPT_RETRY_DELAY).await;
             }
         }
     }
 }
 
-async fn serve_one(
+async fn serve_connection(
     stream: TcpStream,
     context: Arc<GateContext>,
 ) {
-    let served = serve_link(stream, |call| {
+    let result = serve_link(stream, |call| {
         spawn_detached(serve_call(call, context.clone()));
     });
-    if let Err(error) = served.await {
+    if let Err(error) = result.await {
         log::debug!(event = "link-ended", error = error.to_string().as_str(); "");
     }
 }
@@ -68,24 +68,24 @@
         LinkCall::Notice(notice) => {
             context
                 .handle
-                .tell(AgentEvent::ConfigNoticeReceived(notice));
-            answer_once(replies, LinkReply::Taken).await;
+                .send_event(AgentEvent::ConfigNoticeReceived(notice));
+            send_single_reply(replies, LinkReply::Taken).await;
         }
         LinkCall::Drop(plan) => {
-            context.mover.drop_all(plan).await;
-            answer_once(replies, LinkReply::Taken).await;
+            context.transfers.drop_pieces(plan).await;
+            send_single_reply(replies, LinkReply::Taken).await;
         }
         LinkCall::Order(order) => {
             let reply = match context.handle.order(order).await {
                 Ok(()) => LinkReply::Taken,
                 Err(refusal) => LinkReply::OrderRefused(refusal),
             };
-            answer_once(replies, reply).await;
+            send_single_reply(replies, reply).await;
         }
     }
 }
 
-async fn answer_once(
+async fn send_single_reply(
     mut replies: ReplySender,
     reply: LinkReply,
 ) {
@@ -106,7 +106,7 @@
     if replies.send(&hello).await.is_err() {
         return;
     }
-    let (sender, batches) = async_channel::bounded(BATCH_ROOM);
+    let (sender, batches) = async_channel::bounded(MAX_QUEUED_BATCHES);
     context.handle.subscribe(sender);
     while let Ok(batch) = batches.recv().await {
         if replies.send(&LinkReply::Events(batch)).await.is_err() {
--- a/agent/src/moves/piece_mover.rs
+++ b/agent/src/moves/piece_mover.rs
@@ -21,29 +21,29 @@
 };
 
 /// Export plans that may wait; later ones are left out, which costs a recompute at most.
-const PLAN_ROOM: usize = 256;
+const MAX_QUEUED_EXPORTS: usize = 256;
 /// Time limit of moving one piece.
 const PIECE_TIMEOUT: Duration = Duration::from_secs(5);
 /// How often a background export looks whether foreground imports are over.
-const YIELD_PAUSE: Duration = Duration::from_millis(5);
+const YIELD_POLL_INTERVAL: Duration = Duration::from_millis(5);
 /// Longest time that a background export yields, in pauses.
-const YIELD_LIMIT: u32 = 200;
+const MAX_YIELD_POLLS: u32 = 200;
 
 /// Carries pieces: imports at once, exports in the background.
 #[derive(Debug, Clone)]
-pub struct PieceMover {
+pub struct PieceTransfers {
     client: EndpointClient,
     handle: ControlHandle,
     metrics: Arc<MetricSet>,
     plans: Sender<ExportPlan>,
     importing: Arc<AtomicU32>,
-    stores: Arc<Mutex<BTreeMap<SocketAddr, StoreClient>>>,
+    store_clients: Arc<Mutex<BTreeMap<SocketAddr, StoreClient>>>,
 }
 
 /// Counts an import as long as it lives.
-struct ImportCount(Arc<AtomicU32>);
+struct ImportGuard(Arc<AtomicU32>);
 
-impl Drop for ImportCount {
+impl Drop for ImportGuard {
     fn drop(&mut self) {
         self.0.fetch_sub(1, Ordering::Relaxed);
     }
@@ -61,24 +61,24 @@
     hasher.finalize().to_hex().to_string()
 }
 
-impl PieceMover {
+impl PieceTransfers {
     /// Starts the worker for exports.
     pub fn start(
         client: EndpointClient,
         handle: ControlHandle,
         metrics: Arc<MetricSet>,
     ) -> Self {
-        let (plans, inbox) = async_channel::bounded(PLAN_ROOM);
-        let mover = PieceMover {
+        let (plans, inbox) = async_channel::bounded(MAX_QUEUED_EXPORTS);
+        let transfers = PieceTransfers {
             client,
             handle,
             metrics,
             plans,
             importing: Arc::default(),
-            stores: Arc::default(),
+            store_clients: Arc::default(),
         };
-        spawn_detached(mover.clone().export_all(inbox));
-        mover
+        spawn_detached(transfers.clone().run_exports(inbox));
+        transfers
     }
 
     /// Imports pieces in order, up to the first that cannot be had; gives their number.
@@ -88,8 +88,8 @@
         version: &str,
     ) -> u32 {
         self.importing.fetch_add(1, Ordering::Relaxed);
-        let _count = ImportCount(self.importing.clone());
-        let store = self.store(plan.address);
+        let _guard = ImportGuard(self.importing.clone());
+        let store = self.store_client(plan.address);
         let mut imported = 0;
         for piece in &plan.pieces {
             if !self.import_one(&store, &plan.store, *piece, version).await {
@@ -108,13 +108,13 @@
         version: &str,
     ) -> bool {
         let key = piece.key;
-        let got = store
+        let result = store
             .get(key, piece.generation, |bytes| piece_checksum(key, bytes))
             .await;
-        let sealed = match got {
+        let sealed = match result {
             Ok(sealed) => sealed,
             Err(error) => {
-                self.import_failed(store_id, piece, &error);
+                self.record_import_failure(store_id, piece, &error);
                 return false;
             }
         };
@@ -130,7 +130,7 @@
         }
     }
 
-    fn import_failed(
+    fn record_import_failure(
         &self,
         store_id: &str,
         pinned: PinnedPiece,
@@ -141,7 +141,7 @@
         log::info!(event = "import-failed", piece = piece.as_str(), store = store_id, reason = reason.as_str(); "");
         self.metrics.count("link.import_failed", 1);
         if matches!(error, StoreError::Missing | StoreError::Damaged { .. }) {
-            self.handle.tell(AgentEvent::Missing(MissingNotice {
+            self.handle.send_event(AgentEvent::Missing(MissingNotice {
                 key: pinned.key,
                 store: store_id.to_string(),
                 generation: pinned.generation,
@@ -150,42 +150,44 @@
     }
 
     /// Puts an export in line, if there is room.
-    pub fn export_later(
+    pub fn queue_export(
         &self,
         plan: ExportPlan,
     ) {
         let pieces = plan.pieces.len() as i32;
-        self.handle.tell(AgentEvent::ExportCountChanged(pieces));
+        self.handle
+            .send_event(AgentEvent::ExportCountChanged(pieces));
         if self.plans.try_send(plan).is_err() {
-            self.handle.tell(AgentEvent::ExportCountChanged(-pieces));
+            self.handle
+                .send_event(AgentEvent::ExportCountChanged(-pieces));
             self.metrics.count("link.export_skipped", pieces as u64);
         }
     }
 
-    async fn export_all(
+    async fn run_exports(
         self,
         inbox: Receiver<ExportPlan>,
     ) {
         while let Ok(plan) = inbox.recv().await {
-            let store = self.store(plan.address);
-            let mut going = true;
+            let store = self.store_client(plan.address);
+            let mut succeeded = true;
             for key in &plan.pieces {
-                if going {
+                if succeeded {
                     self.yield_to_imports().await;
-                    going = self.export_one(&store, &plan, *key).await;
+                    succeeded = self.export_one(&store, &plan, *key).await;
                 }
-                self.handle.tell(AgentEvent::ExportCountChanged(-1));
+                self.handle.send_event(AgentEvent::ExportCountChanged(-1));
             }
         }
     }
 
     /// Foreground imports have the link first.
     async fn yield_to_imports(&self) {
-        for _ in 0..YIELD_LIMIT {
+        for _ in 0..MAX_YIELD_POLLS {
             if self.importing.load(Ordering::Relaxed) == 0 {
                 return;
             }
-            Timer::after(YIELD_PAUSE).await;
+            Timer::after(YIELD_POLL_INTERVAL).await;
         }
     }
 
@@ -203,7 +205,7 @@
         match store.put(key, plan.tier, bytes, checksum).await {
             Ok(generation) => {
                 self.metrics.count("link.export_bytes", length);
-                self.handle.tell(AgentEvent::Stored(StoredNotice {
+                self.handle.send_event(AgentEvent::Stored(StoredNotice {
                     key,
                     store: plan.store.clone(),
                     tier: plan.tier,
@@ -217,7 +219,7 @@
                 log::info!(event = "export-failed", piece = key.to_string().as_str(), store = plan.store.as_str(), reason = reason.as_str(); "");
                 self.metrics.count("link.export_failed", 1);
                 if error == StoreError::Full {
-                    self.handle.tell(AgentEvent::StoreFull {
+                    self.handle.send_event(AgentEvent::StoreFull {
                         store: plan.store.clone(),
                     });
                 }
@@ -227,17 +229,17 @@
     }
 
     /// Drops pieces and tells everybody that they are gone.
-    pub async fn drop_all(
+    pub async fn drop_pieces(
         &self,
         plan: DropPlan,
     ) {
-        let store = self.store(plan.address);
+        let store = self.store_client(plan.address);
         for piece in &plan.pieces {
             if store.drop_piece(piece.key, piece.generation).await.is_err() {
                 continue;
             }
             self.metrics.count("store.dropped", 1);
-            self.handle.tell(AgentEvent::Missing(MissingNotice {
+            self.handle.send_event(AgentEvent::Missing(MissingNotice {
                 key: piece.key,
                 store: plan.store.clone(),
                 generation: piece.generation,
@@ -245,12 +247,15 @@
         }
     }
 
-    fn store(
+    fn store_client(
         &self,
         address: SocketAddr,
     ) -> StoreClient {
-        let mut stores = self.stores.lock().unwrap_or_else(PoisonError::into_inner);
-        let client = stores.entry(address);
+        let mut store_clients = self
+            .store_clients
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner);
+        let client = store_clients.entry(address);
         client
             .or_insert_with(|| StoreClient::new(address, PIECE_TIMEOUT))
             .clone()
--- a/agent/src/orders/order_runner.rs
+++ b/agent/src/orders/order_runner.rs
@@ -1,6 +1,6 @@
 use {
     crate::{
-        control::{AgentChore, ControlHandle},
+        control::{AgentTask, ControlHandle},
         endpoint::{list_cache, EndpointClient},
     },
     async_channel::Receiver,
@@ -14,7 +14,7 @@
 
 /// Carries out what the control thread asks for.
 #[derive(Debug, Clone)]
-pub struct OrderRunner {
+pub struct TaskRunner {
     /// Client of the endpoint.
     pub client: EndpointClient,
     /// The table service.
@@ -25,19 +25,19 @@
     pub group: String,
 }
 
-impl OrderRunner {
+impl TaskRunner {
     /// Takes chores for good; each runs by itself.
     pub async fn run(
         self,
-        chores: Receiver<AgentChore>,
+        tasks: Receiver<AgentTask>,
     ) {
-        while let Ok(chore) = chores.recv().await {
-            match chore {
-                AgentChore::ListCache => {
+        while let Ok(task) = tasks.recv().await {
+            match task {
+                AgentTask::ListCache => {
                     list_cache(&self.client, &self.handle).await;
                 }
-                AgentChore::RunOrder(order) => spawn_detached(self.clone().run_order(order)),
-                AgentChore::ReadEpoch => self.read_epoch().await,
+                AgentTask::RunOrder(order) => spawn_detached(self.clone().run_order(order)),
+                AgentTask::ReadEpoch => self.read_epoch().await,
             }
         }
     }
@@ -53,7 +53,7 @@
         log::info!(event = "order-ended", order = text.as_str(), outcome = outcome.as_str(); "");
         if let EndpointOrder::LoadVersion { version } = order.order {
             self.handle
-                .tell(AgentEvent::OrderEnded(OrderOutcome { version, failure }));
+                .send_event(AgentEvent::OrderEnded(OrderOutcome { version, failure }));
         }
     }
 
@@ -70,6 +70,6 @@
                 Err(_) => return,
             },
         };
-        self.handle.tell(AgentEvent::EpochRead(epoch));
+        self.handle.send_event(AgentEvent::EpochRead(epoch));
     }
 }
--- a/testbed/src/engine/prefix_cache.rs
+++ b/testbed/src/engine/prefix_cache.rs
@@ -1,5 +1,5 @@
 use {
-    pitchhitch_agent::endpoint::{EngineCache, EngineChange, EngineNews},
+    pitchhitch_agent::endpoint::{EngineCache, EngineChange, EngineChanges},
     pitchhitch_core::kv_cache::PieceKey,
     std::{
         collections::{BTreeMap, VecDeque},
@@ -96,14 +96,14 @@
         &self,
         from: u64,
         delay: Duration,
-    ) -> EngineNews {
+    ) -> EngineChanges {
         let first = self.news.front().map_or(self.next_number, |n| n.number);
         let first = first.max(from);
         let ripe = self
             .news
             .iter()
             .filter(|n| n.number >= first && n.at.elapsed() >= delay);
-        EngineNews {
+        EngineChanges {
             first,
             changes: ripe.map(|n| n.change).collect(),
         }
