--- a/agent/src/gate/gate_context.rs
+++ b/agent/src/gate/gate_context.rs
@@ -1,5 +1,5 @@
 use {
-    crate::{control::ControlHandle, endpoint::EndpointClient, moves::PieceTransfers},
+    crate::{control::ControlHandle, endpoint::EndpointClient, transfers::PieceTransfers},
     pitchhitch_process::{MetricSet, ProcessClock},
     std::sync::Arc,
 };
--- a/agent/src/lib.rs
+++ b/agent/src/lib.rs
@@ -9,5 +9,5 @@
 pub mod endpoint;
 pub mod gate;
 pub mod links;
-pub mod moves;
-pub mod orders;
+pub mod tasks;
+pub mod transfers;
--- a/agent/src/orders/mod.rs
+++ b/agent/src/tasks/mod.rs
@@ -1,5 +1,5 @@
 //! Chores of the control thread: orders, cache lists and the lease epoch.
 
-mod order_runner;
+mod task_runner;
 
-pub use order_runner::*;
+pub use task_runner::*;
--- a/agent/src/moves/mod.rs
+++ b/agent/src/transfers/mod.rs
@@ -1,5 +1,5 @@
 //! Moving kept pieces between the engine and store boxes.
 
-mod piece_mover;
+mod piece_transfers;
 
-pub use piece_mover::*;
+pub use piece_transfers::*;
--- a/testbed/src/stand_ins/store_box.rs
+++ b/testbed/src/stand_ins/store_box.rs
@@ -1,6 +1,6 @@
 use {
     super::{answer_json, answer_status, any_port, HttpStandIn},
-    pitchhitch_agent::moves::piece_checksum,
+    pitchhitch_agent::transfers::piece_checksum,
     pitchhitch_core::kv_cache::{PieceKey, StoreTier},
     pitchhitch_services::stores::{StoreContent, StoreRow, CHECKSUM_HEADER, GENERATION_HEADER},
     smol::Timer,
--- a/testbed/tests/kept_pieces.rs
+++ b/testbed/tests/kept_pieces.rs
@@ -2,7 +2,7 @@
 
 use {
     futures_lite::AsyncWriteExt,
-    pitchhitch_agent::moves::piece_checksum,
+    pitchhitch_agent::transfers::piece_checksum,
     pitchhitch_core::kv_cache::{PieceKey, StoreTier},
     pitchhitch_services::stores::{StoreClient, StoreError, CHECKSUM_HEADER},
     pitchhitch_testbed::stand_ins::{StoreBox, StoreBoxShape},
