--- a/agent/src/lib.rs
+++ b/agent/src/lib.rs
@@ -9,5 +9,5 @@
 pub mod engine_agent;
 pub mod gate;
 pub mod links;
-pub mod moves;
-pub mod orders;
+pub mod transfers;
+pub mod tasks;
