--- a/wire/src/beacon/beacon_key.rs
+++ b/wire/src/beacon/beacon_key.rs
@@ -2,21 +2,21 @@
 
 const KEY_CONTEXT: &str = "pitchhitch 2026-12 beacon key";
 
-/// Key that all processes of a deployment share, for beacons only.
+/// Shared key of a deployment, derived for beacons only.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub struct BeaconKey {
     bytes: [u8; 32],
 }
 
 impl BeaconKey {
-    /// Makes the key from the secret in the settings.
+    /// Derives the key from the `beacon_secret` of the settings.
     pub fn from_secret(secret: &str) -> Self {
         BeaconKey {
             bytes: blake3::derive_key(KEY_CONTEXT, secret.as_bytes()),
         }
     }
 
-    /// Keyed hash over a message.
+    /// Returns the keyed hash of a message.
     pub fn hash(
         &self,
         message: &[u8],
@@ -25,7 +25,7 @@
     }
 }
 
-// Keys never reach a log.
+// Prints no key bytes, so that keys do not end up in logs.
 impl fmt::Debug for BeaconKey {
     fn fmt(
         &self,
--- a/wire/src/beacon/beacon_socket.rs
+++ b/wire/src/beacon/beacon_socket.rs
@@ -13,31 +13,31 @@
     thiserror::Error,
 };
 
-/// Why no beacon came out of a datagram.
+/// Why no beacon was received.
 #[derive(Debug, Error)]
 pub enum ReceiveError {
-    /// The socket failed.
+    /// I/O error of the socket.
     #[error("beacon socket: {0}")]
     Io(#[from] io::Error),
-    /// The datagram is not from this deployment.
+    /// The datagram is not an authentic beacon of this deployment.
     #[error("from {from}: {error}")]
     Refused {
-        /// Where it came from.
+        /// Source address.
         from: SocketAddr,
-        /// What is wrong with it.
+        /// Reason.
         error: BeaconError,
     },
-    /// The beacon was seen before.
-    #[error("from {from}: beacon of {sender} was seen before")]
+    /// The replay guard rejected its sequence number.
+    #[error("from {from}: beacon of {sender} is replayed or out of order")]
     Replayed {
-        /// Where it came from.
+        /// Source address.
         from: SocketAddr,
-        /// Who is said to have sent it.
+        /// Sender that the beacon names.
         sender: String,
     },
 }
 
-/// Sends and takes beacons.
+/// UDP socket that sends and receives beacons.
 #[derive(Debug)]
 pub struct BeaconSocket {
     socket: UdpSocket,
@@ -47,10 +47,10 @@
 }
 
 impl BeaconSocket {
-    /// Binds to an address.
+    /// Binds the socket to an address.
     ///
     /// # Errors
-    /// When the address cannot be bound.
+    /// If the address cannot be bound.
     pub async fn bind(
         address: SocketAddr,
         key: BeaconKey,
@@ -63,16 +63,16 @@
         })
     }
 
-    /// The bound address.
+    /// Returns the bound address.
     ///
     /// # Errors
-    /// When the system does not tell it.
+    /// If the operating system does not report it.
     pub fn local_addr(&self) -> io::Result<SocketAddr> {
         self.socket.local_addr()
     }
 
-    /// Sends a beacon to each target; gives the bytes sent. A target that
-    /// cannot be reached is passed over: the next beacon comes soon.
+    /// Sends a beacon to each target and returns the total of bytes sent. Send errors are
+    /// ignored, because the next beacon follows soon.
     pub async fn send(
         &self,
         beacon: Beacon,
@@ -98,10 +98,10 @@
         sent
     }
 
-    /// Takes the next beacon.
+    /// Receives the next beacon.
     ///
     /// # Errors
-    /// [`ReceiveError`] for a datagram that must be passed over.
+    /// [`ReceiveError`] if the socket failed or the datagram must be ignored.
     pub async fn receive(&self) -> Result<Beacon, ReceiveError> {
         let mut datagram = [0; MAX_BEACON_BYTES + 1];
         let (length, from) = self.socket.recv_from(&mut datagram).await?;
--- a/wire/src/beacon/mod.rs
+++ b/wire/src/beacon/mod.rs
@@ -1,4 +1,5 @@
-//! Beacons: small messages by UDP, with a keyed hash and a counter.
+//! Beacons: small UDP messages, authenticated by a keyed hash and protected against
+//! replay by a sequence number.
 
 mod beacon_key;
 mod beacon_socket;
--- a/wire/src/beacon/sealed_beacon.rs
+++ b/wire/src/beacon/sealed_beacon.rs
@@ -6,39 +6,41 @@
     thiserror::Error,
 };
 
-/// Bytes of the keyed hash.
+/// Length of the keyed hash, in bytes.
 const HASH_BYTES: usize = 32;
-/// Longest beacon, in bytes; it must fit one datagram.
+/// Maximum length of a sealed beacon, in bytes; it must fit into one datagram.
 pub const MAX_BEACON_BYTES: usize = 8 * 1024;
 
-/// Why a datagram is no beacon of this deployment.
+/// Why a datagram is not a beacon of this deployment, or a beacon cannot be encoded.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum BeaconError {
-    /// It is too short or too long, or of another version.
-    #[error("datagram of {length} bytes is no beacon of version {WIRE_VERSION}")]
+    /// It is too short or too long, or has another protocol version.
+    #[error("datagram of {length} bytes is not a beacon of protocol version {WIRE_VERSION}")]
     Malformed {
-        /// Bytes in the datagram.
+        /// Length of the datagram, in bytes.
         length: usize,
     },
-    /// It was not made with this deployment's key.
-    #[error("the keyed hash of a beacon is wrong; do all settings name the same beacon_secret?")]
+    /// Its keyed hash was not computed with this deployment's key.
+    #[error(
+        "keyed hash of the beacon is invalid; check that all processes use the same beacon_secret"
+    )]
     Forged,
-    /// It cannot be decoded.
+    /// The body cannot be encoded or decoded.
     #[error(transparent)]
     Frame(#[from] FrameError),
 }
 
-/// A beacon with its number, as sent.
+/// A beacon with its sequence number, as it is sent.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct NumberedBeacon {
-    /// Counts up in each life of the sender.
+    /// Number of the beacon within the sender's incarnation; it increases with each beacon.
     pub counter: u64,
     /// The beacon.
     pub beacon: Beacon,
 }
 
 impl NumberedBeacon {
-    /// Who sent it.
+    /// Returns the endpoint id or entry id of the sender.
     pub fn sender(&self) -> &str {
         match &self.beacon {
             Beacon::Agent(agent) => &agent.endpoint_id,
@@ -46,7 +48,7 @@
         }
     }
 
-    /// Its place in the life of the sender.
+    /// Returns the sequence number, which consists of the sender's incarnation and the counter.
     pub fn sequence(&self) -> BeaconSequence {
         let incarnation = match &self.beacon {
             Beacon::Agent(agent) => agent.incarnation,
@@ -58,10 +60,10 @@
         }
     }
 
-    /// Makes the datagram.
+    /// Encodes and authenticates the beacon.
     ///
     /// # Errors
-    /// [`BeaconError`] when it does not fit.
+    /// [`BeaconError`] if it does not fit into a datagram.
     pub fn seal(
         &self,
         key: &BeaconKey,
@@ -79,10 +81,10 @@
         Ok(datagram)
     }
 
-    /// Reads a datagram.
+    /// Authenticates and decodes a datagram.
     ///
     /// # Errors
-    /// [`BeaconError`] when it is not from this deployment.
+    /// [`BeaconError`] if it is not a beacon of this deployment.
     pub fn open(
         datagram: &[u8],
         key: &BeaconKey,
@@ -99,7 +101,7 @@
         let (hash_bytes, body) = rest.split_at(HASH_BYTES);
         let mut received_hash = [0; HASH_BYTES];
         received_hash.copy_from_slice(hash_bytes);
-        // Comparing two blake3 hashes takes the same time wherever they differ.
+        // blake3::Hash compares in constant time.
         if key.hash(body) != blake3::Hash::from(received_hash) {
             return Err(BeaconError::Forged);
         }
--- a/wire/src/codec/frame_codec.rs
+++ b/wire/src/codec/frame_codec.rs
@@ -4,11 +4,11 @@
     serde::{de::DeserializeOwned, Serialize},
 };
 
-/// Version of the messages; both ends must have the same.
+/// Version of the message format; sender and receiver must use the same.
 pub const WIRE_VERSION: u8 = 3;
-/// Bytes in front of each body: version and length.
+/// Length of the frame header, in bytes: one for the version, four for the body length.
 pub const HEADER_BYTES: usize = 5;
-/// Longest body, in bytes.
+/// Maximum length of a body, in bytes.
 pub const MAX_BODY_BYTES: usize = 16 * 1024 * 1024;
 
 const BINCODE: bincode::config::Configuration<
@@ -17,20 +17,20 @@
     bincode::config::Limit<MAX_BODY_BYTES>,
 > = bincode::config::standard().with_limit::<MAX_BODY_BYTES>();
 
-/// Makes a message without version and length.
+/// Encodes a message without a frame header.
 ///
 /// # Errors
-/// [`FrameError::Malformed`] when the message is over the limit.
+/// [`FrameError::Malformed`] if the message cannot be encoded.
 pub fn encode_body<T: Serialize>(message: &T) -> Result<Vec<u8>, FrameError> {
     bincode::serde::encode_to_vec(message, BINCODE).map_err(|e| FrameError::Malformed {
         reason: e.to_string(),
     })
 }
 
-/// Reads a message without version and length; all bytes must belong to it.
+/// Decodes a message without a frame header.
 ///
 /// # Errors
-/// [`FrameError::Malformed`] for anything else.
+/// [`FrameError::Malformed`] if the bytes are not exactly one message.
 pub fn decode_body<T: DeserializeOwned>(body: &[u8]) -> Result<T, FrameError> {
     let decoded = bincode::serde::decode_from_slice(body, BINCODE);
     let (message, consumed) = decoded.map_err(|e| FrameError::Malformed {
@@ -38,16 +38,16 @@
     })?;
     if consumed != body.len() {
         return Err(FrameError::Malformed {
-            reason: format!("{} bytes too many", body.len() - consumed),
+            reason: format!("{} trailing bytes", body.len() - consumed),
         });
     }
     Ok(message)
 }
 
-/// Makes a whole frame.
+/// Encodes a message as a frame.
 ///
 /// # Errors
-/// [`FrameError`] when the message is over the limit.
+/// [`FrameError`] if the message exceeds the limit.
 pub fn encode_frame<T: Serialize>(message: &T) -> Result<Bytes, FrameError> {
     let body = encode_body(message)?;
     if body.len() > MAX_BODY_BYTES {
@@ -63,14 +63,14 @@
     Ok(frame.freeze())
 }
 
-/// Puts frames together from pieces of a stream.
+/// Incremental decoder that splits a byte stream into frames.
 #[derive(Debug, Default)]
 pub struct FrameReader {
     buffer: BytesMut,
 }
 
 impl FrameReader {
-    /// Takes in the next bytes of the stream.
+    /// Appends the next bytes of the stream.
     pub fn feed(
         &mut self,
         bytes: &[u8],
@@ -78,10 +78,10 @@
         self.buffer.extend_from_slice(bytes);
     }
 
-    /// The next whole message, if there is one.
+    /// Decodes the next message; none if its frame is still incomplete.
     ///
     /// # Errors
-    /// [`FrameError`] when the stream is broken; it is of no more use then.
+    /// [`FrameError`] if the stream is invalid; it cannot be read any further then.
     pub fn next_frame<T: DeserializeOwned>(&mut self) -> Result<Option<T>, FrameError> {
         let Some(length) = self.body_length()? else {
             return Ok(None);
@@ -94,10 +94,10 @@
         decode_body(&body).map(Some)
     }
 
-    /// Checks that the stream ended between two frames.
+    /// Checks, at the end of the stream, that no incomplete frame is left.
     ///
     /// # Errors
-    /// [`FrameError::Truncated`] when it did not.
+    /// [`FrameError::Truncated`] if there is one.
     pub fn finish(&self) -> Result<(), FrameError> {
         if self.buffer.is_empty() {
             Ok(())
--- a/wire/src/codec/frame_error.rs
+++ b/wire/src/codec/frame_error.rs
@@ -1,33 +1,31 @@
 use thiserror::Error;
 
-/// Why bytes from another process are no message.
+/// Why a message cannot be encoded, or received bytes cannot be decoded.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum FrameError {
-    /// The sender speaks another version.
-    #[error(
-        "frame has version {found}, this process speaks {wanted}; update the older of the two"
-    )]
+    /// The sender uses another version of the message format.
+    #[error("frame has version {found}, this process requires {wanted}; update the older process")]
     Version {
-        /// Version in the frame.
+        /// Version in the frame header.
         found: u8,
         /// Version of this process.
         wanted: u8,
     },
-    /// The length in the frame is over the limit.
-    #[error("frame is {found} bytes long, the limit is {limit}")]
+    /// The body exceeds the limit.
+    #[error("frame body of {found} bytes exceeds the limit of {limit} bytes")]
     TooLong {
-        /// Length in the frame.
+        /// Length of the body, in bytes.
         found: usize,
-        /// The limit.
+        /// Maximum length, in bytes.
         limit: usize,
     },
     /// The stream ended within a frame.
     #[error("stream ended within a frame")]
     Truncated,
-    /// The body is no message.
-    #[error("frame cannot be decoded: {reason}")]
+    /// The body cannot be encoded or decoded.
+    #[error("invalid frame body: {reason}")]
     Malformed {
-        /// What the decoder found.
+        /// Error of the codec.
         reason: String,
     },
 }
--- a/wire/src/codec/mod.rs
+++ b/wire/src/codec/mod.rs
@@ -1,4 +1,4 @@
-//! How messages become bytes: a version, a length and a bincode body.
+//! Encoding of messages: a version byte, a length and a body in bincode.
 
 mod frame_codec;
 mod frame_error;
--- a/wire/src/lib.rs
+++ b/wire/src/lib.rs
@@ -1,5 +1,5 @@
-//! Messages between the processes of pitchhitch, the h2 link that carries them
-//! and the socket for beacons.
+//! Messages between the processes of pitchhitch, the HTTP/2 link that carries them
+//! and the UDP socket for beacons.
 
 pub mod beacon;
 pub mod beside;
--- a/wire/src/link/agent_link.rs
+++ b/wire/src/link/agent_link.rs
@@ -12,18 +12,18 @@
     std::{future::Future, net::SocketAddr, time::Duration},
 };
 
-/// An entry process's side of a link.
+/// Link to an agent, as seen by an entry process.
 #[derive(Debug, Clone)]
 pub struct AgentLink {
     sender: SendRequest<Bytes>,
 }
 
 impl AgentLink {
-    /// Connects to an agent. The second part must be run until it ends, which is
-    /// when the link is gone.
+    /// Connects to an agent. Returns the link and the future that drives its connection,
+    /// which must be polled and completes when the connection is closed.
     ///
     /// # Errors
-    /// [`LinkError::NotSent`] when the agent cannot be reached in time.
+    /// [`LinkError::NotSent`] if the agent cannot be reached within `timeout`.
     pub async fn connect(
         address: SocketAddr,
         timeout: Duration,
@@ -31,7 +31,7 @@
         let connected = future::or(Self::handshake(address), async {
             Timer::after(timeout).await;
             Err(LinkError::NotSent {
-                reason: format!("{address} did not answer in {timeout:?}"),
+                reason: format!("no connection to {address} within {timeout:?}"),
             })
         });
         let (sender, connection) = connected.await?;
@@ -68,10 +68,11 @@
             .map_err(LinkError::not_sent)
     }
 
-    /// Makes one call.
+    /// Sends one call.
     ///
     /// # Errors
-    /// [`LinkError::NotSent`] only when no byte of the call can have left this process.
+    /// [`LinkError`]; [`LinkError::NotSent`] only if no byte of the call can have left this
+    /// process.
     pub async fn call(
         &self,
         call: &LinkCall,
--- a/wire/src/link/link_error.rs
+++ b/wire/src/link/link_error.rs
@@ -1,27 +1,27 @@
 use {crate::codec::FrameError, pitchhitch_core::errors::ErrorKind, thiserror::Error};
 
-/// How a call over a link failed.
+/// Error of a call over a link.
 #[derive(Debug, Error)]
 pub enum LinkError {
-    /// Nothing of the call was sent.
-    #[error("no link to the agent: {reason}")]
+    /// No byte of the call was sent.
+    #[error("call not sent over the agent link: {reason}")]
     NotSent {
-        /// What stood in the way.
+        /// Cause.
         reason: String,
     },
-    /// The link broke after something may have been sent.
-    #[error("link to the agent broke: {reason}")]
+    /// The link failed after part of the call may have been sent.
+    #[error("agent link failed: {reason}")]
     Broken {
-        /// What happened.
+        /// Cause.
         reason: String,
     },
-    /// What came was no message, or none that fits.
-    #[error("bad message on the link: {0}")]
+    /// A message could not be encoded or decoded.
+    #[error("invalid message on the agent link: {0}")]
     BadFrame(#[from] FrameError),
 }
 
 impl LinkError {
-    /// The error kind that callers are answered with.
+    /// Returns the error kind that the caller of the request receives.
     pub fn kind(&self) -> ErrorKind {
         match self {
             LinkError::NotSent { .. } => ErrorKind::EndpointUnreachable,
--- a/wire/src/link/link_server.rs
+++ b/wire/src/link/link_server.rs
@@ -12,7 +12,7 @@
     smol::net::TcpStream,
 };
 
-/// One call that came over a link.
+/// One call received over a link.
 #[derive(Debug)]
 pub struct IncomingCall {
     body: RecvStream,
@@ -20,11 +20,11 @@
 }
 
 impl IncomingCall {
-    /// Reads the whole call.
+    /// Reads the complete call.
     ///
     /// # Errors
-    /// [`LinkError`] when it is no message or the link broke; the call must not
-    /// be acted on then.
+    /// [`LinkError`] if the message is invalid or the link failed; the call must not be
+    /// executed then.
     pub async fn read(self) -> Result<(LinkCall, ReplySender), LinkError> {
         let mut body = self.body;
         let mut reader = FrameReader::default();
@@ -43,10 +43,10 @@
     }
 }
 
-/// Takes the calls of one connection, until it ends.
+/// Passes the calls of one connection to `on_call` until the connection is closed.
 ///
 /// # Errors
-/// [`LinkError`] when the connection broke.
+/// [`LinkError`] if the connection failed.
 pub async fn serve_link(
     stream: TcpStream,
     mut on_call: impl FnMut(IncomingCall),
--- a/wire/src/link/mod.rs
+++ b/wire/src/link/mod.rs
@@ -1,5 +1,5 @@
-//! The h2 link between an entry process and an agent: one connection a pair,
-//! one stream a call.
+//! The HTTP/2 link between an entry process and an agent: one connection per pair of
+//! processes, one stream per call.
 
 mod agent_link;
 mod link_error;
@@ -9,14 +9,15 @@
 
 pub use {agent_link::*, link_error::*, link_server::*, reply_sender::*, reply_stream::*};
 
-/// Path of all calls; the message says what is asked.
+/// URI of all calls; the kind of call is in the message.
 const CALL_URI: &str = "http://agent/call";
-/// Bytes of answer that may be under way to a caller that does not read.
+/// Flow-control window for the replies of one stream: bytes in flight to an entry process
+/// that does not read them.
 const REPLY_WINDOW_BYTES: u32 = 64 * 1024;
-/// Bytes of requests that may be under way on one stream.
+/// Flow-control window for the call of one stream.
 const CALL_WINDOW_BYTES: u32 = 1024 * 1024;
-/// Bytes under way on the whole connection: so many that streams that nobody
-/// reads never hold up the others.
+/// Flow-control window of the whole connection: the maximum that HTTP/2 allows, so that
+/// unread streams never block the others.
 const CONNECTION_WINDOW_BYTES: u32 = (1 << 31) - 1;
-/// Streams on one link at the same time.
+/// Maximum number of concurrent streams on one link.
 const MAX_CONCURRENT_STREAMS: u32 = 100_000;
--- a/wire/src/link/reply_sender.rs
+++ b/wire/src/link/reply_sender.rs
@@ -6,7 +6,7 @@
     std::future::poll_fn,
 };
 
-/// An agent's side of one call: sends the answers.
+/// Sends the replies to one call, on the agent.
 #[derive(Debug)]
 pub struct ReplySender {
     stream: SendStream<Bytes>,
@@ -21,10 +21,10 @@
         Ok(ReplySender { stream })
     }
 
-    /// Sends one answer, waiting until the entry process has capacity for it.
+    /// Sends one reply, after waiting for flow-control capacity on the stream.
     ///
     /// # Errors
-    /// [`LinkError`] when nobody wants it any more.
+    /// [`LinkError`] if the reply cannot be encoded, the stream was reset or the link failed.
     pub async fn send(
         &mut self,
         reply: &LinkReply,
@@ -40,17 +40,17 @@
         Ok(())
     }
 
-    /// Ends the stream.
+    /// Ends the stream after the last reply.
     ///
     /// # Errors
-    /// [`LinkError`] when nobody waits for it any more.
+    /// [`LinkError`] if the stream was reset or the link failed.
     pub fn end(mut self) -> Result<(), LinkError> {
         self.stream
             .send_data(Bytes::new(), true)
             .map_err(LinkError::broken)
     }
 
-    /// Waits until the entry process gives the stream up or the link breaks.
+    /// Waits until the entry process resets the stream or the link fails.
     pub async fn closed(&mut self) {
         let _ = poll_fn(|cx| self.stream.poll_reset(cx)).await;
     }
@@ -64,7 +64,7 @@
         match capacity {
             Some(capacity) => capacity.map_err(LinkError::broken),
             None => Err(LinkError::Broken {
-                reason: "the stream was given up".to_string(),
+                reason: "stream closed by the entry process".to_string(),
             }),
         }
     }
--- a/wire/src/link/reply_stream.rs
+++ b/wire/src/link/reply_stream.rs
@@ -13,9 +13,9 @@
     Ended,
 }
 
-/// Answers to one call, in order.
+/// Replies to one call, in order.
 ///
-/// Dropping it before the end tells the agent that nobody wants the rest.
+/// Dropping it before the end resets the stream, which cancels the call on the agent.
 #[derive(Debug)]
 pub struct ReplyStream {
     state: ReplyState,
@@ -32,17 +32,18 @@
         }
     }
 
-    /// The next answer; none at the end of the stream.
+    /// Receives the next reply; none at the end of the stream.
     ///
     /// # Errors
-    /// [`LinkError`] when the link broke or the stream is damaged.
+    /// [`LinkError`] if the link failed or the stream is invalid.
     pub async fn next(&mut self) -> Result<Option<LinkReply>, LinkError> {
         std::future::poll_fn(|cx| self.poll_next(cx)).await
     }
 
-    /// Polls for the next answer.
+    /// Polls for the next reply.
     ///
-    /// Room for more is given to the agent only when what came before was taken.
+    /// Flow-control capacity is released to the agent only after the replies received so
+    /// far have been taken.
     pub fn poll_next(
         &mut self,
         cx: &mut Context<'_>,
@@ -100,7 +101,7 @@
             return;
         }
         if let ReplyState::Open(stream) = &mut self.state {
-            // An error means that the stream is over, which the next read shows.
+            // An error means that the stream has ended; the next read reports it.
             let _ = stream
                 .flow_control()
                 .release_capacity(self.unreleased_bytes);
--- a/wire/src/messages/hand_over.rs
+++ b/wire/src/messages/hand_over.rs
@@ -5,38 +5,38 @@
     std::net::SocketAddr,
 };
 
-/// A request as an entry process hands it to an agent.
+/// Request that an entry process hands over to an agent.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HandOver {
-    /// Id of the request, for logs on both sides.
+    /// Id of the request, logged by both processes.
     pub request_id: String,
-    /// Organisation that it belongs to.
+    /// Organisation of the caller.
     pub organisation: String,
-    /// Label that the caller put on it.
+    /// Label that the caller gave the request.
     pub label: String,
-    /// Weight version it was decided for; none for plain services.
+    /// Weight version that the request was routed for; none for plain services.
     pub version: Option<String>,
-    /// Prompt tokens that are likely to be computed.
+    /// Estimated prompt tokens to compute.
     pub tokens: u32,
-    /// Milliseconds within which the answer must begin.
+    /// Time within which the response must start, in milliseconds.
     pub deadline_millis: u64,
-    /// Whether it may run more than once.
+    /// Whether the request may run more than once.
     pub repeatable: bool,
     /// HTTP method.
     pub method: String,
     /// Path with query.
     pub path: String,
-    /// Headers to pass on.
+    /// Headers to forward to the endpoint.
     pub headers: Vec<HeaderField>,
-    /// Body, untouched.
+    /// Unmodified body.
     pub body: Vec<u8>,
-    /// Keys of the whole pieces of the prompt, in order.
+    /// Keys of the complete pieces of the prompt, in order.
     pub pieces: Vec<PieceKey>,
-    /// What to import before the endpoint starts.
+    /// Pieces to import before the request is sent to the endpoint.
     pub import: Option<ImportPlan>,
-    /// What to export once the state is there.
+    /// Pieces to export after the request has been answered.
     pub export: Option<ExportPlan>,
-    /// Number of the last answer event that the caller has, when a stream is resumed.
+    /// Number of the last event that the caller has received, if a stream is resumed.
     pub resume_after: Option<u64>,
 }
 
@@ -45,18 +45,19 @@
 pub struct ImportPlan {
     /// Name of the store box.
     pub store: String,
-    /// Where it listens.
+    /// Address of the store box.
     pub address: SocketAddr,
     /// The pieces, in the order of the prompt.
     pub pieces: Vec<PinnedPiece>,
 }
 
-/// A piece with the generation that must still be there.
+/// A piece with the generation of its stored copy; requests for it fail if the store box
+/// has another generation.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PinnedPiece {
     /// The piece.
     pub key: PieceKey,
-    /// Its generation.
+    /// Generation of the stored copy.
     pub generation: u64,
 }
 
@@ -65,11 +66,12 @@
 pub struct ExportPlan {
     /// Name of the store box.
     pub store: String,
-    /// Where it listens.
+    /// Address of the store box.
     pub address: SocketAddr,
-    /// Tier they go to.
+    /// Storage tier to write to.
     pub tier: StoreTier,
-    /// Key by which the prompt is recognised.
+    /// Identity key of the prompt, see
+    /// [`prompt_identity`](pitchhitch_core::role::prompt_identity).
     pub identity: PieceKey,
     /// The pieces, in the order of the prompt.
     pub pieces: Vec<PieceKey>,
@@ -80,7 +82,7 @@
 pub struct DropPlan {
     /// Name of the store box.
     pub store: String,
-    /// Where it listens.
+    /// Address of the store box.
     pub address: SocketAddr,
     /// The pieces.
     pub pieces: Vec<PinnedPiece>,
--- a/wire/src/messages/header_field.rs
+++ b/wire/src/messages/header_field.rs
@@ -9,7 +9,7 @@
     pub value: String,
 }
 
-/// Headers that belong to one connection and are never passed on.
+/// Hop-by-hop headers, which apply to one connection and are never forwarded.
 const HOP_BY_HOP: [&str; 10] = [
     "connection",
     "keep-alive",
@@ -23,7 +23,7 @@
     "host",
 ];
 
-/// Whether a header belongs to one connection only.
+/// Whether a header applies to one connection only and must not be forwarded.
 pub fn is_hop_by_hop(name: &str) -> bool {
     HOP_BY_HOP.iter().any(|h| name.eq_ignore_ascii_case(h))
 }
--- a/wire/src/messages/link_call.rs
+++ b/wire/src/messages/link_call.rs
@@ -4,20 +4,20 @@
     serde::{Deserialize, Serialize},
 };
 
-/// What an entry process asks of an agent; one call a stream.
+/// Call of an entry process to an agent; there is one call per stream.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum LinkCall {
     /// Run a request.
     HandOver(Box<HandOver>),
-    /// Send events from now on, all that is known first.
+    /// Send a snapshot of the agent's state, followed by all further events.
     Subscribe {
         /// Id of the entry process.
         entry_id: String,
     },
-    /// Take note of the configuration.
+    /// Apply the endpoint's configuration.
     Notice(ConfigNotice),
-    /// Drop pieces from a store box and tell everybody.
+    /// Drop pieces from a store box and report them as missing to all subscribers.
     Drop(DropPlan),
-    /// Carry out an order.
+    /// Execute an order.
     Order(StampedOrder),
 }
--- a/wire/src/messages/link_reply.rs
+++ b/wire/src/messages/link_reply.rs
@@ -8,66 +8,66 @@
     serde::{Deserialize, Serialize},
 };
 
-/// What an agent answers; several to a stream.
+/// Reply of an agent; there can be several per stream.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum LinkReply {
-    /// The request did not run.
+    /// The request was refused and did not run.
     Refused {
-        /// Why.
+        /// Reason.
         kind: ErrorKind,
         /// State of the agent.
         pulse: AgentPulse,
     },
-    /// The endpoint began to answer.
+    /// The endpoint started its response.
     Head(ReplyHead),
-    /// Part of the answer's body.
+    /// Part of the response body.
     Chunk(Vec<u8>),
-    /// The answer is whole.
+    /// The response is complete.
     End {
-        /// Bytes of body in all, as a check.
+        /// Total length of the body, in bytes, so that the receiver can verify it.
         body_bytes: u64,
         /// State of the agent.
         pulse: AgentPulse,
     },
-    /// The endpoint failed after the request may have reached it.
+    /// The request failed after it may have reached the endpoint.
     Failed {
-        /// How.
+        /// Kind of failure.
         kind: ErrorKind,
         /// State of the agent.
         pulse: AgentPulse,
     },
-    /// First answer to a subscription.
+    /// First reply to a subscription.
     Hello {
         /// Id of the endpoint.
         endpoint_id: String,
-        /// Life of the agent.
+        /// Start time of the agent, in microseconds since 1970.
         incarnation: u64,
     },
     /// Events of a subscription.
     Events(EventBatch),
-    /// A notice or an order has come.
+    /// A notice, a drop or an order was accepted.
     Taken,
-    /// A request has come; more follows.
+    /// A request was received; further replies follow.
     TakenUp {
-        /// Number that the agent gave to it.
+        /// Number that the agent assigned to it.
         ticket: WorkTicket,
     },
     /// An order was refused.
     OrderRefused(FenceRefusal),
 }
 
-/// Status and headers of an answer.
+/// Status and headers of a response.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ReplyHead {
     /// HTTP status.
     pub status: u16,
-    /// Headers to pass on.
+    /// Headers to forward to the caller.
     pub headers: Vec<HeaderField>,
-    /// Prompt tokens that the endpoint computed, if it says so.
+    /// Prompt tokens that the endpoint computed, if it reports them.
     pub computed_tokens: Option<u32>,
-    /// Pieces that were imported.
+    /// Number of imported pieces.
     pub imported_pieces: u32,
-    /// Microseconds that the import took.
+    /// Duration of the import, in microseconds.
     pub import_micros: u64,
     /// State of the agent.
     pub pulse: AgentPulse,
--- a/wire/src/messages/mod.rs
+++ b/wire/src/messages/mod.rs
@@ -1,4 +1,4 @@
-//! The messages of the link between entry and agent.
+//! Messages on the link between an entry process and an agent.
 
 mod hand_over;
 mod header_field;
--- a/wire/tests/beacon_seal.rs
+++ b/wire/tests/beacon_seal.rs
@@ -1,4 +1,4 @@
-//! Beacons: forged and replayed ones are passed over.
+//! Forged and replayed beacons are rejected.
 
 use {
     pitchhitch_core::membership::{Beacon, EntryBeacon},
--- a/wire/tests/frame_codec.rs
+++ b/wire/tests/frame_codec.rs
@@ -1,4 +1,4 @@
-//! Frames: what comes from another process is read whole or not at all.
+//! Frames received from another process are decoded completely or rejected.
 
 use {
     pitchhitch_core::{errors::ErrorKind, role::ConfigNotice},
@@ -93,7 +93,7 @@
 
 #[test]
 fn huge_inner_length_refused() {
-    // A chunk that claims to be far longer than its frame must cost no memory.
+    // The inner length of a chunk is far beyond its frame; no memory may be allocated for it.
     let mut body = vec![2];
     body.extend_from_slice(&[253, 255, 255, 255, 255, 255, 255, 255, 127]);
     let mut frame = vec![WIRE_VERSION];
--- a/wire/tests/link_calls.rs
+++ b/wire/tests/link_calls.rs
@@ -34,7 +34,7 @@
     })
 }
 
-/// Answers a call with as many chunks as its revision says, then ends.
+/// Replies to a call with as many chunks as the revision in the call, then ends the stream.
 async fn answer(
     call: LinkCall,
     mut replies: ReplySender,
@@ -121,7 +121,7 @@
     block_on(async {
         let server = server().await;
         let (link, _driver) = connect(server.address).await;
-        // Nobody reads these; together they are far more than their windows.
+        // These streams are not read; their replies are far larger than the flow-control windows.
         let mut unread = Vec::new();
         for _ in 0..20 {
             unread.push(link.call(&call(1_000)).await.expect("call"));
