--- a/agent/src/beacons/beacon_sender.rs
+++ b/agent/src/beacons/beacon_sender.rs
@@ -12,20 +12,22 @@
     },
 };
 
-/// Entry processes that one agent sends its beacons to.
+/// Maximum number of entry processes that an agent sends its beacons to.
 pub const MAX_TARGETS: usize = 8;
-/// Time limit of reading the box list.
+/// Timeout of a request for the box list.
 const LIST_TIMEOUT: Duration = Duration::from_secs(2);
-/// Time between two readings of the box list while targets are known.
+/// Time between two requests for the box list while targets are known.
 const LIST_INTERVAL: Duration = Duration::from_secs(5);
-/// Time between two readings while none is known.
+/// Time between two requests for the box list while no target is known.
 const DISCOVERY_INTERVAL: Duration = Duration::from_millis(250);
-/// Factor on the interval while all targets are linked: the link tells them more.
+/// Factor on the beacon interval while all targets are subscribed: they receive the same
+/// state and more over their links.
 const LINKED_INTERVAL_FACTOR: u32 = 20;
-/// Pause before the socket is tried again.
+/// Delay before another attempt to bind the socket.
 const BIND_RETRY_DELAY: Duration = Duration::from_millis(500);
 
-/// Sends beacons to the agent's home entry processes, for good.
+/// Sends beacons periodically to the entry processes that rendezvous hashing selects for
+/// the endpoint. Never returns.
 pub async fn send_beacons(
     settings: Arc<AgentSettings>,
     handle: ControlHandle,
@@ -68,7 +70,8 @@
     }
 }
 
-/// Waits for the next beacon, but not once the agent begins to refuse work.
+/// Waits for the interval, or until the agent starts or stops refusing work, which is
+/// announced immediately.
 async fn wait_interval_or_refusal(
     interval: Duration,
     handle: &ControlHandle,
--- a/agent/src/beacons/mod.rs
+++ b/agent/src/beacons/mod.rs
@@ -1,4 +1,4 @@
-//! Telling entry processes that the agent is there.
+//! Beacons that announce the agent to entry processes.
 
 mod beacon_sender;
 
--- a/agent/src/cli/agent_cli.rs
+++ b/agent/src/cli/agent_cli.rs
@@ -9,19 +9,19 @@
     std::{env, fmt::Display, fs, process::ExitCode},
 };
 
-/// Variable that names the settings file on the platform's boxes.
+/// Environment variable with the path of the settings file on the platform's boxes.
 const SETTINGS_VARIABLE: &str = "PITCHHITCH_NODE_FILE";
-/// The call was wrong.
+/// Exit code for an invalid command line.
 const EXIT_USAGE: u8 = 2;
-/// The settings are wrong.
+/// Exit code for invalid settings.
 const EXIT_SETTINGS: u8 = 3;
-/// The process failed.
+/// Exit code for a failure at run time.
 const EXIT_FAILED: u8 = 1;
 
-/// What the agent stands beside.
+/// Kind of process that the agent runs next to.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum AgentMode {
-    /// An endpoint of our own deployments.
+    /// An endpoint of a deployment without the platform.
     Endpoint,
     /// An engine of the platform.
     Engine,
@@ -35,7 +35,7 @@
         }
     }
 
-    /// Where the settings are, if that is said.
+    /// Returns the path of the settings file, if one is given.
     fn settings_file(
         self,
         matches: &Matches,
@@ -51,7 +51,7 @@
         let missing = match self {
             AgentMode::Endpoint => "--settings FILE is missing".to_string(),
             AgentMode::Engine => {
-                format!("name a settings file by --settings or in {SETTINGS_VARIABLE}")
+                format!("settings file is missing: use --settings FILE or set {SETTINGS_VARIABLE}")
             }
         };
         format!("{missing}; see {} --help", self.command())
@@ -61,8 +61,8 @@
 fn options() -> Options {
     let mut options = Options::new();
     options.optopt("s", "settings", "settings file, in JSON", "FILE");
-    options.optflag("c", "check", "check the settings and end");
-    options.optflag("h", "help", "print this text");
+    options.optflag("c", "check", "check the settings and exit");
+    options.optflag("h", "help", "print this help");
     options.optflag("V", "version", "print the version");
     options
 }
@@ -102,9 +102,9 @@
 fn print_help() {
     let usage = options().usage("pitchhitch-agent [beside] --settings FILE");
     print!("{usage}");
-    println!("\n'beside' stands beside an engine of the platform; its settings file may also");
-    println!("be named by {SETTINGS_VARIABLE}.");
-    println!("\nExit codes: 0 done, 1 failed, 2 wrong call, 3 wrong settings");
+    println!("\n'beside' runs the agent of a platform engine; its settings file may also be");
+    println!("set by {SETTINGS_VARIABLE}.");
+    println!("\nExit codes: 0 success, 1 failure, 2 invalid command line, 3 invalid settings");
 }
 
 fn run_endpoint(
@@ -140,7 +140,7 @@
     parse: impl Fn(&str, &str) -> Result<S, E>,
 ) -> Result<S, String> {
     let text = fs::read_to_string(file)
-        .map_err(|e| format!("{file}: cannot be read: {e}; name a settings file that is there"))?;
+        .map_err(|e| format!("{file}: cannot be read: {e}; specify an existing settings file"))?;
     parse(file, &text).map_err(|e| e.to_string())
 }
 
--- a/agent/src/cli/agent_process.rs
+++ b/agent/src/cli/agent_process.rs
@@ -20,17 +20,18 @@
     },
 };
 
-/// Time limit of one call of the platform.
+/// Timeout of a request to the table service.
 const PLATFORM_TIMEOUT: Duration = Duration::from_secs(2);
-/// Time that beacons are given to tell everybody that the agent is leaving.
+/// Minimum time between the stop signal and the exit, in which beacons announce that the
+/// agent is leaving.
 const LEAVE_NOTICE_DELAY: Duration = Duration::from_millis(1_500);
-/// How often a stopping agent looks whether it is idle.
+/// Interval at which a stopping agent checks whether it is idle.
 const IDLE_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Runs an agent until it is asked to stop and has nothing left to do.
+/// Runs an agent until it receives a stop signal and has drained.
 ///
 /// # Errors
-/// When an address cannot be bound or a signal cannot be watched.
+/// If an address cannot be bound or the signal handlers cannot be installed.
 pub async fn run_agent(settings: AgentSettings) -> anyhow::Result<()> {
     let clock = ProcessClock::start();
     let settings = Arc::new(settings);
@@ -39,7 +40,8 @@
     let identity = identity(&settings, listener.local_addr()?, clock);
     let client = EndpointClient::new(&settings);
     let table = TableClient::new(settings.table, PLATFORM_TIMEOUT);
-    let metrics = Arc::new(MetricSet::new(settings.metrics).context("cannot open metrics")?);
+    let metrics =
+        Arc::new(MetricSet::new(settings.metrics).context("cannot open the metrics socket")?);
     let (handle, control_output) = start_control(identity, clock)?;
     let transfers = PieceTransfers::start(client.clone(), handle.clone(), metrics.clone());
     let task_runner = TaskRunner {
@@ -66,7 +68,9 @@
         incarnation = clock.incarnation();
         ""
     );
-    stop_asked().await.context("cannot watch signals")?;
+    stop_asked()
+        .await
+        .context("cannot install signal handlers")?;
     drain(&settings, &handle).await;
     Ok(())
 }
@@ -91,7 +95,8 @@
     }
 }
 
-/// A planned stop: nothing new is taken, everything that runs is ended.
+/// Drains the agent: refuses new requests and waits until it is idle, for at most
+/// `stop_limit`.
 async fn drain(
     settings: &AgentSettings,
     handle: &ControlHandle,
@@ -103,7 +108,7 @@
     while !handle.is_idle() && requested_at.elapsed() < settings.stop_limit {
         Timer::after(IDLE_POLL_INTERVAL).await;
     }
-    // The last bytes of the last answers are on their way out.
+    // Gives the last bytes of the last responses time to be sent.
     Timer::after(IDLE_POLL_INTERVAL).await;
     let running = handle.view().pulse.load.running;
     log::info!(
--- a/agent/src/cli/mod.rs
+++ b/agent/src/cli/mod.rs
@@ -1,4 +1,4 @@
-//! The command line of the agent.
+//! Command line of the agent.
 
 mod agent_cli;
 mod agent_process;
--- a/agent/src/conf/agent_settings.rs
+++ b/agent/src/conf/agent_settings.rs
@@ -7,54 +7,54 @@
     std::{net::SocketAddr, time::Duration},
 };
 
-/// Settings of one agent, checked.
+/// Validated settings of an agent.
 #[derive(Debug, Clone, PartialEq)]
 pub struct AgentSettings {
-    /// Id of the endpoint, the same as that of its box.
+    /// Id of the endpoint, identical to the id of its box in the box list.
     pub endpoint_id: String,
-    /// Failure domain that the box stands in.
+    /// Failure domain of the box.
     pub failure_domain: String,
-    /// Group that shares a store.
+    /// Group of endpoints that share store boxes.
     pub group: String,
-    /// What the endpoint is; the version of an engine is corrected by the engine itself.
+    /// Kind of the endpoint. The version of an engine is replaced by the one it reports.
     pub kind: EndpointKind,
     /// Labels of the endpoint.
     pub labels: LabelSet,
-    /// Where links are taken.
+    /// Address on which links are accepted.
     pub listen: SocketAddr,
-    /// Where beacons are sent from.
+    /// Address that beacons are sent from.
     pub beacons: SocketAddr,
-    /// Where the endpoint answers.
+    /// Address of the endpoint.
     pub endpoint: SocketAddr,
-    /// Where the table service answers.
+    /// Address of the table service.
     pub table: SocketAddr,
-    /// Where the box list answers.
+    /// Address of the box list service.
     pub boxes: SocketAddr,
     /// Secret shared by all processes of the deployment.
     pub beacon_secret: Option<String>,
-    /// Requests that the endpoint runs at the same time at most.
+    /// Maximum number of requests running on the endpoint.
     pub slots: u32,
-    /// Requests that may wait beyond those.
+    /// Maximum number of requests queued in addition.
     pub queue_limit: u32,
     /// Time between two beacons.
     pub beacon_interval: Duration,
-    /// Path that a plain service answers when it is well.
+    /// Health-check path of a plain service.
     pub health_path: String,
-    /// Whether the endpoint itself checks who orders it.
+    /// Whether the endpoint verifies the fencing stamp of orders itself.
     pub checks_orders: bool,
-    /// Longest wait for running requests at a planned stop.
+    /// Maximum time to wait for running requests when the agent stops.
     pub stop_limit: Duration,
-    /// Threads for traffic.
+    /// Number of threads for traffic.
     pub traffic_threads: usize,
-    /// Where metrics are sent.
+    /// Address that metrics are sent to; none to send no metrics.
     pub metrics: Option<SocketAddr>,
 }
 
 impl AgentSettings {
-    /// Reads the text of a settings file.
+    /// Parses the text of a settings file.
     ///
     /// # Errors
-    /// [`SettingsErrors`] with everything that is wrong in it.
+    /// [`SettingsErrors`] with all problems in it.
     pub fn parse(
         file: &str,
         text: &str,
@@ -71,7 +71,7 @@
             group: reader.text("group"),
             kind: reader.value("kind", None, kind_format).unwrap_or(fallback),
             labels: reader
-                .value("labels", Some(LabelSet::default()), "an object of texts")
+                .value("labels", Some(LabelSet::default()), "an object of strings")
                 .unwrap_or_default(),
             listen: reader.address("listen"),
             beacons: reader.address("beacons"),
@@ -94,7 +94,7 @@
             reader.add_problem(
                 "beacon_secret",
                 "nothing",
-                "a secret, as 'listen' is no loopback address",
+                "a secret, because 'listen' is not a loopback address",
             );
         }
         reader.finish()?;
--- a/agent/src/conf/mod.rs
+++ b/agent/src/conf/mod.rs
@@ -1,4 +1,4 @@
-//! Settings of an agent.
+//! Settings of the agent.
 
 mod agent_settings;
 
--- a/agent/src/control/agent_view.rs
+++ b/agent/src/control/agent_view.rs
@@ -1,14 +1,14 @@
 use pitchhitch_core::{membership::AgentBeacon, role::AgentPulse};
 
-/// What traffic and beacons see of the control state; replaced as a whole.
+/// Snapshot of the control state for traffic and beacons, replaced atomically.
 #[derive(Debug, Clone)]
 pub struct AgentView {
-    /// State that answers carry.
+    /// State that is sent with replies.
     pub pulse: AgentPulse,
-    /// What the agent says of itself.
+    /// Current beacon of the agent.
     pub beacon: AgentBeacon,
-    /// Whether nothing runs, waits or is carried away.
+    /// Whether no request is running or queued and no piece is being exported.
     pub idle: bool,
-    /// Entry processes that get this agent's events.
+    /// Number of entry processes that subscribe to this agent's events.
     pub subscribers: usize,
 }
--- a/agent/src/control/control_handle.rs
+++ b/agent/src/control/control_handle.rs
@@ -13,44 +13,44 @@
     },
 };
 
-/// What the gate said about a request.
+/// Decision of the admission gate about a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum GateDecision {
-    /// It may go to the endpoint now.
+    /// Start it on the endpoint now.
     Start,
-    /// It did not run and will not.
+    /// Refuse it; it did not run.
     Refuse(ErrorKind),
 }
 
-/// What the control thread takes.
+/// Message to the control thread.
 #[derive(Debug)]
 pub enum ControlMessage {
-    /// An event for the core.
+    /// An event for the state machine.
     Event(AgentEvent),
     /// A request for the gate.
     HandOver {
-        /// Its ticket.
+        /// Ticket of the request.
         ticket: WorkTicket,
-        /// What the gate needs to know.
+        /// Properties on which the gate decides.
         work: GateWork,
-        /// Where the verdict goes.
+        /// Channel for the decision.
         decision: Sender<GateDecision>,
     },
     /// An order for the fence.
     Order {
         /// The order.
         order: StampedOrder,
-        /// Where the verdict goes.
+        /// Channel for the result of the fencing check.
         result: Sender<Result<(), FenceRefusal>>,
     },
     /// A new subscriber.
     Subscribe {
-        /// Where its batches go.
+        /// Channel for its batches.
         batches: Sender<EventBatch>,
     },
 }
 
-/// How traffic talks to the control thread.
+/// Handle through which other tasks communicate with the control thread.
 #[derive(Debug, Clone)]
 pub struct ControlHandle {
     pub(super) messages: Sender<ControlMessage>,
@@ -59,7 +59,7 @@
 }
 
 impl ControlHandle {
-    /// Tells the core an event.
+    /// Sends an event to the state machine.
     pub fn send_event(
         &self,
         event: AgentEvent,
@@ -67,17 +67,17 @@
         self.send(ControlMessage::Event(event));
     }
 
-    /// The present view.
+    /// Returns the current view.
     pub fn view(&self) -> Arc<AgentView> {
         self.view.load_full()
     }
 
-    /// Whether nothing runs, waits or is carried away.
+    /// Whether no request is running or queued and no piece is being exported.
     pub fn is_idle(&self) -> bool {
         self.view.load().idle
     }
 
-    /// Puts a request before the gate.
+    /// Submits a request to the gate.
     pub fn hand_over(
         &self,
         work: GateWork,
@@ -95,10 +95,10 @@
         }
     }
 
-    /// Puts an order before the fence.
+    /// Submits an order to the fence and waits for the result.
     ///
     /// # Errors
-    /// [`FenceRefusal`] when it does not pass.
+    /// [`FenceRefusal`] if the fence refuses it.
     pub async fn order(
         &self,
         order: StampedOrder,
@@ -123,21 +123,21 @@
         &self,
         message: ControlMessage,
     ) {
-        // The channel has no bound and lives as long as the process.
+        // The channel is unbounded and exists as long as the process.
         let _ = self.messages.try_send(message);
     }
 }
 
-/// A request that the gate has not decided about.
+/// A request that awaits the decision of the gate.
 #[derive(Debug)]
 pub struct PendingWork {
-    /// Its ticket.
+    /// Ticket of the request.
     pub ticket: WorkTicket,
     decision: Receiver<GateDecision>,
 }
 
 impl PendingWork {
-    /// Waits for the verdict.
+    /// Waits for the decision.
     pub async fn decision(&self) -> GateDecision {
         let decision = self.decision.recv().await;
         decision.unwrap_or(GateDecision::Refuse(ErrorKind::EndpointUnreachable))
--- a/agent/src/control/control_loop.rs
+++ b/agent/src/control/control_loop.rs
@@ -20,28 +20,29 @@
     },
 };
 
-/// Time between two ticks of the core.
+/// Time between two ticks of the state machine.
 const TICK_INTERVAL: Duration = Duration::from_millis(100);
-/// Ticks between two pulses to subscribers while something goes on.
+/// Ticks between two pulses to subscribers while requests run, work is refused or the pulse
+/// changes.
 const PULSE_INTERVAL_TICKS: u32 = 3;
-/// Ticks between two pulses while nothing does.
+/// Ticks between two pulses otherwise.
 const IDLE_PULSE_INTERVAL_TICKS: u32 = 117;
 
-/// Work that the core gives to others.
+/// Task that the state machine leaves to an asynchronous worker.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum AgentTask {
-    /// Ask the engine for its whole cache.
+    /// List the engine's whole cache.
     ListCache,
-    /// Carry out an order.
+    /// Execute an order.
     RunOrder(StampedOrder),
     /// Read the lease epoch.
     ReadEpoch,
 }
 
-/// What comes out of the control thread.
+/// Output of the control thread.
 #[derive(Debug)]
 pub struct ControlOutput {
-    /// Chores, in order.
+    /// Tasks to run, in order.
     pub tasks: Receiver<AgentTask>,
 }
 
@@ -58,7 +59,7 @@
 /// Starts the control thread.
 ///
 /// # Errors
-/// When the thread cannot be started.
+/// If the thread cannot be started.
 pub fn start_control(
     identity: AgentIdentity,
     clock: ProcessClock,
@@ -129,13 +130,14 @@
         }
     }
 
-    /// Tells the pulse often while something goes on, and now and then as a sign of life.
+    /// Publishes the pulse at the short interval while the agent is active, otherwise at the
+    /// long one as a heartbeat.
     fn publish_pulse(
         &mut self,
         ticks: u32,
     ) {
         let pulse = self.core.pulse();
-        // Whoever drains an endpoint waits for news of it.
+        // Whoever drains the endpoint waits for its running requests to end.
         let awaited = pulse.load.running > 0 || pulse.refusing;
         let busy = awaited || self.last_pulse != Some(pulse);
         let due = if busy {
@@ -224,7 +226,7 @@
     ) {
         if let Some(sender) = self.decisions.remove(&ticket) {
             if sender.try_send(decision).is_err() && decision == GateDecision::Start {
-                // Its caller has gone before its turn came.
+                // The caller disconnected while the request was queued.
                 self.step(AgentEvent::Ended { ticket }, None);
             }
         }
--- a/agent/src/control/mod.rs
+++ b/agent/src/control/mod.rs
@@ -1,4 +1,4 @@
-//! The one thread that holds the agent's control state.
+//! The control thread, which owns the agent's state machine.
 
 mod agent_view;
 mod control_handle;
--- a/agent/src/control/subscriber_set.rs
+++ b/agent/src/control/subscriber_set.rs
@@ -3,7 +3,7 @@
     pitchhitch_core::role::{AgentPulse, EndpointEvent, EventBatch},
 };
 
-/// Events in one batch at most, so that a batch stays far below the frame limit.
+/// Maximum number of events in a batch, which keeps batches far below the frame limit.
 const MAX_BATCH_EVENTS: usize = 10_000;
 
 #[derive(Debug)]
@@ -12,24 +12,24 @@
     next_sequence: u64,
 }
 
-/// Entry processes that get this agent's events.
+/// Entry processes that subscribe to this agent's events.
 #[derive(Debug, Default)]
 pub struct SubscriberSet {
     subscribers: Vec<Subscriber>,
 }
 
 impl SubscriberSet {
-    /// Entry processes that get events.
+    /// Returns the number of subscribers.
     pub fn len(&self) -> usize {
         self.subscribers.len()
     }
 
-    /// Whether nobody gets events.
+    /// Whether there are no subscribers.
     pub fn is_empty(&self) -> bool {
         self.subscribers.is_empty()
     }
 
-    /// Adds a subscriber and sends it all that is known.
+    /// Adds a subscriber and sends it a snapshot.
     pub fn add(
         &mut self,
         batches: Sender<EventBatch>,
@@ -45,7 +45,8 @@
         }
     }
 
-    /// Sends events, or just the pulse when there are none.
+    /// Sends events and the pulse to all subscribers; a batch without events if there are
+    /// none. Removes closed subscribers.
     pub fn publish(
         &mut self,
         events: &[EndpointEvent],
@@ -56,10 +57,10 @@
 }
 
 impl Subscriber {
-    /// Sends events in batches; false when the subscriber is gone.
+    /// Sends events in batches; returns false if the subscriber's channel is closed.
     ///
-    /// A batch that does not fit is left out. The numbers go on, so the
-    /// subscriber sees the gap and asks for everything anew.
+    /// A batch is dropped if the channel is full. Sequence numbers still advance, so the
+    /// subscriber detects the gap and requests a new snapshot.
     fn send(
         &mut self,
         events: &[EndpointEvent],
--- a/agent/src/endpoint/endpoint_client.rs
+++ b/agent/src/endpoint/endpoint_client.rs
@@ -12,14 +12,14 @@
     trillium_smol::ClientConfig,
 };
 
-/// Time limit of short calls of the endpoint.
+/// Timeout of health checks and of requests for the cache.
 const SHORT_TIMEOUT: Duration = Duration::from_millis(1_000);
-/// Time limit of moving a piece.
+/// Timeout of importing or exporting a piece.
 const PIECE_TIMEOUT: Duration = Duration::from_secs(10);
-/// Time limit of loading weights.
+/// Timeout of an order, such as loading weights.
 const LOAD_TIMEOUT: Duration = Duration::from_secs(120);
 
-/// Client of the endpoint beside this agent.
+/// HTTP client for the agent's endpoint.
 #[derive(Debug, Clone)]
 pub struct EndpointClient {
     shared: Arc<SharedClient>,
@@ -39,7 +39,7 @@
 }
 
 impl EndpointClient {
-    /// A client of the endpoint in the settings.
+    /// Creates a client for the endpoint in the settings.
     pub fn new(settings: &AgentSettings) -> Self {
         let config = ClientConfig::new().with_nodelay(true);
         EndpointClient {
@@ -62,10 +62,10 @@
         self.shared.is_engine
     }
 
-    /// A request for the endpoint.
+    /// Creates a request to the endpoint.
     ///
-    /// One that may not be repeated gets a connection of its own: a kept one may
-    /// break just as it is used, and then nobody knows whether it ran.
+    /// A request that is not repeatable gets a new connection: a pooled one may be closed
+    /// by the endpoint just as it is reused, and then it is unknown whether the request ran.
     pub fn request(
         &self,
         method: &str,
@@ -80,35 +80,35 @@
         client.build_conn(method, format!("http://{}{path}", self.shared.address))
     }
 
-    /// Asks an engine for its health.
+    /// Requests the health of an engine.
     ///
     /// # Errors
-    /// [`CallError`] when it does not answer in time.
+    /// [`CallError`] if it does not answer in time.
     pub async fn engine_health(&self) -> Result<EngineHealth, CallError> {
         self.shared.short.get_json("/engine/health").await
     }
 
-    /// Asks a plain service whether it is well.
+    /// Checks the health of a plain service.
     ///
     /// # Errors
-    /// [`CallError`] when it is not.
+    /// [`CallError`] if it is unhealthy or does not answer in time.
     pub async fn service_health(&self) -> Result<(), CallError> {
         let conn = self.shared.short.request("GET", &self.shared.health_path);
         self.shared.short.send(conn).await.map(|_| ())
     }
 
-    /// Asks an engine for its whole cache.
+    /// Lists the whole cache of an engine.
     ///
     /// # Errors
-    /// [`CallError`] when it does not answer in time.
+    /// [`CallError`] if it does not answer in time.
     pub async fn list_cache(&self) -> Result<EngineCache, CallError> {
         self.shared.short.get_json("/engine/cache").await
     }
 
-    /// Asks an engine for the changes of its cache from a number on.
+    /// Requests the changes of an engine's cache, starting at sequence number `from`.
     ///
     /// # Errors
-    /// [`CallError`] when it does not answer in time.
+    /// [`CallError`] if it does not answer in time.
     pub async fn cache_changes(
         &self,
         from: u64,
@@ -119,10 +119,10 @@
             .await
     }
 
-    /// Exports a piece; none when the engine has dropped it.
+    /// Exports a piece; none if the engine no longer has it.
     ///
     /// # Errors
-    /// [`CallError`] when it does not answer in time.
+    /// [`CallError`] if it does not answer in time.
     pub async fn export_piece(
         &self,
         key: PieceKey,
@@ -138,10 +138,10 @@
         }
     }
 
-    /// Imports a piece that was checked.
+    /// Imports a piece whose checksum has been verified.
     ///
     /// # Errors
-    /// [`CallError`] when the engine does not take it in time.
+    /// [`CallError`] if the engine does not accept it in time.
     pub async fn import_piece(
         &self,
         key: PieceKey,
@@ -160,10 +160,10 @@
             .map(|_| ())
     }
 
-    /// Carries out an order; comes back when it is done.
+    /// Has the engine execute an order and waits until it is done.
     ///
     /// # Errors
-    /// [`CallError`] when the engine did not carry it out.
+    /// [`CallError`] if the engine refuses it or does not finish in time.
     pub async fn run_order(
         &self,
         order: &StampedOrder,
--- a/agent/src/endpoint/endpoint_request.rs
+++ b/agent/src/endpoint/endpoint_request.rs
@@ -9,16 +9,16 @@
     trillium_client::{Conn, Error as ClientError, HeaderName},
 };
 
-/// How a call of the endpoint failed before it began to answer.
+/// Failure of a request before the endpoint started its response.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CallFailure {
-    /// It is proven not to have run.
+    /// The request is known not to have run.
     NotRun(ErrorKind),
-    /// It may have run.
+    /// The request may have run.
     Unknown(ErrorKind),
 }
 
-/// Makes the HTTP request that a hand-over asks for.
+/// Builds the HTTP request of a hand-over; moves the body out of it.
 pub fn build_request(
     client: &EndpointClient,
     hand_over: &mut HandOver,
@@ -43,10 +43,10 @@
     conn.with_body(std::mem::take(&mut hand_over.body))
 }
 
-/// Sends a request and waits for the head of the answer.
+/// Sends a request and waits for the head of the response.
 ///
 /// # Errors
-/// [`CallFailure`] saying whether it may have run.
+/// [`CallFailure`], which distinguishes whether the request may have run.
 pub async fn send_request(conn: Conn) -> Result<Conn, CallFailure> {
     match conn.await {
         Ok(conn) => match conn.response_headers().get_str(REFUSED_HEADER) {
@@ -64,7 +64,8 @@
     }
 }
 
-/// Headers of an answer that are passed on.
+/// Returns the response headers to forward, without hop-by-hop headers, `content-length`
+/// and `server`.
 pub fn response_headers(conn: &Conn) -> Vec<HeaderField> {
     let mut fields = Vec::new();
     for (name, values) in conn.response_headers() {
@@ -84,7 +85,7 @@
     fields
 }
 
-/// Prompt tokens that the endpoint says it computed.
+/// Returns the number of computed prompt tokens that the endpoint reports.
 pub fn computed_tokens(conn: &Conn) -> Option<u32> {
     conn.response_headers()
         .get_str(COMPUTED_HEADER)?
--- a/agent/src/endpoint/endpoint_watch.rs
+++ b/agent/src/endpoint/endpoint_watch.rs
@@ -6,12 +6,13 @@
     std::time::Duration,
 };
 
-/// Time between two looks at the endpoint.
+/// Time between two health checks of the endpoint.
 const POLL_INTERVAL: Duration = Duration::from_millis(150);
-/// Looks without answer in a row after which the endpoint counts as gone.
+/// Consecutive failed health checks after which the endpoint counts as unhealthy.
 const UNHEALTHY_THRESHOLD: u32 = 3;
 
-/// Looks after the endpoint's health and an engine's cache news, for good.
+/// Polls the health of the endpoint and the cache changes of an engine, and reports them to
+/// the control thread. Never returns.
 pub async fn watch_endpoint(
     client: EndpointClient,
     handle: ControlHandle,
@@ -45,7 +46,8 @@
     }
 }
 
-/// Looks once; the inner value is the version of an engine.
+/// Checks the health once; none if the endpoint is unhealthy. The inner value is the weight
+/// version of an engine, none for a service.
 async fn check_health(client: &EndpointClient) -> Option<Option<String>> {
     if client.is_engine() {
         let health = client.engine_health().await.ok()?;
@@ -56,7 +58,8 @@
     }
 }
 
-/// Passes on news since the last look; gives the number that comes next.
+/// Reports cache changes since the last poll and returns the sequence number of the next
+/// change.
 async fn poll_cache_changes(
     client: &EndpointClient,
     handle: &ControlHandle,
@@ -67,7 +70,7 @@
     };
     let batch = client.cache_changes(from).await.ok()?;
     if batch.first != from {
-        // The engine has dropped news that were not read in time.
+        // The engine no longer has the requested changes.
         return list_cache(client, handle).await;
     }
     let next = from + batch.changes.len() as u64;
@@ -81,7 +84,7 @@
     Some(next)
 }
 
-/// Passes on the whole cache; gives the number of the next change.
+/// Reports the whole cache and returns the sequence number of the next change.
 pub async fn list_cache(
     client: &EndpointClient,
     handle: &ControlHandle,
--- a/agent/src/endpoint/engine_messages.rs
+++ b/agent/src/endpoint/engine_messages.rs
@@ -3,41 +3,41 @@
     serde::{Deserialize, Serialize},
 };
 
-/// Header that names the pieces of a prompt, with commas between.
+/// Request header: keys of the prompt's pieces, separated by commas.
 pub const PIECES_HEADER: &str = "x-prefix-pieces";
-/// Header that names the weight version a request was decided for.
+/// Request header: weight version that the request was routed for.
 pub const VERSION_HEADER: &str = "x-weight-version";
-/// Header of an answer: prompt tokens that were computed.
+/// Response header: number of computed prompt tokens.
 pub const COMPUTED_HEADER: &str = "x-computed-tokens";
-/// Header of an answer: the engine did not run the request, and why.
+/// Response header: reason for which the engine refused to run the request.
 pub const REFUSED_HEADER: &str = "x-engine-refused";
-/// Header of a resumed request: number of the last event that the caller has.
+/// Request header of a resumed stream: number of the last event that the caller has received.
 pub const RESUME_HEADER: &str = "last-event-id";
 
 /// Health of an engine.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EngineHealth {
-    /// Weight version that it holds.
+    /// Loaded weight version.
     pub version: String,
-    /// Requests that run.
+    /// Number of running requests.
     pub running: u32,
-    /// Requests that wait.
+    /// Number of queued requests.
     pub waiting: u32,
 }
 
 /// The whole cache of an engine.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EngineCache {
-    /// Number that the next change will have.
+    /// Sequence number of the next change.
     pub next: u64,
-    /// All pieces.
+    /// Keys of all cached pieces.
     pub keys: Vec<PieceKey>,
 }
 
 /// Changes of an engine's cache.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EngineChanges {
-    /// Number of the first change.
+    /// Sequence number of the first change.
     pub first: u64,
     /// The changes.
     pub changes: Vec<EngineChange>,
@@ -47,11 +47,11 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum EngineChange {
-    /// A piece came in.
+    /// A piece was cached.
     Added(PieceKey),
-    /// A piece was dropped.
+    /// A piece was evicted.
     Dropped(PieceKey),
-    /// Everything was dropped.
+    /// The whole cache was cleared.
     Cleared,
 }
 
@@ -65,19 +65,19 @@
     }
 }
 
-/// An order as an engine takes it.
+/// Body of an order to an engine.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EngineOrder {
-    /// Version to load, for a load.
+    /// Weight version to load.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub version: Option<String>,
     /// Adapter to load.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub adapter: Option<String>,
-    /// Role to take.
+    /// Role to change to.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub role: Option<String>,
-    /// Epoch and sequence, for endpoints that check who orders them.
+    /// Epoch and sequence number, for endpoints that verify them.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub stamp: Option<OrderStamp>,
 }
--- a/agent/src/endpoint/mod.rs
+++ b/agent/src/endpoint/mod.rs
@@ -1,4 +1,5 @@
-//! The endpoint beside the agent: one dialect of engine, and plain services.
+//! Client for the agent's endpoint: a model engine, which uses the HTTP messages of
+//! `engine_messages`, or a plain service.
 
 mod endpoint_client;
 mod endpoint_request;
--- a/agent/src/gate/gate_context.rs
+++ b/agent/src/gate/gate_context.rs
@@ -4,14 +4,14 @@
     std::sync::Arc,
 };
 
-/// What all requests of an agent share.
+/// State shared by all requests of an agent.
 #[derive(Debug)]
 pub struct GateContext {
     /// Client of the endpoint.
     pub client: EndpointClient,
-    /// The control thread.
+    /// Handle of the control thread.
     pub handle: ControlHandle,
-    /// Carrier of pieces.
+    /// Imports and exports of cached pieces.
     pub transfers: PieceTransfers,
     /// Metrics.
     pub metrics: Arc<MetricSet>,
--- a/agent/src/gate/mod.rs
+++ b/agent/src/gate/mod.rs
@@ -1,4 +1,5 @@
-//! Running one request: through the gate, to the endpoint, and the answer back.
+//! Running a request: admission by the gate, forwarding to the endpoint and relaying the
+//! response.
 
 mod gate_context;
 mod request_runner;
--- a/agent/src/gate/request_runner.rs
+++ b/agent/src/gate/request_runner.rs
@@ -18,10 +18,10 @@
     trillium_client::Conn,
 };
 
-/// Bytes of answer that are passed on in one message at most.
+/// Maximum number of response bytes in one chunk.
 const CHUNK_BYTES: usize = 16 * 1024;
 
-/// How a request ended on this side.
+/// How a request ended on the agent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum RunEnd {
     Answered,
@@ -30,14 +30,14 @@
     CallerGone,
 }
 
-/// An import that is over.
+/// Result of a finished import.
 #[derive(Debug, Clone, Copy)]
 struct ImportResult {
     pieces: u32,
     duration: Micros,
 }
 
-/// Tells the gate that a request has ended, however that came about.
+/// Reports the end of a request to the gate when dropped, however the request ended.
 struct EndedGuard {
     context: Arc<GateContext>,
     ticket: WorkTicket,
@@ -51,7 +51,7 @@
     }
 }
 
-/// Runs one request and sends its answer.
+/// Runs one request and sends its replies.
 pub async fn run_request(
     context: Arc<GateContext>,
     mut hand_over: HandOver,
@@ -63,7 +63,7 @@
         context: context.clone(),
         ticket: pending.ticket,
     };
-    // The entry process goes elsewhere if it hears nothing from a frozen agent.
+    // Lets the entry process detect a frozen agent: without this reply it retries elsewhere.
     let taken_up = LinkReply::TakenUp {
         ticket: pending.ticket,
     };
@@ -80,7 +80,7 @@
         RunEnd::Failed(kind) => Some(LinkReply::Failed { kind, pulse }),
     };
     context.metrics.count(metric_name(end), 1);
-    // An error here means that nobody waits any more.
+    // An error means that the caller has disconnected.
     if let Some(last) = last {
         if replies.send(&last).await.is_err() {
             return;
@@ -163,7 +163,8 @@
     })
 }
 
-/// Imports what the plan names; the number of pieces, or none when the caller left.
+/// Imports the pieces of the import plan, if any. Returns their number, or none if the
+/// caller disconnected.
 async fn import(
     context: &GateContext,
     hand_over: &mut HandOver,
@@ -220,7 +221,7 @@
     }
     let end = end.unwrap_or(RunEnd::Answered);
     if end != RunEnd::Answered {
-        // The connection must not be kept: closing it tells the endpoint to stop.
+        // Closing the connection, instead of reusing it, makes the endpoint stop the request.
         conn.response_headers_mut().insert("connection", "close");
     }
     end
@@ -249,7 +250,7 @@
     }
 }
 
-/// Waits for something as long as somebody wants the answer.
+/// Waits for a future; none if the entry process resets the stream first.
 async fn unless_closed<T>(
     replies: &mut ReplySender,
     operation: impl std::future::Future<Output = T>,
--- a/agent/src/lib.rs
+++ b/agent/src/lib.rs
@@ -1,5 +1,5 @@
-//! The process beside each endpoint: the gate for its requests, the fence for
-//! its orders and the carrier of its kept pieces.
+//! The agent, a process that runs next to each endpoint: it admits the endpoint's requests,
+//! fences its orders and transfers its cached KV pieces from and to store boxes.
 
 pub mod beacons;
 pub mod beside;
--- a/agent/src/links/link_listener.rs
+++ b/agent/src/links/link_listener.rs
@@ -13,12 +13,12 @@
     std::{sync::Arc, time::Duration},
 };
 
-/// Batches that may wait for a slow subscriber.
+/// Maximum number of batches queued for a slow subscriber.
 const MAX_QUEUED_BATCHES: usize = 256;
-/// Pause after the listener failed, as when there are too many open files.
+/// Delay after a failed accept, for example with too many open files.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// Takes links for good.
+/// Accepts links. Never returns.
 pub async fn serve_links(
     listener: TcpListener,
     context: Arc<GateContext>,
@@ -53,7 +53,7 @@
     let (call, mut replies) = match call.read().await {
         Ok(read) => read,
         Err(error) => {
-            // Dropping the call resets its stream; the other streams go on.
+            // Dropping the call resets its stream only; the others continue.
             log::warn!(event = "bad-call", error = error.to_string().as_str(); "");
             context.metrics.count("link.bad_call", 1);
             return;
--- a/agent/src/links/mod.rs
+++ b/agent/src/links/mod.rs
@@ -1,4 +1,4 @@
-//! Links from entry processes.
+//! Server for the links of entry processes.
 
 mod link_listener;
 
--- a/agent/src/tasks/mod.rs
+++ b/agent/src/tasks/mod.rs
@@ -1,4 +1,4 @@
-//! Chores of the control thread: orders, cache lists and the lease epoch.
+//! Tasks of the control thread: orders, cache listings and reads of the lease epoch.
 
 mod task_runner;
 
--- a/agent/src/tasks/task_runner.rs
+++ b/agent/src/tasks/task_runner.rs
@@ -12,21 +12,21 @@
     pitchhitch_services::table::TableClient,
 };
 
-/// Carries out what the control thread asks for.
+/// Executes the tasks of the control thread.
 #[derive(Debug, Clone)]
 pub struct TaskRunner {
     /// Client of the endpoint.
     pub client: EndpointClient,
-    /// The table service.
+    /// Client of the table service.
     pub table: TableClient,
-    /// The control thread.
+    /// Handle of the control thread.
     pub handle: ControlHandle,
-    /// Group whose lease gives the orders.
+    /// Group of the endpoint; its shard's lease covers the orders.
     pub group: String,
 }
 
 impl TaskRunner {
-    /// Takes chores for good; each runs by itself.
+    /// Executes tasks in order, and orders concurrently, until the channel is closed.
     pub async fn run(
         self,
         tasks: Receiver<AgentTask>,
@@ -57,7 +57,8 @@
         }
     }
 
-    /// Reads the epoch once; the next tick asks again if that fails.
+    /// Reads the lease epoch once. If that fails, the state machine requests it again on
+    /// the next tick.
     async fn read_epoch(&self) {
         let key = format!("{LEASE_PREFIX}{}", shard_of(&self.group));
         let Ok(row) = self.table.read_row(&key).await else {
--- a/agent/src/transfers/mod.rs
+++ b/agent/src/transfers/mod.rs
@@ -1,4 +1,4 @@
-//! Moving kept pieces between the engine and store boxes.
+//! Transfers of cached KV pieces between the engine and store boxes.
 
 mod piece_transfers;
 
--- a/agent/src/transfers/piece_transfers.rs
+++ b/agent/src/transfers/piece_transfers.rs
@@ -20,16 +20,17 @@
     },
 };
 
-/// Export plans that may wait; later ones are left out, which costs a recompute at most.
+/// Maximum number of queued export plans. Further ones are skipped, which costs at most a
+/// recomputation.
 const MAX_QUEUED_EXPORTS: usize = 256;
-/// Time limit of moving one piece.
+/// Timeout of transferring one piece from or to a store box.
 const PIECE_TIMEOUT: Duration = Duration::from_secs(5);
-/// How often a background export looks whether foreground imports are over.
+/// Interval at which a background export checks whether foreground imports have ended.
 const YIELD_POLL_INTERVAL: Duration = Duration::from_millis(5);
-/// Longest time that a background export yields, in pauses.
+/// Number of checks after which a background export proceeds despite running imports.
 const MAX_YIELD_POLLS: u32 = 200;
 
-/// Carries pieces: imports at once, exports in the background.
+/// Transfers pieces: imports in the foreground, exports in the background.
 #[derive(Debug, Clone)]
 pub struct PieceTransfers {
     client: EndpointClient,
@@ -40,7 +41,7 @@
     store_clients: Arc<Mutex<BTreeMap<SocketAddr, StoreClient>>>,
 }
 
-/// Counts an import as long as it lives.
+/// Decrements the number of running imports when dropped.
 struct ImportGuard(Arc<AtomicU32>);
 
 impl Drop for ImportGuard {
@@ -49,8 +50,8 @@
     }
 }
 
-/// Checksum that store boxes keep with a piece. It covers the key, so that the
-/// bytes of one piece never pass for another.
+/// Checksum that store boxes store with a piece. It covers the key, so that the bytes of
+/// one piece are never accepted for another.
 pub fn piece_checksum(
     key: PieceKey,
     bytes: &[u8],
@@ -62,7 +63,7 @@
 }
 
 impl PieceTransfers {
-    /// Starts the worker for exports.
+    /// Starts the background worker for exports.
     pub fn start(
         client: EndpointClient,
         handle: ControlHandle,
@@ -81,7 +82,7 @@
         transfers
     }
 
-    /// Imports pieces in order, up to the first that cannot be had; gives their number.
+    /// Imports pieces in order, up to the first that fails, and returns their number.
     pub async fn import(
         &self,
         plan: ImportPlan,
@@ -149,7 +150,7 @@
         }
     }
 
-    /// Puts an export in line, if there is room.
+    /// Queues an export; skips it if the queue is full.
     pub fn queue_export(
         &self,
         plan: ExportPlan,
@@ -181,7 +182,7 @@
         }
     }
 
-    /// Foreground imports have the link first.
+    /// Waits while foreground imports run, which have priority on the network link.
     async fn yield_to_imports(&self) {
         for _ in 0..MAX_YIELD_POLLS {
             if self.importing.load(Ordering::Relaxed) == 0 {
@@ -228,7 +229,7 @@
         }
     }
 
-    /// Drops pieces and tells everybody that they are gone.
+    /// Drops pieces from a store box and reports them as missing.
     pub async fn drop_pieces(
         &self,
         plan: DropPlan,
--- a/agent/tests/command_line.rs
+++ b/agent/tests/command_line.rs
@@ -1,4 +1,4 @@
-//! The command line of `pitchhitch-agent`.
+//! Command line of `pitchhitch-agent`.
 
 use std::process::{Command, Output};
 
@@ -34,7 +34,7 @@
     );
 }
 
-/// Both ways to run have the same help and version.
+/// The subcommand `beside` prints the same help and version.
 #[test]
 fn beside_helps_too() {
     for word in ["--help", "--version"] {
--- a/wire/tests/link_calls.rs
+++ b/wire/tests/link_calls.rs
@@ -160,7 +160,7 @@
         let error = loop {
             match replies.next().await {
                 Ok(Some(_)) => {}
-                Ok(None) => panic!("a broken stream must not look whole"),
+                Ok(None) => panic!("a broken stream must not end normally"),
                 Err(error) => break error,
             }
         };
