--- a/agent/tests/command_line.rs
+++ b/agent/tests/command_line.rs
@@ -36,7 +36,7 @@
 
 /// The subcommand `beside` prints the same help and version.
 #[test]
-fn beside_helps_too() {
+fn beside_prints_same_help() {
     for word in ["--help", "--version"] {
         let own = run(&[word]);
         let beside = run(&["beside", word]);
--- a/wire/tests/beacon_seal.rs
+++ b/wire/tests/beacon_seal.rs
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn every_changed_byte_noticed() {
+fn every_changed_byte_detected() {
     let key = BeaconKey::from_secret("one");
     let datagram = numbered(1).seal(&key).expect("sealed");
     for index in 0..datagram.len() {
--- a/wire/tests/frame_codec.rs
+++ b/wire/tests/frame_codec.rs
@@ -133,11 +133,11 @@
     #[test]
     fn mutated_frames_survive(
         body in proptest::collection::vec(any::<u8>(), 0..50),
-        place in any::<prop::sample::Index>(),
+        position in any::<prop::sample::Index>(),
         value in any::<u8>(),
     ) {
         let mut frame = encode_frame(&hand_over(body)).expect("frame").to_vec();
-        let index = place.index(frame.len());
+        let index = position.index(frame.len());
         frame[index] = value;
         let _ = read(&frame);
     }
--- a/wire/tests/link_calls.rs
+++ b/wire/tests/link_calls.rs
@@ -96,7 +96,7 @@
 }
 
 #[test]
-fn whole_answer_comes() {
+fn complete_response_received() {
     block_on(async {
         let server = server().await;
         let (link, _driver) = connect(server.address).await;
@@ -117,7 +117,7 @@
 }
 
 #[test]
-fn unread_stream_holds_nobody_up() {
+fn unread_stream_does_not_block_others() {
     block_on(async {
         let server = server().await;
         let (link, _driver) = connect(server.address).await;
@@ -136,7 +136,7 @@
 }
 
 #[test]
-fn nobody_there_is_not_sent() {
+fn refused_connection_is_not_sent() {
     block_on(async {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("listener");
         let address = listener.local_addr().expect("address");
@@ -150,7 +150,7 @@
 }
 
 #[test]
-fn broken_link_told() {
+fn broken_link_reported() {
     block_on(async {
         let server = server().await;
         let (link, driver) = connect(server.address).await;
