--- a/agent/src/endpoint/endpoint_client.rs
+++ b/agent/src/endpoint/endpoint_client.rs
@@ -132,7 +132,7 @@
             .pieces
             .request("GET", &format!("/engine/kv/{key}"));
         match self.shared.pieces.send(conn).await {
-            Ok(answer) => Ok(Some(answer.body)),
+            Ok(response) => Ok(Some(response.body)),
             Err(CallError::Status { status: 404, .. }) => Ok(None),
             Err(error) => Err(error),
         }
--- a/agent/tests/command_line.rs
+++ b/agent/tests/command_line.rs
@@ -37,10 +37,10 @@
 /// The subcommand `beside` prints the same help and version.
 #[test]
 fn beside_prints_same_help() {
-    for word in ["--help", "--version"] {
-        let own = run(&[word]);
-        let beside = run(&["beside", word]);
-        assert_eq!(beside.status.code(), Some(0), "{word}");
-        assert_eq!(beside.stdout, own.stdout, "{word}");
+    for flag in ["--help", "--version"] {
+        let endpoint = run(&[flag]);
+        let beside = run(&["beside", flag]);
+        assert_eq!(beside.status.code(), Some(0), "{flag}");
+        assert_eq!(beside.stdout, endpoint.stdout, "{flag}");
     }
 }
--- a/wire/tests/link_calls.rs
+++ b/wire/tests/link_calls.rs
@@ -35,7 +35,7 @@
 }
 
 /// Replies to a call with as many chunks as the revision in the call, then ends the stream.
-async fn answer(
+async fn send_replies(
     call: LinkCall,
     mut replies: ReplySender,
 ) {
@@ -74,7 +74,7 @@
                 let _ = serve_link(stream, |incoming| {
                     spawn(async move {
                         if let Ok((call, replies)) = incoming.read().await {
-                            answer(call, replies).await;
+                            send_replies(call, replies).await;
                         }
                     })
                     .detach();
