--- a/agent/src/beacons/beacon_sender.rs
+++ b/agent/src/beacons/beacon_sender.rs
@@ -70,8 +70,8 @@
     }
 }
 
-/// Waits for the interval, or until the agent starts or stops refusing work, which is
-/// announced immediately.
+/// Waits for the interval, or until the agent starts or stops refusing work, which the next
+/// beacon has to announce without that delay.
 async fn wait_interval_or_refusal(
     interval: Duration,
     handle: &ControlHandle,
