--- a/agent/tests/command_line.rs
+++ b/agent/tests/command_line.rs
@@ -1,4 +1,4 @@
-//! The command line of `pitchhitch-agent`.
+//! Command line of `pitchhitch-agent`.
 
 use std::process::{Command, Output};
 
@@ -34,13 +34,13 @@
     );
 }
 
-/// Both ways to run have the same help and version.
+/// The subcommand `beside` prints the same help and version.
 #[test]
-fn beside_helps_too() {
-    for word in ["--help", "--version"] {
-        let own = run(&[word]);
-        let beside = run(&["beside", word]);
-        assert_eq!(beside.status.code(), Some(0), "{word}");
-        assert_eq!(beside.stdout, own.stdout, "{word}");
+fn beside_prints_same_help() {
+    for flag in ["--help", "--version"] {
+        let endpoint = run(&[flag]);
+        let beside = run(&["beside", flag]);
+        assert_eq!(beside.status.code(), Some(0), "{flag}");
+        assert_eq!(beside.stdout, endpoint.stdout, "{flag}");
     }
 }
--- a/wire/src/lib.rs
+++ b/wire/src/lib.rs
@@ -1,8 +1,8 @@
-//! Messages between the processes of pitchhitch, the h2 link that carries them
-//! and the socket for beacons.
+//! Messages between the processes of pitchhitch, the HTTP/2 link that carries them
+//! and the UDP socket for beacons.
 
 pub mod beacon;
-pub mod codec;
 pub mod engine_agent;
+pub mod codec;
 pub mod link;
 pub mod messages;
--- a/wire/tests/link_calls.rs
+++ b/wire/tests/link_calls.rs
@@ -34,8 +34,8 @@
     })
 }
 
-/// Answers a call with as many chunks as its revision says, then ends.
-async fn answer(
+/// Replies to a call with as many chunks as the revision in the call, then ends the stream.
+async fn send_replies(
     call: LinkCall,
     mut replies: ReplySender,
 ) {
@@ -74,7 +74,7 @@
                 let _ = serve_link(stream, |incoming| {
                     spawn(async move {
                         if let Ok((call, replies)) = incoming.read().await {
-                            answer(call, replies).await;
+                            send_replies(call, replies).await;
                         }
                     })
                     .detach();
@@ -96,7 +96,7 @@
 }
 
 #[test]
-fn whole_answer_comes() {
+fn complete_response_received() {
     block_on(async {
         let server = server().await;
         let (link, _driver) = connect(server.address).await;
@@ -117,11 +117,11 @@
 }
 
 #[test]
-fn unread_stream_holds_nobody_up() {
+fn unread_stream_does_not_block_others() {
     block_on(async {
         let server = server().await;
         let (link, _driver) = connect(server.address).await;
-        // Nobody reads these; together they are far more than their windows.
+        // These streams are not read; their replies are far larger than the flow-control windows.
         let mut unread = Vec::new();
         for _ in 0..20 {
             unread.push(link.call(&call(1_000)).await.expect("call"));
@@ -136,7 +136,7 @@
 }
 
 #[test]
-fn nobody_there_is_not_sent() {
+fn refused_connection_is_not_sent() {
     block_on(async {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("listener");
         let address = listener.local_addr().expect("address");
@@ -150,7 +150,7 @@
 }
 
 #[test]
-fn broken_link_told() {
+fn broken_link_reported() {
     block_on(async {
         let server = server().await;
         let (link, driver) = connect(server.address).await;
@@ -160,7 +160,7 @@
         let error = loop {
             match replies.next().await {
                 Ok(Some(_)) => {}
-                Ok(None) => panic!("a broken stream must not look whole"),
+                Ok(None) => panic!("a broken stream must not end normally"),
                 Err(error) => break error,
             }
         };
