--- a/agent/src/cli/agent_cli.rs
+++ b/agent/src/cli/agent_cli.rs
@@ -1,8 +1,8 @@
 use {
     super::run_agent,
     crate::{
-        engine_agent::{run_engine_agent, EngineAgentSettings},
         conf::AgentSettings,
+        engine_agent::{run_engine_agent, EngineAgentSettings},
     },
     getopts::{Matches, Options},
     pitchhitch_process::{flush_log, start_bounded_logging, start_logging, start_traffic_threads},
--- a/agent/src/lib.rs
+++ b/agent/src/lib.rs
@@ -2,11 +2,11 @@
 //! fences its orders and transfers its cached KV pieces from and to store boxes.
 
 pub mod beacons;
-pub mod engine_agent;
 pub mod cli;
 pub mod conf;
 pub mod control;
 pub mod endpoint;
+pub mod engine_agent;
 pub mod gate;
 pub mod links;
 pub mod tasks;
--- a/agent/src/transfers/piece_transfers.rs
+++ b/agent/src/transfers/piece_transfers.rs
@@ -236,7 +236,11 @@
     ) {
         let store = self.store_client(plan.address);
         for piece in &plan.pieces {
-            if store.delete_piece(piece.key, piece.generation).await.is_err() {
+            if store
+                .delete_piece(piece.key, piece.generation)
+                .await
+                .is_err()
+            {
                 continue;
             }
             self.metrics.count("store.dropped", 1);
--- a/wire/src/lib.rs
+++ b/wire/src/lib.rs
@@ -2,7 +2,7 @@
 //! and the UDP socket for beacons.
 
 pub mod beacon;
-pub mod engine_agent;
 pub mod codec;
+pub mod engine_agent;
 pub mod link;
 pub mod messages;
