--- a/entry/src/front/control_handler.rs
+++ b/entry/src/front/control_handler.rs
@@ -85,19 +85,16 @@
 ) -> (u16, Vec<u8>) {
     let text = suffix.split('/').next().unwrap_or_default();
     let Some(fingerprint) = RequestFingerprint::parse(text) else {
-        return (
-            400,
-            b"invalid fingerprint: expected 32 hexadecimal digits\n".to_vec(),
-        );
+        return (400, b"that is no fingerprint\n".to_vec());
     };
     if target != release_path(text, front.settings.peer_key.as_ref()) {
-        return (403, b"missing or invalid keyed hash\n".to_vec());
+        return (403, b"the keyed hash is missing or wrong\n".to_vec());
     }
     let now = front.now();
     let is_known = front.state().suspects.release(fingerprint, now);
     log::info!(event = "suspect-released", fingerprint = text, known = is_known; "");
     if !is_known {
-        return (404, b"no suspect request has this fingerprint\n".to_vec());
+        return (404, b"nothing is known of it here\n".to_vec());
     }
     front.greeting_due.wake();
     front.held_row_due.wake();
