--- a/testbed/src/load_model/world_engines.rs
+++ b/testbed/src/load_model/engine_events.rs
@@ -1,6 +1,6 @@
 use {
     super::{
-        load_world::millis, CallKey, EngineLife, EngineNews, EngineRun, LoadWorld, ModelEvent,
+        load_sim::millis, CallKey, EngineLife, EngineNews, EngineRun, LoadWorld, ModelEvent,
         SendKey, WALL,
     },
     pitchhitch_core::{
--- a/testbed/src/load_model/front_ask.rs
+++ b/testbed/src/load_model/front_request.rs
@@ -1,5 +1,5 @@
 use {
-    super::{model_front::MODEL, KindSpec, PromptCall},
+    super::{sim_front::MODEL, KindSpec, PromptCall},
     pitchhitch_core::{
         serving::{EndpointChoice, PromptInfo},
         time::Micros,
--- a/testbed/src/load_model/mod.rs
+++ b/testbed/src/load_model/mod.rs
@@ -2,28 +2,28 @@
 //! that decides in the product, so that a mechanism can be weighed under many
 //! loads and seeds in seconds.
 
-mod call_plan;
+mod engine_events;
 mod engine_memory;
 mod engine_run;
 mod engine_spec;
 mod event_queue;
-mod front_ask;
+mod front_request;
 mod kind_spec;
 mod load_file;
+mod load_sim;
 mod load_table;
 mod load_tally;
-mod load_world;
-mod model_engine;
-mod model_front;
-mod model_store;
-mod prompt_call;
+mod request_events;
+mod request_plan;
+mod sim_engine;
+mod sim_front;
+mod sim_request;
+mod sim_store;
 mod size_spec;
-mod world_calls;
-mod world_engines;
-mod world_moves;
+mod transfer_events;
 
 pub use {
-    call_plan::*, engine_memory::*, engine_run::*, engine_spec::*, event_queue::*, front_ask::*,
-    kind_spec::*, load_file::*, load_table::*, load_tally::*, load_world::*, model_engine::*,
-    model_front::*, model_store::*, prompt_call::*, size_spec::*,
+    engine_memory::*, engine_run::*, engine_spec::*, event_queue::*, front_request::*,
+    kind_spec::*, load_file::*, load_sim::*, load_table::*, load_tally::*, request_plan::*,
+    sim_engine::*, sim_front::*, sim_request::*, sim_store::*, size_spec::*,
 };
--- a/testbed/src/load_model/world_calls.rs
+++ b/testbed/src/load_model/request_events.rs
@@ -1,6 +1,6 @@
 use {
     super::{
-        load_world::millis, CallKey, CallOutcome, FrontAsk, FrontSend, FrontVerdict, LoadWorld,
+        load_sim::millis, CallKey, CallOutcome, FrontAsk, FrontSend, FrontVerdict, LoadWorld,
         ModelEvent, SendKey, LEAD_TIME,
     },
     pitchhitch_core::time::Micros,
--- a/testbed/src/load_model/world_moves.rs
+++ b/testbed/src/load_model/transfer_events.rs
@@ -1,6 +1,6 @@
 use {
     super::{
-        load_world::{millis, STORE_ANSWERS},
+        load_sim::{millis, STORE_ANSWERS},
         LoadWorld, ModelEvent, SendKey, WALL,
     },
     pitchhitch_core::{
