--- a/testbed/examples/load_lab/aim_plot.rs
+++ b/testbed/examples/load_lab/aim_plot.rs
@@ -74,13 +74,13 @@
         let of_kind = &tally.kinds[kind].seconds;
         seconds.resize(seconds.len().max(of_kind.len()), SecondTally::default());
         for (sum, second) in seconds.iter_mut().zip(of_kind) {
-            sum.owed += second.owed;
-            sum.in_aim += second.in_aim;
+            sum.eligible += second.eligible;
+            sum.on_time += second.on_time;
         }
     }
     let numbered = seconds.iter().enumerate();
-    let asked = numbered.filter(|(_, second)| second.owed > 0);
-    let part = |second: &SecondTally| f64::from(second.in_aim) / f64::from(second.owed);
+    let asked = numbered.filter(|(_, second)| second.eligible > 0);
+    let part = |second: &SecondTally| f64::from(second.on_time) / f64::from(second.eligible);
     asked
         .map(|(number, second)| (number as f64 + 0.5, part(second)))
         .collect()
--- a/testbed/examples/load_lab/each_table.rs
+++ b/testbed/examples/load_lab/each_table.rs
@@ -1,6 +1,6 @@
 use {
     super::SettingRuns,
-    pitchhitch_testbed::load_model::{FigureSpread, KindTally, LoadFile, LoadTally},
+    pitchhitch_testbed::load_model::{KindTally, LoadFile, LoadTally, SampleSummary},
     std::fmt::Write,
 };
 
@@ -27,8 +27,8 @@
         for place in 0..load.kinds.len() {
             text.push_str(&kind_cells(&runs[0], setting, place));
         }
-        let again = median(setting, |tally| tally.read_again as f64 / 1e3);
-        let put_back = median(setting, |tally| f64::from(tally.put_back));
+        let again = median(setting, |tally| tally.prefilled_again as f64 / 1e3);
+        let put_back = median(setting, |tally| f64::from(tally.preemptions));
         let _ = writeln!(text, " {again:.0} | {put_back:.0} |");
     }
     text
@@ -38,7 +38,7 @@
     setting: &SettingRuns,
     figure: impl Fn(&LoadTally) -> f64,
 ) -> f64 {
-    FigureSpread::of(setting.tallies.iter().map(figure)).median
+    SampleSummary::from_samples(setting.tallies.iter().map(figure)).median
 }
 
 fn kind_cells(
@@ -46,10 +46,10 @@
     setting: &SettingRuns,
     place: usize,
 ) -> String {
-    let part = median(setting, |tally| tally.kinds[place].aim_part());
+    let part = median(setting, |tally| tally.kinds[place].on_time_fraction());
     let pairs = || first.tallies.iter().zip(&setting.tallies);
     let count = |(before, after): (&LoadTally, &LoadTally)| {
-        (before.kinds[place].in_aim, after.kinds[place].in_aim)
+        (before.kinds[place].on_time, after.kinds[place].on_time)
     };
     let more = pairs().map(count).filter(|(b, a)| a > b).count();
     let fewer = pairs().map(count).filter(|(b, a)| a < b).count();
--- a/testbed/examples/load_lab/setting_runs.rs
+++ b/testbed/examples/load_lab/setting_runs.rs
@@ -1,6 +1,6 @@
 use {
     pitchhitch_core::serving::ServingMechanism,
-    pitchhitch_testbed::load_model::{play_load, LoadFile, LoadTally},
+    pitchhitch_testbed::load_model::{simulate_load, LoadFile, LoadTally},
     std::thread,
 };
 
@@ -38,7 +38,7 @@
     seeds: &[u64],
     left_out: Option<ServingMechanism>,
 ) -> Vec<LoadTally> {
-    let play = |seed: &u64| play_load(load, *seed, left_out);
+    let play = |seed: &u64| simulate_load(load, *seed, left_out);
     let part = seeds.len().div_ceil(AT_ONCE).max(1);
     thread::scope(|scope| {
         let parts = seeds.chunks(part);
--- a/testbed/src/load_model/engine_events.rs
+++ b/testbed/src/load_model/engine_events.rs
@@ -1,7 +1,7 @@
 use {
     super::{
-        load_sim::millis, CallKey, EngineLife, EngineNews, EngineRun, LoadWorld, ModelEvent,
-        SendKey, WALL,
+        load_sim::millis, AttemptKey, EngineIncarnation, EngineRun, LoadSim, RequestKey, SimEvent,
+        StepEvent, NAMESPACE,
     },
     pitchhitch_core::{
         serving::{EngineLoad, PartId, PromptPart},
@@ -10,89 +10,94 @@
 };
 
 /// Time until a front learns that an engine went down, by its connection.
-const LOSS_AFTER: Micros = Micros::from_millis(5);
+const LOSS_DETECTION_DELAY: Micros = Micros::from_millis(5);
 
-impl LoadWorld<'_> {
+impl LoadSim<'_> {
     /// A request is at its engine, which fetches what it was told to.
-    pub(super) fn reaches(
+    pub(super) fn on_attempt(
         &mut self,
-        send: SendKey,
+        attempt: AttemptKey,
     ) {
-        if !self.is_current(send) {
+        if !self.is_current(attempt) {
             return;
         }
-        let Some(engine) = self.engine_of(send) else {
+        let Some(engine) = self.engine_of(attempt) else {
             return;
         };
         if self.engines[engine].is_down {
-            self.lose(send);
+            self.report_loss(attempt);
             return;
         }
-        let there_at = self.start_fetches(send, engine);
+        let fetched_at = self.start_fetches(attempt, engine);
         self.engines[engine].unready += 1;
         let first = millis(self.load.engines.first_ms);
-        let ready = ModelEvent::Ready(send, self.life_of(engine));
-        self.queue.put(there_at + first, ready);
+        let ready_event = SimEvent::PrefillReady(attempt, self.incarnation_of(engine));
+        self.queue.push(fetched_at + first, ready_event);
     }
 
     fn engine_of(
         &self,
-        send: SendKey,
+        attempt: AttemptKey,
     ) -> Option<usize> {
-        let sent = self.states[send.call.0].sent.as_ref();
-        sent.map(|sent| sent.engine)
+        let routed = self.states[attempt.request.0].routed.as_ref();
+        routed.map(|routed| routed.engine)
     }
 
-    fn life_of(
+    fn incarnation_of(
         &self,
         engine: usize,
-    ) -> EngineLife {
-        let life = self.engines[engine].life;
-        EngineLife { engine, life }
+    ) -> EngineIncarnation {
+        let incarnation = self.engines[engine].incarnation;
+        EngineIncarnation {
+            engine,
+            incarnation,
+        }
     }
 
-    fn lose(
+    fn report_loss(
         &mut self,
-        send: SendKey,
+        attempt: AttemptKey,
     ) {
-        self.states[send.call.0].is_lost = true;
-        self.queue
-            .put(self.now + LOSS_AFTER, ModelEvent::Lost(send));
+        self.states[attempt.request.0].is_lost = true;
+        self.queue.push(
+            self.now + LOSS_DETECTION_DELAY,
+            SimEvent::AttemptLost(attempt),
+        );
     }
 
     /// A request may be read.
-    pub(super) fn ready(
+    pub(super) fn on_prefill_ready(
         &mut self,
-        send: SendKey,
-        at: EngineLife,
+        attempt: AttemptKey,
+        incarnation: EngineIncarnation,
     ) {
-        let engine = at.engine;
-        if self.life_of(engine) != at {
+        let engine = incarnation.engine;
+        if self.incarnation_of(engine) != incarnation {
             return;
         }
         self.engines[engine].unready -= 1;
-        if !self.is_current(send) {
+        if !self.is_current(attempt) {
             return;
         }
-        let call = &self.calls[send.call.0];
+        let request = &self.requests[attempt.request.0];
         let run = EngineRun {
-            key: send,
-            rank: self.load.kinds[call.kind].rank,
-            order: 0,
-            parts: call.parts.clone(),
-            wanted: call.tokens_out,
-            made: 0,
-            pinned: 0,
-            own: 0,
-            to_read: 0,
-            reads_now: 0,
+            key: attempt,
+            priority: self.load.kinds[request.kind].rank,
+            arrival: 0,
+            parts: request.parts.clone(),
+            output_tokens: request.tokens_out,
+            generated: 0,
+            pinned_parts: 0,
+            private_tokens: 0,
+            prefill_tokens: 0,
+            step_tokens: 0,
             sent_at: None,
             longest_pause: Micros::ZERO,
         };
-        if self.engines[engine].take(run) {
+        if self.engines[engine].enqueue(run) {
             self.step(engine);
         } else {
-            self.lose(send);
+            self.report_loss(attempt);
         }
     }
 
@@ -101,98 +106,100 @@
         &mut self,
         engine: usize,
     ) {
-        let mut news = Vec::new();
-        let took = self.engines[engine].begin_step(&mut news);
+        let mut events = Vec::new();
+        let took = self.engines[engine].begin_step(&mut events);
         if let Some(took) = took {
-            let ends = ModelEvent::StepEnds(self.life_of(engine));
-            self.queue.put(self.now + took, ends);
+            let step_end = SimEvent::StepEnded(self.incarnation_of(engine));
+            self.queue.push(self.now + took, step_end);
         }
-        self.hear(engine, news);
+        self.handle_step_events(engine, events);
     }
 
     /// An engine ends a step and begins the next.
-    pub(super) fn step_ends(
+    pub(super) fn on_step_ended(
         &mut self,
-        at: EngineLife,
+        incarnation: EngineIncarnation,
     ) {
-        let engine = at.engine;
-        if self.life_of(engine) != at {
+        let engine = incarnation.engine;
+        if self.incarnation_of(engine) != incarnation {
             return;
         }
-        let mut news = Vec::new();
-        self.engines[engine].end_step(self.now, &mut news);
-        self.hear(engine, news);
+        let mut events = Vec::new();
+        self.engines[engine].end_step(self.now, &mut events);
+        self.handle_step_events(engine, events);
         self.step(engine);
     }
 
-    fn hear(
+    fn handle_step_events(
         &mut self,
         engine: usize,
-        news: Vec<EngineNews>,
+        events: Vec<StepEvent>,
     ) {
-        for news in news {
-            match news {
-                EngineNews::Begun(send) => self.tell(engine, send, ModelEvent::Begun(send)),
-                EngineNews::Ended(send, pause) => {
-                    self.tell(engine, send, ModelEvent::Ended(send, pause));
+        for event in events {
+            match event {
+                StepEvent::FirstToken(attempt) => {
+                    self.notify_front(engine, attempt, SimEvent::FirstToken(attempt))
+                }
+                StepEvent::Finished(attempt, pause) => {
+                    self.notify_front(engine, attempt, SimEvent::ResponseEnded(attempt, pause));
                 }
-                EngineNews::ReadShared(part) => self.note_read(part),
-                EngineNews::Whole(send) => self.is_whole(send),
-                EngineNews::PutBack => self.tally.put_back += 1,
+                StepEvent::SharedPrefilled(part) => self.count_repeated_prefill(part),
+                StepEvent::Prefilled(attempt) => self.on_prefilled(attempt),
+                StepEvent::Preempted => self.tally.preemptions += 1,
             }
         }
     }
 
     /// Counts a shared part that is read although an engine had it lately.
-    fn note_read(
+    fn count_repeated_prefill(
         &mut self,
         part: PromptPart,
     ) {
         let within = millis(self.load.again_s * 1e3);
-        let used_at = self.used_at.get(&part.id);
-        if used_at.is_some_and(|at| self.now.since(*at) < within) {
-            self.tally.read_again += u64::from(part.tokens);
+        let last_used_at = self.last_used_at.get(&part.id);
+        if last_used_at.is_some_and(|at| self.now.since(*at) < within) {
+            self.tally.prefilled_again += u64::from(part.tokens);
         }
     }
 
     /// All parts of a prompt are at its engine.
-    fn is_whole(
+    fn on_prefilled(
         &mut self,
-        send: SendKey,
+        attempt: AttemptKey,
     ) {
-        for part in self.calls[send.call.0].shared() {
-            self.used_at.insert(part.id, self.now);
+        for part in self.requests[attempt.request.0].shared() {
+            self.last_used_at.insert(part.id, self.now);
         }
-        self.start_saves(send);
+        self.start_saves(attempt);
     }
 
-    fn tell(
+    fn notify_front(
         &mut self,
         engine: usize,
-        send: SendKey,
-        event: ModelEvent,
+        attempt: AttemptKey,
+        event: SimEvent,
     ) {
-        let hop = self.hop(self.states[send.call.0].front, engine);
-        self.queue.put(self.now + hop, event);
+        let hop = self.hop(self.states[attempt.request.0].front, engine);
+        self.queue.push(self.now + hop, event);
     }
 
     /// An engine takes stock, which fronts hear later.
-    pub(super) fn reports(
+    pub(super) fn send_report(
         &mut self,
         engine: usize,
     ) {
         let spec = &self.load.engines;
         let load = self.engines[engine].report();
         let changes = self.engines[engine].memory.take_changes();
-        let heard_at = self.now + millis(spec.report_lag_ms);
-        let reported = ModelEvent::Reported(engine, load, changes);
-        self.queue.put(heard_at, reported);
+        let received_at = self.now + millis(spec.report_lag_ms);
+        let report_event = SimEvent::ReportReceived(engine, load, changes);
+        self.queue.push(received_at, report_event);
         let next_at = self.now + millis(spec.report_every_ms.max(1.0));
-        self.queue.put(next_at, ModelEvent::Reports(engine));
+        self.queue.push(next_at, SimEvent::ReportDue(engine));
     }
 
     /// Fronts hear an engine's report.
-    pub(super) fn reported(
+    pub(super) fn on_report(
         &mut self,
         engine: usize,
         load: EngineLoad,
@@ -200,7 +207,7 @@
     ) {
         for front in &mut self.fronts {
             let key = front.key(engine);
-            let Some(entry) = front.book.get_mut(key) else {
+            let Some(entry) = front.registry.get_mut(key) else {
                 continue;
             };
             entry.load = Some(EngineLoad {
@@ -211,36 +218,39 @@
                 entry.parts.clear();
             }
             for (id, tokens) in changes {
-                entry.parts.set(WALL, *id, *tokens);
+                entry.parts.set(NAMESPACE, *id, *tokens);
             }
         }
     }
 
     /// The first so many engines go down with all that they hold.
-    pub(super) fn go_down(
+    pub(super) fn stop_engines(
         &mut self,
         engines: usize,
     ) {
         let count = engines.min(self.engines.len());
         for engine in 0..count {
-            self.engines[engine].go_down();
-            self.coming[engine].clear();
+            self.engines[engine].stop();
+            self.incoming[engine].clear();
         }
-        for number in 0..self.states.len() {
-            let state = &self.states[number];
-            let send = SendKey {
-                call: CallKey(number),
-                send: state.sends,
+        for index in 0..self.states.len() {
+            let state = &self.states[index];
+            let attempt = AttemptKey {
+                request: RequestKey(index),
+                number: state.attempts,
             };
-            let is_there = state.sent.as_ref().is_some_and(|sent| sent.engine < count);
-            if is_there && state.outcome.is_none() && !state.is_lost {
-                self.lose(send);
+            let is_affected = state
+                .routed
+                .as_ref()
+                .is_some_and(|routed| routed.engine < count);
+            if is_affected && state.outcome.is_none() && !state.is_lost {
+                self.report_loss(attempt);
             }
         }
     }
 
     /// They come back, empty.
-    pub(super) fn come_up(
+    pub(super) fn start_engines(
         &mut self,
         engines: usize,
     ) {
--- a/testbed/src/load_model/engine_memory.rs
+++ b/testbed/src/load_model/engine_memory.rs
@@ -4,13 +4,13 @@
 };
 
 #[derive(Debug, Clone, Copy)]
-struct KeptPart {
+struct CachedPart {
     tokens: u32,
-    blocks: u64,
+    rounded_tokens: u64,
     /// Requests that run on it; it cannot give way while there are any.
     pins: u32,
     /// When it was last used, as a count of uses.
-    used: u64,
+    last_use: u64,
 }
 
 /// Memory of one engine: what requests that run hold for themselves, and parts,
@@ -20,12 +20,12 @@
 pub struct EngineMemory {
     total: u64,
     block_tokens: u32,
-    own: u64,
-    pinned: u64,
-    loose: u64,
-    parts: HashMap<PartId, KeptPart>,
-    loose_by_use: BTreeMap<u64, PartId>,
-    uses: u64,
+    private_tokens: u64,
+    pinned_tokens: u64,
+    unpinned_tokens: u64,
+    parts: HashMap<PartId, CachedPart>,
+    unpinned_by_use: BTreeMap<u64, PartId>,
+    use_count: u64,
     changes: Vec<(PartId, u32)>,
 }
 
@@ -38,12 +38,12 @@
         EngineMemory {
             total,
             block_tokens: block_tokens.max(1),
-            own: 0,
-            pinned: 0,
-            loose: 0,
+            private_tokens: 0,
+            pinned_tokens: 0,
+            unpinned_tokens: 0,
             parts: HashMap::new(),
-            loose_by_use: BTreeMap::new(),
-            uses: 0,
+            unpinned_by_use: BTreeMap::new(),
+            use_count: 0,
             changes: Vec::new(),
         }
     }
@@ -55,11 +55,11 @@
 
     /// Tokens that cannot give way.
     pub fn used(&self) -> u64 {
-        self.own + self.pinned
+        self.private_tokens + self.pinned_tokens
     }
 
     /// Whether a part is kept.
-    pub fn keeps(
+    pub fn contains(
         &self,
         id: PartId,
     ) -> bool {
@@ -67,11 +67,14 @@
     }
 
     /// How many parts of a prompt are kept, counted from its beginning.
-    pub fn kept_parts(
+    pub fn cached_parts(
         &self,
         parts: &[PromptPart],
     ) -> usize {
-        parts.iter().take_while(|part| self.keeps(part.id)).count()
+        parts
+            .iter()
+            .take_while(|part| self.contains(part.id))
+            .count()
     }
 
     /// What has come and gone since this was asked last; 0 tokens where it went.
@@ -88,9 +91,9 @@
             return;
         };
         if part.pins == 0 {
-            self.loose_by_use.remove(&part.used);
-            self.loose -= part.blocks;
-            self.pinned += part.blocks;
+            self.unpinned_by_use.remove(&part.last_use);
+            self.unpinned_tokens -= part.rounded_tokens;
+            self.pinned_tokens += part.rounded_tokens;
         }
         part.pins += 1;
     }
@@ -100,21 +103,21 @@
         &mut self,
         id: PartId,
     ) {
-        self.uses += 1;
+        self.use_count += 1;
         let Some(part) = self.parts.get_mut(&id).filter(|part| part.pins > 0) else {
             return;
         };
         part.pins -= 1;
-        part.used = self.uses;
+        part.last_use = self.use_count;
         if part.pins == 0 {
-            self.loose_by_use.insert(self.uses, id);
-            self.pinned -= part.blocks;
-            self.loose += part.blocks;
+            self.unpinned_by_use.insert(self.use_count, id);
+            self.pinned_tokens -= part.rounded_tokens;
+            self.unpinned_tokens += part.rounded_tokens;
         }
     }
 
     /// Lets one part go that nobody runs on.
-    pub fn forget(
+    pub fn evict(
         &mut self,
         id: PartId,
     ) {
@@ -122,8 +125,8 @@
             return;
         };
         self.parts.remove(&id);
-        self.loose_by_use.remove(&part.used);
-        self.loose -= part.blocks;
+        self.unpinned_by_use.remove(&part.last_use);
+        self.unpinned_tokens -= part.rounded_tokens;
         self.changes.push((id, 0));
     }
 
@@ -136,12 +139,12 @@
         if self.used() + tokens > self.total {
             return false;
         }
-        while self.used() + self.loose + tokens > self.total {
-            let Some((_, id)) = self.loose_by_use.pop_first() else {
+        while self.used() + self.unpinned_tokens + tokens > self.total {
+            let Some((_, id)) = self.unpinned_by_use.pop_first() else {
                 return false;
             };
             if let Some(part) = self.parts.remove(&id) {
-                self.loose -= part.blocks;
+                self.unpinned_tokens -= part.rounded_tokens;
                 self.changes.push((id, 0));
             }
         }
@@ -149,47 +152,47 @@
     }
 
     /// A request takes memory of its own; false where there is none.
-    pub fn take_own(
+    pub fn reserve_private(
         &mut self,
         tokens: u64,
     ) -> bool {
         let has_room = self.make_room(tokens);
         if has_room {
-            self.own += tokens;
+            self.private_tokens += tokens;
         }
         has_room
     }
 
     /// A request gives back memory of its own.
-    pub fn give_own(
+    pub fn release_private(
         &mut self,
         tokens: u64,
     ) {
-        self.own = self.own.saturating_sub(tokens);
+        self.private_tokens = self.private_tokens.saturating_sub(tokens);
     }
 
     /// A part that a request has read is kept from now on, and the request runs
     /// on it. Its memory was the request's own.
-    pub fn keep_read(
+    pub fn insert_prefilled(
         &mut self,
         part: PromptPart,
     ) {
-        self.give_own(self.blocks(part.tokens));
-        if !self.keeps(part.id) {
+        self.release_private(self.round_to_blocks(part.tokens));
+        if !self.contains(part.id) {
             self.insert(part);
         }
         self.pin(part.id);
     }
 
     /// A part that was fetched is kept from now on, if there is room.
-    pub fn keep_fetched(
+    pub fn insert_fetched(
         &mut self,
         part: PromptPart,
     ) -> bool {
-        if self.keeps(part.id) {
+        if self.contains(part.id) {
             return true;
         }
-        let has_room = self.make_room(self.blocks(part.tokens));
+        let has_room = self.make_room(self.round_to_blocks(part.tokens));
         if has_room {
             self.insert(part);
         }
@@ -200,22 +203,22 @@
         &mut self,
         part: PromptPart,
     ) {
-        self.uses += 1;
-        let blocks = self.blocks(part.tokens);
-        let kept = KeptPart {
+        self.use_count += 1;
+        let rounded_tokens = self.round_to_blocks(part.tokens);
+        let cached = CachedPart {
             tokens: part.tokens,
-            blocks,
+            rounded_tokens,
             pins: 0,
-            used: self.uses,
+            last_use: self.use_count,
         };
-        self.parts.insert(part.id, kept);
-        self.loose_by_use.insert(self.uses, part.id);
-        self.loose += blocks;
-        self.changes.push((part.id, kept.tokens));
+        self.parts.insert(part.id, cached);
+        self.unpinned_by_use.insert(self.use_count, part.id);
+        self.unpinned_tokens += rounded_tokens;
+        self.changes.push((part.id, cached.tokens));
     }
 
     /// Memory that so many tokens take.
-    pub fn blocks(
+    pub fn round_to_blocks(
         &self,
         tokens: u32,
     ) -> u64 {
--- a/testbed/src/load_model/engine_run.rs
+++ b/testbed/src/load_model/engine_run.rs
@@ -1,5 +1,5 @@
 use {
-    super::SendKey,
+    super::AttemptKey,
     pitchhitch_core::{serving::PromptPart, time::Micros},
 };
 
@@ -7,25 +7,25 @@
 #[derive(Debug, Clone)]
 pub struct EngineRun {
     /// Which send of which request it is.
-    pub key: SendKey,
+    pub key: AttemptKey,
     /// Rank; 0 is the most urgent.
-    pub rank: u8,
+    pub priority: u8,
     /// Order in which requests came to the engine.
-    pub order: u64,
+    pub arrival: u64,
     /// Parts of the prompt; the last is its own.
     pub parts: Vec<PromptPart>,
     /// Answer, in tokens.
-    pub wanted: u32,
+    pub output_tokens: u32,
     /// Tokens that it has made.
-    pub made: u32,
+    pub generated: u32,
     /// Parts that it runs on and shares, counted from the beginning.
-    pub pinned: usize,
+    pub pinned_parts: usize,
     /// Memory of its own, in tokens.
-    pub own: u64,
+    pub private_tokens: u64,
     /// Tokens that must be read before it makes one.
-    pub to_read: u32,
+    pub prefill_tokens: u32,
     /// Those of them that the step under way reads.
-    pub reads_now: u32,
+    pub step_tokens: u32,
     /// When it last sent something.
     pub sent_at: Option<Micros>,
     /// Longest time between two times that it sent something.
@@ -40,22 +40,22 @@
 
     /// Tokens of the prompt that have been read or fetched before its place.
     pub fn context(&self) -> u32 {
-        (self.tokens_in() + self.made).saturating_sub(self.to_read)
+        (self.tokens_in() + self.generated).saturating_sub(self.prefill_tokens)
     }
 
     /// Notes that it makes a token; the first is sent at once, further ones so
     /// many together.
-    pub fn make(
+    pub fn record_token(
         &mut self,
         now: Micros,
         event_tokens: u32,
     ) {
-        self.made += 1;
-        if (self.made - 1) % event_tokens.max(1) != 0 && self.made < self.wanted {
+        self.generated += 1;
+        if (self.generated - 1) % event_tokens.max(1) != 0 && self.generated < self.output_tokens {
             return;
         }
-        if let Some(before) = self.sent_at {
-            self.longest_pause = self.longest_pause.max(now.since(before));
+        if let Some(previous_at) = self.sent_at {
+            self.longest_pause = self.longest_pause.max(now.since(previous_at));
         }
         self.sent_at = Some(now);
     }
@@ -63,15 +63,15 @@
 
 /// What an engine tells of a step.
 #[derive(Debug, Clone, PartialEq)]
-pub enum EngineNews {
+pub enum StepEvent {
     /// A request has made its first token.
-    Begun(SendKey),
+    FirstToken(AttemptKey),
     /// A request has made its last token; with the longest pause between two.
-    Ended(SendKey, Micros),
+    Finished(AttemptKey, Micros),
     /// A shared part was read.
-    ReadShared(PromptPart),
+    SharedPrefilled(PromptPart),
     /// All parts of a request are there: those that it was asked to save can be.
-    Whole(SendKey),
+    Prefilled(AttemptKey),
     /// A request was put back.
-    PutBack,
+    Preempted,
 }
--- a/testbed/src/load_model/engine_spec.rs
+++ b/testbed/src/load_model/engine_spec.rs
@@ -27,7 +27,7 @@
     /// Time until a prompt that came may be read, in milliseconds.
     pub first_ms: f64,
     /// Tokens that are sent together.
-    #[serde(default = "one_token")]
+    #[serde(default = "default_event_tokens")]
     pub event_tokens: u32,
     /// Factors on the time of a step; engines take them in turn.
     #[serde(default)]
@@ -44,7 +44,7 @@
     pub report_lag_ms: f64,
 }
 
-fn one_token() -> u32 {
+fn default_event_tokens() -> u32 {
     1
 }
 
@@ -61,7 +61,7 @@
     }
 
     /// Memory for so many tokens, in whole blocks.
-    pub fn blocks(
+    pub fn round_to_blocks(
         &self,
         tokens: u32,
     ) -> u64 {
--- a/testbed/src/load_model/event_queue.rs
+++ b/testbed/src/load_model/event_queue.rs
@@ -1,5 +1,5 @@
 use {
-    super::CallKey,
+    super::RequestKey,
     pitchhitch_core::{
         serving::{EngineLoad, PartId, PromptPart},
         time::Micros,
@@ -10,66 +10,66 @@
 /// Which send of which request something is about: a request may be sent to a
 /// second engine, and news of the first are then out of date.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub struct SendKey {
+pub struct AttemptKey {
     /// Request.
-    pub call: CallKey,
+    pub request: RequestKey,
     /// Number of the send, over all tries of its caller.
-    pub send: u32,
+    pub number: u32,
 }
 
 /// An engine between two times that it went down.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct EngineLife {
+pub struct EngineIncarnation {
     /// Number of the engine.
     pub engine: usize,
     /// Number of its life; it rises when the engine goes down.
-    pub life: u32,
+    pub incarnation: u32,
 }
 
 /// Something that happens in a model.
 #[derive(Debug, Clone)]
-pub enum ModelEvent {
+pub enum SimEvent {
     /// A caller's request is at its front.
-    Asks(CallKey),
+    RequestArrived(RequestKey),
     /// A request is at its engine.
-    Reaches(SendKey),
+    AttemptArrived(AttemptKey),
     /// A request may be read at its engine: what is fetched for it is there.
-    Ready(SendKey, EngineLife),
+    PrefillReady(AttemptKey, EngineIncarnation),
     /// A part that an engine fetches is there.
-    Fetched(usize, PromptPart),
+    PartFetched(usize, PromptPart),
     /// An engine ends a step.
-    StepEnds(EngineLife),
+    StepEnded(EngineIncarnation),
     /// A front hears that an answer has begun.
-    Begun(SendKey),
+    FirstToken(AttemptKey),
     /// A front hears that an answer has ended, and its longest pause.
-    Ended(SendKey, Micros),
+    ResponseEnded(AttemptKey, Micros),
     /// A front learns that an engine has lost a request.
-    Lost(SendKey),
+    AttemptLost(AttemptKey),
     /// An engine takes stock.
-    Reports(usize),
+    ReportDue(usize),
     /// Fronts hear an engine's report, and which parts it keeps or let go.
-    Reported(usize, EngineLoad, Vec<(PartId, u32)>),
+    ReportReceived(usize, EngineLoad, Vec<(PartId, u32)>),
     /// A part is saved in a store.
-    Saved(usize, PromptPart),
+    PartSaved(usize, PromptPart),
     /// Fronts hear that a store has a part.
-    SavedHeard(usize, PromptPart),
+    SaveReported(usize, PromptPart),
     /// Fronts hear that stores live.
-    StoresAnswer,
+    StoresPolled,
     /// The deadline of a request passes.
-    Deadline(CallKey),
+    Deadline(RequestKey),
     /// A caller leaves.
-    Leaves(CallKey),
+    CallerLeft(RequestKey),
     /// The first so many engines go down.
-    GoDown(usize),
+    EnginesStopped(usize),
     /// They come back.
-    ComeUp(usize),
+    EnginesStarted(usize),
 }
 
 #[derive(Debug)]
 struct QueuedEvent {
     at: Micros,
-    number: u64,
-    event: ModelEvent,
+    sequence: u64,
+    event: SimEvent,
 }
 
 impl PartialEq for QueuedEvent {
@@ -77,7 +77,7 @@
         &self,
         other: &Self,
     ) -> bool {
-        self.number == other.number
+        self.sequence == other.sequence
     }
 }
 
@@ -98,7 +98,7 @@
         &self,
         other: &Self,
     ) -> Ordering {
-        (other.at, other.number).cmp(&(self.at, self.number))
+        (other.at, other.sequence).cmp(&(self.at, self.sequence))
     }
 }
 
@@ -106,26 +106,26 @@
 #[derive(Debug, Default)]
 pub struct EventQueue {
     events: BinaryHeap<QueuedEvent>,
-    puts: u64,
+    pushed: u64,
 }
 
 impl EventQueue {
     /// Puts an event at a time.
-    pub fn put(
+    pub fn push(
         &mut self,
         at: Micros,
-        event: ModelEvent,
+        event: SimEvent,
     ) {
-        self.puts += 1;
+        self.pushed += 1;
         self.events.push(QueuedEvent {
             at,
-            number: self.puts,
+            sequence: self.pushed,
             event,
         });
     }
 
     /// Takes the next event.
-    pub fn take(&mut self) -> Option<(Micros, ModelEvent)> {
+    pub fn pop(&mut self) -> Option<(Micros, SimEvent)> {
         let queued = self.events.pop()?;
         Some((queued.at, queued.event))
     }
--- a/testbed/src/load_model/front_request.rs
+++ b/testbed/src/load_model/front_request.rs
@@ -1,5 +1,5 @@
 use {
-    super::{sim_front::MODEL, KindSpec, PromptCall},
+    super::{sim_front::MODEL, KindSpec, SimRequest},
     pitchhitch_core::{
         serving::{EndpointChoice, PromptInfo},
         time::Micros,
@@ -9,24 +9,24 @@
 
 /// A request as a front sees it.
 #[derive(Debug, Clone, Copy)]
-pub struct FrontAsk<'a> {
+pub struct FrontRequest<'a> {
     /// Its kind.
     pub kind: &'a KindSpec,
     /// Its prompt.
     pub prompt: &'a PromptInfo,
     /// Time that its caller still has.
-    pub patience: Micros,
+    pub time_left: Micros,
     /// Engines that it has been to, by number.
     pub tried: &'a [usize],
     /// A number between 0 and 1 that spreads returns.
-    pub spread: f64,
+    pub jitter: f64,
 }
 
 /// What a front does about a request.
 #[derive(Debug, Clone)]
-pub enum FrontVerdict {
+pub enum FrontDecision {
     /// It goes to an engine.
-    Sent(Box<FrontSend>),
+    Routed(Box<RoutedRequest>),
     /// It is refused, and asked back after a time.
     Refused(Micros),
     /// No engine is left.
@@ -35,7 +35,7 @@
 
 /// A request that goes to an engine.
 #[derive(Debug, Clone)]
-pub struct FrontSend {
+pub struct RoutedRequest {
     /// Number of the engine.
     pub engine: usize,
     /// The choice.
@@ -47,11 +47,11 @@
 }
 
 /// The prompt of a request as its front reads it.
-pub fn prompt_ask(call: &PromptCall) -> PromptInfo {
+pub fn prompt_info(request: &SimRequest) -> PromptInfo {
     PromptInfo {
         model: MODEL.to_string(),
-        tokens_in: call.tokens_in(),
-        tokens_out: call.tokens_out,
-        parts: call.parts.clone(),
+        tokens_in: request.tokens_in(),
+        tokens_out: request.tokens_out,
+        parts: request.parts.clone(),
     }
 }
--- a/testbed/src/load_model/kind_spec.rs
+++ b/testbed/src/load_model/kind_spec.rs
@@ -36,7 +36,7 @@
     /// Answers.
     pub out: SizeSpec,
     /// Engines that one try of a caller may go to.
-    #[serde(default = "one_send")]
+    #[serde(default = "default_sends")]
     pub sends: u32,
     /// Part of the callers that come back at once when they are refused.
     #[serde(default)]
@@ -46,13 +46,13 @@
     pub leaving: f64,
 }
 
-fn one_send() -> u32 {
+fn default_sends() -> u32 {
     1
 }
 
 impl KindSpec {
     /// Time within which an answer should begin.
-    pub fn aim(&self) -> Micros {
+    pub fn target_latency(&self) -> Micros {
         Micros::from_millis(self.aim_ms)
     }
 
--- a/testbed/src/load_model/load_file.rs
+++ b/testbed/src/load_model/load_file.rs
@@ -70,17 +70,17 @@
     /// Failure domains; fronts and engines lie in them in turn.
     pub domains: usize,
     /// Mean number of requests that come together.
-    #[serde(default = "one_request")]
+    #[serde(default = "default_clump")]
     pub clump: f64,
     /// Part by which the rate swings up and down.
     #[serde(default)]
     pub swing: f64,
     /// Length of a swing, in seconds.
-    #[serde(default = "one_swing")]
+    #[serde(default = "default_swing_s")]
     pub swing_s: f64,
     /// A shared part that is read within this time of its last use counts as read
     /// again, in seconds.
-    #[serde(default = "usual_again")]
+    #[serde(default = "default_again_s")]
     pub again_s: f64,
     /// Ways.
     pub hops: HopSpec,
@@ -99,15 +99,15 @@
     pub outages: Vec<OutageSpec>,
 }
 
-fn one_request() -> f64 {
+fn default_clump() -> f64 {
     1.0
 }
 
-fn usual_again() -> f64 {
+fn default_again_s() -> f64 {
     20.0
 }
 
-fn one_swing() -> f64 {
+fn default_swing_s() -> f64 {
     11.0
 }
 
@@ -123,9 +123,9 @@
         ensure!(load.engines.count > 0, "engines.count: name at least one");
         ensure!(!load.kinds.is_empty(), "kinds: name at least one");
         for wave in &load.waves {
-            let named = wave.kind.as_ref();
-            let is_known = named.is_none_or(|name| load.kinds.iter().any(|k| k.name == *name));
-            ensure!(is_known, "waves: no kind is called {named:?}");
+            let kind_name = wave.kind.as_ref();
+            let is_known = kind_name.is_none_or(|name| load.kinds.iter().any(|k| k.name == *name));
+            ensure!(is_known, "waves: no kind is called {kind_name:?}");
         }
         Ok(load)
     }
--- a/testbed/src/load_model/load_sim.rs
+++ b/testbed/src/load_model/load_sim.rs
@@ -1,7 +1,8 @@
 use {
     super::{
-        plan_calls, prompt_ask, CallKey, CallOutcome, EventQueue, FrontSend, KindTally, LoadFile,
-        LoadTally, ModelEngine, ModelEvent, ModelFront, ModelStore, PromptCall, SendKey, LEAD_TIME,
+        generate_requests, prompt_info, AttemptKey, EventQueue, KindTally, LoadFile, LoadTally,
+        RequestKey, RequestOutcome, RoutedRequest, SimEngine, SimEvent, SimFront, SimRequest,
+        SimStore, WARM_UP_TIME,
     },
     pitchhitch_core::{
         serving::{MechanismSet, PartId, PromptInfo, ServingMechanism},
@@ -11,13 +12,13 @@
 };
 
 /// Time between two proofs that stores still live as they did.
-pub(super) const STORE_ANSWERS: Micros = Micros::from_millis(400);
+pub(super) const STORE_POLL_INTERVAL: Micros = Micros::from_millis(400);
 
 /// Where a request stands.
 #[derive(Debug, Clone, Default)]
-pub(super) struct CallState {
+pub(super) struct RequestState {
     /// What became of it, once that is known.
-    pub outcome: Option<CallOutcome>,
+    pub outcome: Option<RequestOutcome>,
     /// Front that has it.
     pub front: usize,
     /// Whether it was refused once.
@@ -25,54 +26,54 @@
     /// Engines that it has been to in this try, by number.
     pub tried: Vec<usize>,
     /// Sends, over all tries.
-    pub sends: u32,
+    pub attempts: u32,
     /// The last send, while the request is on its front's book.
-    pub sent: Option<FrontSend>,
+    pub routed: Option<RoutedRequest>,
     /// When it was sent last.
     pub sent_at: Micros,
     /// Whether the engine of the last send went down since.
     pub is_lost: bool,
     /// When its front heard the beginning of the answer.
-    pub began_at: Option<Micros>,
+    pub first_token_at: Option<Micros>,
 }
 
 /// A load that is played under one seed.
 #[derive(Debug)]
-pub(super) struct LoadWorld<'a> {
+pub(super) struct LoadSim<'a> {
     pub(super) load: &'a LoadFile,
     pub(super) now: Micros,
     pub(super) queue: EventQueue,
-    pub(super) calls: Vec<PromptCall>,
+    pub(super) requests: Vec<SimRequest>,
     pub(super) prompts: Vec<PromptInfo>,
-    pub(super) states: Vec<CallState>,
-    pub(super) fronts: Vec<ModelFront>,
-    pub(super) engines: Vec<ModelEngine>,
-    pub(super) stores: Vec<ModelStore>,
+    pub(super) states: Vec<RequestState>,
+    pub(super) fronts: Vec<SimFront>,
+    pub(super) engines: Vec<SimEngine>,
+    pub(super) stores: Vec<SimStore>,
     /// Parts on their way to each engine, and when they are there.
-    pub(super) coming: Vec<BTreeMap<PartId, Micros>>,
+    pub(super) incoming: Vec<BTreeMap<PartId, Micros>>,
     /// When each shared part was used last at any engine.
-    pub(super) used_at: HashMap<PartId, Micros>,
+    pub(super) last_used_at: HashMap<PartId, Micros>,
     pub(super) tally: LoadTally,
     /// Requests of which it is not known yet what becomes of them.
-    pub(super) open: usize,
+    pub(super) pending: usize,
 }
 
 /// Plays a load under a seed, without one mechanism if one is named.
-pub fn play_load(
+pub fn simulate_load(
     load: &LoadFile,
     seed: u64,
-    left_out: Option<ServingMechanism>,
+    disabled: Option<ServingMechanism>,
 ) -> LoadTally {
-    let mut world = LoadWorld::new(load, seed, left_out);
-    world.schedule();
-    while world.open > 0 {
-        let Some((at, event)) = world.queue.take() else {
+    let mut sim = LoadSim::new(load, seed, disabled);
+    sim.schedule_events();
+    while sim.pending > 0 {
+        let Some((at, event)) = sim.queue.pop() else {
             break;
         };
-        world.now = at;
-        world.happen(event);
+        sim.now = at;
+        sim.handle(event);
     }
-    world.tally
+    sim.tally
 }
 
 /// A time in milliseconds with fractions.
@@ -80,103 +81,110 @@
     Micros((millis * 1e3) as u64)
 }
 
-impl<'a> LoadWorld<'a> {
+impl<'a> LoadSim<'a> {
     fn new(
         load: &'a LoadFile,
         seed: u64,
-        left_out: Option<ServingMechanism>,
+        disabled: Option<ServingMechanism>,
     ) -> Self {
-        let left_out = MechanismSet::of(left_out);
-        let calls = plan_calls(load, seed);
+        let disabled = MechanismSet::of(disabled);
+        let requests = generate_requests(load, seed);
         let spec = &load.engines;
         let numbered = load.stores.iter().enumerate();
-        let stores: Vec<ModelStore> = numbered.map(|(n, s)| ModelStore::new(s, n)).collect();
+        let stores: Vec<SimStore> = numbered.map(|(n, s)| SimStore::new(s, n)).collect();
         let front =
-            |n: usize| ModelFront::new(n % load.domains, load.domains, spec, &stores, left_out);
+            |n: usize| SimFront::new(n % load.domains, load.domains, spec, &stores, disabled);
         let mut tally = LoadTally {
             kinds: vec![KindTally::default(); load.kinds.len()],
             ..LoadTally::default()
         };
-        for call in &calls {
-            tally.kinds[call.kind].asked += 1;
+        for request in &requests {
+            tally.kinds[request.kind].requests += 1;
         }
-        LoadWorld {
+        LoadSim {
             load,
             now: Micros::ZERO,
             queue: EventQueue::default(),
-            prompts: calls.iter().map(prompt_ask).collect(),
-            states: vec![CallState::default(); calls.len()],
+            prompts: requests.iter().map(prompt_info).collect(),
+            states: vec![RequestState::default(); requests.len()],
             fronts: (0..load.fronts).map(front).collect(),
-            engines: (0..spec.count).map(|n| ModelEngine::new(spec, n)).collect(),
+            engines: (0..spec.count).map(|n| SimEngine::new(spec, n)).collect(),
             stores,
-            coming: vec![BTreeMap::new(); spec.count],
-            used_at: HashMap::new(),
+            incoming: vec![BTreeMap::new(); spec.count],
+            last_used_at: HashMap::new(),
             tally,
-            open: calls.len(),
-            calls,
+            pending: requests.len(),
+            requests,
         }
     }
 
     /// Puts all that happens whatever is decided.
-    fn schedule(&mut self) {
-        let caller = millis(self.load.hops.caller_ms);
-        for (number, call) in self.calls.iter().enumerate() {
-            let key = CallKey(number);
-            self.states[number].front = call.front;
-            let deadline = call.at + self.load.kinds[call.kind].deadline();
-            self.queue.put(call.at + caller, ModelEvent::Asks(key));
-            self.queue.put(deadline, ModelEvent::Deadline(key));
-            if let Some(leaves_at) = call.leaves_at {
-                self.queue.put(leaves_at, ModelEvent::Leaves(key));
+    fn schedule_events(&mut self) {
+        let caller_hop = millis(self.load.hops.caller_ms);
+        for (index, request) in self.requests.iter().enumerate() {
+            let key = RequestKey(index);
+            self.states[index].front = request.front;
+            let deadline = request.at + self.load.kinds[request.kind].deadline();
+            self.queue
+                .push(request.at + caller_hop, SimEvent::RequestArrived(key));
+            self.queue.push(deadline, SimEvent::Deadline(key));
+            if let Some(leaves_at) = request.leaves_at {
+                self.queue.push(leaves_at, SimEvent::CallerLeft(key));
             }
         }
         // Engines report in turn and not all at once.
         let every = self.load.engines.report_every_ms;
         for engine in 0..self.engines.len() {
             let first = every * engine as f64 / self.engines.len() as f64;
-            self.queue.put(millis(first), ModelEvent::Reports(engine));
+            self.queue.push(millis(first), SimEvent::ReportDue(engine));
         }
-        self.queue.put(Micros::ZERO, ModelEvent::StoresAnswer);
+        self.queue.push(Micros::ZERO, SimEvent::StoresPolled);
         for outage in &self.load.outages {
-            let from = LEAD_TIME + millis(outage.from_s * 1e3);
+            let from = WARM_UP_TIME + millis(outage.from_s * 1e3);
             let until = from + millis(outage.for_s * 1e3);
-            self.queue.put(from, ModelEvent::GoDown(outage.engines));
-            self.queue.put(until, ModelEvent::ComeUp(outage.engines));
+            self.queue
+                .push(from, SimEvent::EnginesStopped(outage.engines));
+            self.queue
+                .push(until, SimEvent::EnginesStarted(outage.engines));
         }
     }
 
-    fn happen(
+    fn handle(
         &mut self,
-        event: ModelEvent,
+        event: SimEvent,
     ) {
         match event {
-            ModelEvent::Asks(call) => self.asks(call),
-            ModelEvent::Reaches(send) => self.reaches(send),
-            ModelEvent::Ready(send, at) => self.ready(send, at),
-            ModelEvent::Fetched(engine, part) => self.fetched(engine, part),
-            ModelEvent::StepEnds(at) => self.step_ends(at),
-            ModelEvent::Begun(send) => self.begun(send),
-            ModelEvent::Ended(send, pause) => self.ended(send, pause),
-            ModelEvent::Lost(send) => self.lost(send),
-            ModelEvent::Reports(engine) => self.reports(engine),
-            ModelEvent::Reported(engine, load, changes) => self.reported(engine, load, &changes),
-            ModelEvent::Saved(store, part) => self.saved(store, part),
-            ModelEvent::SavedHeard(store, part) => self.saved_heard(store, part),
-            ModelEvent::StoresAnswer => self.stores_answer(),
-            ModelEvent::Deadline(call) => self.give_up(call, CallOutcome::Failed),
-            ModelEvent::Leaves(call) => self.give_up(call, CallOutcome::GaveUp),
-            ModelEvent::GoDown(engines) => self.go_down(engines),
-            ModelEvent::ComeUp(engines) => self.come_up(engines),
+            SimEvent::RequestArrived(request) => self.on_request(request),
+            SimEvent::AttemptArrived(attempt) => self.on_attempt(attempt),
+            SimEvent::PrefillReady(attempt, incarnation) => {
+                self.on_prefill_ready(attempt, incarnation)
+            }
+            SimEvent::PartFetched(engine, part) => self.on_part_fetched(engine, part),
+            SimEvent::StepEnded(incarnation) => self.on_step_ended(incarnation),
+            SimEvent::FirstToken(attempt) => self.on_first_token(attempt),
+            SimEvent::ResponseEnded(attempt, pause) => self.on_response_ended(attempt, pause),
+            SimEvent::AttemptLost(attempt) => self.on_attempt_lost(attempt),
+            SimEvent::ReportDue(engine) => self.send_report(engine),
+            SimEvent::ReportReceived(engine, load, changes) => {
+                self.on_report(engine, load, &changes)
+            }
+            SimEvent::PartSaved(store, part) => self.on_part_saved(store, part),
+            SimEvent::SaveReported(store, part) => self.on_save_reported(store, part),
+            SimEvent::StoresPolled => self.poll_stores(),
+            SimEvent::Deadline(request) => self.give_up(request, RequestOutcome::Failed),
+            SimEvent::CallerLeft(request) => self.give_up(request, RequestOutcome::Abandoned),
+            SimEvent::EnginesStopped(engines) => self.stop_engines(engines),
+            SimEvent::EnginesStarted(engines) => self.start_engines(engines),
         }
     }
 
     /// Whether news of a send are still of interest.
     pub(super) fn is_current(
         &self,
-        send: SendKey,
+        attempt: AttemptKey,
     ) -> bool {
-        let state = &self.states[send.call.0];
-        state.outcome.is_none() && state.sends == send.send && !state.is_lost
+        let state = &self.states[attempt.request.0];
+        state.outcome.is_none() && state.attempts == attempt.number && !state.is_lost
     }
 
     /// Time between a front and an engine, one way.
--- a/testbed/src/load_model/load_table.rs
+++ b/testbed/src/load_model/load_table.rs
@@ -5,26 +5,26 @@
 
 /// Median, least and most of some figures.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct FigureSpread {
+pub struct SampleSummary {
     /// Median; the mean of both where two are in the middle.
     pub median: f64,
     /// Least.
-    pub least: f64,
+    pub min: f64,
     /// Most.
-    pub most: f64,
+    pub max: f64,
 }
 
-impl FigureSpread {
+impl SampleSummary {
     /// Of some figures; all 0 where there are none.
-    pub fn of(figures: impl Iterator<Item = f64>) -> Self {
-        let mut figures: Vec<f64> = figures.collect();
-        figures.sort_by(f64::total_cmp);
-        let at = |place: usize| figures.get(place).copied().unwrap_or(0.0);
-        let count = figures.len();
-        FigureSpread {
+    pub fn from_samples(samples: impl Iterator<Item = f64>) -> Self {
+        let mut samples: Vec<f64> = samples.collect();
+        samples.sort_by(f64::total_cmp);
+        let at = |index: usize| samples.get(index).copied().unwrap_or(0.0);
+        let count = samples.len();
+        SampleSummary {
             median: (at(count.saturating_sub(1) / 2) + at(count / 2)) / 2.0,
-            least: at(0),
-            most: at(count.saturating_sub(1)),
+            min: at(0),
+            max: at(count.saturating_sub(1)),
         }
     }
 }
@@ -38,46 +38,50 @@
     let head = "kind                 asked   in aim     late  refused   failed  gave up returned  \
                 first ms (p50, p99)  part in aim: median (least to most)";
     let _ = writeln!(text, "{head}");
-    for (place, kind) in load.kinds.iter().enumerate() {
-        let kinds: Vec<&KindTally> = tallies.iter().map(|t| &t.kinds[place]).collect();
+    for (kind_index, kind) in load.kinds.iter().enumerate() {
+        let kinds: Vec<&KindTally> = tallies.iter().map(|t| &t.kinds[kind_index]).collect();
         let _ = writeln!(text, "{:<18}{}", kind.name, kind_row(&kinds));
     }
-    let again = spread_of(tallies, |tally| tally.read_again as f64 / 1e3);
-    let fetched = spread_of(tallies, |tally| tally.fetched as f64 / 1e3);
-    let put_back = spread_of(tallies, |tally| f64::from(tally.put_back));
-    let _ = writeln!(text, "1,000 shared tokens read again: {}", row(again));
-    let _ = writeln!(text, "1,000 shared tokens fetched: {}", row(fetched));
-    let _ = writeln!(text, "put back: {}", row(put_back));
+    let prefilled_again = summarize(tallies, |tally| tally.prefilled_again as f64 / 1e3);
+    let fetched_tokens = summarize(tallies, |tally| tally.fetched_tokens as f64 / 1e3);
+    let preemptions = summarize(tallies, |tally| f64::from(tally.preemptions));
+    let _ = writeln!(
+        text,
+        "1,000 shared tokens read again: {}",
+        format_summary(prefilled_again)
+    );
+    let _ = writeln!(
+        text,
+        "1,000 shared tokens fetched: {}",
+        format_summary(fetched_tokens)
+    );
+    let _ = writeln!(text, "put back: {}", format_summary(preemptions));
     text
 }
 
-fn spread_of(
+fn summarize(
     tallies: &[LoadTally],
-    figure: impl Fn(&LoadTally) -> f64,
-) -> FigureSpread {
-    FigureSpread::of(tallies.iter().map(figure))
+    sample: impl Fn(&LoadTally) -> f64,
+) -> SampleSummary {
+    SampleSummary::from_samples(tallies.iter().map(sample))
 }
 
-fn row(spread: FigureSpread) -> String {
-    let FigureSpread {
-        median,
-        least,
-        most,
-    } = spread;
-    format!("{median:.0} ({least:.0} to {most:.0})")
+fn format_summary(summary: SampleSummary) -> String {
+    let SampleSummary { median, min, max } = summary;
+    format!("{median:.0} ({min:.0} to {max:.0})")
 }
 
 /// Counts are summed over the seeds.
 fn kind_row(kinds: &[&KindTally]) -> String {
     let sum = |count: fn(&KindTally) -> u32| kinds.iter().map(|kind| count(kind)).sum::<u32>();
     let counts = [
-        sum(|kind| kind.asked),
-        sum(|kind| kind.in_aim),
+        sum(|kind| kind.requests),
+        sum(|kind| kind.on_time),
         sum(|kind| kind.late),
         sum(|kind| kind.refused),
         sum(|kind| kind.failed),
-        sum(|kind| kind.gave_up),
-        sum(|kind| kind.returned),
+        sum(|kind| kind.abandoned),
+        sum(|kind| kind.retried),
     ];
     let counts: String = counts.iter().map(|count| format!("{count:>9}")).collect();
     let mut first_ms = KindTally::default().first_ms;
@@ -85,13 +89,13 @@
         // All have the same bounds.
         let _ = first_ms.add(&kind.first_ms);
     }
-    let (middle, high) = (
+    let (p50, p99) = (
         first_ms.value_at_quantile(0.5),
         first_ms.value_at_quantile(0.99),
     );
-    let part = FigureSpread::of(kinds.iter().map(|kind| kind.aim_part()));
+    let fraction = SampleSummary::from_samples(kinds.iter().map(|kind| kind.on_time_fraction()));
     format!(
-        "{counts} {middle:>10} {high:>9}  {:>20.3} ({:.3} to {:.3})",
-        part.median, part.least, part.most
+        "{counts} {p50:>10} {p99:>9}  {:>20.3} ({:.3} to {:.3})",
+        fraction.median, fraction.min, fraction.max
     )
 }
--- a/testbed/src/load_model/request_events.rs
+++ b/testbed/src/load_model/request_events.rs
@@ -1,203 +1,204 @@
 use {
     super::{
-        load_sim::millis, CallKey, CallOutcome, FrontAsk, FrontSend, FrontVerdict, LoadWorld,
-        ModelEvent, SendKey, LEAD_TIME,
+        load_sim::millis, AttemptKey, FrontDecision, FrontRequest, LoadSim, RequestKey,
+        RequestOutcome, RoutedRequest, SimEvent, WARM_UP_TIME,
     },
     pitchhitch_core::time::Micros,
 };
 
 /// When a caller comes back whose front found no engine at all.
-const NO_ENGINE_RETURN: Micros = Micros::from_millis(500);
+const NO_ENGINE_RETRY_DELAY: Micros = Micros::from_millis(500);
 /// A caller waits for its return up to this part of the time that it has left.
-const RETURN_PART: u64 = 3;
+const RETRY_DELAY_DIVISOR: u64 = 3;
 
-impl LoadWorld<'_> {
+impl LoadSim<'_> {
     /// A request is at its front, for the first time or once more.
-    pub(super) fn asks(
+    pub(super) fn on_request(
         &mut self,
-        key: CallKey,
+        key: RequestKey,
     ) {
         let state = &self.states[key.0];
         if state.outcome.is_some() {
             return;
         }
-        let call = &self.calls[key.0];
-        let kind = &self.load.kinds[call.kind];
-        let ask = FrontAsk {
+        let request = &self.requests[key.0];
+        let kind = &self.load.kinds[request.kind];
+        let front_request = FrontRequest {
             kind,
             prompt: &self.prompts[key.0],
-            patience: (call.at + kind.deadline()).since(self.now),
+            time_left: (request.at + kind.deadline()).since(self.now),
             tried: &state.tried,
-            spread: call.spread,
+            jitter: request.jitter,
         };
-        match self.fronts[state.front].decide(&ask, self.now) {
-            FrontVerdict::Sent(send) => self.send(key, *send),
-            FrontVerdict::Refused(back) => self.refuse(key, back),
-            FrontVerdict::NoEngine => self.refuse(key, NO_ENGINE_RETURN),
+        match self.fronts[state.front].decide(&front_request, self.now) {
+            FrontDecision::Routed(routed) => self.dispatch(key, *routed),
+            FrontDecision::Refused(retry_after) => self.refuse(key, retry_after),
+            FrontDecision::NoEngine => self.refuse(key, NO_ENGINE_RETRY_DELAY),
         }
     }
 
-    fn send(
+    fn dispatch(
         &mut self,
-        key: CallKey,
-        send: FrontSend,
+        key: RequestKey,
+        routed: RoutedRequest,
     ) {
-        let hop = self.hop(self.states[key.0].front, send.engine);
+        let hop = self.hop(self.states[key.0].front, routed.engine);
         let state = &mut self.states[key.0];
-        state.sends += 1;
+        state.attempts += 1;
         state.sent_at = self.now;
         state.is_lost = false;
-        state.sent = Some(send);
-        self.tally.sends += 1;
-        let sent = SendKey {
-            call: key,
-            send: state.sends,
+        state.routed = Some(routed);
+        self.tally.attempts += 1;
+        let attempt = AttemptKey {
+            request: key,
+            number: state.attempts,
         };
-        self.queue.put(self.now + hop, ModelEvent::Reaches(sent));
+        self.queue
+            .push(self.now + hop, SimEvent::AttemptArrived(attempt));
     }
 
     /// A caller that is refused comes back once, at another front; the time that
     /// it was told counts only as far as its own allows.
     fn refuse(
         &mut self,
-        key: CallKey,
-        back: Micros,
+        key: RequestKey,
+        retry_after: Micros,
     ) {
-        let call = &self.calls[key.0];
-        let deadline = call.at + self.load.kinds[call.kind].deadline();
+        let request = &self.requests[key.0];
+        let deadline = request.at + self.load.kinds[request.kind].deadline();
         let state = &mut self.states[key.0];
         if state.was_refused {
-            self.decide_outcome(key, CallOutcome::Refused);
+            self.set_outcome(key, RequestOutcome::Refused);
             return;
         }
         state.was_refused = true;
         state.tried.clear();
         state.front = (state.front + 1) % self.load.fronts;
-        let left = deadline.since(self.now);
-        let pause = match call.is_impatient {
+        let time_left = deadline.since(self.now);
+        let delay = match request.is_impatient {
             true => Micros::ZERO,
-            false => back.min(Micros(left.0 / RETURN_PART)),
+            false => retry_after.min(Micros(time_left.0 / RETRY_DELAY_DIVISOR)),
         };
-        let ways = millis(self.load.hops.caller_ms * 2.0);
+        let round_trip = millis(self.load.hops.caller_ms * 2.0);
         self.queue
-            .put(self.now + ways + pause, ModelEvent::Asks(key));
+            .push(self.now + round_trip + delay, SimEvent::RequestArrived(key));
     }
 
     /// A front hears that an answer has begun.
-    pub(super) fn begun(
+    pub(super) fn on_first_token(
         &mut self,
-        send: SendKey,
+        attempt: AttemptKey,
     ) {
-        if !self.is_current(send) {
+        if !self.is_current(attempt) {
             return;
         }
-        let state = &mut self.states[send.call.0];
-        state.began_at = Some(self.now);
+        let state = &mut self.states[attempt.request.0];
+        state.first_token_at = Some(self.now);
         let is_first = state.tried.is_empty();
         let took = self.now.since(state.sent_at);
-        if let Some(sent) = &state.sent {
-            self.fronts[state.front].begun(sent, took, is_first);
+        if let Some(routed) = &state.routed {
+            self.fronts[state.front].on_first_token(routed, took, is_first);
         }
     }
 
     /// A front hears that an answer has ended.
-    pub(super) fn ended(
+    pub(super) fn on_response_ended(
         &mut self,
-        send: SendKey,
+        attempt: AttemptKey,
         pause: Micros,
     ) {
-        if !self.is_current(send) {
+        if !self.is_current(attempt) {
             return;
         }
-        let key = send.call;
-        let sent = self.release(key);
+        let key = attempt.request;
+        let routed = self.release(key);
         let state = &self.states[key.0];
-        if let Some(sent) = sent {
-            let book = &mut self.fronts[state.front].book;
-            book.record_outcome(sent.choice.key, true, self.now);
+        if let Some(routed) = routed {
+            let registry = &mut self.fronts[state.front].registry;
+            registry.record_outcome(routed.choice.key, true, self.now);
         }
-        let call = &self.calls[key.0];
-        let kind = &self.load.kinds[call.kind];
-        let began_at = state.began_at.unwrap_or(self.now);
-        let first = (began_at + millis(self.load.hops.caller_ms)).since(call.at);
-        let tally = &mut self.tally.kinds[call.kind];
-        tally.first_ms.saturating_record(first.as_millis());
-        tally.returned += u32::from(state.was_refused);
+        let request = &self.requests[key.0];
+        let kind = &self.load.kinds[request.kind];
+        let first_token_at = state.first_token_at.unwrap_or(self.now);
+        let first_token = (first_token_at + millis(self.load.hops.caller_ms)).since(request.at);
+        let tally = &mut self.tally.kinds[request.kind];
+        tally.first_ms.saturating_record(first_token.as_millis());
+        tally.retried += u32::from(state.was_refused);
         let is_paused = pause > Micros::from_millis(kind.pause_ms);
-        let outcome = match first > kind.aim() || is_paused {
-            true => CallOutcome::Late,
-            false => CallOutcome::InAim,
+        let outcome = match first_token > kind.target_latency() || is_paused {
+            true => RequestOutcome::Late,
+            false => RequestOutcome::OnTime,
         };
-        self.decide_outcome(key, outcome);
+        self.set_outcome(key, outcome);
     }
 
     /// A front learns that an engine has lost a request: it goes to another one, if
     /// it may and nothing of the answer has come.
-    pub(super) fn lost(
+    pub(super) fn on_attempt_lost(
         &mut self,
-        send: SendKey,
+        attempt: AttemptKey,
     ) {
-        let key = send.call;
+        let key = attempt.request;
         let state = &self.states[key.0];
-        if state.outcome.is_some() || state.sends != send.send {
+        if state.outcome.is_some() || state.attempts != attempt.number {
             return;
         }
-        let Some(sent) = self.release(key) else {
+        let Some(routed) = self.release(key) else {
             return;
         };
-        let kind = &self.load.kinds[self.calls[key.0].kind];
+        let kind = &self.load.kinds[self.requests[key.0].kind];
         let state = &mut self.states[key.0];
-        let book = &mut self.fronts[state.front].book;
-        book.record_outcome(sent.choice.key, false, self.now);
-        state.tried.push(sent.engine);
-        if state.began_at.is_none() && state.tried.len() < kind.sends as usize {
-            self.asks(key);
+        let registry = &mut self.fronts[state.front].registry;
+        registry.record_outcome(routed.choice.key, false, self.now);
+        state.tried.push(routed.engine);
+        if state.first_token_at.is_none() && state.tried.len() < kind.sends as usize {
+            self.on_request(key);
         } else {
-            self.decide_outcome(key, CallOutcome::Failed);
+            self.set_outcome(key, RequestOutcome::Failed);
         }
     }
 
     /// A caller waits no longer.
     pub(super) fn give_up(
         &mut self,
-        key: CallKey,
-        outcome: CallOutcome,
+        key: RequestKey,
+        outcome: RequestOutcome,
     ) {
         if self.states[key.0].outcome.is_some() {
             return;
         }
-        if let Some(sent) = self.release(key) {
-            let send = SendKey {
-                call: key,
-                send: self.states[key.0].sends,
+        if let Some(routed) = self.release(key) {
+            let attempt = AttemptKey {
+                request: key,
+                number: self.states[key.0].attempts,
             };
-            self.engines[sent.engine].cancel(send);
+            self.engines[routed.engine].cancel(attempt);
         }
-        self.decide_outcome(key, outcome);
+        self.set_outcome(key, outcome);
     }
 
     /// The front takes a request off its book.
     fn release(
         &mut self,
-        key: CallKey,
-    ) -> Option<FrontSend> {
+        key: RequestKey,
+    ) -> Option<RoutedRequest> {
         let state = &mut self.states[key.0];
-        let sent = state.sent.take()?;
-        let held = state.began_at.map(|_| self.now.since(state.sent_at));
+        let routed = state.routed.take()?;
+        let held = state.first_token_at.map(|_| self.now.since(state.sent_at));
         let tokens_in = self.prompts[key.0].tokens_in;
-        self.fronts[state.front].ended(&sent, tokens_in, held);
-        Some(sent)
+        self.fronts[state.front].on_ended(&routed, tokens_in, held);
+        Some(routed)
     }
 
-    fn decide_outcome(
+    fn set_outcome(
         &mut self,
-        key: CallKey,
-        outcome: CallOutcome,
+        key: RequestKey,
+        outcome: RequestOutcome,
     ) {
-        let call = &self.calls[key.0];
+        let request = &self.requests[key.0];
         self.states[key.0].outcome = Some(outcome);
-        let second = call.at.since(LEAD_TIME).as_secs_f64() as usize;
-        self.tally.kinds[call.kind].note(outcome, second);
-        self.open -= 1;
+        let second = request.at.since(WARM_UP_TIME).as_secs_f64() as usize;
+        self.tally.kinds[request.kind].record(outcome, second);
+        self.pending -= 1;
     }
 }
--- a/testbed/src/load_model/sim_engine.rs
+++ b/testbed/src/load_model/sim_engine.rs
@@ -1,12 +1,12 @@
 use {
-    super::{EngineMemory, EngineNews, EngineRun, EngineSpec, SendKey},
+    super::{AttemptKey, EngineMemory, EngineRun, EngineSpec, StepEvent},
     pitchhitch_core::{serving::EngineLoad, time::Micros},
 };
 
 /// One engine: it runs requests in steps, in each of which every request that has
 /// been read makes a token and a piece of those that have not is read.
 #[derive(Debug)]
-pub struct ModelEngine {
+pub struct SimEngine {
     spec: EngineSpec,
     slowness: f64,
     /// Memory.
@@ -15,56 +15,58 @@
     running: Vec<EngineRun>,
     /// Requests that came and may not be read yet.
     pub unready: u32,
-    orders: u64,
+    arrivals: u64,
     /// Whether a step is under way.
     pub is_stepping: bool,
     /// Number of its life; it rises when it goes down.
-    pub life: u32,
+    pub incarnation: u32,
     /// Whether it is down.
     pub is_down: bool,
     /// Until when its link is taken.
-    pub link_until: Micros,
+    pub link_busy_until: Micros,
 }
 
-impl ModelEngine {
+impl SimEngine {
     /// The engine with a number among those of a load.
     pub fn new(
         spec: &EngineSpec,
         number: usize,
     ) -> Self {
-        ModelEngine {
+        SimEngine {
             spec: spec.clone(),
             slowness: spec.slowness_of(number),
             memory: EngineMemory::new(spec.memory_tokens, spec.block_tokens),
             waiting: Vec::new(),
             running: Vec::new(),
             unready: 0,
-            orders: 0,
+            arrivals: 0,
             is_stepping: false,
-            life: 0,
+            incarnation: 0,
             is_down: false,
-            link_until: Micros::ZERO,
+            link_busy_until: Micros::ZERO,
         }
     }
 
     /// Takes a request whose fetches have ended; false where it is larger than
     /// all memory.
-    pub fn take(
+    pub fn enqueue(
         &mut self,
         mut run: EngineRun,
     ) -> bool {
-        let most = self.memory.blocks(run.tokens_in() + run.wanted);
-        if most + self.part_slack(&run) > self.memory.total() {
+        let max_tokens = self
+            .memory
+            .round_to_blocks(run.tokens_in() + run.output_tokens);
+        if max_tokens + self.rounding_slack(&run) > self.memory.total() {
             return false;
         }
-        self.orders += 1;
-        run.order = self.orders;
+        self.arrivals += 1;
+        run.arrival = self.arrivals;
         self.waiting.push(run);
         true
     }
 
     /// What rounding to blocks adds at most.
-    fn part_slack(
+    fn rounding_slack(
         &self,
         run: &EngineRun,
     ) -> u64 {
@@ -74,29 +76,29 @@
     /// Ends a request that nobody waits for.
     pub fn cancel(
         &mut self,
-        key: SendKey,
+        key: AttemptKey,
     ) {
         self.waiting.retain(|run| run.key != key);
-        if let Some(place) = self.running.iter().position(|run| run.key == key) {
-            let mut run = self.running.remove(place);
-            self.let_go(&mut run);
+        if let Some(index) = self.running.iter().position(|run| run.key == key) {
+            let mut run = self.running.remove(index);
+            self.release(&mut run);
         }
     }
 
     /// Goes down; all that it held is lost.
-    pub fn go_down(&mut self) {
+    pub fn stop(&mut self) {
         self.waiting.clear();
         self.running.clear();
         self.memory = EngineMemory::new(self.spec.memory_tokens, self.spec.block_tokens);
         self.is_down = true;
         self.is_stepping = false;
         self.unready = 0;
-        self.life += 1;
+        self.incarnation += 1;
     }
 
     /// What a report says now.
     pub fn report(&self) -> EngineLoad {
-        let reading = self.running.iter().filter(|run| run.made == 0).count() as u32;
+        let reading = self.running.iter().filter(|run| run.generated == 0).count() as u32;
         let waiting = self.waiting.len() as u32;
         EngineLoad {
             running: self.running.len() as u32,
@@ -113,210 +115,213 @@
     /// Begins a step, if there is anything to do; tells how long it takes.
     pub fn begin_step(
         &mut self,
-        news: &mut Vec<EngineNews>,
+        events: &mut Vec<StepEvent>,
     ) -> Option<Micros> {
         if self.is_stepping || self.is_down {
             return None;
         }
-        self.let_in(news);
+        self.admit_waiting(events);
         if self.running.is_empty() {
             return None;
         }
         self.is_stepping = true;
-        let mut millis = self.spec.step_ms + self.plan_reads();
+        let mut millis = self.spec.step_ms + self.plan_prefill();
         millis += self.spec.step_ms_per_run * self.running.len() as f64;
         Some(Micros((millis * self.slowness * 1e3) as u64))
     }
 
     /// Lets requests in that wait, the most urgent first, then in their order.
-    fn let_in(
+    fn admit_waiting(
         &mut self,
-        news: &mut Vec<EngineNews>,
+        events: &mut Vec<StepEvent>,
     ) {
-        self.waiting.sort_by_key(|run| (run.rank, run.order));
+        self.waiting.sort_by_key(|run| (run.priority, run.arrival));
         while let Some(first) = self.waiting.first() {
-            let rank = first.rank;
-            let has_place = self.running.len() < self.spec.places as usize;
-            if has_place && self.start_first() {
+            let priority = first.priority;
+            let has_slot = self.running.len() < self.spec.places as usize;
+            if has_slot && self.start_next() {
                 continue;
             }
-            let Some(place) = self.newest_of_least_urgent() else {
+            let Some(index) = self.newest_of_least_urgent() else {
                 return;
             };
-            if self.running[place].rank <= rank {
+            if self.running[index].priority <= priority {
                 return;
             }
-            self.put_back(place, news);
-            self.waiting.sort_by_key(|run| (run.rank, run.order));
+            self.preempt(index, events);
+            self.waiting.sort_by_key(|run| (run.priority, run.arrival));
         }
     }
 
     /// Starts the first that waits, if memory is there for its whole prompt.
-    fn start_first(&mut self) -> bool {
+    fn start_next(&mut self) -> bool {
         let mut run = self.waiting.remove(0);
-        let kept = self.memory.kept_parts(&run.parts);
-        for part in &run.parts[..kept] {
+        let cached = self.memory.cached_parts(&run.parts);
+        for part in &run.parts[..cached] {
             self.memory.pin(part.id);
         }
-        run.pinned = kept;
-        let unkept = &run.parts[kept..];
-        let unread: u32 = unkept.iter().map(|part| part.tokens).sum();
-        let blocks: u64 = unkept.iter().map(|p| self.memory.blocks(p.tokens)).sum();
-        run.own = 0;
-        let wanted = blocks + self.memory.blocks(run.made + 1);
-        if !self.memory.take_own(wanted) {
-            self.let_go(&mut run);
+        run.pinned_parts = cached;
+        let uncached = &run.parts[cached..];
+        let uncached_tokens: u32 = uncached.iter().map(|part| part.tokens).sum();
+        let prompt_tokens: u64 = uncached
+            .iter()
+            .map(|p| self.memory.round_to_blocks(p.tokens))
+            .sum();
+        run.private_tokens = 0;
+        let needed = prompt_tokens + self.memory.round_to_blocks(run.generated + 1);
+        if !self.memory.reserve_private(needed) {
+            self.release(&mut run);
             self.waiting.insert(0, run);
             return false;
         }
-        run.own = wanted;
-        run.to_read = (unread + run.made).max(1);
+        run.private_tokens = needed;
+        run.prefill_tokens = (uncached_tokens + run.generated).max(1);
         self.running.push(run);
         true
     }
 
     /// Says what each request has read in this step; tells for how long it reads,
     /// in milliseconds.
-    fn plan_reads(&mut self) -> f64 {
+    fn plan_prefill(&mut self) -> f64 {
         let mut order: Vec<usize> = (0..self.running.len()).collect();
-        order.sort_by_key(|place| (self.running[*place].rank, self.running[*place].order));
+        order.sort_by_key(|index| (self.running[*index].priority, self.running[*index].arrival));
         let mut left = self.spec.piece_tokens;
         let mut pairs = 0.0;
-        for place in order {
-            let run = &mut self.running[place];
-            run.reads_now = run.to_read.min(left);
-            left -= run.reads_now;
-            pairs += f64::from(run.reads_now) * f64::from(run.context());
+        for index in order {
+            let run = &mut self.running[index];
+            run.step_tokens = run.prefill_tokens.min(left);
+            left -= run.step_tokens;
+            pairs += f64::from(run.step_tokens) * f64::from(run.context());
         }
-        let read = f64::from(self.spec.piece_tokens - left);
-        read / self.spec.read_tokens_per_ms + pairs / 1e6 * self.spec.pair_ms
+        let tokens = f64::from(self.spec.piece_tokens - left);
+        tokens / self.spec.read_tokens_per_ms + pairs / 1e6 * self.spec.pair_ms
     }
 
     /// Ends a step.
     pub fn end_step(
         &mut self,
         now: Micros,
-        news: &mut Vec<EngineNews>,
+        events: &mut Vec<StepEvent>,
     ) {
         self.is_stepping = false;
         // Those that are put back in this step have made no token in it.
-        let keys: Vec<SendKey> = self.running.iter().map(|run| run.key).collect();
+        let keys: Vec<AttemptKey> = self.running.iter().map(|run| run.key).collect();
         for key in keys {
-            let Some(place) = self.running.iter().position(|run| run.key == key) else {
+            let Some(index) = self.running.iter().position(|run| run.key == key) else {
                 continue;
             };
-            let run = &mut self.running[place];
-            let was_reading = run.to_read > 0;
-            run.to_read -= run.reads_now;
-            run.reads_now = 0;
-            if run.to_read > 0 {
+            let run = &mut self.running[index];
+            let was_prefilling = run.prefill_tokens > 0;
+            run.prefill_tokens -= run.step_tokens;
+            run.step_tokens = 0;
+            if run.prefill_tokens > 0 {
                 continue;
             }
-            if was_reading {
-                self.keep_parts(place, news);
+            if was_prefilling {
+                self.cache_parts(index, events);
             }
-            if self.grow(key, news) {
-                self.make_token(key, now, news);
+            if self.reserve_token(key, events) {
+                self.generate_token(key, now, events);
             }
         }
     }
 
     /// What a request has read is kept from now on.
-    fn keep_parts(
+    fn cache_parts(
         &mut self,
-        place: usize,
-        news: &mut Vec<EngineNews>,
+        index: usize,
+        events: &mut Vec<StepEvent>,
     ) {
-        let run = &mut self.running[place];
-        for number in run.pinned..run.parts.len() {
-            let part = run.parts[number];
-            self.memory.keep_read(part);
-            run.own -= self.memory.blocks(part.tokens);
-            if number + 1 < run.parts.len() {
-                news.push(EngineNews::ReadShared(part));
+        let run = &mut self.running[index];
+        for part_index in run.pinned_parts..run.parts.len() {
+            let part = run.parts[part_index];
+            self.memory.insert_prefilled(part);
+            run.private_tokens -= self.memory.round_to_blocks(part.tokens);
+            if part_index + 1 < run.parts.len() {
+                events.push(StepEvent::SharedPrefilled(part));
             }
         }
-        run.pinned = run.parts.len();
-        news.push(EngineNews::Whole(run.key));
+        run.pinned_parts = run.parts.len();
+        events.push(StepEvent::Prefilled(run.key));
     }
 
     /// Takes memory for one more token; false where the request itself was put back.
-    fn grow(
+    fn reserve_token(
         &mut self,
-        key: SendKey,
-        news: &mut Vec<EngineNews>,
+        key: AttemptKey,
+        events: &mut Vec<StepEvent>,
     ) -> bool {
         loop {
             let Some(run) = self.running.iter_mut().find(|run| run.key == key) else {
                 return false;
             };
-            let wanted = self.memory.blocks(run.made + 1);
-            let more = wanted.saturating_sub(run.own);
-            if self.memory.take_own(more) {
-                run.own += more;
+            let needed = self.memory.round_to_blocks(run.generated + 1);
+            let more = needed.saturating_sub(run.private_tokens);
+            if self.memory.reserve_private(more) {
+                run.private_tokens += more;
                 return true;
             }
             let Some(newest) = self.newest_of_least_urgent() else {
                 return false;
             };
-            self.put_back(newest, news);
+            self.preempt(newest, events);
         }
     }
 
-    fn make_token(
+    fn generate_token(
         &mut self,
-        key: SendKey,
+        key: AttemptKey,
         now: Micros,
-        news: &mut Vec<EngineNews>,
+        events: &mut Vec<StepEvent>,
     ) {
-        let Some(place) = self.running.iter().position(|run| run.key == key) else {
+        let Some(index) = self.running.iter().position(|run| run.key == key) else {
             return;
         };
-        let run = &mut self.running[place];
-        run.make(now, self.spec.event_tokens);
-        if run.made == 1 {
-            news.push(EngineNews::Begun(run.key));
+        let run = &mut self.running[index];
+        run.record_token(now, self.spec.event_tokens);
+        if run.generated == 1 {
+            events.push(StepEvent::FirstToken(run.key));
         }
-        if run.made >= run.wanted {
-            let mut run = self.running.remove(place);
-            news.push(EngineNews::Ended(run.key, run.longest_pause));
-            self.let_go(&mut run);
+        if run.generated >= run.output_tokens {
+            let mut run = self.running.remove(index);
+            events.push(StepEvent::Finished(run.key, run.longest_pause));
+            self.release(&mut run);
         }
     }
 
     fn newest_of_least_urgent(&self) -> Option<usize> {
-        let places = 0..self.running.len();
-        places.max_by_key(|place| (self.running[*place].rank, self.running[*place].order))
+        let indices = 0..self.running.len();
+        indices.max_by_key(|index| (self.running[*index].priority, self.running[*index].arrival))
     }
 
-    fn put_back(
+    fn preempt(
         &mut self,
-        place: usize,
-        news: &mut Vec<EngineNews>,
+        index: usize,
+        events: &mut Vec<StepEvent>,
     ) {
-        let mut run = self.running.remove(place);
-        self.let_go(&mut run);
-        run.reads_now = 0;
+        let mut run = self.running.remove(index);
+        self.release(&mut run);
+        run.step_tokens = 0;
         self.waiting.push(run);
-        news.push(EngineNews::PutBack);
+        events.push(StepEvent::Preempted);
     }
 
     /// Gives back all memory of a request; what it read stays while there is room.
     /// Its later parts give way first, as they are of no use without the others.
-    fn let_go(
+    fn release(
         &mut self,
         run: &mut EngineRun,
     ) {
-        self.memory.give_own(run.own);
-        run.own = 0;
-        for part in run.parts[..run.pinned].iter().rev() {
+        self.memory.release_private(run.private_tokens);
+        run.private_tokens = 0;
+        for part in run.parts[..run.pinned_parts].iter().rev() {
             self.memory.unpin(part.id);
         }
-        if run.pinned == run.parts.len() {
-            if let Some(own) = run.parts.last() {
-                self.memory.forget(own.id);
+        if run.pinned_parts == run.parts.len() {
+            if let Some(own_part) = run.parts.last() {
+                self.memory.evict(own_part.id);
             }
         }
-        run.pinned = 0;
+        run.pinned_parts = 0;
     }
 }
--- a/testbed/src/load_model/sim_front.rs
+++ b/testbed/src/load_model/sim_front.rs
@@ -1,5 +1,5 @@
 use {
-    super::{EngineSpec, FrontAsk, FrontSend, FrontVerdict, ModelStore},
+    super::{EngineSpec, FrontDecision, FrontRequest, RoutedRequest, SimStore},
     pitchhitch_core::{
         serving::{
             pick_endpoint, AdmissionController, AdmissionDecision, AdmissionRequest,
@@ -16,52 +16,52 @@
 pub(super) const MODEL: &str = "m";
 const VERSION: u64 = 1;
 /// The one wall inside which parts are shared.
-pub const WALL: NamespaceTag = NamespaceTag(1);
+pub const NAMESPACE: NamespaceTag = NamespaceTag(1);
 const SERVICE: &str = "engines";
 
 /// One front: the deciding code of the product, with its state.
 #[derive(Debug)]
-pub struct ModelFront {
+pub struct SimFront {
     /// Failure domain, by number.
     pub domain: usize,
     /// Engines, as this front knows them.
-    pub book: EndpointRegistry,
+    pub registry: EndpointRegistry,
     /// Stores, as this front knows them.
-    pub memory: StoreDirectory,
+    pub store_directory: StoreDirectory,
     /// What it has learned of engines.
-    pub pace: LatencyEstimator,
+    pub estimator: LatencyEstimator,
     admission: AdmissionController,
     keys: Vec<EndpointKey>,
     group: EngineGroup,
     tickets: u64,
-    left_out: MechanismSet,
+    disabled: MechanismSet,
 }
 
-impl ModelFront {
+impl SimFront {
     /// A front that has just learned of all engines and stores.
     pub fn new(
         domain: usize,
         domains: usize,
         spec: &EngineSpec,
-        stores: &[ModelStore],
-        left_out: MechanismSet,
+        stores: &[SimStore],
+        disabled: MechanismSet,
     ) -> Self {
-        let mut book = EndpointRegistry::default();
+        let mut registry = EndpointRegistry::default();
         let mut keys = Vec::new();
         for engine in 0..spec.count {
             let notice = engine_notice(engine, domains, spec);
-            book.apply(&notice);
-            keys.extend(book.key(&notice.id));
+            registry.apply(&notice);
+            keys.extend(registry.key(&notice.id));
         }
-        let mut memory = StoreDirectory::without(left_out);
-        let notices: Vec<_> = stores.iter().map(ModelStore::notice).collect();
-        memory.set_stores(&notices);
-        ModelFront {
+        let mut store_directory = StoreDirectory::without(disabled);
+        let notices: Vec<_> = stores.iter().map(SimStore::notice).collect();
+        store_directory.set_stores(&notices);
+        SimFront {
             domain,
-            book,
-            memory,
-            pace: LatencyEstimator::without(left_out),
-            admission: AdmissionController::without(left_out),
+            registry,
+            store_directory,
+            estimator: LatencyEstimator::without(disabled),
+            admission: AdmissionController::without(disabled),
             keys,
             group: EngineGroup {
                 slots: spec.places,
@@ -71,7 +71,7 @@
                 models: vec![MODEL.to_string()],
             },
             tickets: 0,
-            left_out,
+            disabled,
         }
     }
 
@@ -94,110 +94,120 @@
     /// Decides about a request.
     pub fn decide(
         &mut self,
-        ask: &FrontAsk<'_>,
+        request: &FrontRequest<'_>,
         now: Micros,
-    ) -> FrontVerdict {
-        let Some(choice) = self.pick(ask, now) else {
-            return FrontVerdict::NoEngine;
+    ) -> FrontDecision {
+        let Some(choice) = self.pick(request, now) else {
+            return FrontDecision::NoEngine;
         };
         // Only a first send is judged: what has been let in is carried through.
-        if ask.tried.is_empty() && self.judge(ask, &choice) != AdmissionDecision::Admitted {
-            return FrontVerdict::Refused(self.come_back(ask, &choice));
+        if request.tried.is_empty()
+            && self.decide_admission(request, &choice) != AdmissionDecision::Admitted
+        {
+            return FrontDecision::Refused(self.retry_after(request, &choice));
         }
         match self.engine(choice.key) {
-            Some(engine) => FrontVerdict::Sent(Box::new(self.send(ask, engine, choice, now))),
-            None => FrontVerdict::NoEngine,
+            Some(engine) => {
+                FrontDecision::Routed(Box::new(self.route(request, engine, choice, now)))
+            }
+            None => FrontDecision::NoEngine,
         }
     }
 
     fn pick(
         &self,
-        ask: &FrontAsk<'_>,
+        request: &FrontRequest<'_>,
         now: Micros,
     ) -> Option<EndpointChoice> {
-        let outlooks = self.outlooks(ask.prompt, now);
-        let tried: Vec<EndpointKey> = ask.tried.iter().map(|at| self.key(*at)).collect();
+        let availability = self.availability(request.prompt, now);
+        let tried: Vec<EndpointKey> = request
+            .tried
+            .iter()
+            .map(|engine| self.key(*engine))
+            .collect();
         let pick = PickRequest {
             trial: None,
             is_eligible: &|_| true,
             is_connected: &|_| true,
             service: SERVICE,
             domain: &domain_name(self.domain),
-            prompt: Some(ask.prompt),
-            priority: ask.kind.rank,
+            prompt: Some(request.prompt),
+            priority: request.kind.rank,
             tried: &tried,
-            estimator: &self.pace,
+            estimator: &self.estimator,
             weights: WeightBounds::default(),
-            disabled: self.left_out,
+            disabled: self.disabled,
             now,
         };
-        pick_endpoint(&self.book, &pick, &outlooks)
+        pick_endpoint(&self.registry, &pick, &availability)
     }
 
-    fn outlooks(
+    fn availability(
         &self,
         prompt: &PromptInfo,
         now: Micros,
     ) -> Vec<VersionAvailability> {
-        let (book, group) = (&self.book, &self.group);
-        let parts = self
-            .memory
-            .locate_parts(book, group, WALL, &prompt.parts, now);
+        let (registry, group) = (&self.registry, &self.group);
+        let parts =
+            self.store_directory
+                .locate_parts(registry, group, NAMESPACE, &prompt.parts, now);
         vec![VersionAvailability {
             version: VERSION,
-            namespace: WALL,
+            namespace: NAMESPACE,
             parts,
         }]
     }
 
-    fn judge(
+    fn decide_admission(
         &mut self,
-        ask: &FrontAsk<'_>,
+        request: &FrontRequest<'_>,
         choice: &EndpointChoice,
     ) -> AdmissionDecision {
-        let asked = admission_ask(ask);
-        let (tokens, unread) = (ask.prompt.tokens_in, choice.prefill_tokens);
-        self.admission.record(&asked, tokens, unread);
-        self.admission.decide(&asked, &self.pace, choice)
+        let input = admission_request(request);
+        let (tokens, prefill_tokens) = (request.prompt.tokens_in, choice.prefill_tokens);
+        self.admission.record(&input, tokens, prefill_tokens);
+        self.admission.decide(&input, &self.estimator, choice)
     }
 
-    fn come_back(
+    fn retry_after(
         &self,
-        ask: &FrontAsk<'_>,
+        request: &FrontRequest<'_>,
         choice: &EndpointChoice,
     ) -> Micros {
-        let asked = admission_ask(ask);
+        let input = admission_request(request);
         self.admission
-            .retry_after(&asked, &self.pace, choice, ask.spread)
+            .retry_after(&input, &self.estimator, choice, request.jitter)
     }
 
-    fn send(
+    fn route(
         &mut self,
-        ask: &FrontAsk<'_>,
+        request: &FrontRequest<'_>,
         engine: usize,
         choice: EndpointChoice,
         now: Micros,
-    ) -> FrontSend {
-        let prompt = ask.prompt;
+    ) -> RoutedRequest {
+        let prompt = request.prompt;
         self.tickets += 1;
         let work = PendingPrefill {
             ticket: self.tickets,
             tokens: choice.prefill_tokens,
             memory_tokens: prompt.tokens_in,
-            priority: ask.kind.rank,
+            priority: request.kind.rank,
             sent_at: now,
         };
-        self.book.record_sent(choice.key, work);
-        self.memory.record_fetches(&choice.plan, now);
-        let saves = self.memory.plan_saves(WALL, &prompt.parts, &|_| true, now);
-        if let Some(entry) = self.book.get_mut(choice.key) {
+        self.registry.record_sent(choice.key, work);
+        self.store_directory.record_fetches(&choice.plan, now);
+        let saves = self
+            .store_directory
+            .plan_saves(NAMESPACE, &prompt.parts, &|_| true, now);
+        if let Some(entry) = self.registry.get_mut(choice.key) {
             let capacity = self.group.capacity_tokens;
-            entry.parts.touch(WALL, &prompt.parts, capacity);
+            entry.parts.touch(NAMESPACE, &prompt.parts, capacity);
         }
-        let unread = choice.prefill_tokens;
-        self.pace
-            .record_sent(prompt.tokens_in, unread, prompt.tokens_out);
-        FrontSend {
+        let prefill_tokens = choice.prefill_tokens;
+        self.estimator
+            .record_sent(prompt.tokens_in, prefill_tokens, prompt.tokens_out);
+        RoutedRequest {
             engine,
             choice,
             ticket: self.tickets,
@@ -206,41 +216,43 @@
     }
 
     /// Hears that an answer has begun.
-    pub fn begun(
+    pub fn on_first_token(
         &mut self,
-        send: &FrontSend,
+        routed: &RoutedRequest,
         took: Micros,
         is_first: bool,
     ) {
-        self.book.record_first_token(send.choice.key, send.ticket);
+        self.registry
+            .record_first_token(routed.choice.key, routed.ticket);
         if is_first {
-            let tokens = send.choice.ahead_tokens + f64::from(send.choice.prefill_tokens);
-            let millis = took.as_millis() as f64 - send.choice.plan.fetch_ms;
-            self.pace.record_first_token(tokens, millis);
+            let tokens = routed.choice.ahead_tokens + f64::from(routed.choice.prefill_tokens);
+            let millis = took.as_millis() as f64 - routed.choice.plan.fetch_ms;
+            self.estimator.record_first_token(tokens, millis);
         }
     }
 
     /// Hears that an answer has ended, or learns that it is lost; `held` is for
     /// how long the engine had it, where it had begun.
-    pub fn ended(
+    pub fn on_ended(
         &mut self,
-        send: &FrontSend,
+        routed: &RoutedRequest,
         tokens_in: u32,
         held: Option<Micros>,
     ) {
-        self.book.record_ended(send.choice.key, send.ticket);
+        self.registry.record_ended(routed.choice.key, routed.ticket);
         if let Some(held) = held {
-            self.pace.record_ended(tokens_in, held.as_millis() as f64);
+            self.estimator
+                .record_ended(tokens_in, held.as_millis() as f64);
         }
     }
 }
 
-fn admission_ask<'a>(ask: &FrontAsk<'a>) -> AdmissionRequest<'a> {
+fn admission_request<'a>(request: &FrontRequest<'a>) -> AdmissionRequest<'a> {
     AdmissionRequest {
-        route: &ask.kind.name,
-        priority: ask.kind.rank,
-        target_latency: ask.kind.aim(),
-        time_left: ask.patience,
+        route: &request.kind.name,
+        priority: request.kind.rank,
+        target_latency: request.kind.target_latency(),
+        time_left: request.time_left,
     }
 }
 
--- a/testbed/src/load_model/sim_request.rs
+++ b/testbed/src/load_model/sim_request.rs
@@ -2,11 +2,11 @@
 
 /// Key of a caller's request in a load.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub struct CallKey(pub usize);
+pub struct RequestKey(pub usize);
 
 /// A request that a caller makes, with all that its seed has drawn.
 #[derive(Debug, Clone)]
-pub struct PromptCall {
+pub struct SimRequest {
     /// Place of its kind in the load.
     pub kind: usize,
     /// When its caller sends it first.
@@ -22,10 +22,10 @@
     /// Whether its caller comes back at once when it is refused.
     pub is_impatient: bool,
     /// A number between 0 and 1 that spreads the returns of refused callers.
-    pub spread: f64,
+    pub jitter: f64,
 }
 
-impl PromptCall {
+impl SimRequest {
     /// Size of the prompt, in tokens.
     pub fn tokens_in(&self) -> u32 {
         self.parts.iter().map(|part| part.tokens).sum()
@@ -39,9 +39,9 @@
 
 /// What became of a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum CallOutcome {
+pub enum RequestOutcome {
     /// It was answered in time.
-    InAim,
+    OnTime,
     /// It was answered, but began late or paused for too long.
     Late,
     /// It was refused, and again if it came back.
@@ -49,5 +49,5 @@
     /// Its deadline passed, or its engine was lost.
     Failed,
     /// Its caller left.
-    GaveUp,
+    Abandoned,
 }
--- a/testbed/src/load_model/sim_store.rs
+++ b/testbed/src/load_model/sim_store.rs
@@ -8,31 +8,31 @@
 };
 
 /// Calls that a store holds at once; the model asks none, but a store names them.
-const HELD_CALLS: u32 = 8;
+const MAX_PENDING_CALLS: u32 = 8;
 
 /// A store of kept parts: nothing gives way, so a part is saved only where it has room.
 #[derive(Debug)]
-pub struct ModelStore {
+pub struct SimStore {
     /// What it is like.
     pub spec: StoreSpec,
     /// Where it is reached; only a name here.
     pub address: SocketAddr,
     /// Until when its link is taken.
-    pub link_until: Micros,
+    pub link_busy_until: Micros,
     parts: HashSet<PartId>,
     tokens: u64,
 }
 
-impl ModelStore {
+impl SimStore {
     /// The empty store with a number among those of a load.
     pub fn new(
         spec: &StoreSpec,
         number: usize,
     ) -> Self {
-        ModelStore {
+        SimStore {
             spec: *spec,
             address: SocketAddr::from(([10, 1, 0, number as u8], 80)),
-            link_until: Micros::ZERO,
+            link_busy_until: Micros::ZERO,
             parts: HashSet::new(),
             tokens: 0,
         }
@@ -48,12 +48,12 @@
             link_mbps: self.spec.link_mbps,
             first_ms: self.spec.first_ms,
             is_managed: true,
-            max_pending_calls: HELD_CALLS,
+            max_pending_calls: MAX_PENDING_CALLS,
         }
     }
 
     /// Whether it has a part.
-    pub fn keeps(
+    pub fn contains(
         &self,
         id: PartId,
     ) -> bool {
@@ -66,7 +66,7 @@
         part: PromptPart,
     ) -> bool {
         let tokens = u64::from(part.tokens);
-        if self.keeps(part.id) || self.tokens + tokens > self.spec.capacity_tokens {
+        if self.contains(part.id) || self.tokens + tokens > self.spec.capacity_tokens {
             return false;
         }
         self.parts.insert(part.id);
--- a/testbed/src/load_model/transfer_events.rs
+++ b/testbed/src/load_model/transfer_events.rs
@@ -1,7 +1,7 @@
 use {
     super::{
-        load_sim::{millis, STORE_ANSWERS},
-        LoadWorld, ModelEvent, SendKey, WALL,
+        load_sim::{millis, STORE_POLL_INTERVAL},
+        AttemptKey, LoadSim, SimEvent, NAMESPACE,
     },
     pitchhitch_core::{
         serving::{transfer_ms, PartLocation, PromptPart},
@@ -10,160 +10,164 @@
 };
 
 /// Factor on a move between failure domains.
-const OTHER_DOMAIN_FACTOR: f64 = 2.0;
+const CROSS_DOMAIN_FACTOR: f64 = 2.0;
 /// An engine does not begin a move that would wait for longer: it reads the part.
-const LONGEST_WAIT: Micros = Micros::from_secs(2);
+const MAX_LINK_WAIT: Micros = Micros::from_secs(2);
 /// The one life of each store.
-const STORE_LIFE: u64 = 1;
+const STORE_EPOCH: u64 = 1;
 
-impl LoadWorld<'_> {
+impl LoadSim<'_> {
     /// Starts the moves that a request's front asked for; tells when all is there.
     /// From the first part that cannot be had, all is read.
     pub(super) fn start_fetches(
         &mut self,
-        send: SendKey,
+        attempt: AttemptKey,
         engine: usize,
     ) -> Micros {
-        let mut there_at = self.now;
-        let sent = self.states[send.call.0].sent.as_ref();
-        let plan = sent.map(|sent| sent.choice.plan.parts.clone());
+        let mut arrives_at = self.now;
+        let routed = self.states[attempt.request.0].routed.as_ref();
+        let plan = routed.map(|routed| routed.choice.plan.parts.clone());
         for fetch in plan.unwrap_or_default() {
             let part = fetch.part;
-            if self.engines[engine].memory.keeps(part.id) {
+            if self.engines[engine].memory.contains(part.id) {
                 continue;
             }
-            let coming = self.coming[engine].get(&part.id).copied();
+            let incoming = self.incoming[engine].get(&part.id).copied();
             let source = fetch.source.map(|(source, _)| source.location);
-            let moved = coming.or_else(|| self.start_move(send, source?, engine, part));
-            let Some(moved_at) = moved else {
+            let arrival = incoming.or_else(|| self.start_transfer(attempt, source?, engine, part));
+            let Some(part_arrives_at) = arrival else {
                 break;
             };
-            there_at = there_at.max(moved_at);
+            arrives_at = arrives_at.max(part_arrives_at);
         }
-        there_at
+        arrives_at
     }
 
     /// Starts to move a part to an engine; tells when it is there, or nothing where
     /// the source has it no more.
-    fn start_move(
+    fn start_transfer(
         &mut self,
-        send: SendKey,
+        attempt: AttemptKey,
         source: PartLocation,
         engine: usize,
         part: PromptPart,
     ) -> Option<Micros> {
         let spec = &self.load.engines;
         let bytes = u64::from(part.tokens) * spec.token_bytes;
-        let own_until = self.engines[engine].link_until;
-        let (domain, first_ms, link_mbps, link_until) = match source {
-            PartLocation::Store(place) => {
-                let store = self.stores.get_mut(place).filter(|s| s.keeps(part.id))?;
-                let (spec, link_until) = (&store.spec, &mut store.link_until);
-                (spec.domain, spec.first_ms, spec.link_mbps, link_until)
+        let engine_busy_until = self.engines[engine].link_busy_until;
+        let (domain, first_ms, link_mbps, link_busy_until) = match source {
+            PartLocation::Store(store_index) => {
+                let store = self
+                    .stores
+                    .get_mut(store_index)
+                    .filter(|s| s.contains(part.id))?;
+                let (spec, link_busy_until) = (&store.spec, &mut store.link_busy_until);
+                (spec.domain, spec.first_ms, spec.link_mbps, link_busy_until)
             }
             PartLocation::Engine(key) => {
-                let front = self.states[send.call.0].front;
-                let from = self.fronts[front].engine(key)?;
-                let source = &mut self.engines[from];
-                if source.is_down || !source.memory.keeps(part.id) {
+                let front = self.states[attempt.request.0].front;
+                let from_engine = self.fronts[front].engine(key)?;
+                let source = &mut self.engines[from_engine];
+                if source.is_down || !source.memory.contains(part.id) {
                     return None;
                 }
-                let domain = from % self.load.domains;
-                let link_until = &mut source.link_until;
-                (domain, spec.move_first_ms, spec.link_mbps, link_until)
+                let domain = from_engine % self.load.domains;
+                let link_busy_until = &mut source.link_busy_until;
+                (domain, spec.move_first_ms, spec.link_mbps, link_busy_until)
             }
         };
         let factor = match domain == engine % self.load.domains {
             true => 1.0,
-            false => OTHER_DOMAIN_FACTOR,
+            false => CROSS_DOMAIN_FACTOR,
         };
-        let from = self.now.max(*link_until).max(own_until);
-        if from.since(self.now) > LONGEST_WAIT {
+        let starts_at = self.now.max(*link_busy_until).max(engine_busy_until);
+        if starts_at.since(self.now) > MAX_LINK_WAIT {
             return None;
         }
         let took_ms = first_ms + transfer_ms(bytes, link_mbps);
-        let there_at = from + millis(took_ms * factor);
+        let arrives_at = starts_at + millis(took_ms * factor);
         // A longer way delays a move, but does not keep the link of its source.
-        *link_until = from + millis(took_ms);
-        self.engines[engine].link_until = there_at;
-        self.coming[engine].insert(part.id, there_at);
-        self.queue.put(there_at, ModelEvent::Fetched(engine, part));
-        Some(there_at)
+        *link_busy_until = starts_at + millis(took_ms);
+        self.engines[engine].link_busy_until = arrives_at;
+        self.incoming[engine].insert(part.id, arrives_at);
+        self.queue
+            .push(arrives_at, SimEvent::PartFetched(engine, part));
+        Some(arrives_at)
     }
 
     /// A part that an engine fetched is there.
-    pub(super) fn fetched(
+    pub(super) fn on_part_fetched(
         &mut self,
         engine: usize,
         part: PromptPart,
     ) {
-        let is_awaited = self.coming[engine].remove(&part.id).is_some();
-        if is_awaited && self.engines[engine].memory.keep_fetched(part) {
-            self.tally.fetched += u64::from(part.tokens);
+        let was_incoming = self.incoming[engine].remove(&part.id).is_some();
+        if was_incoming && self.engines[engine].memory.insert_fetched(part) {
+            self.tally.fetched_tokens += u64::from(part.tokens);
         }
     }
 
     /// An engine has all parts of a prompt and saves those that it was asked to.
     pub(super) fn start_saves(
         &mut self,
-        send: SendKey,
+        attempt: AttemptKey,
     ) {
-        let state = &self.states[send.call.0];
-        let saves = state.sent.as_ref().map(|sent| sent.saves.clone());
-        let shared = self.calls[send.call.0].shared();
+        let state = &self.states[attempt.request.0];
+        let saves = state.routed.as_ref().map(|routed| routed.saves.clone());
+        let shared = self.requests[attempt.request.0].shared();
         for (part, save) in shared.iter().zip(saves.unwrap_or_default()) {
-            let place = self.stores.iter().position(|s| Some(s.address) == save);
-            let Some(place) = place else {
+            let store_index = self.stores.iter().position(|s| Some(s.address) == save);
+            let Some(store_index) = store_index else {
                 continue;
             };
-            let store = &mut self.stores[place];
+            let store = &mut self.stores[store_index];
             let bytes = u64::from(part.tokens) * self.load.engines.token_bytes;
             let took_ms = store.spec.first_ms + transfer_ms(bytes, store.spec.link_mbps);
-            let from = self.now.max(store.link_until);
-            store.link_until = from + millis(took_ms);
-            let saved = ModelEvent::Saved(place, *part);
-            self.queue.put(store.link_until, saved);
+            let starts_at = self.now.max(store.link_busy_until);
+            store.link_busy_until = starts_at + millis(took_ms);
+            let save_event = SimEvent::PartSaved(store_index, *part);
+            self.queue.push(store.link_busy_until, save_event);
         }
     }
 
     /// A part is saved, if the store has room.
-    pub(super) fn saved(
+    pub(super) fn on_part_saved(
         &mut self,
-        place: usize,
+        store_index: usize,
         part: PromptPart,
     ) {
-        let store = &mut self.stores[place];
+        let store = &mut self.stores[store_index];
         if store.save(part) {
             let lag = millis(store.spec.news_lag_ms);
-            let heard = ModelEvent::SavedHeard(place, part);
-            self.queue.put(self.now + lag, heard);
+            let save_report = SimEvent::SaveReported(store_index, part);
+            self.queue.push(self.now + lag, save_report);
         }
     }
 
     /// Fronts hear that a store has a part.
-    pub(super) fn saved_heard(
+    pub(super) fn on_save_reported(
         &mut self,
-        place: usize,
+        store_index: usize,
         part: PromptPart,
     ) {
         for front in &mut self.fronts {
-            if let Some(view) = front.memory.view_at(place) {
-                view.set_part(WALL, part.id, part.tokens);
+            if let Some(view) = front.store_directory.view_at(store_index) {
+                view.set_part(NAMESPACE, part.id, part.tokens);
             }
         }
     }
 
     /// Fronts hear that all stores live as they did.
-    pub(super) fn stores_answer(&mut self) {
+    pub(super) fn poll_stores(&mut self) {
         let clock_ms = Some(self.now.as_millis());
         for front in &mut self.fronts {
-            for place in 0..self.stores.len() {
-                if let Some(view) = front.memory.view_at(place) {
-                    view.record_answer(STORE_LIFE, clock_ms, self.now, self.now);
+            for store_index in 0..self.stores.len() {
+                if let Some(view) = front.store_directory.view_at(store_index) {
+                    view.record_answer(STORE_EPOCH, clock_ms, self.now, self.now);
                 }
             }
         }
-        let next_at = self.now + STORE_ANSWERS;
-        self.queue.put(next_at, ModelEvent::StoresAnswer);
+        let next_at = self.now + STORE_POLL_INTERVAL;
+        self.queue.push(next_at, SimEvent::StoresPolled);
     }
 }
--- a/testbed/tests/load_model.rs
+++ b/testbed/tests/load_model.rs
@@ -2,7 +2,7 @@
 
 use {
     pitchhitch_core::serving::ServingMechanism,
-    pitchhitch_testbed::load_model::{play_load, LoadFile, LoadTally},
+    pitchhitch_testbed::load_model::{simulate_load, LoadFile, LoadTally},
 };
 
 const USUAL: &str = include_str!("../loads/usual.toml");
@@ -12,21 +12,21 @@
     LoadFile::parse(text).unwrap()
 }
 
-fn sum_in_aim(
+fn sum_on_time(
     load: &LoadFile,
-    left_out: Option<ServingMechanism>,
+    disabled: Option<ServingMechanism>,
 ) -> u32 {
-    let tallies = (1..=5).map(|seed| play_load(load, seed, left_out));
-    let in_aim = |tally: LoadTally| tally.kinds.iter().map(|kind| kind.in_aim).sum::<u32>();
-    tallies.map(in_aim).sum()
+    let tallies = (1..=5).map(|seed| simulate_load(load, seed, disabled));
+    let on_time = |tally: LoadTally| tally.kinds.iter().map(|kind| kind.on_time).sum::<u32>();
+    tallies.map(on_time).sum()
 }
 
 #[test]
 fn same_seed() {
     let load = load(WAVE);
-    let tally = play_load(&load, 7, None);
-    assert_eq!(tally, play_load(&load, 7, None));
-    assert_ne!(tally, play_load(&load, 8, None));
+    let tally = simulate_load(&load, 7, None);
+    assert_eq!(tally, simulate_load(&load, 7, None));
+    assert_ne!(tally, simulate_load(&load, 8, None));
 }
 
 #[test]
@@ -39,19 +39,19 @@
     load.outages = LoadFile::parse(&format!("{USUAL}{OUTAGE}"))
         .unwrap()
         .outages;
-    let without = ServingMechanism::ALL.into_iter().map(Some);
-    for left_out in std::iter::once(None).chain(without) {
-        let tally = play_load(&load, 3, left_out);
+    let single = ServingMechanism::ALL.into_iter().map(Some);
+    for disabled in std::iter::once(None).chain(single) {
+        let tally = simulate_load(&load, 3, disabled);
         for kind in &tally.kinds {
-            let ends = [
-                kind.in_aim,
+            let outcomes = [
+                kind.on_time,
                 kind.late,
                 kind.refused,
                 kind.failed,
-                kind.gave_up,
+                kind.abandoned,
             ];
-            assert_eq!(kind.asked, ends.iter().sum::<u32>(), "{left_out:?}");
-            assert!(kind.asked > 0 && kind.gave_up > 0);
+            assert_eq!(kind.requests, outcomes.iter().sum::<u32>(), "{disabled:?}");
+            assert!(kind.requests > 0 && kind.abandoned > 0);
         }
     }
 }
@@ -66,16 +66,19 @@
 #[test]
 fn overload_admission() {
     let load = load(WAVE);
-    let whole = sum_in_aim(&load, None);
-    let without = sum_in_aim(&load, Some(ServingMechanism::Admission));
-    assert!(whole > without, "{whole} in aim, without {without}");
+    let enabled = sum_on_time(&load, None);
+    let without_admission = sum_on_time(&load, Some(ServingMechanism::Admission));
+    assert!(
+        enabled > without_admission,
+        "{enabled} in aim, without {without_admission}"
+    );
 }
 
 #[test]
 fn kept_parts() {
     let load = load(USUAL);
-    let again = |left_out| play_load(&load, 1, left_out).read_again;
-    assert!(again(None) < again(Some(ServingMechanism::Affinity)));
+    let prefilled_again = |disabled| simulate_load(&load, 1, disabled).prefilled_again;
+    assert!(prefilled_again(None) < prefilled_again(Some(ServingMechanism::Affinity)));
 }
 
 #[test]
