--- a/testbed/examples/lease_check.rs
+++ b/testbed/examples/lease_check.rs
@@ -2,7 +2,7 @@
 
 use {
     pitchhitch_core::time::Micros,
-    pitchhitch_testbed::check::{explore_leases, lease_world, one_holder},
+    pitchhitch_testbed::check::{check_single_holder, explore_leases, initial_world},
     std::process::ExitCode,
 };
 
@@ -15,10 +15,10 @@
         .map(|text| text.parse().unwrap_or(0));
     let faults = numbers.next().unwrap_or(1);
     let units = numbers.next().unwrap_or(4);
-    let mut start = lease_world(faults);
-    start.run_smoothly(2);
+    let mut start = initial_world(faults);
+    start.run_without_faults(2);
     let end = start.now() + Micros(u64::from(units));
-    match explore_leases(start, end, STATE_LIMIT, one_holder) {
+    match explore_leases(start, end, STATE_LIMIT, check_single_holder) {
         Ok(states) => {
             println!("{states} states, {faults} faults, {units} units of time: one holder at most");
             ExitCode::SUCCESS
--- a/testbed/src/check/lease_world.rs
+++ b/testbed/src/check/lease_world.rs
@@ -7,7 +7,7 @@
 };
 
 /// Times of the lease, as short as they can be without losing their order.
-const TIMES: LeaseTimes = LeaseTimes {
+const LEASE_TIMES: LeaseTimes = LeaseTimes {
     duration: Micros(2),
     interval: Micros(1),
     margin: Micros(1),
@@ -52,12 +52,12 @@
     faults: u32,
 }
 
-fn process(
+fn start_process(
     number: usize,
     life: u32,
 ) -> Process {
     Process {
-        machine: LeaseMachine::new(format!("p{number}.{life}"), TIMES),
+        machine: LeaseMachine::new(format!("p{number}.{life}"), LEASE_TIMES),
         life,
         sent: None,
         answer: None,
@@ -65,12 +65,12 @@
 }
 
 /// The world before anybody holds the lease; so many faults may still happen.
-pub fn lease_world(faults: u32) -> LeaseWorld {
+pub fn initial_world(faults: u32) -> LeaseWorld {
     LeaseWorld {
         now: Micros(10),
         row: None,
         version: 0,
-        processes: [process(0, 0), process(1, 0)],
+        processes: [start_process(0, 0), start_process(1, 0)],
         late_writes: Vec::new(),
         faults,
     }
@@ -108,9 +108,9 @@
     ) -> Vec<LeaseWorld> {
         let mut next = Vec::new();
         if self.now < end {
-            let mut later = self.clone();
-            later.now = later.now + Micros(1);
-            next.push(later);
+            let mut advanced = self.clone();
+            advanced.now = advanced.now + Micros(1);
+            next.push(advanced);
         }
         for number in 0..self.processes.len() {
             self.step_process(number, &mut next);
@@ -218,7 +218,7 @@
         if let Some(Call::Write { version, row }) = world.processes[number].sent.take() {
             world.late_writes.push((version, row));
         }
-        world.processes[number] = process(number, life);
+        world.processes[number] = start_process(number, life);
         next.push(world);
     }
 }
@@ -233,27 +233,27 @@
     limit: usize,
     check: impl Fn(&LeaseWorld) -> Result<(), String>,
 ) -> Result<usize, String> {
-    let mut seen = HashSet::new();
-    let mut open = vec![start];
-    while let Some(world) = open.pop() {
+    let mut visited = HashSet::new();
+    let mut pending = vec![start];
+    while let Some(world) = pending.pop() {
         check(&world).map_err(|text| format!("{text}: {world:#?}"))?;
         for next in world.successors(end) {
-            if seen.insert(next.clone()) {
-                open.push(next);
+            if visited.insert(next.clone()) {
+                pending.push(next);
             }
         }
-        if seen.len() > limit {
+        if visited.len() > limit {
             return Err(format!("more than {limit} states"));
         }
     }
-    Ok(seen.len())
+    Ok(visited.len())
 }
 
 /// The promise: at most one process believes that it may act.
 ///
 /// # Errors
 /// When two do.
-pub fn one_holder(world: &LeaseWorld) -> Result<(), String> {
+pub fn check_single_holder(world: &LeaseWorld) -> Result<(), String> {
     match world.holders().len() {
         0 | 1 => Ok(()),
         count => Err(format!("{count} holders")),
@@ -262,7 +262,7 @@
 
 impl LeaseWorld {
     /// Goes on without faults, everything answered at once, for so many units of time.
-    pub fn run_smoothly(
+    pub fn run_without_faults(
         &mut self,
         units: u64,
     ) {
@@ -278,7 +278,7 @@
         &mut self,
         number: usize,
     ) {
-        for _ in 0..CALLS_A_UNIT {
+        for _ in 0..STEPS_PER_UNIT {
             let mut next = Vec::new();
             self.step_process(number, &mut next);
             if next.is_empty() {
@@ -299,7 +299,7 @@
             .position(|p| p.machine.epoch(now).is_some());
         if let Some(number) = holder {
             let life = self.processes[number].life + 1;
-            self.processes[number] = process(number, life);
+            self.processes[number] = start_process(number, life);
         }
     }
 
@@ -310,4 +310,4 @@
 }
 
 /// Steps of one process in one unit of time, enough for a read and a write.
-const CALLS_A_UNIT: u32 = 6;
+const STEPS_PER_UNIT: u32 = 6;
--- a/testbed/src/engine/engine_stand_in.rs
+++ b/testbed/src/engine/engine_stand_in.rs
@@ -1,6 +1,6 @@
 use {
-    super::{run_prompt, PrefillLine, PrefixCache},
-    crate::stand_ins::{answer_json, answer_status, any_port, read_body, HttpStandIn},
+    super::{run_prompt, PrefillQueue, PrefixCache},
+    crate::stand_ins::{any_port, json_response, read_body, status_response, HttpStandIn},
     pitchhitch_agent::endpoint::{EngineHealth, EngineOrder, VERSION_HEADER},
     pitchhitch_core::{kv_cache::PieceKey, lease::OrderStamp},
     pitchhitch_services::http::ServiceClient,
@@ -67,7 +67,7 @@
 #[derive(Debug, Default)]
 pub struct EngineCounts {
     /// Prompts that were begun.
-    pub begun: AtomicU64,
+    pub started: AtomicU64,
     /// Prompts whose caller went away.
     pub cancelled: AtomicU64,
     /// Prompt tokens that came in.
@@ -82,7 +82,7 @@
     /// How it is built.
     pub shape: EngineShape,
     /// Its batch.
-    pub line: PrefillLine,
+    pub prefill_queue: PrefillQueue,
     /// What it has done.
     pub counts: EngineCounts,
     /// Requests that run.
@@ -122,7 +122,7 @@
         shape: EngineShape,
     ) -> io::Result<Self> {
         let core = Arc::new(EngineCore {
-            line: PrefillLine::new(shape.slots),
+            prefill_queue: PrefillQueue::new(shape.slots),
             counts: EngineCounts::default(),
             running: AtomicU32::new(0),
             cache: Mutex::new(PrefixCache::new(shape.cache_pieces)),
@@ -157,16 +157,16 @@
     }
 
     /// Whether new prompts for a version are taken.
-    pub fn takes(
+    pub fn accepts(
         &self,
         wanted: Option<&str>,
     ) -> bool {
-        let same = wanted.is_none_or(|wanted| wanted == self.version());
-        same && !self.loading.load(Ordering::Relaxed)
+        let is_same_version = wanted.is_none_or(|wanted| wanted == self.version());
+        is_same_version && !self.loading.load(Ordering::Relaxed)
     }
 
     /// Whether an order comes after all before it; it is then the newest.
-    fn is_newest(
+    fn advance_order(
         &self,
         stamp: Option<OrderStamp>,
     ) -> bool {
@@ -200,24 +200,26 @@
     match (conn.method(), path.as_str()) {
         (Method::Get, "/engine/health") => {
             let health = core.health();
-            answer_json(conn, &health)
+            json_response(conn, &health)
         }
         (Method::Get, "/engine/cache") => {
             let list = core.cache().list();
-            answer_json(conn, &list)
+            json_response(conn, &list)
         }
         (Method::Get, "/engine/cache/events") => {
             let from = conn
                 .querystring()
                 .strip_prefix("from=")
                 .and_then(|t| t.parse().ok());
-            let news = core.cache().news(from.unwrap_or(0), core.shape.event_delay);
-            answer_json(conn, &news)
+            let changes = core
+                .cache()
+                .changes_since(from.unwrap_or(0), core.shape.event_delay);
+            json_response(conn, &changes)
         }
-        (Method::Post, "/engine/load") => load(&core, conn).await,
+        (Method::Post, "/engine/load") => load_weights(&core, conn).await,
         (Method::Post, "/engine/adapter" | "/engine/role") => {
             let health = core.health();
-            answer_json(conn, &health)
+            json_response(conn, &health)
         }
         (Method::Post, "/v1/chat/completions" | "/v1/completions") => run_prompt(core, conn).await,
         _ => match path
@@ -225,39 +227,39 @@
             .and_then(|text| text.parse().ok())
         {
             Some(key) => serve_piece(&core, conn, key).await,
-            None => answer_status(conn, Status::NotFound, "no such path"),
+            None => status_response(conn, Status::NotFound, "no such path"),
         },
     }
 }
 
-async fn load(
+async fn load_weights(
     core: &EngineCore,
     mut conn: Conn,
 ) -> Conn {
     let body = read_body(&mut conn).await;
     let order: Option<EngineOrder> = serde_json::from_slice(&body).ok();
     let Some(order) = order else {
-        return answer_status(conn, Status::BadRequest, "no order");
+        return status_response(conn, Status::BadRequest, "no order");
     };
     // This engine checks who orders it: nothing without a stamp, nothing out of order.
-    if !core.is_newest(order.stamp) {
-        return answer_status(conn, Status::Conflict, "an older order");
+    if !core.advance_order(order.stamp) {
+        return status_response(conn, Status::Conflict, "an older order");
     }
     let Some(version) = order.version else {
-        return answer_status(conn, Status::BadRequest, "no version");
+        return status_response(conn, Status::BadRequest, "no version");
     };
     core.loading.store(true, Ordering::Relaxed);
     let path = format!("/weights/{}/{version}", core.shape.model);
     let fetched = core.weights.send(core.weights.request("GET", &path)).await;
     if let Err(error) = fetched {
         core.loading.store(false, Ordering::Relaxed);
-        return answer_status(conn, Status::BadGateway, &error.to_string());
+        return status_response(conn, Status::BadGateway, &error.to_string());
     }
     *core.version.lock().unwrap_or_else(PoisonError::into_inner) = version;
     core.cache().clear();
     core.loading.store(false, Ordering::Relaxed);
     let health = core.health();
-    answer_json(conn, &health)
+    json_response(conn, &health)
 }
 
 /// The bytes of a piece; an import with other bytes is refused.
@@ -282,22 +284,22 @@
         Method::Get if core.cache().contains(key) => {
             conn.ok(piece_bytes(key, core.shape.piece_bytes))
         }
-        Method::Get => answer_status(conn, Status::NotFound, "not in the cache"),
+        Method::Get => status_response(conn, Status::NotFound, "not in the cache"),
         Method::Put => {
             let body = read_body(&mut conn).await;
             let wanted = conn
                 .request_headers()
                 .get_str(VERSION_HEADER)
                 .map(str::to_string);
-            if !core.takes(wanted.as_deref()) {
-                return answer_status(conn, Status::Conflict, "another version");
+            if !core.accepts(wanted.as_deref()) {
+                return status_response(conn, Status::Conflict, "another version");
             }
             if body != piece_bytes(key, core.shape.piece_bytes) {
-                return answer_status(conn, Status::BadRequest, "these bytes are not the piece");
+                return status_response(conn, Status::BadRequest, "these bytes are not the piece");
             }
-            core.cache().add(key);
+            core.cache().insert(key);
             conn.ok("")
         }
-        _ => answer_status(conn, Status::MethodNotAllowed, ""),
+        _ => status_response(conn, Status::MethodNotAllowed, ""),
     }
 }
--- a/testbed/src/engine/prefill_queue.rs
+++ b/testbed/src/engine/prefill_queue.rs
@@ -6,33 +6,33 @@
 
 /// Computes prompts one after the other, and bounds the requests in the batch.
 #[derive(Debug)]
-pub struct PrefillLine {
+pub struct PrefillQueue {
     compute: Mutex<()>,
     slots: Arc<Semaphore>,
 }
 
-impl PrefillLine {
+impl PrefillQueue {
     /// A line for so many requests in the batch.
     pub fn new(slots: usize) -> Self {
-        PrefillLine {
+        PrefillQueue {
             compute: Mutex::new(()),
             slots: Arc::new(Semaphore::new(slots)),
         }
     }
 
     /// Waits for a place in the batch; it is held as long as the guard lives.
-    pub async fn enter(&self) -> SemaphoreGuardArc {
+    pub async fn acquire_slot(&self) -> SemaphoreGuardArc {
         self.slots.acquire_arc().await
     }
 
     /// Computes a prompt, when the ones before it are done.
     pub async fn compute(
         &self,
-        span: Duration,
+        duration: Duration,
     ) {
-        let _turn = self.compute.lock().await;
-        if !span.is_zero() {
-            Timer::after(span).await;
+        let _guard = self.compute.lock().await;
+        if !duration.is_zero() {
+            Timer::after(duration).await;
         }
     }
 }
--- a/testbed/src/engine/prefix_cache.rs
+++ b/testbed/src/engine/prefix_cache.rs
@@ -8,11 +8,11 @@
 };
 
 /// Changes that can still be read.
-const NEWS_ROOM: usize = 2_000;
+const MAX_CHANGES: usize = 2_000;
 
 #[derive(Debug, Clone, Copy)]
-struct NumberedChange {
-    number: u64,
+struct SequencedChange {
+    sequence: u64,
     at: Instant,
     change: EngineChange,
 }
@@ -20,24 +20,24 @@
 /// Bounded cache of prompt pieces; what was not used for longest goes first.
 #[derive(Debug)]
 pub struct PrefixCache {
-    room: usize,
-    used_at: BTreeMap<PieceKey, u64>,
-    order: BTreeMap<u64, PieceKey>,
-    clock: u64,
-    news: VecDeque<NumberedChange>,
-    next_number: u64,
+    capacity: usize,
+    last_use: BTreeMap<PieceKey, u64>,
+    keys_by_use: BTreeMap<u64, PieceKey>,
+    use_count: u64,
+    changes: VecDeque<SequencedChange>,
+    next_sequence: u64,
 }
 
 impl PrefixCache {
     /// An empty cache for so many pieces.
-    pub fn new(room: usize) -> Self {
+    pub fn new(capacity: usize) -> Self {
         PrefixCache {
-            room,
-            used_at: BTreeMap::new(),
-            order: BTreeMap::new(),
-            clock: 0,
-            news: VecDeque::new(),
-            next_number: 0,
+            capacity,
+            last_use: BTreeMap::new(),
+            keys_by_use: BTreeMap::new(),
+            use_count: 0,
+            changes: VecDeque::new(),
+            next_sequence: 0,
         }
     }
 
@@ -48,7 +48,7 @@
     ) -> usize {
         let found = pieces
             .iter()
-            .take_while(|key| self.used_at.contains_key(key))
+            .take_while(|key| self.last_use.contains_key(key))
             .count();
         for key in &pieces[..found] {
             self.touch(*key);
@@ -61,59 +61,62 @@
         &self,
         key: PieceKey,
     ) -> bool {
-        self.used_at.contains_key(&key)
+        self.last_use.contains_key(&key)
     }
 
     /// Adds a piece, dropping others where there is no room.
-    pub fn add(
+    pub fn insert(
         &mut self,
         key: PieceKey,
     ) {
-        let known = self.used_at.contains_key(&key);
+        let is_cached = self.last_use.contains_key(&key);
         self.touch(key);
-        if known {
+        if is_cached {
             return;
         }
-        self.note(EngineChange::Added(key));
-        while self.used_at.len() > self.room {
-            let Some((_, oldest)) = self.order.pop_first() else {
+        self.record(EngineChange::Added(key));
+        while self.last_use.len() > self.capacity {
+            let Some((_, oldest)) = self.keys_by_use.pop_first() else {
                 return;
             };
-            self.used_at.remove(&oldest);
-            self.note(EngineChange::Dropped(oldest));
+            self.last_use.remove(&oldest);
+            self.record(EngineChange::Dropped(oldest));
         }
     }
 
     /// Drops everything.
     pub fn clear(&mut self) {
-        self.used_at.clear();
-        self.order.clear();
-        self.note(EngineChange::Cleared);
+        self.last_use.clear();
+        self.keys_by_use.clear();
+        self.record(EngineChange::Cleared);
     }
 
     /// Changes from a number on that are old enough to be published.
-    pub fn news(
+    pub fn changes_since(
         &self,
         from: u64,
         delay: Duration,
     ) -> EngineNews {
-        let first = self.news.front().map_or(self.next_number, |n| n.number);
+        let first = self
+            .changes
+            .front()
+            .map_or(self.next_sequence, |n| n.sequence);
         let first = first.max(from);
-        let ripe = self
-            .news
+        let published = self
+            .changes
             .iter()
-            .filter(|n| n.number >= first && n.at.elapsed() >= delay);
+            .filter(|n| n.sequence >= first && n.at.elapsed() >= delay);
         EngineNews {
             first,
-            changes: ripe.map(|n| n.change).collect(),
+            changes: published.map(|n| n.change).collect(),
         }
     }
 
     /// The whole cache.
     pub fn list(&self) -> EngineCache {
         EngineCache {
-            next: self.next_number,
-            keys: self.used_at.keys().copied().collect(),
+            next: self.next_sequence,
+            keys: self.last_use.keys().copied().collect(),
         }
     }
 
@@ -121,25 +124,25 @@
         &mut self,
         key: PieceKey,
     ) {
-        self.clock += 1;
-        if let Some(before) = self.used_at.insert(key, self.clock) {
-            self.order.remove(&before);
+        self.use_count += 1;
+        if let Some(previous) = self.last_use.insert(key, self.use_count) {
+            self.keys_by_use.remove(&previous);
         }
-        self.order.insert(self.clock, key);
+        self.keys_by_use.insert(self.use_count, key);
     }
 
-    fn note(
+    fn record(
         &mut self,
         change: EngineChange,
     ) {
-        self.news.push_back(NumberedChange {
-            number: self.next_number,
+        self.changes.push_back(SequencedChange {
+            sequence: self.next_sequence,
             at: Instant::now(),
             change,
         });
-        self.next_number += 1;
-        if self.news.len() > NEWS_ROOM {
-            self.news.pop_front();
+        self.next_sequence += 1;
+        if self.changes.len() > MAX_CHANGES {
+            self.changes.pop_front();
         }
     }
 }
--- a/testbed/src/engine/prompt_run.rs
+++ b/testbed/src/engine/prompt_run.rs
@@ -1,6 +1,6 @@
 use {
-    super::{AnswerText, EngineCore},
-    crate::stand_ins::{answer_json, answer_status, body_pipe, read_body},
+    super::{EngineCore, ResponseText},
+    crate::stand_ins::{body_pipe, json_response, read_body, status_response},
     pitchhitch_agent::endpoint::{
         COMPUTED_HEADER, PIECES_HEADER, REFUSED_HEADER, RESUME_HEADER, VERSION_HEADER,
     },
@@ -15,14 +15,14 @@
 };
 
 /// Answer tokens where the caller does not say.
-const DEFAULT_TOKENS: u32 = 16;
+const DEFAULT_RESPONSE_TOKENS: u32 = 16;
 /// Pieces of an answer under way to a caller that does not read.
-const PIPE_ROOM: usize = 64;
+const PIPE_CAPACITY: usize = 64;
 /// Blanks in front of a stream, so that the HTTP library does not hold back the first event.
-const OPENING: usize = 512;
+const STREAM_PADDING: usize = 512;
 
 #[derive(Debug, Deserialize)]
-struct AnswerLength {
+struct ResponseLimit {
     #[serde(default)]
     max_tokens: Option<u32>,
 }
@@ -30,23 +30,23 @@
 /// Counts a request as running as long as it lives.
 struct RunningCount {
     core: Arc<EngineCore>,
-    whole: bool,
+    is_complete: bool,
     _slot: SemaphoreGuardArc,
 }
 
 impl RunningCount {
-    fn set_whole(
+    fn set_complete(
         &mut self,
-        whole: bool,
+        is_complete: bool,
     ) {
-        self.whole = whole;
+        self.is_complete = is_complete;
     }
 }
 
 impl Drop for RunningCount {
     fn drop(&mut self) {
         self.core.running.fetch_sub(1, Ordering::Relaxed);
-        if !self.whole {
+        if !self.is_complete {
             self.core.counts.cancelled.fetch_add(1, Ordering::Relaxed);
         }
     }
@@ -56,8 +56,8 @@
     shape: PromptShape,
     model: String,
     stream: bool,
-    answer: AnswerText,
-    answer_tokens: u32,
+    response: ResponseText,
+    response_tokens: u32,
     prompt_tokens: u32,
     resume_after: Option<u32>,
 }
@@ -72,23 +72,25 @@
         .request_headers()
         .get_str(VERSION_HEADER)
         .map(str::to_string);
-    if !core.takes(wanted.as_deref()) {
+    if !core.accepts(wanted.as_deref()) {
         conn.response_headers_mut()
             .insert(REFUSED_HEADER, "version");
-        return answer_status(conn, Status::Conflict, "another version");
+        return status_response(conn, Status::Conflict, "another version");
     }
     let shape = match conn.path() {
         "/v1/completions" => PromptShape::Completion,
         _ => PromptShape::Chat,
     };
     let Ok(prompt) = PromptRequest::parse(shape, &body) else {
-        return answer_status(conn, Status::BadRequest, "no prompt");
+        return status_response(conn, Status::BadRequest, "no prompt");
     };
-    let length: Option<AnswerLength> = serde_json::from_slice(&body).ok();
+    let limit: Option<ResponseLimit> = serde_json::from_slice(&body).ok();
     let run = PromptRun {
         shape,
-        answer: AnswerText::new(&prompt.text, &core.version()),
-        answer_tokens: length.and_then(|l| l.max_tokens).unwrap_or(DEFAULT_TOKENS),
+        response: ResponseText::new(&prompt.text, &core.version()),
+        response_tokens: limit
+            .and_then(|limit| limit.max_tokens)
+            .unwrap_or(DEFAULT_RESPONSE_TOKENS),
         prompt_tokens: estimate_tokens(prompt.text.len()),
         model: prompt.model,
         stream: prompt.stream,
@@ -102,9 +104,9 @@
     conn.response_headers_mut()
         .insert(COMPUTED_HEADER, done.computed.to_string());
     if run.stream {
-        answer_stream(conn, run, done.running)
+        stream_response(conn, run, done.running)
     } else {
-        answer_whole(conn, run, done.running).await
+        send_response(conn, run, done.running).await
     }
 }
 
@@ -118,17 +120,19 @@
     pieces: &[PieceKey],
     prompt_tokens: u32,
 ) -> PrefillDone {
-    let slot = core.line.enter().await;
+    let slot = core.prefill_queue.acquire_slot().await;
     core.running.fetch_add(1, Ordering::Relaxed);
-    core.counts.begun.fetch_add(1, Ordering::Relaxed);
+    core.counts.started.fetch_add(1, Ordering::Relaxed);
     let running = RunningCount {
         core: core.clone(),
-        whole: false,
+        is_complete: false,
         _slot: slot,
     };
     let found = core.cache().use_prefix(pieces) as u32;
     let computed = prompt_tokens.saturating_sub(found * PIECE_TOKENS);
-    core.line.compute(core.shape.prefill_token * computed).await;
+    core.prefill_queue
+        .compute(core.shape.prefill_token * computed)
+        .await;
     core.counts
         .prompt_tokens
         .fetch_add(u64::from(prompt_tokens), Ordering::Relaxed);
@@ -136,7 +140,7 @@
         .computed_tokens
         .fetch_add(u64::from(computed), Ordering::Relaxed);
     let mut cache = core.cache();
-    pieces.iter().for_each(|key| cache.add(*key));
+    pieces.iter().for_each(|key| cache.insert(*key));
     drop(cache);
     PrefillDone { running, computed }
 }
@@ -156,17 +160,17 @@
     text.split(',').filter_map(|key| key.parse().ok()).collect()
 }
 
-fn answer_stream(
+fn stream_response(
     mut conn: Conn,
     run: PromptRun,
     mut running: RunningCount,
 ) -> Conn {
-    let pipe = body_pipe(PIPE_ROOM);
+    let pipe = body_pipe(PIPE_CAPACITY);
     let writer = pipe.writer;
     spawn_detached(async move {
         let first = run.resume_after.map_or(0, |last| last + 1);
-        let mut text = format!(":{}\n\n", " ".repeat(OPENING)).into_bytes();
-        for index in first..run.answer_tokens {
+        let mut text = format!(":{}\n\n", " ".repeat(STREAM_PADDING)).into_bytes();
+        for index in first..run.response_tokens {
             text.extend_from_slice(stream_event(&run, index).as_bytes());
             if writer.send(std::mem::take(&mut text)).await.is_err() {
                 return;
@@ -174,7 +178,7 @@
             Timer::after(running.core.shape.decode_token).await;
         }
         text.extend_from_slice(b"data: [DONE]\n\n");
-        running.set_whole(writer.send(text).await.is_ok());
+        running.set_complete(writer.send(text).await.is_ok());
     });
     conn.response_headers_mut()
         .insert("content-type", "text/event-stream");
@@ -187,7 +191,7 @@
     run: &PromptRun,
     index: u32,
 ) -> String {
-    let word = run.answer.word(index);
+    let word = run.response.word(index);
     let choice = match run.shape {
         PromptShape::Chat => json!({"index": 0, "delta": {"content": word}, "finish_reason": null}),
         PromptShape::Completion => json!({"index": 0, "text": word, "finish_reason": null}),
@@ -210,24 +214,24 @@
     }
 }
 
-async fn answer_whole(
+async fn send_response(
     mut conn: Conn,
     run: PromptRun,
     mut running: RunningCount,
 ) -> Conn {
-    let span = running.core.shape.decode_token * run.answer_tokens;
+    let duration = running.core.shape.decode_token * run.response_tokens;
     let decode = async {
-        Timer::after(span).await;
+        Timer::after(duration).await;
     };
     if conn.cancel_on_disconnect(decode).await.is_none() {
         return conn;
     }
-    running.set_whole(true);
-    answer_json(conn, &whole_answer(&run))
+    running.set_complete(true);
+    json_response(conn, &response_body(&run))
 }
 
-fn whole_answer(run: &PromptRun) -> Value {
-    let words = run.answer.words(run.answer_tokens);
+fn response_body(run: &PromptRun) -> Value {
+    let words = run.response.words(run.response_tokens);
     let choice = match run.shape {
         PromptShape::Chat => {
             json!({"index": 0, "message": {"role": "assistant", "content": words}, "finish_reason": "stop"})
@@ -239,8 +243,8 @@
         "model": run.model, "choices": [choice],
         "usage": {
             "prompt_tokens": run.prompt_tokens,
-            "completion_tokens": run.answer_tokens,
-            "total_tokens": run.prompt_tokens + run.answer_tokens,
+            "completion_tokens": run.response_tokens,
+            "total_tokens": run.prompt_tokens + run.response_tokens,
         },
     })
 }
--- a/testbed/src/engine/response_text.rs
+++ b/testbed/src/engine/response_text.rs
@@ -3,11 +3,11 @@
 /// They depend on the prompt and the weight version alone, so that a replay can
 /// tell a right answer from a wrong, cut-off or crossed one.
 #[derive(Debug, Clone)]
-pub struct AnswerText {
+pub struct ResponseText {
     seed: [u8; 32],
 }
 
-impl AnswerText {
+impl ResponseText {
     /// The answer to a prompt.
     pub fn new(
         prompt: &[u8],
@@ -17,7 +17,7 @@
         hasher.update(version.as_bytes());
         hasher.update(&[0]);
         hasher.update(prompt);
-        AnswerText {
+        ResponseText {
             seed: *hasher.finalize().as_bytes(),
         }
     }
--- a/testbed/src/proxy/fault_proxy.rs
+++ b/testbed/src/proxy/fault_proxy.rs
@@ -20,15 +20,15 @@
 };
 
 /// Bytes passed on in one go.
-const CHUNK: usize = 16 * 1024;
+const CHUNK_BYTES: usize = 16 * 1024;
 /// How often a held connection looks whether the mode has changed.
-const LOOK: Duration = Duration::from_millis(5);
+const MODE_POLL_INTERVAL: Duration = Duration::from_millis(5);
 
 #[derive(Debug, Default)]
 struct ProxyState {
     mode: Mutex<ProxyMode>,
     generation: AtomicU64,
-    bytes: AtomicU64,
+    response_bytes: AtomicU64,
     cut_after: Mutex<Option<u64>>,
 }
 
@@ -43,8 +43,8 @@
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Direction {
-    Question,
-    Answer,
+    Request,
+    Response,
 }
 
 impl FaultProxy {
@@ -64,7 +64,7 @@
     }
 
     /// Changes what happens from now on. Connections are closed by [`ProxyMode::Cut`].
-    pub fn set(
+    pub fn set_mode(
         &self,
         mode: ProxyMode,
     ) {
@@ -91,8 +91,8 @@
     }
 
     /// Bytes of answers that have passed.
-    pub fn bytes(&self) -> u64 {
-        self.state.bytes.load(Ordering::Relaxed)
+    pub fn response_bytes(&self) -> u64 {
+        self.state.response_bytes.load(Ordering::Relaxed)
     }
 }
 
@@ -102,7 +102,7 @@
     }
 
     /// How many of so many bytes of answers may pass before the cut.
-    fn allowed(
+    fn allow(
         &self,
         length: usize,
     ) -> Option<usize> {
@@ -110,19 +110,19 @@
             .cut_after
             .lock()
             .unwrap_or_else(PoisonError::into_inner);
-        let Some(left) = *cut_after else {
+        let Some(remaining) = *cut_after else {
             return Some(length);
         };
-        if left >= length as u64 {
-            *cut_after = Some(left - length as u64);
+        if remaining >= length as u64 {
+            *cut_after = Some(remaining - length as u64);
             return Some(length);
         }
         *cut_after = None;
         self.generation.fetch_add(1, Ordering::Relaxed);
-        if left == 0 {
+        if remaining == 0 {
             None
         } else {
-            Some(left as usize)
+            Some(remaining as usize)
         }
     }
 }
@@ -132,47 +132,52 @@
     target: SocketAddr,
     state: Arc<ProxyState>,
 ) {
-    let mut passing = Vec::new();
+    let mut connections = Vec::new();
     while let Ok((stream, _)) = listener.accept().await {
         if state.mode() == ProxyMode::Cut {
             let _ = stream.shutdown(Shutdown::Both);
             continue;
         }
-        passing.push(spawn(pass(stream, target, state.clone())));
-        passing.retain(|task| !task.is_finished());
+        connections.push(spawn(forward(stream, target, state.clone())));
+        connections.retain(|task| !task.is_finished());
     }
 }
 
-async fn pass(
-    near: TcpStream,
+async fn forward(
+    client: TcpStream,
     target: SocketAddr,
     state: Arc<ProxyState>,
 ) {
-    let Ok(far) = TcpStream::connect(target).await else {
-        let _ = near.shutdown(Shutdown::Both);
+    let Ok(upstream) = TcpStream::connect(target).await else {
+        let _ = client.shutdown(Shutdown::Both);
         return;
     };
-    let _ = near.set_nodelay(true);
-    let _ = far.set_nodelay(true);
+    let _ = client.set_nodelay(true);
+    let _ = upstream.set_nodelay(true);
     let generation = state.generation.load(Ordering::Relaxed);
-    let questions = copy(
-        near.clone(),
-        far.clone(),
-        Direction::Question,
+    let requests = copy(
+        client.clone(),
+        upstream.clone(),
+        Direction::Request,
+        state.clone(),
+    );
+    let responses = copy(
+        upstream.clone(),
+        client.clone(),
+        Direction::Response,
         state.clone(),
     );
-    let answers = copy(far.clone(), near.clone(), Direction::Answer, state.clone());
     let both = async {
-        future::zip(questions, answers).await;
+        future::zip(requests, responses).await;
     };
     let cut = async {
         while state.generation.load(Ordering::Relaxed) == generation {
-            Timer::after(LOOK).await;
+            Timer::after(MODE_POLL_INTERVAL).await;
         }
     };
     future::or(both, cut).await;
-    let _ = near.shutdown(Shutdown::Both);
-    let _ = far.shutdown(Shutdown::Both);
+    let _ = client.shutdown(Shutdown::Both);
+    let _ = upstream.shutdown(Shutdown::Both);
 }
 
 async fn copy(
@@ -181,34 +186,36 @@
     direction: Direction,
     state: Arc<ProxyState>,
 ) {
-    let mut buffer = vec![0; CHUNK];
+    let mut buffer = vec![0; CHUNK_BYTES];
     loop {
         let length = match from.read(&mut buffer).await {
             Ok(0) | Err(_) => break,
             Ok(length) => length,
         };
         while state.mode() == ProxyMode::Freeze {
-            Timer::after(LOOK).await;
+            Timer::after(MODE_POLL_INTERVAL).await;
         }
-        if let ProxyMode::Delay(span) = state.mode() {
-            Timer::after(span).await;
+        if let ProxyMode::Delay(delay) = state.mode() {
+            Timer::after(delay).await;
         }
-        let mut passed = length;
-        if direction == Direction::Answer {
-            if state.mode() == ProxyMode::LoseAnswers {
+        let mut forwarded = length;
+        if direction == Direction::Response {
+            if state.mode() == ProxyMode::LoseResponses {
                 state.generation.fetch_add(1, Ordering::Relaxed);
                 break;
             }
-            state.bytes.fetch_add(length as u64, Ordering::Relaxed);
-            match state.allowed(length) {
-                Some(allowed) => passed = allowed,
+            state
+                .response_bytes
+                .fetch_add(length as u64, Ordering::Relaxed);
+            match state.allow(length) {
+                Some(limit) => forwarded = limit,
                 None => break,
             }
         }
         // What follows a cut must not pass: bytes of a connection never go
         // missing in its middle.
-        let is_cut = passed < length;
-        if to.write_all(&buffer[..passed]).await.is_err() || is_cut {
+        let is_cut = forwarded < length;
+        if to.write_all(&buffer[..forwarded]).await.is_err() || is_cut {
             break;
         }
     }
--- a/testbed/src/proxy/proxy_mode.rs
+++ b/testbed/src/proxy/proxy_mode.rs
@@ -13,5 +13,5 @@
     /// Keeps connections open, but passes nothing on.
     Freeze,
     /// Passes questions on; closes the connection when an answer comes.
-    LoseAnswers,
+    LoseResponses,
 }
--- a/testbed/src/replay/caller_client.rs
+++ b/testbed/src/replay/caller_client.rs
@@ -1,5 +1,5 @@
 use {
-    crate::engine::AnswerText,
+    crate::engine::ResponseText,
     futures_lite::AsyncReadExt,
     serde_json::{json, Value},
     std::{
@@ -89,7 +89,7 @@
     version: &str,
     tokens: u32,
 ) -> String {
-    AnswerText::new(&chat_prompt(text), version).words(tokens)
+    ResponseText::new(&chat_prompt(text), version).words(tokens)
 }
 
 impl CallerClient {
--- a/testbed/src/stand_ins/body_pipe.rs
+++ b/testbed/src/stand_ins/body_pipe.rs
@@ -20,21 +20,21 @@
 
 #[derive(Debug)]
 struct PipeInner {
-    pieces: Pin<Box<Receiver<Vec<u8>>>>,
-    ready: Vec<u8>,
-    taken: usize,
+    chunks: Pin<Box<Receiver<Vec<u8>>>>,
+    current: Vec<u8>,
+    consumed: usize,
 }
 
 /// A pipe for so many pieces under way.
-pub fn body_pipe(room: usize) -> PipeEnds {
-    let (sender, receiver) = async_channel::bounded(room);
+pub fn body_pipe(capacity: usize) -> PipeEnds {
+    let (sender, receiver) = async_channel::bounded(capacity);
     PipeEnds {
         writer: sender,
         body: BodyPipe {
             inner: Mutex::new(PipeInner {
-                pieces: Box::pin(receiver),
-                ready: Vec::new(),
-                taken: 0,
+                chunks: Box::pin(receiver),
+                current: Vec::new(),
+                consumed: 0,
             }),
         },
     }
@@ -56,19 +56,19 @@
         buffer: &mut [u8],
     ) -> Poll<io::Result<usize>> {
         let inner = self.inner.get_mut().unwrap_or_else(PoisonError::into_inner);
-        if inner.taken == inner.ready.len() {
-            match std::task::ready!(inner.pieces.as_mut().poll_next(cx)) {
+        if inner.consumed == inner.current.len() {
+            match std::task::ready!(inner.chunks.as_mut().poll_next(cx)) {
                 None => return Poll::Ready(Ok(0)),
-                Some(piece) => {
-                    inner.ready = piece;
-                    inner.taken = 0;
+                Some(chunk) => {
+                    inner.current = chunk;
+                    inner.consumed = 0;
                 }
             }
         }
-        let rest = &inner.ready[inner.taken..];
-        let length = rest.len().min(buffer.len());
-        buffer[..length].copy_from_slice(&rest[..length]);
-        inner.taken += length;
+        let remaining = &inner.current[inner.consumed..];
+        let length = remaining.len().min(buffer.len());
+        buffer[..length].copy_from_slice(&remaining[..length]);
+        inner.consumed += length;
         Poll::Ready(Ok(length))
     }
 }
--- a/testbed/src/stand_ins/fault_switch.rs
+++ b/testbed/src/stand_ins/fault_switch.rs
@@ -10,7 +10,7 @@
 #[derive(Debug, Default)]
 pub struct FaultSwitch {
     down: AtomicBool,
-    lost_answers: AtomicU32,
+    responses_to_lose: AtomicU32,
     delay_millis: AtomicU64,
 }
 
@@ -22,7 +22,7 @@
     /// The call has no effect and gets no useful answer.
     Down,
     /// The call takes effect, but its answer is lost.
-    AnswerLost,
+    ResponseLost,
 }
 
 impl FaultSwitch {
@@ -35,11 +35,11 @@
     }
 
     /// Loses the answers of the next calls that write.
-    pub fn lose_answers(
+    pub fn lose_responses(
         &self,
         count: u32,
     ) {
-        self.lost_answers.store(count, Ordering::Relaxed);
+        self.responses_to_lose.store(count, Ordering::Relaxed);
     }
 
     /// Makes every call take longer.
@@ -52,9 +52,9 @@
     }
 
     /// Waits as long as the fault says, and tells what happens to the call.
-    pub async fn strike(
+    pub async fn apply(
         &self,
-        writes: bool,
+        is_write: bool,
     ) -> FaultOutcome {
         let delay = self.delay_millis.load(Ordering::Relaxed);
         if delay > 0 {
@@ -63,15 +63,15 @@
         if self.down.load(Ordering::Relaxed) {
             return FaultOutcome::Down;
         }
-        if !writes {
+        if !is_write {
             return FaultOutcome::None;
         }
-        let lose = |left: u32| left.checked_sub(1);
-        let lost = self
-            .lost_answers
-            .fetch_update(Ordering::Relaxed, Ordering::Relaxed, lose);
+        let decrement = |remaining: u32| remaining.checked_sub(1);
+        let lost =
+            self.responses_to_lose
+                .fetch_update(Ordering::Relaxed, Ordering::Relaxed, decrement);
         match lost {
-            Ok(_) => FaultOutcome::AnswerLost,
+            Ok(_) => FaultOutcome::ResponseLost,
             Err(_) => FaultOutcome::None,
         }
     }
--- a/testbed/src/stand_ins/http_stand_in.rs
+++ b/testbed/src/stand_ins/http_stand_in.rs
@@ -5,7 +5,7 @@
 };
 
 /// Longest head of a request: names of pieces travel in a header.
-const HEAD_LIMIT: usize = 256 * 1024;
+const MAX_HEAD_BYTES: usize = 256 * 1024;
 
 /// An HTTP server of a stand-in; it stops when dropped.
 #[derive(Debug)]
@@ -44,7 +44,7 @@
 
 fn trillium_http_config() -> trillium::HttpConfig {
     trillium::HttpConfig::default()
-        .with_head_max_len(HEAD_LIMIT)
+        .with_head_max_len(MAX_HEAD_BYTES)
         .with_received_body_max_len(u64::from(u32::MAX))
 }
 
@@ -69,7 +69,7 @@
 }
 
 /// Answers JSON.
-pub fn answer_json(
+pub fn json_response(
     mut conn: Conn,
     value: &impl serde::Serialize,
 ) -> Conn {
@@ -80,7 +80,7 @@
 }
 
 /// Answers a status with a text.
-pub fn answer_status(
+pub fn status_response(
     conn: Conn,
     status: Status,
     text: &str,
--- a/testbed/src/stand_ins/plain_service.rs
+++ b/testbed/src/stand_ins/plain_service.rs
@@ -1,5 +1,5 @@
 use {
-    super::{answer_json, any_port, read_body, HttpStandIn},
+    super::{any_port, json_response, read_body, HttpStandIn},
     smol::Timer,
     std::{
         collections::BTreeMap,
@@ -12,7 +12,7 @@
 };
 
 /// Time that one call takes.
-const CALL_TIME: Duration = Duration::from_millis(3);
+const REQUEST_DURATION: Duration = Duration::from_millis(3);
 
 /// Calls that ran, by the text of their body. Shared by all services of a group,
 /// so that a call that ran twice anywhere is seen.
@@ -22,7 +22,7 @@
 }
 
 impl RunCounter {
-    fn ran(
+    fn record(
         &self,
         body: &str,
     ) {
@@ -40,7 +40,7 @@
     }
 
     /// The most that any call ran.
-    pub fn most(&self) -> u32 {
+    pub fn max_count(&self) -> u32 {
         let runs = self.runs.lock().unwrap_or_else(PoisonError::into_inner);
         runs.values().copied().max().unwrap_or(0)
     }
@@ -70,7 +70,7 @@
 
 /// What a call of the service answers.
 #[derive(Debug, Clone, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
-pub struct ServiceAnswer {
+pub struct ServiceResponse {
     /// Method of the call.
     pub method: String,
     /// Path with query.
@@ -88,16 +88,16 @@
     }
     let body = read_body(&mut conn).await;
     let body = String::from_utf8_lossy(&body).to_string();
-    Timer::after(CALL_TIME).await;
-    counter.ran(&body);
+    Timer::after(REQUEST_DURATION).await;
+    counter.record(&body);
     let mut path = conn.path().to_string();
     if !conn.querystring().is_empty() {
         path = format!("{path}?{}", conn.querystring());
     }
-    let answer = ServiceAnswer {
+    let response = ServiceResponse {
         method: conn.method().to_string(),
         path,
         body,
     };
-    answer_json(conn, &answer)
+    json_response(conn, &response)
 }
--- a/testbed/src/stand_ins/platform_stand_in.rs
+++ b/testbed/src/stand_ins/platform_stand_in.rs
@@ -1,7 +1,7 @@
 use {
     super::{
-        answer_json, answer_status, any_port, read_body, FaultOutcome, FaultSwitch, HttpStandIn,
-        TableRows,
+        any_port, json_response, read_body, status_response, FaultOutcome, FaultSwitch,
+        HttpStandIn, TableRows,
     },
     pitchhitch_services::boxes::{BoxList, BoxRecord},
     smol::Timer,
@@ -19,9 +19,9 @@
 };
 
 /// Time that the weight store takes for one load.
-const LOAD_TIME: Duration = Duration::from_millis(1_300);
+const WEIGHT_LOAD_TIME: Duration = Duration::from_millis(1_300);
 /// Loads at once beyond which each takes longer.
-const LOADS_AT_ONCE: u32 = 2;
+const FULL_SPEED_LOADS: u32 = 2;
 
 /// What the platform holds.
 #[derive(Debug, Default)]
@@ -37,8 +37,8 @@
     objects: Mutex<BTreeMap<String, Vec<u8>>>,
     boxes: Mutex<BTreeMap<String, BoxRecord>>,
     weights: Mutex<BTreeSet<String>>,
-    loading: AtomicU32,
-    most_loading: AtomicU32,
+    active_loads: AtomicU32,
+    peak_loads: AtomicU32,
 }
 
 /// Stand-in for the platform's services, all on one address.
@@ -72,10 +72,10 @@
     /// Puts a box on the list, or replaces it.
     pub fn list_box(
         &self,
-        row: BoxRecord,
+        record: BoxRecord,
     ) {
         let mut boxes = self.boxes.lock().unwrap_or_else(PoisonError::into_inner);
-        boxes.insert(row.id.clone(), row);
+        boxes.insert(record.id.clone(), record);
     }
 
     /// Takes a box off the list.
@@ -98,8 +98,8 @@
     }
 
     /// The most loads that ever ran at once.
-    pub fn most_loading(&self) -> u32 {
-        self.most_loading.load(Ordering::Relaxed)
+    pub fn peak_loads(&self) -> u32 {
+        self.peak_loads.load(Ordering::Relaxed)
     }
 }
 
@@ -115,19 +115,19 @@
         return serve_objects(&state, conn, name).await;
     }
     if path == "/boxes" {
-        if state.box_faults.strike(false).await == FaultOutcome::Down {
-            return answer_status(conn, Status::ServiceUnavailable, "box list is down");
+        if state.box_faults.apply(false).await == FaultOutcome::Down {
+            return status_response(conn, Status::ServiceUnavailable, "box list is down");
         }
         let boxes = state.boxes.lock().unwrap_or_else(PoisonError::into_inner);
         let list = BoxList {
             boxes: boxes.values().cloned().collect(),
         };
-        return answer_json(conn, &list);
+        return json_response(conn, &list);
     }
     if let Some(name) = path.strip_prefix("/weights/") {
         return serve_weights(&state, conn, name).await;
     }
-    answer_status(conn, Status::NotFound, "no such service")
+    status_response(conn, Status::NotFound, "no such service")
 }
 
 async fn serve_table(
@@ -136,26 +136,26 @@
     path: &str,
 ) -> Conn {
     let body = read_body(&mut conn).await;
-    let writes = path == "/table/commit";
-    let fault = state.table_faults.strike(writes).await;
+    let is_write = path == "/table/commit";
+    let fault = state.table_faults.apply(is_write).await;
     if fault == FaultOutcome::Down {
-        return answer_status(conn, Status::ServiceUnavailable, "table is down");
+        return status_response(conn, Status::ServiceUnavailable, "table is down");
     }
-    let answered = if writes {
+    let response = if is_write {
         match serde_json::from_slice(&body) {
-            Ok(query) => answer_json(conn, &state.table.commit(&query)),
-            Err(error) => answer_status(conn, Status::BadRequest, &error.to_string()),
+            Ok(request) => json_response(conn, &state.table.commit(&request)),
+            Err(error) => status_response(conn, Status::BadRequest, &error.to_string()),
         }
     } else {
         match serde_json::from_slice(&body) {
-            Ok(query) => answer_json(conn, &state.table.read(&query)),
-            Err(error) => answer_status(conn, Status::BadRequest, &error.to_string()),
+            Ok(request) => json_response(conn, &state.table.read(&request)),
+            Err(error) => status_response(conn, Status::BadRequest, &error.to_string()),
         }
     };
-    if fault == FaultOutcome::AnswerLost {
-        return answer_status(answered, Status::GatewayTimeout, "the answer was lost");
+    if fault == FaultOutcome::ResponseLost {
+        return status_response(response, Status::GatewayTimeout, "the answer was lost");
     }
-    answered
+    response
 }
 
 async fn serve_objects(
@@ -163,8 +163,8 @@
     mut conn: Conn,
     name: &str,
 ) -> Conn {
-    if state.object_faults.strike(false).await == FaultOutcome::Down {
-        return answer_status(conn, Status::ServiceUnavailable, "object store is down");
+    if state.object_faults.apply(false).await == FaultOutcome::Down {
+        return status_response(conn, Status::ServiceUnavailable, "object store is down");
     }
     match conn.method() {
         Method::Put => {
@@ -177,10 +177,10 @@
             let objects = state.objects.lock().unwrap_or_else(PoisonError::into_inner);
             match objects.get(name) {
                 Some(body) => conn.ok(body.clone()),
-                None => answer_status(conn, Status::NotFound, "no such object"),
+                None => status_response(conn, Status::NotFound, "no such object"),
             }
         }
-        _ => answer_status(conn, Status::MethodNotAllowed, ""),
+        _ => status_response(conn, Status::MethodNotAllowed, ""),
     }
 }
 
@@ -191,19 +191,19 @@
 ) -> Conn {
     let about = name.strip_suffix("/about");
     let version = about.unwrap_or(name);
-    let known = {
+    let is_known = {
         let weights = state.weights.lock().unwrap_or_else(PoisonError::into_inner);
         weights.contains(version)
     };
-    if !known {
-        return answer_status(conn, Status::NotFound, "no such version");
+    if !is_known {
+        return status_response(conn, Status::NotFound, "no such version");
     }
     if about.is_none() {
-        let loading = state.loading.fetch_add(1, Ordering::Relaxed) + 1;
-        state.most_loading.fetch_max(loading, Ordering::Relaxed);
-        let slowdown = f64::from(loading.max(LOADS_AT_ONCE)) / f64::from(LOADS_AT_ONCE);
-        Timer::after(LOAD_TIME.mul_f64(slowdown)).await;
-        state.loading.fetch_sub(1, Ordering::Relaxed);
+        let active_loads = state.active_loads.fetch_add(1, Ordering::Relaxed) + 1;
+        state.peak_loads.fetch_max(active_loads, Ordering::Relaxed);
+        let slowdown = f64::from(active_loads.max(FULL_SPEED_LOADS)) / f64::from(FULL_SPEED_LOADS);
+        Timer::after(WEIGHT_LOAD_TIME.mul_f64(slowdown)).await;
+        state.active_loads.fetch_sub(1, Ordering::Relaxed);
     }
     conn.ok("weights")
 }
--- a/testbed/src/stand_ins/store_box.rs
+++ b/testbed/src/stand_ins/store_box.rs
@@ -1,5 +1,5 @@
 use {
-    super::{answer_json, answer_status, any_port, HttpStandIn},
+    super::{any_port, json_response, status_response, HttpStandIn},
     pitchhitch_agent::moves::piece_checksum,
     pitchhitch_core::kv_cache::{PieceKey, StoreTier},
     pitchhitch_services::stores::{PieceList, PieceRecord, CHECKSUM_HEADER, GENERATION_HEADER},
@@ -21,25 +21,25 @@
 #[derive(Debug, Clone, Copy)]
 pub struct StoreBoxShape {
     /// Bytes that it holds.
-    pub room: u64,
+    pub capacity_bytes: u64,
     /// Bytes a second over its link, both ways together.
-    pub link_rate: f64,
+    pub link_bytes_per_s: f64,
     /// Bytes a second that its disk gives.
-    pub disk_rate: f64,
+    pub disk_bytes_per_s: f64,
 }
 
 impl Default for StoreBoxShape {
     fn default() -> Self {
         StoreBoxShape {
-            room: 256 * 1024 * 1024,
-            link_rate: 50.0e6,
-            disk_rate: 20.0e6,
+            capacity_bytes: 256 * 1024 * 1024,
+            link_bytes_per_s: 50.0e6,
+            disk_bytes_per_s: 20.0e6,
         }
     }
 }
 
 #[derive(Debug, Clone)]
-struct SealedPiece {
+struct PieceEntry {
     tier: StoreTier,
     generation: u64,
     checksum: String,
@@ -48,8 +48,8 @@
 
 #[derive(Debug, Default)]
 struct StoreState {
-    pieces: BTreeMap<PieceKey, SealedPiece>,
-    used: u64,
+    pieces: BTreeMap<PieceKey, PieceEntry>,
+    used_bytes: u64,
     last_generation: u64,
     link_free_at: Option<Instant>,
 }
@@ -106,7 +106,7 @@
     }
 
     /// Changes a byte of a piece, as a failing memory would.
-    pub fn damage(
+    pub fn corrupt(
         &self,
         key: PieceKey,
     ) {
@@ -116,10 +116,10 @@
     }
 
     /// Drops everything, as if the box had been replaced.
-    pub fn empty(&self) {
+    pub fn clear(&self) {
         let mut state = self.shared.lock();
         state.pieces.clear();
-        state.used = 0;
+        state.used_bytes = 0;
     }
 }
 
@@ -129,23 +129,23 @@
     }
 
     /// Waits for the link's turn, then for the bytes to pass.
-    async fn pass_link(
+    async fn transfer(
         &self,
         bytes: u64,
         tier: StoreTier,
     ) {
         self.link_bytes.fetch_add(bytes, Ordering::Relaxed);
-        let mut seconds = bytes as f64 / self.shape.link_rate;
+        let mut seconds = bytes as f64 / self.shape.link_bytes_per_s;
         if tier == StoreTier::Disk {
-            seconds += bytes as f64 / self.shape.disk_rate;
+            seconds += bytes as f64 / self.shape.disk_bytes_per_s;
         }
-        let span = Duration::from_secs_f64(seconds);
+        let duration = Duration::from_secs_f64(seconds);
         let until = {
             let mut state = self.lock();
             let now = Instant::now();
-            let begin = state.link_free_at.map_or(now, |t| t.max(now));
-            state.link_free_at = Some(begin + span);
-            begin + span
+            let starts_at = state.link_free_at.map_or(now, |t| t.max(now));
+            state.link_free_at = Some(starts_at + duration);
+            starts_at + duration
         };
         Timer::at(until).await;
     }
@@ -163,13 +163,13 @@
         .strip_prefix("/pieces/")
         .and_then(|text| text.parse().ok());
     let Some(key) = key else {
-        return answer_status(conn, Status::NotFound, "no such path");
+        return status_response(conn, Status::NotFound, "no such path");
     };
     match conn.method() {
         Method::Put => put(&shared, conn, key).await,
         Method::Get => get(&shared, conn, key).await,
         Method::Delete => delete(&shared, conn, key),
-        _ => answer_status(conn, Status::MethodNotAllowed, ""),
+        _ => status_response(conn, Status::MethodNotAllowed, ""),
     }
 }
 
@@ -178,17 +178,17 @@
     conn: Conn,
 ) -> Conn {
     let state = shared.lock();
-    let rows = state.pieces.iter().map(|(key, piece)| PieceRecord {
+    let records = state.pieces.iter().map(|(key, piece)| PieceRecord {
         key: *key,
         tier: piece.tier,
         generation: piece.generation,
         length: piece.bytes.len() as u64,
     });
     let content = PieceList {
-        pieces: rows.collect(),
+        pieces: records.collect(),
     };
     drop(state);
-    answer_json(conn, &content)
+    json_response(conn, &content)
 }
 
 async fn put(
@@ -207,25 +207,25 @@
         .to_string();
     let body = conn.request_body().await.read_bytes().await;
     let Ok(bytes) = body else {
-        return answer_status(conn, Status::BadRequest, "the piece broke off");
+        return status_response(conn, Status::BadRequest, "the piece broke off");
     };
-    shared.pass_link(bytes.len() as u64, tier).await;
+    shared.transfer(bytes.len() as u64, tier).await;
     if piece_checksum(key, &bytes) != checksum {
-        return answer_status(conn, Status::BadRequest, "the checksum does not fit");
+        return status_response(conn, Status::BadRequest, "the checksum does not fit");
     }
     let mut state = shared.lock();
-    let former = state.pieces.get(&key).map_or(0, |p| p.bytes.len() as u64);
-    let used = state.used - former + bytes.len() as u64;
-    if used > shared.shape.room {
+    let previous = state.pieces.get(&key).map_or(0, |p| p.bytes.len() as u64);
+    let used_bytes = state.used_bytes - previous + bytes.len() as u64;
+    if used_bytes > shared.shape.capacity_bytes {
         drop(state);
-        return answer_status(conn, Status::InsufficientStorage, "full");
+        return status_response(conn, Status::InsufficientStorage, "full");
     }
-    state.used = used;
+    state.used_bytes = used_bytes;
     state.last_generation += 1;
     let generation = state.last_generation;
     state.pieces.insert(
         key,
-        SealedPiece {
+        PieceEntry {
             tier,
             generation,
             checksum,
@@ -243,15 +243,15 @@
     mut conn: Conn,
     key: PieceKey,
 ) -> Conn {
-    let wanted = asked_generation(&conn);
+    let requested = requested_generation(&conn);
     let found = shared.lock().pieces.get(&key).cloned();
     let Some(piece) = found else {
-        return answer_status(conn, Status::NotFound, "no such piece");
+        return status_response(conn, Status::NotFound, "no such piece");
     };
-    if wanted != Some(piece.generation) {
-        return answer_status(conn, Status::Conflict, "another generation");
+    if requested != Some(piece.generation) {
+        return status_response(conn, Status::Conflict, "another generation");
     }
-    shared.pass_link(piece.bytes.len() as u64, piece.tier).await;
+    shared.transfer(piece.bytes.len() as u64, piece.tier).await;
     let headers = conn.response_headers_mut();
     headers.insert(GENERATION_HEADER, piece.generation.to_string());
     headers.insert(CHECKSUM_HEADER, piece.checksum);
@@ -263,20 +263,20 @@
     conn: Conn,
     key: PieceKey,
 ) -> Conn {
-    let wanted = asked_generation(&conn);
+    let requested = requested_generation(&conn);
     let mut state = shared.lock();
     let found = state.pieces.get(&key).map(|p| p.generation);
-    if found.is_none() || found != wanted {
+    if found.is_none() || found != requested {
         drop(state);
-        return answer_status(conn, Status::NotFound, "no such generation");
+        return status_response(conn, Status::NotFound, "no such generation");
     }
     if let Some(piece) = state.pieces.remove(&key) {
-        state.used -= piece.bytes.len() as u64;
+        state.used_bytes -= piece.bytes.len() as u64;
     }
     drop(state);
     conn.ok("")
 }
 
-fn asked_generation(conn: &Conn) -> Option<u64> {
+fn requested_generation(conn: &Conn) -> Option<u64> {
     conn.querystring().strip_prefix("generation=")?.parse().ok()
 }
--- a/testbed/src/stand_ins/table_rows.rs
+++ b/testbed/src/stand_ins/table_rows.rs
@@ -35,11 +35,11 @@
     /// Reads rows.
     pub fn read(
         &self,
-        query: &ReadRequest,
+        request: &ReadRequest,
     ) -> ReadResponse {
         let mut state = self.lock();
         state.reads += 1;
-        let rows = query
+        let rows = request
             .keys
             .iter()
             .filter_map(|key| state.rows.get(key).cloned());
@@ -51,11 +51,11 @@
     /// Writes rows, all or none.
     pub fn commit(
         &self,
-        query: &CommitRequest,
+        request: &CommitRequest,
     ) -> CommitResponse {
         let mut state = self.lock();
         state.writes += 1;
-        let conflicts = query.writes.iter().filter(|write| {
+        let conflicts = request.writes.iter().filter(|write| {
             let found = state.rows.get(&write.key).map_or(0, |row| row.version);
             found != write.expected
         });
@@ -63,7 +63,7 @@
         if !keys.is_empty() {
             return CommitResponse::Conflict { keys };
         }
-        let versions = query
+        let versions = request
             .writes
             .iter()
             .map(|write| state.write(write))
--- a/testbed/tests/config_truth.rs
+++ b/testbed/tests/config_truth.rs
@@ -50,7 +50,7 @@
         let before = deployment.status(0).await.expect("status").revision;
         let mut tasks = Vec::new();
         // Enough of them that the log is folded meanwhile, some answers lost.
-        deployment.platform.state.table_faults.lose_answers(5);
+        deployment.platform.state.table_faults.lose_responses(5);
         for operator in 0..8 {
             let store = deployment.config_store();
             tasks.push(spawn(async move {
@@ -191,7 +191,7 @@
             asked += 1;
             assert!(asked < 5_000, "the engines were not swapped");
         }
-        assert!(deployment.platform.state.most_loading() <= 2);
+        assert!(deployment.platform.state.peak_loads() <= 2);
         deployment.wait_settled().await.expect("settled");
         let outcome = client.chat(&deployment.prompt(0, &text, 4)).await;
         assert_eq!(outcome.text, right_answer(&text, "v2", 4));
--- a/testbed/tests/kept_pieces.rs
+++ b/testbed/tests/kept_pieces.rs
@@ -69,7 +69,7 @@
     block_on(async {
         let store = StoreBox::start(StoreBoxShape::default()).expect("store");
         let generation = put(&store, b"state").await.expect("sealed");
-        store.damage(KEY);
+        store.corrupt(KEY);
         let read = client(&store).get(KEY, generation, checksum).await;
         assert!(matches!(read, Err(StoreError::Damaged { .. })), "{read:?}");
     });
@@ -112,7 +112,7 @@
 fn full_box_says_so() {
     block_on(async {
         let shape = StoreBoxShape {
-            room: 4,
+            capacity_bytes: 4,
             ..StoreBoxShape::default()
         };
         let store = StoreBox::start(shape).expect("store");
--- a/testbed/tests/lease_protocol.rs
+++ b/testbed/tests/lease_protocol.rs
@@ -4,15 +4,15 @@
 
 use {
     pitchhitch_core::time::Micros,
-    pitchhitch_testbed::check::{explore_leases, lease_world, one_holder, LeaseWorld},
+    pitchhitch_testbed::check::{check_single_holder, explore_leases, initial_world, LeaseWorld},
 };
 
 const STATE_LIMIT: usize = 2_000_000;
 
 /// A world in which somebody has just taken the lease and the other knows it.
 fn held_world(faults: u32) -> LeaseWorld {
-    let mut world = lease_world(faults);
-    world.run_smoothly(2);
+    let mut world = initial_world(faults);
+    world.run_without_faults(2);
     assert_eq!(world.holders().len(), 1);
     world
 }
@@ -22,7 +22,7 @@
     units: u64,
 ) -> usize {
     let end = start.now() + Micros(units);
-    explore_leases(start, end, STATE_LIMIT, one_holder).expect("one holder")
+    explore_leases(start, end, STATE_LIMIT, check_single_holder).expect("one holder")
 }
 
 #[test]
@@ -31,7 +31,7 @@
         let states = check(held_world(faults), units);
         println!("{states} states from a held lease, {faults} faults, {units} units of time");
     }
-    let states = check(lease_world(1), 2);
+    let states = check(initial_world(1), 2);
     println!("{states} states from a free lease, 1 fault, 2 units of time");
 }
 
@@ -41,7 +41,7 @@
     let first = world.holders();
     world.crash_holder();
     assert!(world.holders().is_empty());
-    world.run_smoothly(8);
+    world.run_without_faults(8);
     let second = world.holders();
     assert_eq!(second.len(), 1);
     assert!(second[0] > first[0], "{first:?} {second:?}");
--- a/testbed/tests/lost_processes.rs
+++ b/testbed/tests/lost_processes.rs
@@ -44,7 +44,7 @@
     deployment: &Deployment,
     streams: &StreamSet,
 ) {
-    let begun = || sum_engines(deployment, |e| &e.core.counts.begun);
+    let begun = || sum_engines(deployment, |e| &e.core.counts.started);
     deployment
         .wait_until("all to run", || begun() == streams.count() as u64)
         .await;
@@ -141,7 +141,7 @@
             })
             .await;
         // None of them was taken up again elsewhere.
-        assert_eq!(sum_engines(&deployment, |e| &e.core.counts.begun), count);
+        assert_eq!(sum_engines(&deployment, |e| &e.core.counts.started), count);
     });
 }
 
@@ -169,7 +169,7 @@
         for engine in deployment.engines() {
             engine.core.cache().clear();
         }
-        deployment.store.empty();
+        deployment.store.clear();
         let again = client.chat(&deployment.prompt(0, &text, 2)).await;
         assert_eq!(again.text, right_answer(&text, "v1", 2));
     });
--- a/testbed/tests/planned_stops.rs
+++ b/testbed/tests/planned_stops.rs
@@ -41,7 +41,7 @@
     streams.all_right().await;
     let engines = deployment.engines();
     let begun: u64 = engines
-        .map(|e| e.core.counts.begun.load(Ordering::Relaxed))
+        .map(|e| e.core.counts.started.load(Ordering::Relaxed))
         .sum();
     assert_eq!(begun, count);
 }
@@ -104,7 +104,7 @@
         all_uncut(&deployment, streams, 6).await;
         // From now on the other engine has all the work.
         let before = deployment.engines().next().expect("engine");
-        let begun = before.core.counts.begun.load(Ordering::Relaxed);
+        let begun = before.core.counts.started.load(Ordering::Relaxed);
         let client = CallerClient::default();
         for number in 0..6 {
             let outcome = client
@@ -112,6 +112,6 @@
                 .await;
             assert!(outcome.whole);
         }
-        assert_eq!(before.core.counts.begun.load(Ordering::Relaxed), begun);
+        assert_eq!(before.core.counts.started.load(Ordering::Relaxed), begun);
     });
 }
--- a/testbed/tests/whole_path.rs
+++ b/testbed/tests/whole_path.rs
@@ -4,7 +4,7 @@
     pitchhitch_testbed::{
         deploy::{Deployment, DeploymentShape},
         replay::{right_answer, CallHeader, CallerClient},
-        stand_ins::ServiceAnswer,
+        stand_ins::ServiceResponse,
     },
     serde_json::Value,
     smol::block_on,
@@ -94,7 +94,7 @@
                 .plain(method, &url, &key, &headers, body.to_string())
                 .await;
             assert_eq!(outcome.status, 200, "{}", outcome.text);
-            let answer: ServiceAnswer = serde_json::from_str(&outcome.text).expect("json");
+            let answer: ServiceResponse = serde_json::from_str(&outcome.text).expect("json");
             assert_eq!(answer.method, method);
             assert_eq!(answer.path, "/orders/7/lines?dry=1");
             assert_eq!(answer.body, body);
