--- a/testbed/src/check/lease_world.rs
+++ b/testbed/src/check/lease_world.rs
@@ -6,7 +6,7 @@
     std::collections::HashSet,
 };
 
-/// Times of the lease, as short as they can be without losing their order.
+/// Lease times in units of the check, as short as their order allows.
 const LEASE_TIMES: LeaseTimes = LeaseTimes {
     duration: Micros(2),
     interval: Micros(1),
@@ -40,14 +40,14 @@
     answer: Option<Answer>,
 }
 
-/// One state of the small instance: two processes, the row, and what is under way.
+/// One state of the checked system: two processes, the lease row, and calls in progress.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct LeaseWorld {
     now: Micros,
     row: Option<LeaseRow>,
     version: u64,
     processes: [Process; 2],
-    /// Writes whose sender no longer waits; they may still take effect.
+    /// Writes whose sender has timed out; they may still take effect.
     late_writes: Vec<(u64, LeaseRow)>,
     faults: u32,
 }
@@ -64,7 +64,7 @@
     }
 }
 
-/// The world before anybody holds the lease; so many faults may still happen.
+/// The state before any process holds the lease; up to `faults` faults may follow.
 pub fn initial_world(faults: u32) -> LeaseWorld {
     LeaseWorld {
         now: Micros(10),
@@ -93,7 +93,7 @@
         }
     }
 
-    /// Epochs under which processes believe that they may act now.
+    /// Epochs of the processes that consider themselves lease holders now.
     pub fn holders(&self) -> Vec<u64> {
         self.processes
             .iter()
@@ -101,7 +101,7 @@
             .collect()
     }
 
-    /// All worlds that can come next.
+    /// All possible next states.
     fn successors(
         &self,
         end: Micros,
@@ -190,7 +190,7 @@
         number: usize,
         next: &mut Vec<LeaseWorld>,
     ) {
-        // The sender gives up waiting; the write may take effect later, or never.
+        // The sender times out; the write takes effect later, or never.
         if let Some(Call::Write { version, row }) = &self.processes[number].sent {
             for late in [true, false] {
                 let mut world = self.clone();
@@ -203,7 +203,7 @@
                 next.push(world);
             }
         }
-        // The write took effect, but its answer is lost.
+        // The write took effect, but its response is lost.
         if let Some(Answer::Written { .. }) = &self.processes[number].answer {
             let mut world = self.clone();
             world.faults -= 1;
@@ -211,7 +211,7 @@
             world.processes[number].machine.on_write_unknown();
             next.push(world);
         }
-        // The process dies and is started anew; what it has sent goes on.
+        // The process crashes and restarts; a write that it sent may still take effect.
         let mut world = self.clone();
         world.faults -= 1;
         let life = world.processes[number].life + 1;
@@ -223,10 +223,10 @@
     }
 }
 
-/// Visits every world that can come about until `end`, and checks each.
+/// Visits every state that is reachable until `end`, checks each, and returns their number.
 ///
 /// # Errors
-/// With the first world that `check` refuses, or when there are more than `limit`.
+/// Returns the first state that `check` refuses; also fails beyond `limit` states.
 pub fn explore_leases(
     start: LeaseWorld,
     end: Micros,
@@ -249,10 +249,10 @@
     Ok(visited.len())
 }
 
-/// The promise: at most one process believes that it may act.
+/// The invariant of the protocol: at most one process considers itself the lease holder.
 ///
 /// # Errors
-/// When two do.
+/// Fails if several do.
 pub fn check_single_holder(world: &LeaseWorld) -> Result<(), String> {
     match world.holders().len() {
         0 | 1 => Ok(()),
@@ -261,7 +261,7 @@
 }
 
 impl LeaseWorld {
-    /// Goes on without faults, everything answered at once, for so many units of time.
+    /// Advances by `units` units of time, without faults and with every call answered at once.
     pub fn run_without_faults(
         &mut self,
         units: u64,
@@ -290,7 +290,7 @@
         }
     }
 
-    /// The process that holds the lease dies and is started anew.
+    /// Crashes the process that holds the lease and restarts it.
     pub fn crash_holder(&mut self) {
         let now = self.now;
         let holder = self
@@ -303,11 +303,11 @@
         }
     }
 
-    /// The moment that the world is at.
+    /// Current time.
     pub fn now(&self) -> Micros {
         self.now
     }
 }
 
-/// Steps of one process in one unit of time, enough for a read and a write.
+/// Steps of one process per unit of time, enough for a read and a write.
 const STEPS_PER_UNIT: u32 = 6;
--- a/testbed/src/engine/engine_stand_in.rs
+++ b/testbed/src/engine/engine_stand_in.rs
@@ -16,34 +16,34 @@
     trillium::{Conn, Method, Status},
 };
 
-/// Time limit of fetching weights.
+/// Timeout of a weight download.
 const WEIGHT_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// How a stand-in engine is built.
+/// Parameters of a stand-in engine.
 #[derive(Debug, Clone)]
 pub struct EngineShape {
     /// Model that it serves.
     pub model: String,
-    /// Version that it holds at first.
+    /// Weight version that it holds at the start.
     pub version: String,
-    /// Time for one prompt token.
+    /// Prefill time of one prompt token.
     pub prefill_token: Duration,
-    /// Time for one answer token.
+    /// Decode time of one response token.
     pub decode_token: Duration,
     /// Requests in the batch.
     pub slots: usize,
-    /// Pieces in the cache.
+    /// Capacity of the cache, in pieces.
     pub cache_pieces: usize,
-    /// Bytes of kept state in one piece.
+    /// Bytes of cached state in one piece.
     pub piece_bytes: usize,
     /// Age at which cache events are published.
     pub event_delay: Duration,
-    /// Where weights come from.
+    /// Address of the weight store.
     pub weights: SocketAddr,
 }
 
 impl EngineShape {
-    /// A quick engine with a small cache.
+    /// A fast engine with a small cache.
     pub fn small(
         model: &str,
         version: &str,
@@ -63,29 +63,29 @@
     }
 }
 
-/// What an engine has done so far.
+/// Counters of an engine.
 #[derive(Debug, Default)]
 pub struct EngineCounts {
-    /// Prompts that were begun.
+    /// Prompts that have started.
     pub started: AtomicU64,
-    /// Prompts whose caller went away.
+    /// Prompts whose caller disconnected.
     pub cancelled: AtomicU64,
-    /// Prompt tokens that came in.
+    /// Prompt tokens received.
     pub prompt_tokens: AtomicU64,
-    /// Prompt tokens that were computed.
+    /// Prompt tokens computed, that is, not taken from the cache.
     pub computed_tokens: AtomicU64,
 }
 
-/// The running parts of an engine.
+/// Shared state of a running engine.
 #[derive(Debug)]
 pub struct EngineCore {
-    /// How it is built.
+    /// Parameters.
     pub shape: EngineShape,
-    /// Its batch.
+    /// Batch slots and prefill.
     pub prefill_queue: PrefillQueue,
-    /// What it has done.
+    /// Counters.
     pub counts: EngineCounts,
-    /// Requests that run.
+    /// Requests that are running.
     pub running: AtomicU32,
     cache: Mutex<PrefixCache>,
     version: Mutex<String>,
@@ -97,18 +97,18 @@
 /// Stand-in for a model engine; it stops when dropped.
 #[derive(Debug)]
 pub struct EngineStandIn {
-    /// Where it answers.
+    /// Address of its HTTP server.
     pub address: SocketAddr,
-    /// Its parts.
+    /// Shared state.
     pub core: Arc<EngineCore>,
     _server: HttpStandIn,
 }
 
 impl EngineStandIn {
-    /// Starts an engine.
+    /// Starts an engine on a free loopback port.
     ///
     /// # Errors
-    /// When no port can be bound.
+    /// Fails if no port can be bound.
     pub fn start(shape: EngineShape) -> io::Result<Self> {
         Self::start_at(any_port(), shape)
     }
@@ -116,7 +116,7 @@
     /// Starts an engine at an address.
     ///
     /// # Errors
-    /// When the address cannot be bound.
+    /// Fails if the address cannot be bound.
     pub fn start_at(
         address: SocketAddr,
         shape: EngineShape,
@@ -143,12 +143,12 @@
 }
 
 impl EngineCore {
-    /// The cache.
+    /// Locks the prefix cache.
     pub fn cache(&self) -> MutexGuard<'_, PrefixCache> {
         self.cache.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// The version that it holds.
+    /// The weight version that it holds.
     pub fn version(&self) -> String {
         self.version
             .lock()
@@ -156,7 +156,7 @@
             .clone()
     }
 
-    /// Whether new prompts for a version are taken.
+    /// Whether new prompts for a version are accepted; none are during a weight load.
     pub fn accepts(
         &self,
         wanted: Option<&str>,
@@ -165,7 +165,8 @@
         is_same_version && !self.loading.load(Ordering::Relaxed)
     }
 
-    /// Whether an order comes after all before it; it is then the newest.
+    /// Records an order if its stamp is newer than those of all orders before it; returns whether
+    /// it is.
     fn advance_order(
         &self,
         stamp: Option<OrderStamp>,
@@ -241,7 +242,8 @@
     let Some(order) = order else {
         return status_response(conn, Status::BadRequest, "no order");
     };
-    // This engine checks who orders it: nothing without a stamp, nothing out of order.
+    // This engine is one that checks who sends orders: it refuses orders without a stamp and orders
+    // that are older than the last one.
     if !core.advance_order(order.stamp) {
         return status_response(conn, Status::Conflict, "an older order");
     }
@@ -262,7 +264,7 @@
     json_response(conn, &health)
 }
 
-/// The bytes of a piece; an import with other bytes is refused.
+/// The content of a piece, derived from its key. An import of other bytes is refused.
 pub fn piece_bytes(
     key: PieceKey,
     length: usize,
--- a/testbed/src/engine/mod.rs
+++ b/testbed/src/engine/mod.rs
@@ -1,5 +1,5 @@
-//! Stand-in for a model engine: prefill and decode rates, a bounded prefix
-//! cache with late and gappy events, resume, cancel and slow weight loads.
+//! Stand-in for a model engine: prefill and decode rates, a bounded prefix cache whose events
+//! come late and with gaps, resumed streams, cancellation and slow weight loads.
 
 mod engine_stand_in;
 mod prefill_queue;
--- a/testbed/src/engine/prefill_queue.rs
+++ b/testbed/src/engine/prefill_queue.rs
@@ -4,7 +4,7 @@
     std::{sync::Arc, time::Duration},
 };
 
-/// Computes prompts one after the other, and bounds the requests in the batch.
+/// Computes prompts one at a time, and limits the number of requests in the batch.
 #[derive(Debug)]
 pub struct PrefillQueue {
     compute: Mutex<()>,
@@ -12,7 +12,7 @@
 }
 
 impl PrefillQueue {
-    /// A line for so many requests in the batch.
+    /// Creates a queue with a number of batch slots.
     pub fn new(slots: usize) -> Self {
         PrefillQueue {
             compute: Mutex::new(()),
@@ -20,12 +20,12 @@
         }
     }
 
-    /// Waits for a place in the batch; it is held as long as the guard lives.
+    /// Waits for a batch slot, which is held until the guard is dropped.
     pub async fn acquire_slot(&self) -> SemaphoreGuardArc {
         self.slots.acquire_arc().await
     }
 
-    /// Computes a prompt, when the ones before it are done.
+    /// Waits until earlier prompts are computed, then for the time that this one takes.
     pub async fn compute(
         &self,
         duration: Duration,
--- a/testbed/src/engine/prefix_cache.rs
+++ b/testbed/src/engine/prefix_cache.rs
@@ -7,7 +7,7 @@
     },
 };
 
-/// Changes that can still be read.
+/// Changes that are kept for readers; older ones show as a gap.
 const MAX_CHANGES: usize = 2_000;
 
 #[derive(Debug, Clone, Copy)]
@@ -17,7 +17,7 @@
     change: EngineChange,
 }
 
-/// Bounded cache of prompt pieces; what was not used for longest goes first.
+/// Bounded cache of prompt pieces with least-recently-used eviction.
 #[derive(Debug)]
 pub struct PrefixCache {
     capacity: usize,
@@ -29,7 +29,7 @@
 }
 
 impl PrefixCache {
-    /// An empty cache for so many pieces.
+    /// Creates an empty cache for `capacity` pieces.
     pub fn new(capacity: usize) -> Self {
         PrefixCache {
             capacity,
@@ -41,7 +41,7 @@
         }
     }
 
-    /// Leading pieces that are there; they count as used.
+    /// Returns the number of leading pieces that are cached, and marks them as used.
     pub fn use_prefix(
         &mut self,
         pieces: &[PieceKey],
@@ -56,7 +56,7 @@
         found
     }
 
-    /// Whether a piece is there.
+    /// Whether a piece is cached.
     pub fn contains(
         &self,
         key: PieceKey,
@@ -64,7 +64,7 @@
         self.last_use.contains_key(&key)
     }
 
-    /// Adds a piece, dropping others where there is no room.
+    /// Adds a piece, and evicts others beyond the capacity.
     pub fn insert(
         &mut self,
         key: PieceKey,
@@ -84,14 +84,14 @@
         }
     }
 
-    /// Drops everything.
+    /// Removes all pieces.
     pub fn clear(&mut self) {
         self.last_use.clear();
         self.keys_by_use.clear();
         self.record(EngineChange::Cleared);
     }
 
-    /// Changes from a number on that are old enough to be published.
+    /// Changes from a sequence number on that are at least `delay` old.
     pub fn changes_since(
         &self,
         from: u64,
@@ -112,7 +112,7 @@
         }
     }
 
-    /// The whole cache.
+    /// All cached pieces.
     pub fn list(&self) -> EngineCache {
         EngineCache {
             next: self.next_sequence,
--- a/testbed/src/engine/prompt_run.rs
+++ b/testbed/src/engine/prompt_run.rs
@@ -14,11 +14,11 @@
     trillium::{Body, Conn, Status},
 };
 
-/// Answer tokens where the caller does not say.
+/// Response tokens if the caller sets no limit.
 const DEFAULT_RESPONSE_TOKENS: u32 = 16;
-/// Pieces of an answer under way to a caller that does not read.
+/// Chunks of a response that are buffered for a caller that does not read.
 const PIPE_CAPACITY: usize = 64;
-/// Blanks in front of a stream, so that the HTTP library does not hold back the first event.
+/// Spaces in front of a stream, so that the HTTP library does not hold back the first event.
 const STREAM_PADDING: usize = 512;
 
 #[derive(Debug, Deserialize)]
@@ -27,7 +27,7 @@
     max_tokens: Option<u32>,
 }
 
-/// Counts a request as running as long as it lives.
+/// Counts a request as running until dropped, and as cancelled if it is not complete by then.
 struct RunningCount {
     core: Arc<EngineCore>,
     is_complete: bool,
@@ -62,7 +62,7 @@
     resume_after: Option<u32>,
 }
 
-/// Runs one prompt.
+/// Runs one prompt: waits for a slot and the prefill, then answers in full or as a stream.
 pub async fn run_prompt(
     core: Arc<EngineCore>,
     mut conn: Conn,
--- a/testbed/src/engine/response_text.rs
+++ b/testbed/src/engine/response_text.rs
@@ -1,14 +1,14 @@
-/// The words that a stand-in engine answers to a prompt.
+/// The words with which a stand-in engine answers a prompt.
 ///
-/// They depend on the prompt and the weight version alone, so that a replay can
-/// tell a right answer from a wrong, cut-off or crossed one.
+/// They depend only on the prompt and the weight version, so that a replay can detect wrong or
+/// cut-off responses and responses to another request.
 #[derive(Debug, Clone)]
 pub struct ResponseText {
     seed: [u8; 32],
 }
 
 impl ResponseText {
-    /// The answer to a prompt.
+    /// The response to a prompt.
     pub fn new(
         prompt: &[u8],
         version: &str,
@@ -32,7 +32,7 @@
         format!("{} ", &hex[..6])
     }
 
-    /// The first words together.
+    /// The first `count` words, joined.
     pub fn words(
         &self,
         count: u32,
--- a/testbed/src/load_model/engine_events.rs
+++ b/testbed/src/load_model/engine_events.rs
@@ -9,11 +9,11 @@
     },
 };
 
-/// Time until a front learns that an engine went down, by its connection.
+/// Delay after which a front learns from its closed connection that an engine has stopped.
 const LOSS_DETECTION_DELAY: Micros = Micros::from_millis(5);
 
 impl LoadSim<'_> {
-    /// A request is at its engine, which fetches what it was told to.
+    /// An attempt arrives at its engine, which starts the planned fetches.
     pub(super) fn on_attempt(
         &mut self,
         attempt: AttemptKey,
@@ -65,7 +65,7 @@
         );
     }
 
-    /// A request may be read.
+    /// A request's fetches have finished: it queues for prefill.
     pub(super) fn on_prefill_ready(
         &mut self,
         attempt: AttemptKey,
@@ -101,7 +101,7 @@
         }
     }
 
-    /// Begins a step, if the engine has something to do and does nothing.
+    /// Begins a step, unless one is running or there is nothing to do.
     fn step(
         &mut self,
         engine: usize,
@@ -115,7 +115,7 @@
         self.handle_step_events(engine, events);
     }
 
-    /// An engine ends a step and begins the next.
+    /// Ends a step and begins the next one.
     pub(super) fn on_step_ended(
         &mut self,
         incarnation: EngineIncarnation,
@@ -150,7 +150,7 @@
         }
     }
 
-    /// Counts a shared part that is read although an engine had it lately.
+    /// Counts the tokens of a shared part that is prefilled although an engine used it recently.
     fn count_repeated_prefill(
         &mut self,
         part: PromptPart,
@@ -162,7 +162,7 @@
         }
     }
 
-    /// All parts of a prompt are at its engine.
+    /// All parts of a prompt are in the memory of its engine.
     fn on_prefilled(
         &mut self,
         attempt: AttemptKey,
@@ -183,7 +183,7 @@
         self.queue.push(self.now + hop, event);
     }
 
-    /// An engine takes stock, which fronts hear later.
+    /// Samples an engine's load and cache changes; fronts receive them later.
     pub(super) fn send_report(
         &mut self,
         engine: usize,
@@ -198,7 +198,7 @@
         self.queue.push(next_at, SimEvent::ReportDue(engine));
     }
 
-    /// Fronts hear an engine's report.
+    /// Fronts receive an engine's report.
     pub(super) fn on_report(
         &mut self,
         engine: usize,
@@ -223,7 +223,7 @@
         }
     }
 
-    /// The first so many engines go down with all that they hold.
+    /// Stops the first `engines` engines; their memory and requests are lost.
     pub(super) fn stop_engines(
         &mut self,
         engines: usize,
@@ -249,7 +249,7 @@
         }
     }
 
-    /// They come back, empty.
+    /// Starts them again with empty memory.
     pub(super) fn start_engines(
         &mut self,
         engines: usize,
--- a/testbed/src/load_model/engine_memory.rs
+++ b/testbed/src/load_model/engine_memory.rs
@@ -7,15 +7,14 @@
 struct CachedPart {
     tokens: u32,
     rounded_tokens: u64,
-    /// Requests that run on it; it cannot give way while there are any.
+    /// Running requests that use it; it can be evicted only while there are none.
     pins: u32,
-    /// When it was last used, as a count of uses.
+    /// Value of the use counter at its last use.
     last_use: u64,
 }
 
-/// Memory of one engine: what requests that run hold for themselves, and parts,
-/// on which several may run. Of the parts that nobody runs on, the least recently
-/// used give way.
+/// Memory of one engine: private memory of running requests, and cached parts that requests
+/// share. Parts that no running request uses are evicted in least-recently-used order.
 #[derive(Debug)]
 pub struct EngineMemory {
     total: u64,
@@ -30,7 +29,7 @@
 }
 
 impl EngineMemory {
-    /// Empty memory of so many tokens, handed out in blocks.
+    /// Empty memory of `total` tokens, allocated in blocks.
     pub fn new(
         total: u64,
         block_tokens: u32,
@@ -48,17 +47,17 @@
         }
     }
 
-    /// Tokens of all memory.
+    /// Total memory, in tokens.
     pub fn total(&self) -> u64 {
         self.total
     }
 
-    /// Tokens that cannot give way.
+    /// Tokens that cannot be evicted.
     pub fn used(&self) -> u64 {
         self.private_tokens + self.pinned_tokens
     }
 
-    /// Whether a part is kept.
+    /// Whether a part is cached.
     pub fn contains(
         &self,
         id: PartId,
@@ -66,7 +65,7 @@
         self.parts.contains_key(&id)
     }
 
-    /// How many parts of a prompt are kept, counted from its beginning.
+    /// Number of leading parts of a prompt that are cached.
     pub fn cached_parts(
         &self,
         parts: &[PromptPart],
@@ -77,12 +76,12 @@
             .count()
     }
 
-    /// What has come and gone since this was asked last; 0 tokens where it went.
+    /// Parts added and evicted since the last call; 0 tokens mark an evicted part.
     pub fn take_changes(&mut self) -> Vec<(PartId, u32)> {
         std::mem::take(&mut self.changes)
     }
 
-    /// A request begins to run on a part that is kept.
+    /// Marks a cached part as used by one more running request.
     pub fn pin(
         &mut self,
         id: PartId,
@@ -98,7 +97,7 @@
         part.pins += 1;
     }
 
-    /// A request runs no more on a part.
+    /// Marks a part as used by one running request less.
     pub fn unpin(
         &mut self,
         id: PartId,
@@ -116,7 +115,7 @@
         }
     }
 
-    /// Lets one part go that nobody runs on.
+    /// Evicts a part, unless a running request uses it.
     pub fn evict(
         &mut self,
         id: PartId,
@@ -130,8 +129,8 @@
         self.changes.push((id, 0));
     }
 
-    /// Lets parts give way until so many tokens are free; false, and nothing
-    /// gone, where that is impossible.
+    /// Evicts parts until `tokens` tokens are free. Returns false, and evicts nothing, if that is
+    /// impossible.
     pub fn make_room(
         &mut self,
         tokens: u64,
@@ -151,7 +150,7 @@
         true
     }
 
-    /// A request takes memory of its own; false where there is none.
+    /// Allocates private memory for a request; returns false if there is not enough.
     pub fn reserve_private(
         &mut self,
         tokens: u64,
@@ -163,7 +162,7 @@
         has_room
     }
 
-    /// A request gives back memory of its own.
+    /// Frees private memory of a request.
     pub fn release_private(
         &mut self,
         tokens: u64,
@@ -171,8 +170,8 @@
         self.private_tokens = self.private_tokens.saturating_sub(tokens);
     }
 
-    /// A part that a request has read is kept from now on, and the request runs
-    /// on it. Its memory was the request's own.
+    /// Caches a part that a request has prefilled, and pins it for the request. Its memory was
+    /// private to the request until now.
     pub fn insert_prefilled(
         &mut self,
         part: PromptPart,
@@ -184,7 +183,7 @@
         self.pin(part.id);
     }
 
-    /// A part that was fetched is kept from now on, if there is room.
+    /// Caches a fetched part; returns false if there is not enough memory.
     pub fn insert_fetched(
         &mut self,
         part: PromptPart,
@@ -217,7 +216,7 @@
         self.changes.push((part.id, cached.tokens));
     }
 
-    /// Memory that so many tokens take.
+    /// Memory that `tokens` tokens occupy, rounded up to whole blocks.
     pub fn round_to_blocks(
         &self,
         tokens: u32,
--- a/testbed/src/load_model/engine_run.rs
+++ b/testbed/src/load_model/engine_run.rs
@@ -6,29 +6,29 @@
 /// A request at an engine.
 #[derive(Debug, Clone)]
 pub struct EngineRun {
-    /// Which send of which request it is.
+    /// Attempt that brought it to the engine.
     pub key: AttemptKey,
-    /// Rank; 0 is the most urgent.
+    /// Priority; 0 is the most urgent.
     pub priority: u8,
-    /// Order in which requests came to the engine.
+    /// Sequence number of its arrival at the engine.
     pub arrival: u64,
-    /// Parts of the prompt; the last is its own.
+    /// Parts of the prompt; the last one is not shared.
     pub parts: Vec<PromptPart>,
-    /// Answer, in tokens.
+    /// Length of the response, in tokens.
     pub output_tokens: u32,
-    /// Tokens that it has made.
+    /// Tokens generated so far.
     pub generated: u32,
-    /// Parts that it runs on and shares, counted from the beginning.
+    /// Number of leading parts that it has pinned in the engine's memory.
     pub pinned_parts: usize,
-    /// Memory of its own, in tokens.
+    /// Its private memory, in tokens.
     pub private_tokens: u64,
-    /// Tokens that must be read before it makes one.
+    /// Tokens left to prefill before it can generate.
     pub prefill_tokens: u32,
-    /// Those of them that the step under way reads.
+    /// Those of them that the current step prefills.
     pub step_tokens: u32,
-    /// When it last sent something.
+    /// When it last sent an event.
     pub sent_at: Option<Micros>,
-    /// Longest time between two times that it sent something.
+    /// Longest time between two events.
     pub longest_pause: Micros,
 }
 
@@ -38,13 +38,13 @@
         self.parts.iter().map(|part| part.tokens).sum()
     }
 
-    /// Tokens of the prompt that have been read or fetched before its place.
+    /// Tokens already in memory before the ones to prefill.
     pub fn context(&self) -> u32 {
         (self.tokens_in() + self.generated).saturating_sub(self.prefill_tokens)
     }
 
-    /// Notes that it makes a token; the first is sent at once, further ones so
-    /// many together.
+    /// Records a generated token. The first one is sent at once, later ones in events of
+    /// `event_tokens` tokens each.
     pub fn record_token(
         &mut self,
         now: Micros,
@@ -61,17 +61,17 @@
     }
 }
 
-/// What an engine tells of a step.
+/// Outcome of an engine step.
 #[derive(Debug, Clone, PartialEq)]
 pub enum StepEvent {
-    /// A request has made its first token.
+    /// A request has generated its first token.
     FirstToken(AttemptKey),
-    /// A request has made its last token; with the longest pause between two.
+    /// A request has generated its last token; with its longest pause between two events.
     Finished(AttemptKey, Micros),
-    /// A shared part was read.
+    /// A shared part was prefilled.
     SharedPrefilled(PromptPart),
-    /// All parts of a request are there: those that it was asked to save can be.
+    /// All parts of a request are in memory; those that are planned to be saved can be saved.
     Prefilled(AttemptKey),
-    /// A request was put back.
+    /// A request was preempted and queues again.
     Preempted,
 }
--- a/testbed/src/load_model/engine_spec.rs
+++ b/testbed/src/load_model/engine_spec.rs
@@ -1,46 +1,46 @@
 use serde::Deserialize;
 
-/// What all engines of a load are like.
+/// Properties that all engines of a load share.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct EngineSpec {
-    /// How many there are.
+    /// Number of engines.
     pub count: usize,
-    /// Requests that one runs at once.
+    /// Requests that one engine runs at once.
     pub places: u32,
-    /// Memory of one, in tokens.
+    /// Memory of one engine, in tokens.
     pub memory_tokens: u64,
-    /// Tokens by which memory is handed out.
+    /// Size of a memory block, in tokens.
     pub block_tokens: u32,
-    /// Tokens of a prompt that are read in a millisecond.
+    /// Prompt tokens that are prefilled in a millisecond.
     pub read_tokens_per_ms: f64,
-    /// Tokens of prompts that one step reads at most.
+    /// Maximum of prompt tokens that one step prefills.
     pub piece_tokens: u32,
-    /// Time of a step in which nothing is read, in milliseconds.
+    /// Duration of a step without prefill, in milliseconds.
     pub step_ms: f64,
-    /// The same for each request that runs, in milliseconds.
+    /// Further duration of a step for each running request, in milliseconds.
     pub step_ms_per_run: f64,
-    /// Time of reading beyond that by tokens, for a million pairs of a token that
-    /// is read and one before it, in milliseconds.
+    /// Attention cost of prefill, in milliseconds for a million pairs of a prefilled token and one
+    /// before it. It is added to the time by tokens.
     #[serde(default)]
     pub pair_ms: f64,
-    /// Time until a prompt that came may be read, in milliseconds.
+    /// Delay before a prompt that has arrived can be prefilled, in milliseconds.
     pub first_ms: f64,
-    /// Tokens that are sent together.
+    /// Tokens that are sent in one event.
     #[serde(default = "default_event_tokens")]
     pub event_tokens: u32,
-    /// Factors on the time of a step; engines take them in turn.
+    /// Factors on the duration of a step, assigned to the engines in rotation.
     #[serde(default)]
     pub slowness: Vec<f64>,
     /// Memory of one token, in bytes.
     pub token_bytes: u64,
-    /// Speed of an engine's link, in megabits a second.
+    /// Bandwidth of an engine's link, in megabits per second.
     pub link_mbps: f64,
-    /// Time until a move from an engine begins, in milliseconds.
+    /// Latency before a transfer from an engine starts, in milliseconds.
     pub move_first_ms: f64,
-    /// Time between two reports, in milliseconds.
+    /// Interval of reports, in milliseconds.
     pub report_every_ms: f64,
-    /// Age of a report when fronts hear it, in milliseconds.
+    /// Age of a report when fronts receive it, in milliseconds.
     pub report_lag_ms: f64,
 }
 
@@ -49,7 +49,7 @@
 }
 
 impl EngineSpec {
-    /// Factor on the steps of one engine.
+    /// Factor on the step duration of one engine.
     pub fn slowness_of(
         &self,
         engine: usize,
@@ -60,7 +60,7 @@
         }
     }
 
-    /// Memory for so many tokens, in whole blocks.
+    /// Memory that `tokens` tokens occupy, rounded up to whole blocks.
     pub fn round_to_blocks(
         &self,
         tokens: u32,
--- a/testbed/src/load_model/event_queue.rs
+++ b/testbed/src/load_model/event_queue.rs
@@ -7,61 +7,61 @@
     std::{cmp::Ordering, collections::BinaryHeap},
 };
 
-/// Which send of which request something is about: a request may be sent to a
-/// second engine, and news of the first are then out of date.
+/// Identifies one attempt of a request. A request may be sent to a second engine; events of its
+/// first attempt are then outdated.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct AttemptKey {
     /// Request.
     pub request: RequestKey,
-    /// Number of the send, over all tries of its caller.
+    /// Number of the attempt, counted over all retries of the caller.
     pub number: u32,
 }
 
-/// An engine between two times that it went down.
+/// An engine between two stops.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct EngineIncarnation {
-    /// Number of the engine.
+    /// Index of the engine.
     pub engine: usize,
-    /// Number of its life; it rises when the engine goes down.
+    /// Incarnation number; it increases with each stop.
     pub incarnation: u32,
 }
 
-/// Something that happens in a model.
+/// An event of the simulation.
 #[derive(Debug, Clone)]
 pub enum SimEvent {
-    /// A caller's request is at its front.
+    /// A caller's request arrives at its front.
     RequestArrived(RequestKey),
-    /// A request is at its engine.
+    /// An attempt arrives at its engine.
     AttemptArrived(AttemptKey),
-    /// A request may be read at its engine: what is fetched for it is there.
+    /// A request's fetches have finished and it can be prefilled.
     PrefillReady(AttemptKey, EngineIncarnation),
-    /// A part that an engine fetches is there.
+    /// A part that an engine fetched has arrived.
     PartFetched(usize, PromptPart),
     /// An engine ends a step.
     StepEnded(EngineIncarnation),
-    /// A front hears that an answer has begun.
+    /// A front receives the first token of a response.
     FirstToken(AttemptKey),
-    /// A front hears that an answer has ended, and its longest pause.
+    /// A front receives the end of a response, with the longest pause in it.
     ResponseEnded(AttemptKey, Micros),
-    /// A front learns that an engine has lost a request.
+    /// A front learns that an engine has lost an attempt.
     AttemptLost(AttemptKey),
-    /// An engine takes stock.
+    /// An engine samples its load for a report.
     ReportDue(usize),
-    /// Fronts hear an engine's report, and which parts it keeps or let go.
+    /// Fronts receive an engine's load and the parts that it added or evicted.
     ReportReceived(usize, EngineLoad, Vec<(PartId, u32)>),
-    /// A part is saved in a store.
+    /// A part has been saved to a store.
     PartSaved(usize, PromptPart),
-    /// Fronts hear that a store has a part.
+    /// Fronts learn that a store has a part.
     SaveReported(usize, PromptPart),
-    /// Fronts hear that stores live.
+    /// Fronts poll all stores.
     StoresPolled,
-    /// The deadline of a request passes.
+    /// A request's deadline passes.
     Deadline(RequestKey),
     /// A caller leaves.
     CallerLeft(RequestKey),
-    /// The first so many engines go down.
+    /// This many engines stop, counted from the first.
     EnginesStopped(usize),
-    /// They come back.
+    /// The same engines start again.
     EnginesStarted(usize),
 }
 
@@ -93,7 +93,8 @@
 }
 
 impl Ord for QueuedEvent {
-    /// The earliest is the greatest; of one time, that which was put first.
+    /// Reversed, as the heap pops the greatest: the earliest event first, at equal times the one
+    /// that was pushed first.
     fn cmp(
         &self,
         other: &Self,
@@ -102,7 +103,7 @@
     }
 }
 
-/// What is to happen, in the order of a virtual clock.
+/// Future events, in the order of the virtual clock.
 #[derive(Debug, Default)]
 pub struct EventQueue {
     events: BinaryHeap<QueuedEvent>,
@@ -110,7 +111,7 @@
 }
 
 impl EventQueue {
-    /// Puts an event at a time.
+    /// Schedules an event.
     pub fn push(
         &mut self,
         at: Micros,
@@ -124,7 +125,7 @@
         });
     }
 
-    /// Takes the next event.
+    /// Removes the next event and returns it with its time.
     pub fn pop(&mut self) -> Option<(Micros, SimEvent)> {
         let queued = self.events.pop()?;
         Some((queued.at, queued.event))
--- a/testbed/src/load_model/front_request.rs
+++ b/testbed/src/load_model/front_request.rs
@@ -7,46 +7,46 @@
     std::net::SocketAddr,
 };
 
-/// A request as a front sees it.
+/// A request as its front sees it.
 #[derive(Debug, Clone, Copy)]
 pub struct FrontRequest<'a> {
-    /// Its kind.
+    /// Kind of the request.
     pub kind: &'a KindSpec,
-    /// Its prompt.
+    /// Prompt.
     pub prompt: &'a PromptInfo,
-    /// Time that its caller still has.
+    /// Time until the caller's deadline.
     pub time_left: Micros,
-    /// Engines that it has been to, by number.
+    /// Indexes of the engines that were already tried.
     pub tried: &'a [usize],
-    /// A number between 0 and 1 that spreads returns.
+    /// A number between 0 and 1 that spreads the retries of refused callers.
     pub jitter: f64,
 }
 
-/// What a front does about a request.
+/// A front's decision about a request.
 #[derive(Debug, Clone)]
 pub enum FrontDecision {
-    /// It goes to an engine.
+    /// Send it to an engine.
     Routed(Box<RoutedRequest>),
-    /// It is refused, and asked back after a time.
+    /// Refuse it; the caller may retry after this time.
     Refused(Micros),
-    /// No engine is left.
+    /// No engine is left to try.
     NoEngine,
 }
 
-/// A request that goes to an engine.
+/// A request routed to an engine.
 #[derive(Debug, Clone)]
 pub struct RoutedRequest {
-    /// Number of the engine.
+    /// Index of the engine.
     pub engine: usize,
-    /// The choice.
+    /// The router's choice of an endpoint.
     pub choice: EndpointChoice,
-    /// Its ticket in the front's book.
+    /// Ticket of the request in the front's endpoint registry.
     pub ticket: u64,
-    /// Stores in which its shared parts are to be saved.
+    /// Store in which each shared part is to be saved, if any.
     pub saves: Vec<Option<SocketAddr>>,
 }
 
-/// The prompt of a request as its front reads it.
+/// The prompt of a request, as fronts see it.
 pub fn prompt_info(request: &SimRequest) -> PromptInfo {
     PromptInfo {
         model: MODEL.to_string(),
--- a/testbed/src/load_model/kind_spec.rs
+++ b/testbed/src/load_model/kind_spec.rs
@@ -4,11 +4,11 @@
 #[derive(Debug, Clone, Copy, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct PartSpec {
-    /// Sizes; each subject keeps its own throughout.
+    /// Size; drawn once for each subject and then the same in all runs.
     pub tokens: SizeSpec,
-    /// Subjects that there are.
+    /// Number of different subjects.
     pub subjects: u64,
-    /// Exponent of the Zipf law by which subjects are chosen; 0 where all are alike.
+    /// Exponent of the Zipf distribution of subjects; 0 makes all equally likely.
     #[serde(default)]
     pub skew: f64,
 }
@@ -17,31 +17,31 @@
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct KindSpec {
-    /// Name.
+    /// Name of the kind, as waves and tables show it.
     pub name: String,
-    /// How many come in a second.
+    /// Mean request rate, per second.
     pub per_s: f64,
-    /// Rank; 0 is the most urgent.
+    /// Priority; 0 is the most urgent.
     pub rank: u8,
-    /// Time within which an answer should begin, in milliseconds.
+    /// Target latency of the first token, in milliseconds.
     pub aim_ms: u64,
-    /// Time after which its caller waits no longer, in milliseconds.
+    /// Deadline after which the caller gives up, in milliseconds.
     pub deadline_ms: u64,
-    /// Longest pause between two tokens of an answer in aim, in milliseconds.
+    /// Longest pause between two tokens of a response that counts as on time, in milliseconds.
     pub pause_ms: u64,
     /// Shared parts, in order.
     pub shared: Vec<PartSpec>,
-    /// The prompt's own part.
+    /// Size of the part that is not shared.
     pub own: SizeSpec,
-    /// Answers.
+    /// Size of the response.
     pub out: SizeSpec,
-    /// Engines that one try of a caller may go to.
+    /// Engines that a request may be sent to before it fails; a retry by its caller counts anew.
     #[serde(default = "default_sends")]
     pub sends: u32,
-    /// Part of the callers that come back at once when they are refused.
+    /// Fraction of callers that retry at once when they are refused.
     #[serde(default)]
     pub impatient: f64,
-    /// Part of the callers that leave before their deadline.
+    /// Fraction of callers that leave before their deadline.
     #[serde(default)]
     pub leaving: f64,
 }
@@ -51,12 +51,12 @@
 }
 
 impl KindSpec {
-    /// Time within which an answer should begin.
+    /// Target latency of the first token.
     pub fn target_latency(&self) -> Micros {
         Micros::from_millis(self.aim_ms)
     }
 
-    /// Time after which a caller waits no longer.
+    /// Time after which the caller gives up.
     pub fn deadline(&self) -> Micros {
         Micros::from_millis(self.deadline_ms)
     }
--- a/testbed/src/load_model/load_file.rs
+++ b/testbed/src/load_model/load_file.rs
@@ -5,96 +5,96 @@
     std::{fs, path::Path},
 };
 
-/// Ways between callers, fronts and engines, in milliseconds one way.
+/// One-way network latencies between callers, fronts and engines.
 #[derive(Debug, Clone, Copy, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct HopSpec {
-    /// From a caller to a front.
+    /// Between a caller and a front, in milliseconds.
     pub caller_ms: f64,
-    /// Within a failure domain.
+    /// Within a failure domain, in milliseconds.
     pub in_domain_ms: f64,
-    /// Between two failure domains.
+    /// Between two failure domains, in milliseconds.
     pub cross_domain_ms: f64,
 }
 
-/// A time in which more requests come.
+/// A period with a higher request rate.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct WaveSpec {
-    /// Beginning, in seconds.
+    /// Start, in seconds.
     pub from_s: f64,
-    /// Length, in seconds.
+    /// Duration, in seconds.
     pub for_s: f64,
-    /// Factor on what comes.
+    /// Factor on the request rate.
     pub times: f64,
-    /// The kind that it is of; all where none is named.
+    /// Kind that it applies to; all kinds if there is none.
     pub kind: Option<String>,
 }
 
-/// A time in which the first engines are down; they come back empty.
+/// A period in which the first engines are down; they start again with empty memory.
 #[derive(Debug, Clone, Copy, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct OutageSpec {
-    /// Beginning, in seconds.
+    /// Start, in seconds.
     pub from_s: f64,
-    /// Length, in seconds.
+    /// Duration, in seconds.
     pub for_s: f64,
-    /// How many engines.
+    /// Number of engines.
     pub engines: usize,
 }
 
-/// A place outside of the engines that keeps parts.
+/// A store of cached parts outside of the engines.
 #[derive(Debug, Clone, Copy, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct StoreSpec {
-    /// Room, in tokens.
+    /// Capacity, in tokens.
     pub capacity_tokens: u64,
-    /// Speed of its link, in megabits a second.
+    /// Bandwidth of its link, in megabits per second.
     pub link_mbps: f64,
-    /// Time until a move begins, in milliseconds.
+    /// Latency before a transfer starts, in milliseconds.
     pub first_ms: f64,
-    /// Age of its news when fronts hear them, in milliseconds.
+    /// Age of its updates when fronts receive them, in milliseconds.
     pub news_lag_ms: f64,
-    /// Failure domain, by number.
+    /// Index of its failure domain.
     pub domain: usize,
 }
 
-/// A load: who asks for what, and what there is to serve it.
+/// A load: the requests, and the fronts, engines and stores that serve them.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct LoadFile {
-    /// Time in which requests come, in seconds.
+    /// Time during which requests arrive, in seconds.
     pub length_s: f64,
-    /// Fronts; each knows only its own requests and what engines report.
+    /// Number of fronts; each knows only its own requests and the engines' reports.
     pub fronts: usize,
-    /// Failure domains; fronts and engines lie in them in turn.
+    /// Number of failure domains; fronts and engines are assigned to them in rotation.
     pub domains: usize,
-    /// Mean number of requests that come together.
+    /// Mean number of requests in a burst.
     #[serde(default = "default_clump")]
     pub clump: f64,
-    /// Part by which the rate swings up and down.
+    /// Relative amplitude of the periodic change of the request rate.
     #[serde(default)]
     pub swing: f64,
-    /// Length of a swing, in seconds.
+    /// Period of that change, in seconds.
     #[serde(default = "default_swing_s")]
     pub swing_s: f64,
-    /// A shared part that is read within this time of its last use counts as read
-    /// again, in seconds.
+    /// A shared part that is prefilled within this time of its last use counts as prefilled again,
+    /// in seconds.
     #[serde(default = "default_again_s")]
     pub again_s: f64,
-    /// Ways.
+    /// Network latencies.
     pub hops: HopSpec,
     /// Engines.
     pub engines: EngineSpec,
-    /// Stores of kept parts.
+    /// Stores of cached parts.
     #[serde(default)]
     pub stores: Vec<StoreSpec>,
-    /// Requests.
+    /// Kinds of requests.
     pub kinds: Vec<KindSpec>,
-    /// Times in which more come.
+    /// Periods with a higher request rate.
     #[serde(default)]
     pub waves: Vec<WaveSpec>,
-    /// Times in which engines are down.
+    /// Periods in which engines are down.
     #[serde(default)]
     pub outages: Vec<OutageSpec>,
 }
@@ -112,10 +112,10 @@
 }
 
 impl LoadFile {
-    /// Reads a load from TOML.
+    /// Parses a load from TOML.
     ///
     /// # Errors
-    /// Fails where the text is no load, or one that cannot be played.
+    /// Fails if the text is not a valid load or lacks engines, fronts, domains or kinds.
     pub fn parse(text: &str) -> anyhow::Result<Self> {
         let load: LoadFile = toml::from_str(text)?;
         ensure!(load.fronts > 0, "fronts: name at least one");
@@ -133,10 +133,10 @@
     /// Reads a load from a file.
     ///
     /// # Errors
-    /// Fails where the file cannot be read or is no load.
+    /// Fails if the file cannot be read or is not a valid load.
     pub fn read(path: &Path) -> anyhow::Result<Self> {
-        let place = path.display();
-        let text = fs::read_to_string(path).with_context(|| format!("{place}: cannot be read"))?;
-        LoadFile::parse(&text).with_context(|| format!("{place}: is no load"))
+        let file = path.display();
+        let text = fs::read_to_string(path).with_context(|| format!("{file}: cannot be read"))?;
+        LoadFile::parse(&text).with_context(|| format!("{file}: is no load"))
     }
 }
--- a/testbed/src/load_model/load_sim.rs
+++ b/testbed/src/load_model/load_sim.rs
@@ -11,33 +11,33 @@
     std::collections::{BTreeMap, HashMap},
 };
 
-/// Time between two proofs that stores still live as they did.
+/// Interval at which fronts poll the stores; the answers confirm that none has restarted.
 pub(super) const STORE_POLL_INTERVAL: Micros = Micros::from_millis(400);
 
-/// Where a request stands.
+/// State of one request.
 #[derive(Debug, Clone, Default)]
 pub(super) struct RequestState {
-    /// What became of it, once that is known.
+    /// Final outcome, once known.
     pub outcome: Option<RequestOutcome>,
-    /// Front that has it.
+    /// Index of the front that handles it.
     pub front: usize,
     /// Whether it was refused once.
     pub was_refused: bool,
-    /// Engines that it has been to in this try, by number.
+    /// Indexes of the engines tried since the caller's last retry.
     pub tried: Vec<usize>,
-    /// Sends, over all tries.
+    /// Attempts, over all retries of the caller.
     pub attempts: u32,
-    /// The last send, while the request is on its front's book.
+    /// The current attempt, while its front has it registered.
     pub routed: Option<RoutedRequest>,
-    /// When it was sent last.
+    /// When the last attempt was sent.
     pub sent_at: Micros,
-    /// Whether the engine of the last send went down since.
+    /// Whether the engine of the last attempt has stopped since.
     pub is_lost: bool,
-    /// When its front heard the beginning of the answer.
+    /// When its front received the first token.
     pub first_token_at: Option<Micros>,
 }
 
-/// A load that is played under one seed.
+/// Simulation of a load under one seed.
 #[derive(Debug)]
 pub(super) struct LoadSim<'a> {
     pub(super) load: &'a LoadFile,
@@ -49,16 +49,16 @@
     pub(super) fronts: Vec<SimFront>,
     pub(super) engines: Vec<SimEngine>,
     pub(super) stores: Vec<SimStore>,
-    /// Parts on their way to each engine, and when they are there.
+    /// Parts in transfer to each engine, with their arrival times.
     pub(super) incoming: Vec<BTreeMap<PartId, Micros>>,
-    /// When each shared part was used last at any engine.
+    /// When each shared part was last used at any engine.
     pub(super) last_used_at: HashMap<PartId, Micros>,
     pub(super) tally: LoadTally,
-    /// Requests of which it is not known yet what becomes of them.
+    /// Requests without an outcome yet.
     pub(super) pending: usize,
 }
 
-/// Plays a load under a seed, without one mechanism if one is named.
+/// Simulates a load under a seed, with one mechanism disabled if one is given.
 pub fn simulate_load(
     load: &LoadFile,
     seed: u64,
@@ -76,7 +76,7 @@
     sim.tally
 }
 
-/// A time in milliseconds with fractions.
+/// Converts fractional milliseconds.
 pub(super) fn millis(millis: f64) -> Micros {
     Micros((millis * 1e3) as u64)
 }
@@ -118,7 +118,7 @@
         }
     }
 
-    /// Puts all that happens whatever is decided.
+    /// Schedules the events that do not depend on any decision.
     fn schedule_events(&mut self) {
         let caller_hop = millis(self.load.hops.caller_ms);
         for (index, request) in self.requests.iter().enumerate() {
@@ -178,7 +178,8 @@
         }
     }
 
-    /// Whether news of a send are still of interest.
+    /// Whether events of an attempt still matter: it is its request's last one, not lost, and the
+    /// request has no outcome.
     pub(super) fn is_current(
         &self,
         attempt: AttemptKey,
@@ -187,7 +188,7 @@
         state.outcome.is_none() && state.attempts == attempt.number && !state.is_lost
     }
 
-    /// Time between a front and an engine, one way.
+    /// One-way latency between a front and an engine.
     pub(super) fn hop(
         &self,
         front: usize,
--- a/testbed/src/load_model/load_table.rs
+++ b/testbed/src/load_model/load_table.rs
@@ -3,19 +3,19 @@
     std::fmt::Write,
 };
 
-/// Median, least and most of some figures.
+/// Median, minimum and maximum of samples.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct SampleSummary {
-    /// Median; the mean of both where two are in the middle.
+    /// Median; the mean of the two middle samples if their number is even.
     pub median: f64,
-    /// Least.
+    /// Minimum.
     pub min: f64,
-    /// Most.
+    /// Maximum.
     pub max: f64,
 }
 
 impl SampleSummary {
-    /// Of some figures; all 0 where there are none.
+    /// Summarizes samples; all values are 0 if there are none.
     pub fn from_samples(samples: impl Iterator<Item = f64>) -> Self {
         let mut samples: Vec<f64> = samples.collect();
         samples.sort_by(f64::total_cmp);
@@ -29,7 +29,7 @@
     }
 }
 
-/// The runs of a load under some seeds, as a table.
+/// Formats the runs of a load under some seeds as a table.
 pub fn load_table(
     load: &LoadFile,
     tallies: &[LoadTally],
@@ -86,7 +86,7 @@
     let counts: String = counts.iter().map(|count| format!("{count:>9}")).collect();
     let mut first_ms = KindTally::default().first_ms;
     for kind in kinds {
-        // All have the same bounds.
+        // Cannot fail: all histograms have the same bounds.
         let _ = first_ms.add(&kind.first_ms);
     }
     let (p50, p99) = (
--- a/testbed/src/load_model/load_tally.rs
+++ b/testbed/src/load_model/load_tally.rs
@@ -1,37 +1,37 @@
 use {super::RequestOutcome, hdrhistogram::Histogram};
 
-/// The longest time to a first token that is told apart, in milliseconds.
+/// Upper bound of the histogram of first-token times, in milliseconds.
 const MAX_FIRST_TOKEN_MS: u64 = 600_000;
 
-/// Counts of one kind of request in one second, by when it was asked first.
+/// Counts of one kind of request, by the second of the caller's first try.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct SecondTally {
-    /// Requests whose callers stayed.
+    /// Requests whose callers did not leave.
     pub eligible: u32,
-    /// Those of them that were answered in aim.
+    /// Those of them that were answered on time.
     pub on_time: u32,
 }
 
 /// Counts of one kind of request.
 #[derive(Debug, Clone, PartialEq)]
 pub struct KindTally {
-    /// Requests, each counted once however often its caller came.
+    /// Requests; retries of a caller are not counted again.
     pub requests: u32,
-    /// Answered in aim.
+    /// Answered on time.
     pub on_time: u32,
     /// Answered, but late.
     pub late: u32,
-    /// Refused at last.
+    /// Refused, also on retry.
     pub refused: u32,
     /// Neither answered nor refused.
     pub failed: u32,
-    /// Whose callers left.
+    /// Abandoned by their callers.
     pub abandoned: u32,
-    /// Answered after they had been refused once.
+    /// Answered after one refusal and a retry.
     pub retried: u32,
-    /// Times until the first token, in milliseconds, of those that were answered.
+    /// Times to the first token of answered requests, in milliseconds.
     pub first_ms: Histogram<u64>,
-    /// The same by the second in which they were asked.
+    /// Counts by the second in which requests were first sent.
     pub seconds: Vec<SecondTally>,
 }
 
@@ -53,7 +53,7 @@
 }
 
 impl KindTally {
-    /// Notes what became of a request that was asked in some second.
+    /// Records the outcome of a request that was first sent in a given second.
     pub fn record(
         &mut self,
         outcome: RequestOutcome,
@@ -75,12 +75,12 @@
         tally.on_time += u32::from(outcome == RequestOutcome::OnTime);
     }
 
-    /// Requests whose callers stayed.
+    /// Requests whose callers did not leave.
     pub fn eligible(&self) -> u32 {
         self.requests - self.abandoned
     }
 
-    /// Part of them that was answered in aim; 1 where there were none.
+    /// Fraction of them that was answered on time; 1 if there were none.
     pub fn on_time_fraction(&self) -> f64 {
         match self.eligible() {
             0 => 1.0,
@@ -89,17 +89,17 @@
     }
 }
 
-/// What came of a load under one seed.
+/// Results of a load under one seed.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct LoadTally {
     /// Counts by kind.
     pub kinds: Vec<KindTally>,
-    /// Tokens of shared parts that were read though some engine had used them lately.
+    /// Tokens of shared parts that were prefilled although an engine had used them recently.
     pub prefilled_again: u64,
     /// Tokens of shared parts that were fetched.
     pub fetched_tokens: u64,
-    /// How often a request was put back.
+    /// Preemptions of running requests.
     pub preemptions: u32,
-    /// Sends to an engine.
+    /// Attempts sent to engines.
     pub attempts: u32,
 }
--- a/testbed/src/load_model/mod.rs
+++ b/testbed/src/load_model/mod.rs
@@ -1,6 +1,6 @@
-//! A model of engines, fronts and callers on a virtual clock. It runs the very code
-//! that decides in the product, so that a mechanism can be weighed under many
-//! loads and seeds in seconds.
+//! Simulation of engines, fronts and callers on a virtual clock. It runs the decision code of
+//! the product itself, so that a mechanism can be evaluated under many loads and seeds in
+//! seconds.
 
 mod engine_events;
 mod engine_memory;
--- a/testbed/src/load_model/request_events.rs
+++ b/testbed/src/load_model/request_events.rs
@@ -6,13 +6,13 @@
     pitchhitch_core::time::Micros,
 };
 
-/// When a caller comes back whose front found no engine at all.
+/// Delay after which a caller retries whose front found no engine at all.
 const NO_ENGINE_RETRY_DELAY: Micros = Micros::from_millis(500);
-/// A caller waits for its return up to this part of the time that it has left.
+/// A caller waits before its retry at most its remaining time divided by this.
 const RETRY_DELAY_DIVISOR: u64 = 3;
 
 impl LoadSim<'_> {
-    /// A request is at its front, for the first time or once more.
+    /// A request arrives at its front, for the first time or as a retry.
     pub(super) fn on_request(
         &mut self,
         key: RequestKey,
@@ -57,8 +57,8 @@
             .push(self.now + hop, SimEvent::AttemptArrived(attempt));
     }
 
-    /// A caller that is refused comes back once, at another front; the time that
-    /// it was told counts only as far as its own allows.
+    /// A refused caller retries once, at another front. It follows the suggested delay only as far
+    /// as its own deadline allows.
     fn refuse(
         &mut self,
         key: RequestKey,
@@ -84,7 +84,7 @@
             .push(self.now + round_trip + delay, SimEvent::RequestArrived(key));
     }
 
-    /// A front hears that an answer has begun.
+    /// A front receives the first token of a response.
     pub(super) fn on_first_token(
         &mut self,
         attempt: AttemptKey,
@@ -101,7 +101,7 @@
         }
     }
 
-    /// A front hears that an answer has ended.
+    /// A front receives the end of a response.
     pub(super) fn on_response_ended(
         &mut self,
         attempt: AttemptKey,
@@ -132,8 +132,8 @@
         self.set_outcome(key, outcome);
     }
 
-    /// A front learns that an engine has lost a request: it goes to another one, if
-    /// it may and nothing of the answer has come.
+    /// A front learns that an engine has lost an attempt. It retries at another engine if the
+    /// request allows it and no token has arrived.
     pub(super) fn on_attempt_lost(
         &mut self,
         attempt: AttemptKey,
@@ -158,7 +158,7 @@
         }
     }
 
-    /// A caller waits no longer.
+    /// Ends a request whose caller has stopped waiting, and cancels it at its engine.
     pub(super) fn give_up(
         &mut self,
         key: RequestKey,
@@ -177,7 +177,7 @@
         self.set_outcome(key, outcome);
     }
 
-    /// The front takes a request off its book.
+    /// Removes a request from its front's registry.
     fn release(
         &mut self,
         key: RequestKey,
--- a/testbed/src/load_model/request_plan.rs
+++ b/testbed/src/load_model/request_plan.rs
@@ -9,15 +9,15 @@
     rand_pcg::Pcg64,
 };
 
-/// Time for which all runs before requests come: fronts save nothing to stores
-/// that they have just begun to look at.
+/// Time for which the simulation runs before requests arrive: fronts save nothing to stores
+/// that they have just begun to poll.
 pub const WARM_UP_TIME: Micros = Micros::from_secs(10);
-/// Mean time between requests that come together, in milliseconds. Assumed.
+/// Mean gap between the requests of a burst, in milliseconds.
 const MEAN_BURST_GAP_MS: f64 = 10.0;
-/// Seed of the sizes of subjects: they belong to the load, not to a run.
+/// Seed of the sizes of shared parts: they belong to the load and are the same in all runs.
 const SUBJECT_SEED: u64 = 0x5eed_0f51;
 
-/// Draws all requests of a load, in the order in which they come.
+/// Draws all requests of a load, sorted by arrival time.
 pub fn generate_requests(
     load: &LoadFile,
     seed: u64,
@@ -51,7 +51,7 @@
         if at_s >= load.length_s {
             return;
         }
-        // What is drawn at the highest rate is thinned to the rate of the moment.
+        // Arrivals are drawn at the peak rate and thinned to the current rate.
         if random.gen_range(0.0..peak) >= rate_factor(load, kind, at_s, phase) {
             continue;
         }
--- a/testbed/src/load_model/sim_engine.rs
+++ b/testbed/src/load_model/sim_engine.rs
@@ -3,31 +3,31 @@
     pitchhitch_core::{serving::EngineLoad, time::Micros},
 };
 
-/// One engine: it runs requests in steps, in each of which every request that has
-/// been read makes a token and a piece of those that have not is read.
+/// One engine. In each step, every prefilled request generates a token, and a chunk of the
+/// prompts that are not prefilled yet is processed.
 #[derive(Debug)]
 pub struct SimEngine {
     spec: EngineSpec,
     slowness: f64,
-    /// Memory.
+    /// Memory of running requests and cached parts.
     pub memory: EngineMemory,
     waiting: Vec<EngineRun>,
     running: Vec<EngineRun>,
-    /// Requests that came and may not be read yet.
+    /// Requests that have arrived and cannot be prefilled yet.
     pub unready: u32,
     arrivals: u64,
-    /// Whether a step is under way.
+    /// Whether a step is running.
     pub is_stepping: bool,
-    /// Number of its life; it rises when it goes down.
+    /// Incarnation number; it increases with each stop.
     pub incarnation: u32,
     /// Whether it is down.
     pub is_down: bool,
-    /// Until when its link is taken.
+    /// Time until which its link is in use.
     pub link_busy_until: Micros,
 }
 
 impl SimEngine {
-    /// The engine with a number among those of a load.
+    /// Creates the engine with an index in a load.
     pub fn new(
         spec: &EngineSpec,
         number: usize,
@@ -47,8 +47,8 @@
         }
     }
 
-    /// Takes a request whose fetches have ended; false where it is larger than
-    /// all memory.
+    /// Queues a request whose fetches have finished; returns false if it needs more than the total
+    /// memory.
     pub fn enqueue(
         &mut self,
         mut run: EngineRun,
@@ -65,7 +65,7 @@
         true
     }
 
-    /// What rounding to blocks adds at most.
+    /// Upper bound of what rounding to blocks adds.
     fn rounding_slack(
         &self,
         run: &EngineRun,
@@ -73,7 +73,7 @@
         run.parts.len() as u64 * u64::from(self.spec.block_tokens)
     }
 
-    /// Ends a request that nobody waits for.
+    /// Removes a request that no caller waits for.
     pub fn cancel(
         &mut self,
         key: AttemptKey,
@@ -85,7 +85,7 @@
         }
     }
 
-    /// Goes down; all that it held is lost.
+    /// Stops the engine; its memory and requests are lost.
     pub fn stop(&mut self) {
         self.waiting.clear();
         self.running.clear();
@@ -96,7 +96,7 @@
         self.incarnation += 1;
     }
 
-    /// What a report says now.
+    /// Current content of a report.
     pub fn report(&self) -> EngineLoad {
         let reading = self.running.iter().filter(|run| run.generated == 0).count() as u32;
         let waiting = self.waiting.len() as u32;
@@ -112,7 +112,7 @@
         }
     }
 
-    /// Begins a step, if there is anything to do; tells how long it takes.
+    /// Begins a step if there is anything to do; returns its duration.
     pub fn begin_step(
         &mut self,
         events: &mut Vec<StepEvent>,
@@ -130,7 +130,8 @@
         Some(Micros((millis * self.slowness * 1e3) as u64))
     }
 
-    /// Lets requests in that wait, the most urgent first, then in their order.
+    /// Admits waiting requests by priority, then by arrival. A more urgent request preempts less
+    /// urgent ones.
     fn admit_waiting(
         &mut self,
         events: &mut Vec<StepEvent>,
@@ -153,7 +154,7 @@
         }
     }
 
-    /// Starts the first that waits, if memory is there for its whole prompt.
+    /// Starts the first waiting request if there is memory for its whole prompt.
     fn start_next(&mut self) -> bool {
         let mut run = self.waiting.remove(0);
         let cached = self.memory.cached_parts(&run.parts);
@@ -180,8 +181,8 @@
         true
     }
 
-    /// Says what each request has read in this step; tells for how long it reads,
-    /// in milliseconds.
+    /// Assigns the prefill tokens of this step to the requests; returns the prefill time in
+    /// milliseconds.
     fn plan_prefill(&mut self) -> f64 {
         let mut order: Vec<usize> = (0..self.running.len()).collect();
         order.sort_by_key(|index| (self.running[*index].priority, self.running[*index].arrival));
@@ -204,7 +205,7 @@
         events: &mut Vec<StepEvent>,
     ) {
         self.is_stepping = false;
-        // Those that are put back in this step have made no token in it.
+        // Requests that are preempted in this step generate no token in it.
         let keys: Vec<AttemptKey> = self.running.iter().map(|run| run.key).collect();
         for key in keys {
             let Some(index) = self.running.iter().position(|run| run.key == key) else {
@@ -226,7 +227,7 @@
         }
     }
 
-    /// What a request has read is kept from now on.
+    /// Caches the parts that a request has prefilled.
     fn cache_parts(
         &mut self,
         index: usize,
@@ -245,7 +246,8 @@
         events.push(StepEvent::Prefilled(run.key));
     }
 
-    /// Takes memory for one more token; false where the request itself was put back.
+    /// Allocates memory for one more token; returns false if the request itself was preempted for
+    /// it.
     fn reserve_token(
         &mut self,
         key: AttemptKey,
@@ -306,8 +308,9 @@
         events.push(StepEvent::Preempted);
     }
 
-    /// Gives back all memory of a request; what it read stays while there is room.
-    /// Its later parts give way first, as they are of no use without the others.
+    /// Frees the memory of a request; its prefilled shared parts stay cached while there is memory.
+    /// Later parts are unpinned first and thus evicted first, as they cannot be used without the
+    /// ones before.
     fn release(
         &mut self,
         run: &mut EngineRun,
--- a/testbed/src/load_model/sim_front.rs
+++ b/testbed/src/load_model/sim_front.rs
@@ -12,23 +12,23 @@
     std::net::SocketAddr,
 };
 
-/// The one model that all engines serve, and the one version of its weights.
+/// The model that all engines serve, and the version of its weights.
 pub(super) const MODEL: &str = "m";
 const VERSION: u64 = 1;
-/// The one wall inside which parts are shared.
+/// The cache namespace of all shared parts.
 pub const NAMESPACE: NamespaceTag = NamespaceTag(1);
 const SERVICE: &str = "engines";
 
-/// One front: the deciding code of the product, with its state.
+/// One front: the product's decision code with its state.
 #[derive(Debug)]
 pub struct SimFront {
-    /// Failure domain, by number.
+    /// Index of its failure domain.
     pub domain: usize,
     /// Engines, as this front knows them.
     pub registry: EndpointRegistry,
     /// Stores, as this front knows them.
     pub store_directory: StoreDirectory,
-    /// What it has learned of engines.
+    /// Latencies that it has learned.
     pub estimator: LatencyEstimator,
     admission: AdmissionController,
     keys: Vec<EndpointKey>,
@@ -38,7 +38,7 @@
 }
 
 impl SimFront {
-    /// A front that has just learned of all engines and stores.
+    /// Creates a front that has just learned of all engines and stores.
     pub fn new(
         domain: usize,
         domains: usize,
@@ -75,7 +75,7 @@
         }
     }
 
-    /// Key of an engine in the book.
+    /// Registry key of an engine.
     pub fn key(
         &self,
         engine: usize,
@@ -83,7 +83,7 @@
         self.keys[engine]
     }
 
-    /// Number of an engine in the book.
+    /// Index of the engine with a registry key.
     pub fn engine(
         &self,
         key: EndpointKey,
@@ -91,7 +91,7 @@
         self.keys.iter().position(|known| *known == key)
     }
 
-    /// Decides about a request.
+    /// Admits or refuses a request, and picks its engine.
     pub fn decide(
         &mut self,
         request: &FrontRequest<'_>,
@@ -100,7 +100,7 @@
         let Some(choice) = self.pick(request, now) else {
             return FrontDecision::NoEngine;
         };
-        // Only a first send is judged: what has been let in is carried through.
+        // Admission applies to the first attempt only: a request once admitted is carried through.
         if request.tried.is_empty()
             && self.decide_admission(request, &choice) != AdmissionDecision::Admitted
         {
@@ -215,7 +215,7 @@
         }
     }
 
-    /// Hears that an answer has begun.
+    /// Records the first token of a response.
     pub fn on_first_token(
         &mut self,
         routed: &RoutedRequest,
@@ -231,8 +231,8 @@
         }
     }
 
-    /// Hears that an answer has ended, or learns that it is lost; `held` is for
-    /// how long the engine had it, where it had begun.
+    /// Records the end of a response or its loss; `held` is the time that the engine had it, if a
+    /// token had arrived.
     pub fn on_ended(
         &mut self,
         routed: &RoutedRequest,
--- a/testbed/src/load_model/sim_request.rs
+++ b/testbed/src/load_model/sim_request.rs
@@ -1,27 +1,27 @@
 use pitchhitch_core::{serving::PromptPart, time::Micros};
 
-/// Key of a caller's request in a load.
+/// Index of a caller's request in a load.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct RequestKey(pub usize);
 
-/// A request that a caller makes, with all that its seed has drawn.
+/// A caller's request, with all properties drawn from the seed.
 #[derive(Debug, Clone)]
 pub struct SimRequest {
-    /// Place of its kind in the load.
+    /// Index of its kind in the load.
     pub kind: usize,
-    /// When its caller sends it first.
+    /// When its caller first sends it.
     pub at: Micros,
-    /// Front that it goes to first.
+    /// Index of the front that it first goes to.
     pub front: usize,
-    /// Parts; the last is its own.
+    /// Parts of the prompt; the last one is not shared.
     pub parts: Vec<PromptPart>,
-    /// Answer, in tokens.
+    /// Length of the response, in tokens.
     pub tokens_out: u32,
     /// When its caller leaves, if before the deadline.
     pub leaves_at: Option<Micros>,
-    /// Whether its caller comes back at once when it is refused.
+    /// Whether its caller retries at once when it is refused.
     pub is_impatient: bool,
-    /// A number between 0 and 1 that spreads the returns of refused callers.
+    /// A number between 0 and 1 that spreads the retries of refused callers.
     pub jitter: f64,
 }
 
@@ -37,14 +37,14 @@
     }
 }
 
-/// What became of a request.
+/// Final outcome of a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RequestOutcome {
-    /// It was answered in time.
+    /// Answered on time.
     OnTime,
-    /// It was answered, but began late or paused for too long.
+    /// Answered, but the first token came late or a pause was too long.
     Late,
-    /// It was refused, and again if it came back.
+    /// Refused, and refused again if its caller retried.
     Refused,
     /// Its deadline passed, or its engine was lost.
     Failed,
--- a/testbed/src/load_model/sim_store.rs
+++ b/testbed/src/load_model/sim_store.rs
@@ -7,24 +7,26 @@
     std::{collections::HashSet, net::SocketAddr},
 };
 
-/// Calls that a store holds at once; the model asks none, but a store names them.
+/// Concurrent long polls that a store accepts. The simulation sends none, but the configuration
+/// of a store needs a value.
 const MAX_PENDING_CALLS: u32 = 8;
 
-/// A store of kept parts: nothing gives way, so a part is saved only where it has room.
+/// A store of cached parts. It evicts nothing: a part is saved only if there is capacity for
+/// it.
 #[derive(Debug)]
 pub struct SimStore {
-    /// What it is like.
+    /// Properties from the load file.
     pub spec: StoreSpec,
-    /// Where it is reached; only a name here.
+    /// Its address; used only as an identifier.
     pub address: SocketAddr,
-    /// Until when its link is taken.
+    /// Time until which its link is in use.
     pub link_busy_until: Micros,
     parts: HashSet<PartId>,
     tokens: u64,
 }
 
 impl SimStore {
-    /// The empty store with a number among those of a load.
+    /// Creates the empty store with an index in a load.
     pub fn new(
         spec: &StoreSpec,
         number: usize,
@@ -38,7 +40,7 @@
         }
     }
 
-    /// What fronts know of it from their configuration.
+    /// Its entry in the configuration of fronts.
     pub fn notice(&self) -> KvStore {
         KvStore {
             name: format!("store-{}", self.address),
@@ -60,7 +62,7 @@
         self.parts.contains(&id)
     }
 
-    /// Keeps a part, if there is room.
+    /// Saves a part; returns false if there is no capacity or it is already there.
     pub fn save(
         &mut self,
         part: PromptPart,
--- a/testbed/src/load_model/size_spec.rs
+++ b/testbed/src/load_model/size_spec.rs
@@ -4,16 +4,16 @@
     serde::Deserialize,
 };
 
-/// Sizes that are drawn, in tokens: log-normal around a mean, cut at a most.
+/// A random size in tokens: log-normally distributed and limited to a maximum.
 #[derive(Debug, Clone, Copy, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct SizeSpec {
-    /// Mean before the cut, in tokens.
+    /// Mean before the limit is applied, in tokens.
     pub mean: f64,
-    /// Standard deviation of the natural logarithm; 0 where all are alike.
+    /// Standard deviation of the natural logarithm; 0 makes all sizes equal.
     #[serde(default)]
     pub spread: f64,
-    /// The most, in tokens.
+    /// Maximum, in tokens.
     pub max: f64,
 }
 
--- a/testbed/src/load_model/transfer_events.rs
+++ b/testbed/src/load_model/transfer_events.rs
@@ -9,16 +9,16 @@
     },
 };
 
-/// Factor on a move between failure domains.
+/// Factor on the duration of a transfer between failure domains.
 const CROSS_DOMAIN_FACTOR: f64 = 2.0;
-/// An engine does not begin a move that would wait for longer: it reads the part.
+/// An engine does not start a transfer that would wait for longer; it prefills the part.
 const MAX_LINK_WAIT: Micros = Micros::from_secs(2);
-/// The one life of each store.
+/// Epoch of each store, as no store restarts.
 const STORE_EPOCH: u64 = 1;
 
 impl LoadSim<'_> {
-    /// Starts the moves that a request's front asked for; tells when all is there.
-    /// From the first part that cannot be had, all is read.
+    /// Starts the fetches that a request's front planned; returns when all parts have arrived. From
+    /// the first part that is unavailable on, everything is prefilled.
     pub(super) fn start_fetches(
         &mut self,
         attempt: AttemptKey,
@@ -43,8 +43,8 @@
         arrives_at
     }
 
-    /// Starts to move a part to an engine; tells when it is there, or nothing where
-    /// the source has it no more.
+    /// Starts the transfer of a part to an engine; returns its arrival time, or `None` if the
+    /// source no longer has the part or a link is busy for too long.
     fn start_transfer(
         &mut self,
         attempt: AttemptKey,
@@ -86,7 +86,8 @@
         }
         let took_ms = first_ms + transfer_ms(bytes, link_mbps);
         let arrives_at = starts_at + millis(took_ms * factor);
-        // A longer way delays a move, but does not keep the link of its source.
+        // A cross-domain path delays the transfer, but does not occupy the link of its source for
+        // longer.
         *link_busy_until = starts_at + millis(took_ms);
         self.engines[engine].link_busy_until = arrives_at;
         self.incoming[engine].insert(part.id, arrives_at);
@@ -95,7 +96,7 @@
         Some(arrives_at)
     }
 
-    /// A part that an engine fetched is there.
+    /// A fetched part has arrived at an engine.
     pub(super) fn on_part_fetched(
         &mut self,
         engine: usize,
@@ -107,7 +108,7 @@
         }
     }
 
-    /// An engine has all parts of a prompt and saves those that it was asked to.
+    /// Starts to save the parts that the front planned to save, when the engine has all of them.
     pub(super) fn start_saves(
         &mut self,
         attempt: AttemptKey,
@@ -130,7 +131,7 @@
         }
     }
 
-    /// A part is saved, if the store has room.
+    /// A part has arrived at a store, which keeps it if there is capacity.
     pub(super) fn on_part_saved(
         &mut self,
         store_index: usize,
@@ -144,7 +145,7 @@
         }
     }
 
-    /// Fronts hear that a store has a part.
+    /// Fronts learn that a store has a part.
     pub(super) fn on_save_reported(
         &mut self,
         store_index: usize,
@@ -157,7 +158,7 @@
         }
     }
 
-    /// Fronts hear that all stores live as they did.
+    /// Fronts poll all stores and learn that none has restarted.
     pub(super) fn poll_stores(&mut self) {
         let clock_ms = Some(self.now.as_millis());
         for front in &mut self.fronts {
--- a/testbed/src/proxy/fault_proxy.rs
+++ b/testbed/src/proxy/fault_proxy.rs
@@ -19,9 +19,9 @@
     },
 };
 
-/// Bytes passed on in one go.
+/// Maximum of bytes forwarded at once.
 const CHUNK_BYTES: usize = 16 * 1024;
-/// How often a held connection looks whether the mode has changed.
+/// Interval at which connections check for a new mode or a cut.
 const MODE_POLL_INTERVAL: Duration = Duration::from_millis(5);
 
 #[derive(Debug, Default)]
@@ -32,10 +32,10 @@
     cut_after: Mutex<Option<u64>>,
 }
 
-/// Passes TCP connections on to a target, with faults that a test switches.
+/// Forwards TCP connections to a target, with faults that a test switches.
 #[derive(Debug)]
 pub struct FaultProxy {
-    /// Where it listens.
+    /// Address that it listens on.
     pub address: SocketAddr,
     state: Arc<ProxyState>,
     _listener: Task<()>,
@@ -48,10 +48,10 @@
 }
 
 impl FaultProxy {
-    /// Starts a proxy before a target.
+    /// Starts a proxy in front of a target.
     ///
     /// # Errors
-    /// When no port can be bound.
+    /// Fails if no port can be bound.
     pub async fn start(target: SocketAddr) -> io::Result<Self> {
         let listener = TcpListener::bind(any_port()).await?;
         let address = listener.local_addr()?;
@@ -63,7 +63,7 @@
         })
     }
 
-    /// Changes what happens from now on. Connections are closed by [`ProxyMode::Cut`].
+    /// Sets the mode of all connections. [`ProxyMode::Cut`] also closes the open ones.
     pub fn set_mode(
         &self,
         mode: ProxyMode,
@@ -78,7 +78,7 @@
         }
     }
 
-    /// Cuts all connections once so many more bytes of answers have passed.
+    /// Closes all connections after `bytes` more bytes of responses.
     pub fn cut_after(
         &self,
         bytes: u64,
@@ -90,7 +90,7 @@
             .unwrap_or_else(PoisonError::into_inner) = Some(bytes);
     }
 
-    /// Bytes of answers that have passed.
+    /// Bytes of responses read from the target, except those that [`ProxyMode::LoseResponses`] lost.
     pub fn response_bytes(&self) -> u64 {
         self.state.response_bytes.load(Ordering::Relaxed)
     }
@@ -101,7 +101,7 @@
         *self.mode.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// How many of so many bytes of answers may pass before the cut.
+    /// How many of `length` response bytes may pass before the cut; `None` if none.
     fn allow(
         &self,
         length: usize,
@@ -212,8 +212,7 @@
                 None => break,
             }
         }
-        // What follows a cut must not pass: bytes of a connection never go
-        // missing in its middle.
+        // Nothing after a cut may be forwarded: a connection never loses bytes from its middle.
         let is_cut = forwarded < length;
         if to.write_all(&buffer[..forwarded]).await.is_err() || is_cut {
             break;
--- a/testbed/src/proxy/proxy_mode.rs
+++ b/testbed/src/proxy/proxy_mode.rs
@@ -1,17 +1,17 @@
 use std::time::Duration;
 
-/// What a proxy does with what passes through it.
+/// What a proxy does with its connections.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub enum ProxyMode {
-    /// Passes everything on.
+    /// Forwards everything.
     #[default]
     Pass,
-    /// Passes everything on after a while.
+    /// Forwards everything after a delay.
     Delay(Duration),
-    /// Closes every connection, and each new one at once.
+    /// Closes all connections, and new ones at once.
     Cut,
-    /// Keeps connections open, but passes nothing on.
+    /// Keeps connections open, but forwards nothing.
     Freeze,
-    /// Passes questions on; closes the connection when an answer comes.
+    /// Forwards requests; closes the connection when a response arrives.
     LoseResponses,
 }
--- a/testbed/src/stand_ins/body_pipe.rs
+++ b/testbed/src/stand_ins/body_pipe.rs
@@ -9,10 +9,9 @@
     },
 };
 
-/// The reading end of a body that is made piece by piece.
+/// The reading end of a body that is produced in chunks.
 ///
-/// When the HTTP connection goes, the body is dropped and the writer's next
-/// send fails.
+/// When the HTTP connection closes, the body is dropped and the writer's next send fails.
 #[derive(Debug)]
 pub struct BodyPipe {
     inner: Mutex<PipeInner>,
@@ -25,7 +24,7 @@
     consumed: usize,
 }
 
-/// A pipe for so many pieces under way.
+/// Creates a pipe that buffers `capacity` chunks.
 pub fn body_pipe(capacity: usize) -> PipeEnds {
     let (sender, receiver) = async_channel::bounded(capacity);
     PipeEnds {
@@ -43,9 +42,9 @@
 /// Both ends of a pipe.
 #[derive(Debug)]
 pub struct PipeEnds {
-    /// Takes the pieces.
+    /// Accepts the chunks.
     pub writer: Sender<Vec<u8>>,
-    /// Goes to the HTTP library.
+    /// Body that is handed to the HTTP library.
     pub body: BodyPipe,
 }
 
--- a/testbed/src/stand_ins/fault_switch.rs
+++ b/testbed/src/stand_ins/fault_switch.rs
@@ -6,7 +6,7 @@
     },
 };
 
-/// Faults of one service, switched by a test while it runs.
+/// Faults of one service, which a test switches while the service runs.
 #[derive(Debug, Default)]
 pub struct FaultSwitch {
     down: AtomicBool,
@@ -14,14 +14,14 @@
     delay_millis: AtomicU64,
 }
 
-/// What a fault does to one call.
+/// Effect of the current faults on one call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum FaultOutcome {
-    /// The call goes through.
+    /// The call is processed as usual.
     None,
-    /// The call has no effect and gets no useful answer.
+    /// The call has no effect and gets no useful response.
     Down,
-    /// The call takes effect, but its answer is lost.
+    /// The call takes effect, but its response is lost.
     ResponseLost,
 }
 
@@ -34,7 +34,7 @@
         self.down.store(down, Ordering::Relaxed);
     }
 
-    /// Loses the answers of the next calls that write.
+    /// Loses the responses of the next `count` calls that write.
     pub fn lose_responses(
         &self,
         count: u32,
@@ -42,7 +42,7 @@
         self.responses_to_lose.store(count, Ordering::Relaxed);
     }
 
-    /// Makes every call take longer.
+    /// Delays every call.
     pub fn set_delay(
         &self,
         delay: Duration,
@@ -51,7 +51,7 @@
             .store(delay.as_millis() as u64, Ordering::Relaxed);
     }
 
-    /// Waits as long as the fault says, and tells what happens to the call.
+    /// Waits for the configured delay and returns the effect on the call.
     pub async fn apply(
         &self,
         is_write: bool,
--- a/testbed/src/stand_ins/http_stand_in.rs
+++ b/testbed/src/stand_ins/http_stand_in.rs
@@ -4,22 +4,22 @@
     trillium_smol::Stopper,
 };
 
-/// Longest head of a request: names of pieces travel in a header.
+/// Maximum size of a request head; large, as a header lists the keys of a prompt's pieces.
 const MAX_HEAD_BYTES: usize = 256 * 1024;
 
-/// An HTTP server of a stand-in; it stops when dropped.
+/// HTTP server of a stand-in; it stops when dropped.
 #[derive(Debug)]
 pub struct HttpStandIn {
-    /// Where it answers.
+    /// Address that it listens on.
     pub address: SocketAddr,
     stopper: Stopper,
 }
 
 impl HttpStandIn {
-    /// Starts a server on loopback; port zero lets the system choose.
+    /// Starts a server on loopback; with port zero the system chooses the port.
     ///
     /// # Errors
-    /// When the address cannot be bound.
+    /// Fails if the address cannot be bound.
     pub fn start<F>(
         address: SocketAddr,
         handler: impl Fn(Conn) -> F + Send + Sync + 'static,
@@ -54,12 +54,12 @@
     }
 }
 
-/// The loopback address with a port that the system chooses.
+/// The loopback address with port zero, for which the system chooses a port.
 pub fn any_port() -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], 0))
 }
 
-/// Reads a body whole; what cannot be read is empty.
+/// Reads a complete body; an unreadable body counts as empty.
 pub async fn read_body(conn: &mut Conn) -> Vec<u8> {
     conn.request_body()
         .await
@@ -68,7 +68,7 @@
         .unwrap_or_default()
 }
 
-/// Answers JSON.
+/// Responds with JSON.
 pub fn json_response(
     mut conn: Conn,
     value: &impl serde::Serialize,
@@ -79,7 +79,7 @@
     conn.ok(body)
 }
 
-/// Answers a status with a text.
+/// Responds with a status and a text.
 pub fn status_response(
     conn: Conn,
     status: Status,
--- a/testbed/src/stand_ins/mod.rs
+++ b/testbed/src/stand_ins/mod.rs
@@ -1,5 +1,5 @@
-//! Stand-ins for the platform: table, object store, box list, weight store,
-//! store boxes, and a plain service.
+//! Stand-ins for the platform's services (table, object store, box list, weight store), for
+//! store boxes and for a plain service.
 
 mod body_pipe;
 mod fault_switch;
--- a/testbed/src/stand_ins/plain_service.rs
+++ b/testbed/src/stand_ins/plain_service.rs
@@ -11,11 +11,11 @@
     trillium::{Conn, Method},
 };
 
-/// Time that one call takes.
+/// Processing time of a call.
 const REQUEST_DURATION: Duration = Duration::from_millis(3);
 
-/// Calls that ran, by the text of their body. Shared by all services of a group,
-/// so that a call that ran twice anywhere is seen.
+/// Counts executed calls by the text of their body. All services of a group share it, so that a
+/// call that was executed twice anywhere is detected.
 #[derive(Debug, Clone, Default)]
 pub struct RunCounter {
     runs: Arc<Mutex<BTreeMap<String, u32>>>,
@@ -30,7 +30,7 @@
         *runs.entry(body.to_string()).or_insert(0) += 1;
     }
 
-    /// How often the call with this body ran.
+    /// Number of executions of the call with this body.
     pub fn count(
         &self,
         body: &str,
@@ -39,26 +39,26 @@
         runs.get(body).copied().unwrap_or(0)
     }
 
-    /// The most that any call ran.
+    /// Largest number of executions of any call.
     pub fn max_count(&self) -> u32 {
         let runs = self.runs.lock().unwrap_or_else(PoisonError::into_inner);
         runs.values().copied().max().unwrap_or(0)
     }
 }
 
-/// Stand-in for a plain service, such as one that takes orders.
+/// Stand-in for a plain service, such as one that accepts purchase orders.
 #[derive(Debug)]
 pub struct PlainService {
-    /// Where it answers.
+    /// Address of its HTTP server.
     pub address: SocketAddr,
     _server: HttpStandIn,
 }
 
 impl PlainService {
-    /// Starts a service.
+    /// Starts a service on a free loopback port.
     ///
     /// # Errors
-    /// When no port can be bound.
+    /// Fails if no port can be bound.
     pub fn start(counter: RunCounter) -> io::Result<Self> {
         let server = HttpStandIn::start(any_port(), move |conn| serve(counter.clone(), conn))?;
         Ok(PlainService {
@@ -68,14 +68,14 @@
     }
 }
 
-/// What a call of the service answers.
+/// Response of the service, which repeats the call.
 #[derive(Debug, Clone, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct ServiceResponse {
-    /// Method of the call.
+    /// HTTP method.
     pub method: String,
     /// Path with query.
     pub path: String,
-    /// Body, as it came.
+    /// Body as received.
     pub body: String,
 }
 
--- a/testbed/src/stand_ins/platform_stand_in.rs
+++ b/testbed/src/stand_ins/platform_stand_in.rs
@@ -18,12 +18,12 @@
     trillium::{Conn, Method, Status},
 };
 
-/// Time that the weight store takes for one load.
+/// Duration of one weight download from the weight store.
 const WEIGHT_LOAD_TIME: Duration = Duration::from_millis(1_300);
-/// Loads at once beyond which each takes longer.
+/// Concurrent weight downloads beyond which each takes longer.
 const FULL_SPEED_LOADS: u32 = 2;
 
-/// What the platform holds.
+/// Content and faults of the platform's services.
 #[derive(Debug, Default)]
 pub struct PlatformState {
     /// Rows of the table.
@@ -41,21 +41,21 @@
     peak_loads: AtomicU32,
 }
 
-/// Stand-in for the platform's services, all on one address.
+/// Stand-in for the platform's services, all at one address.
 #[derive(Debug)]
 pub struct PlatformStandIn {
-    /// Where all of them answer.
+    /// Address of its HTTP server.
     pub address: SocketAddr,
-    /// What they hold.
+    /// Content and faults.
     pub state: Arc<PlatformState>,
     _server: HttpStandIn,
 }
 
 impl PlatformStandIn {
-    /// Starts the services.
+    /// Starts the services on a free loopback port.
     ///
     /// # Errors
-    /// When no port can be bound.
+    /// Fails if no port can be bound.
     pub fn start() -> io::Result<Self> {
         let state = Arc::new(PlatformState::default());
         let shared = state.clone();
@@ -69,7 +69,7 @@
 }
 
 impl PlatformState {
-    /// Puts a box on the list, or replaces it.
+    /// Adds a box to the list, or replaces it.
     pub fn list_box(
         &self,
         record: BoxRecord,
@@ -78,7 +78,7 @@
         boxes.insert(record.id.clone(), record);
     }
 
-    /// Takes a box off the list.
+    /// Removes a box from the list.
     pub fn unlist_box(
         &self,
         id: &str,
@@ -87,7 +87,7 @@
         boxes.remove(id);
     }
 
-    /// Puts a version into the weight store.
+    /// Adds a version to the weight store.
     pub fn add_weights(
         &self,
         model: &str,
@@ -97,7 +97,7 @@
         weights.insert(format!("{model}/{version}"));
     }
 
-    /// The most loads that ever ran at once.
+    /// Largest number of weight downloads that ever ran concurrently.
     pub fn peak_loads(&self) -> u32 {
         self.peak_loads.load(Ordering::Relaxed)
     }
--- a/testbed/src/stand_ins/store_box.rs
+++ b/testbed/src/stand_ins/store_box.rs
@@ -17,14 +17,14 @@
     trillium::{Conn, Method, Status},
 };
 
-/// How a store box is built.
+/// Parameters of a store box.
 #[derive(Debug, Clone, Copy)]
 pub struct StoreBoxShape {
-    /// Bytes that it holds.
+    /// Capacity, in bytes.
     pub capacity_bytes: u64,
-    /// Bytes a second over its link, both ways together.
+    /// Bandwidth of its link, in bytes per second, both directions together.
     pub link_bytes_per_s: f64,
-    /// Bytes a second that its disk gives.
+    /// Bandwidth of its disk, in bytes per second.
     pub disk_bytes_per_s: f64,
 }
 
@@ -61,23 +61,23 @@
     link_bytes: AtomicU64,
 }
 
-/// Stand-in for a store box. Dropped and started anew it is empty.
+/// Stand-in for a store box. A dropped store box that is started again is empty.
 #[derive(Debug)]
 pub struct StoreBox {
-    /// Where it answers.
+    /// Address of its HTTP server.
     pub address: SocketAddr,
     shared: Arc<StoreShared>,
     _server: HttpStandIn,
 }
 
 impl StoreBox {
-    /// Starts an empty store box.
+    /// Starts an empty store box on a free loopback port.
     ///
     /// # Errors
-    /// When the address cannot be bound.
+    /// Fails if no port can be bound.
     pub fn start(shape: StoreBoxShape) -> io::Result<Self> {
         let state = StoreState {
-            // A box that starts anew must not reuse the generations of its former life.
+            // A restarted box must not reuse the generations of its earlier incarnation.
             last_generation: rand::random::<u32>() as u64 * 1_000_000,
             ..StoreState::default()
         };
@@ -95,17 +95,17 @@
         })
     }
 
-    /// Bytes that have gone over the link.
+    /// Bytes transferred over the link.
     pub fn link_bytes(&self) -> u64 {
         self.shared.link_bytes.load(Ordering::Relaxed)
     }
 
-    /// Pieces that are sealed.
+    /// Number of stored pieces.
     pub fn piece_count(&self) -> usize {
         self.shared.lock().pieces.len()
     }
 
-    /// Changes a byte of a piece, as a failing memory would.
+    /// Flips a bit of a piece, as faulty memory would.
     pub fn corrupt(
         &self,
         key: PieceKey,
@@ -115,7 +115,7 @@
         }
     }
 
-    /// Drops everything, as if the box had been replaced.
+    /// Removes all pieces, as if the box had been replaced.
     pub fn clear(&self) {
         let mut state = self.shared.lock();
         state.pieces.clear();
@@ -128,7 +128,7 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Waits for the link's turn, then for the bytes to pass.
+    /// Waits until the link is free and then for the duration of the transfer.
     async fn transfer(
         &self,
         bytes: u64,
--- a/testbed/src/stand_ins/table_rows.rs
+++ b/testbed/src/stand_ins/table_rows.rs
@@ -25,9 +25,9 @@
 /// Calls that the table has answered.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct TableCalls {
-    /// Reads, however many rows each.
+    /// Reads, each of any number of rows.
     pub reads: u64,
-    /// Commits, however many rows each.
+    /// Commits, each of any number of rows.
     pub writes: u64,
 }
 
@@ -48,7 +48,7 @@
         }
     }
 
-    /// Writes rows, all or none.
+    /// Writes all rows, or none if a row does not have its expected version.
     pub fn commit(
         &self,
         request: &CommitRequest,
@@ -80,7 +80,7 @@
         }
     }
 
-    /// The value of a row, for tests.
+    /// The value of a row.
     pub fn value(
         &self,
         key: &str,
--- a/testbed/tests/lease_protocol.rs
+++ b/testbed/tests/lease_protocol.rs
@@ -1,6 +1,6 @@
-//! The lease protocol, by trying all orders of events of a small instance: two
-//! processes, one row, calls that are delayed, lost before or after they take
-//! effect, crashes, and any pause between two steps.
+//! Checks the lease protocol in all orders of events of a small instance: two processes, one
+//! row, calls that are delayed or lost before or after they take effect, crashes, and pauses of
+//! any length between two steps.
 
 use {
     pitchhitch_core::time::Micros,
@@ -9,7 +9,7 @@
 
 const STATE_LIMIT: usize = 2_000_000;
 
-/// A world in which somebody has just taken the lease and the other knows it.
+/// A state in which one process has just taken the lease and the other knows it.
 fn held_world(faults: u32) -> LeaseWorld {
     let mut world = initial_world(faults);
     world.run_without_faults(2);
--- a/testbed/tests/load_model.rs
+++ b/testbed/tests/load_model.rs
@@ -1,4 +1,5 @@
-//! The model of engines, fronts and callers on a virtual clock.
+//! The simulation of engines, fronts and callers: it is reproducible, gives every request one
+//! outcome, and shows the effect of the mechanisms.
 
 use {
     pitchhitch_core::serving::ServingMechanism,
--- a/testbed/tests/proxy_cuts.rs
+++ b/testbed/tests/proxy_cuts.rs
@@ -1,4 +1,5 @@
-//! What comes through a cut connection is the beginning of what was sent.
+//! Guards against bytes missing in the middle of a connection that the fault proxy cuts: what
+//! arrives must be a prefix of what was sent.
 
 use {
     futures_lite::{AsyncReadExt, AsyncWriteExt},
@@ -10,11 +11,11 @@
     },
 };
 
-/// Longer than what the proxy passes on in one go, so that it must read again.
+/// More than the proxy forwards at once, so that it must read again.
 const MESSAGE: usize = 64 * 1024;
 const CUT: usize = 777;
 
-/// Greets, waits for a question and sends message after message, each of another letter.
+/// Greets, waits for one byte and sends message after message, each of another letter.
 async fn send_messages(listener: TcpListener) {
     let (mut stream, _) = listener.accept().await.expect("a caller");
     stream.write_all(b"!").await.expect("a greeting");
