--- a/testbed/src/engine/engine_stand_in.rs
+++ b/testbed/src/engine/engine_stand_in.rs
@@ -165,8 +165,7 @@
         is_same_version && !self.loading.load(Ordering::Relaxed)
     }
 
-    /// Records an order if its stamp is newer than those of all orders before it; returns whether
-    /// it is.
+    /// Records the stamp of an order if it is newer than all earlier ones; returns whether it is.
     fn advance_order(
         &self,
         stamp: Option<OrderStamp>,
@@ -242,8 +241,8 @@
     let Some(order) = order else {
         return status_response(conn, Status::BadRequest, "no order");
     };
-    // This engine is one that checks who sends orders: it refuses orders without a stamp and orders
-    // that are older than the last one.
+    // This engine checks its orders: it refuses those without a stamp, and those whose stamp is
+    // not newer than all earlier ones.
     if !core.advance_order(order.stamp) {
         return status_response(conn, Status::Conflict, "an older order");
     }
--- a/testbed/tests/load_model.rs
+++ b/testbed/tests/load_model.rs
@@ -71,7 +71,7 @@
     let without_admission = sum_on_time(&load, Some(ServingMechanism::Admission));
     assert!(
         enabled > without_admission,
-        "{enabled} in aim, without {without_admission}"
+        "{enabled} on time, {without_admission} without admission"
     );
 }
 
