--- a/testbed/src/engine/prompt_run.rs
+++ b/testbed/src/engine/prompt_run.rs
@@ -28,13 +28,13 @@
 }
 
 /// Counts a request as running until dropped, and as cancelled if it is not complete by then.
-struct RunningCount {
+struct RunningGuard {
     core: Arc<EngineCore>,
     is_complete: bool,
     _slot: SemaphoreGuardArc,
 }
 
-impl RunningCount {
+impl RunningGuard {
     fn set_complete(
         &mut self,
         is_complete: bool,
@@ -43,7 +43,7 @@
     }
 }
 
-impl Drop for RunningCount {
+impl Drop for RunningGuard {
     fn drop(&mut self) {
         self.core.running.fetch_sub(1, Ordering::Relaxed);
         if !self.is_complete {
@@ -111,7 +111,7 @@
 }
 
 struct PrefillDone {
-    running: RunningCount,
+    running: RunningGuard,
     computed: u32,
 }
 
@@ -123,7 +123,7 @@
     let slot = core.prefill_queue.acquire_slot().await;
     core.running.fetch_add(1, Ordering::Relaxed);
     core.counts.started.fetch_add(1, Ordering::Relaxed);
-    let running = RunningCount {
+    let running = RunningGuard {
         core: core.clone(),
         is_complete: false,
         _slot: slot,
@@ -163,7 +163,7 @@
 fn stream_response(
     mut conn: Conn,
     run: PromptRun,
-    mut running: RunningCount,
+    mut running: RunningGuard,
 ) -> Conn {
     let pipe = body_pipe(PIPE_CAPACITY);
     let writer = pipe.writer;
@@ -217,7 +217,7 @@
 async fn send_response(
     mut conn: Conn,
     run: PromptRun,
-    mut running: RunningCount,
+    mut running: RunningGuard,
 ) -> Conn {
     let duration = running.core.shape.decode_token * run.response_tokens;
     let decode = async {
--- a/testbed/src/load_model/engine_events.rs
+++ b/testbed/src/load_model/engine_events.rs
@@ -249,7 +249,7 @@
         }
     }
 
-    /// Starts them again with empty memory.
+    /// Starts the first `engines` engines again, with empty memory.
     pub(super) fn start_engines(
         &mut self,
         engines: usize,
--- a/testbed/src/load_model/sim_engine.rs
+++ b/testbed/src/load_model/sim_engine.rs
@@ -30,11 +30,11 @@
     /// Creates the engine with an index in a load.
     pub fn new(
         spec: &EngineSpec,
-        number: usize,
+        index: usize,
     ) -> Self {
         SimEngine {
             spec: spec.clone(),
-            slowness: spec.slowness_of(number),
+            slowness: spec.slowness_of(index),
             memory: EngineMemory::new(spec.memory_tokens, spec.block_tokens),
             waiting: Vec::new(),
             running: Vec::new(),
@@ -186,15 +186,15 @@
     fn plan_prefill(&mut self) -> f64 {
         let mut order: Vec<usize> = (0..self.running.len()).collect();
         order.sort_by_key(|index| (self.running[*index].priority, self.running[*index].arrival));
-        let mut left = self.spec.piece_tokens;
+        let mut tokens_left = self.spec.piece_tokens;
         let mut pairs = 0.0;
         for index in order {
             let run = &mut self.running[index];
-            run.step_tokens = run.prefill_tokens.min(left);
-            left -= run.step_tokens;
+            run.step_tokens = run.prefill_tokens.min(tokens_left);
+            tokens_left -= run.step_tokens;
             pairs += f64::from(run.step_tokens) * f64::from(run.context());
         }
-        let tokens = f64::from(self.spec.piece_tokens - left);
+        let tokens = f64::from(self.spec.piece_tokens - tokens_left);
         tokens / self.spec.read_tokens_per_ms + pairs / 1e6 * self.spec.pair_ms
     }
 
--- a/testbed/src/load_model/sim_store.rs
+++ b/testbed/src/load_model/sim_store.rs
@@ -29,11 +29,11 @@
     /// Creates the empty store with an index in a load.
     pub fn new(
         spec: &StoreSpec,
-        number: usize,
+        index: usize,
     ) -> Self {
         SimStore {
             spec: *spec,
-            address: SocketAddr::from(([10, 1, 0, number as u8], 80)),
+            address: SocketAddr::from(([10, 1, 0, index as u8], 80)),
             link_busy_until: Micros::ZERO,
             parts: HashSet::new(),
             tokens: 0,
--- a/testbed/src/load_model/transfer_events.rs
+++ b/testbed/src/load_model/transfer_events.rs
@@ -84,11 +84,11 @@
         if starts_at.since(self.now) > MAX_LINK_WAIT {
             return None;
         }
-        let took_ms = first_ms + transfer_ms(bytes, link_mbps);
-        let arrives_at = starts_at + millis(took_ms * factor);
+        let transfer_time_ms = first_ms + transfer_ms(bytes, link_mbps);
+        let arrives_at = starts_at + millis(transfer_time_ms * factor);
         // A cross-domain path delays the transfer, but does not occupy the link of its source for
         // longer.
-        *link_busy_until = starts_at + millis(took_ms);
+        *link_busy_until = starts_at + millis(transfer_time_ms);
         self.engines[engine].link_busy_until = arrives_at;
         self.incoming[engine].insert(part.id, arrives_at);
         self.queue
@@ -123,9 +123,9 @@
             };
             let store = &mut self.stores[store_index];
             let bytes = u64::from(part.tokens) * self.load.engines.token_bytes;
-            let took_ms = store.spec.first_ms + transfer_ms(bytes, store.spec.link_mbps);
+            let transfer_time_ms = store.spec.first_ms + transfer_ms(bytes, store.spec.link_mbps);
             let starts_at = self.now.max(store.link_busy_until);
-            store.link_busy_until = starts_at + millis(took_ms);
+            store.link_busy_until = starts_at + millis(transfer_time_ms);
             let save_event = SimEvent::PartSaved(store_index, *part);
             self.queue.push(store.link_busy_until, save_event);
         }
