--- a/testbed/src/deploy/deployment.rs
+++ b/testbed/src/deploy/deployment.rs
@@ -5,7 +5,7 @@
     },
     crate::{
         engine::EngineStandIn,
-        stand_ins::{PlatformStandIn, RunCounter, StoreBox},
+        fakes::{PlatformStandIn, RunCounter, StoreBox},
     },
     anyhow::Context,
     pitchhitch_entry::operators::{StatusReport, STATUS_PATH},
--- a/testbed/src/deploy/deployment_shape.rs
+++ b/testbed/src/deploy/deployment_shape.rs
@@ -1,5 +1,5 @@
 use {
-    crate::{engine::EngineShape, stand_ins::StoreBoxShape},
+    crate::{engine::EngineShape, fakes::StoreBoxShape},
     pitchhitch_core::{
         conf::{CostWeights, OrganisationLimits},
         route::RoutePolicy,
--- a/testbed/src/deploy/endpoint_place.rs
+++ b/testbed/src/deploy/endpoint_place.rs
@@ -1,6 +1,6 @@
 use {
     super::{ChildProcess, Deployment, BEACON_SECRET},
-    crate::{engine::EngineStandIn, proxy::FaultProxy, stand_ins::PlainService},
+    crate::{engine::EngineStandIn, fakes::PlainService, proxy::FaultProxy},
     serde_json::{json, Value},
     std::net::SocketAddr,
 };
--- a/testbed/src/engine/engine_stand_in.rs
+++ b/testbed/src/engine/fake_engine.rs
@@ -1,6 +1,6 @@
 use {
     super::{run_prompt, PrefillQueue, PrefixCache},
-    crate::stand_ins::{any_port, json_response, read_body, status_response, HttpStandIn},
+    crate::fakes::{any_port, json_response, read_body, status_response, HttpStandIn},
     pitchhitch_agent::endpoint::{EngineHealth, EngineOrder, VERSION_HEADER},
     pitchhitch_core::{kv_cache::PieceKey, lease::OrderStamp},
     pitchhitch_services::http::ServiceClient,
--- a/testbed/src/engine/prompt_run.rs
+++ b/testbed/src/engine/prompt_run.rs
@@ -1,6 +1,6 @@
 use {
     super::{EngineCore, ResponseText},
-    crate::stand_ins::{body_pipe, json_response, read_body, status_response},
+    crate::fakes::{body_pipe, json_response, read_body, status_response},
     pitchhitch_agent::endpoint::{
         COMPUTED_HEADER, PIECES_HEADER, REFUSED_HEADER, RESUME_HEADER, VERSION_HEADER,
     },
--- a/testbed/src/stand_ins/mod.rs
+++ b/testbed/src/fakes/mod.rs
@@ -2,14 +2,14 @@
 //! store boxes and for a plain service.
 
 mod body_pipe;
+mod fake_platform;
+mod fake_server;
 mod fault_switch;
-mod http_stand_in;
 mod plain_service;
-mod platform_stand_in;
 mod store_box;
 mod table_rows;
 
 pub use {
-    body_pipe::*, fault_switch::*, http_stand_in::*, plain_service::*, platform_stand_in::*,
+    body_pipe::*, fake_platform::*, fake_server::*, fault_switch::*, plain_service::*,
     store_box::*, table_rows::*,
 };
--- a/testbed/src/proxy/fault_proxy.rs
+++ b/testbed/src/proxy/fault_proxy.rs
@@ -1,6 +1,6 @@
 use {
     super::ProxyMode,
-    crate::stand_ins::any_port,
+    crate::fakes::any_port,
     async_global_executor::Task,
     futures_lite::{future, AsyncReadExt, AsyncWriteExt},
     pitchhitch_process::spawn,
--- a/testbed/tests/kept_pieces.rs
+++ b/testbed/tests/kept_pieces.rs
@@ -5,7 +5,7 @@
     pitchhitch_agent::moves::piece_checksum,
     pitchhitch_core::kv_cache::{PieceKey, StoreTier},
     pitchhitch_services::stores::{StoreClient, StoreError, CHECKSUM_HEADER},
-    pitchhitch_testbed::stand_ins::{StoreBox, StoreBoxShape},
+    pitchhitch_testbed::fakes::{StoreBox, StoreBoxShape},
     smol::{block_on, net::TcpStream},
     std::time::Duration,
 };
--- a/testbed/tests/whole_path.rs
+++ b/testbed/tests/whole_path.rs
@@ -3,8 +3,8 @@
 use {
     pitchhitch_testbed::{
         deploy::{Deployment, DeploymentShape},
+        fakes::ServiceResponse,
         replay::{right_answer, CallHeader, CallerClient},
-        stand_ins::ServiceResponse,
     },
     serde_json::Value,
     smol::block_on,
