--- a/testbed/src/deploy/child_engine.rs
+++ b/testbed/src/deploy/child_engine.rs
@@ -1,6 +1,6 @@
 use {
     super::ChildProcess,
-    crate::engine::{EngineShape, EngineStandIn},
+    crate::engine::{EngineShape, FakeEngine},
     anyhow::Context,
     pitchhitch_process::start_traffic_threads,
     smol::Timer,
@@ -94,7 +94,7 @@
         slots: 100_000,
         ..EngineShape::small("assistant", "v1", weights)
     };
-    let engine = EngineStandIn::start(shape).context("cannot start")?;
+    let engine = FakeEngine::start(shape).context("cannot start")?;
     fs::write(place, engine.address.to_string())?;
     smol::block_on(std::future::pending::<()>());
     Ok(())
--- a/testbed/src/deploy/deployment.rs
+++ b/testbed/src/deploy/deployment.rs
@@ -4,8 +4,8 @@
         FreePorts, ProgramSet,
     },
     crate::{
-        engine::EngineStandIn,
-        fakes::{PlatformStandIn, RunCounter, StoreBox},
+        engine::FakeEngine,
+        fakes::{FakePlatform, RunCounter, StoreBox},
     },
     anyhow::Context,
     pitchhitch_entry::operators::{StatusReport, STATUS_PATH},
@@ -36,7 +36,7 @@
     /// How it is built.
     pub shape: DeploymentShape,
     /// The platform.
-    pub platform: PlatformStandIn,
+    pub platform: FakePlatform,
     /// The store box of the engines' group.
     pub store: StoreBox,
     /// Calls that ran at the plain service.
@@ -65,7 +65,7 @@
         let name = format!("pitchhitch-{}-{}-{number}", shape.name, std::process::id());
         let folder = std::env::temp_dir().join(name);
         fs::create_dir_all(&folder)?;
-        let platform = PlatformStandIn::start()?;
+        let platform = FakePlatform::start()?;
         let store = StoreBox::start(shape.store)?;
         let mut deployment = Deployment {
             entry_places: EntryPlace::all(&shape, &mut FreePorts::of_deployment(number))?,
@@ -246,7 +246,7 @@
     }
 
     /// The engines.
-    pub fn engines(&self) -> impl Iterator<Item = &EngineStandIn> {
+    pub fn engines(&self) -> impl Iterator<Item = &FakeEngine> {
         self.endpoints.iter().filter_map(|e| match &e.stand_in {
             EndpointStandIn::Engine(engine) => Some(engine),
             EndpointStandIn::Service(_) | EndpointStandIn::External => None,
--- a/testbed/src/deploy/endpoint_place.rs
+++ b/testbed/src/deploy/endpoint_place.rs
@@ -1,6 +1,6 @@
 use {
     super::{ChildProcess, Deployment, BEACON_SECRET},
-    crate::{engine::EngineStandIn, fakes::PlainService, proxy::FaultProxy},
+    crate::{engine::FakeEngine, fakes::PlainService, proxy::FaultProxy},
     serde_json::{json, Value},
     std::net::SocketAddr,
 };
@@ -9,7 +9,7 @@
 #[derive(Debug)]
 pub enum EndpointStandIn {
     /// A model engine.
-    Engine(EngineStandIn),
+    Engine(FakeEngine),
     /// A plain service.
     Service(PlainService),
     /// Something in a process of its own.
@@ -71,7 +71,7 @@
         number: usize,
         proxied: bool,
     ) -> anyhow::Result<()> {
-        let engine = EngineStandIn::start(self.shape.engine(self.platform.address))?;
+        let engine = FakeEngine::start(self.shape.engine(self.platform.address))?;
         let address = engine.address;
         let stand_in = EndpointStandIn::Engine(engine);
         let endpoint = self.new_engine(number);
--- a/testbed/src/engine/fake_engine.rs
+++ b/testbed/src/engine/fake_engine.rs
@@ -1,6 +1,6 @@
 use {
     super::{run_prompt, PrefillQueue, PrefixCache},
-    crate::fakes::{any_port, json_response, read_body, status_response, HttpStandIn},
+    crate::fakes::{any_port, json_response, read_body, status_response, FakeServer},
     pitchhitch_agent::endpoint::{EngineHealth, EngineOrder, VERSION_HEADER},
     pitchhitch_core::{kv_cache::PieceKey, lease::OrderStamp},
     pitchhitch_services::http::ServiceClient,
@@ -96,15 +96,15 @@
 
 /// Stand-in for a model engine; it stops when dropped.
 #[derive(Debug)]
-pub struct EngineStandIn {
+pub struct FakeEngine {
     /// Address of its HTTP server.
     pub address: SocketAddr,
     /// Shared state.
     pub core: Arc<EngineCore>,
-    _server: HttpStandIn,
+    _server: FakeServer,
 }
 
-impl EngineStandIn {
+impl FakeEngine {
     /// Starts an engine on a free loopback port.
     ///
     /// # Errors
@@ -133,8 +133,8 @@
             shape,
         });
         let shared = core.clone();
-        let server = HttpStandIn::start(address, move |conn| serve(shared.clone(), conn))?;
-        Ok(EngineStandIn {
+        let server = FakeServer::start(address, move |conn| serve(shared.clone(), conn))?;
+        Ok(FakeEngine {
             address: server.address,
             core,
             _server: server,
--- a/testbed/src/fakes/fake_platform.rs
+++ b/testbed/src/fakes/fake_platform.rs
@@ -1,7 +1,7 @@
 use {
     super::{
-        any_port, json_response, read_body, status_response, FaultOutcome, FaultSwitch,
-        HttpStandIn, TableRows,
+        any_port, json_response, read_body, status_response, FakeServer, FaultOutcome, FaultSwitch,
+        TableRows,
     },
     pitchhitch_services::boxes::{BoxList, BoxRecord},
     smol::Timer,
@@ -43,15 +43,15 @@
 
 /// Stand-in for the platform's services, all at one address.
 #[derive(Debug)]
-pub struct PlatformStandIn {
+pub struct FakePlatform {
     /// Address of its HTTP server.
     pub address: SocketAddr,
     /// Content and faults.
     pub state: Arc<PlatformState>,
-    _server: HttpStandIn,
+    _server: FakeServer,
 }
 
-impl PlatformStandIn {
+impl FakePlatform {
     /// Starts the services on a free loopback port.
     ///
     /// # Errors
@@ -59,8 +59,8 @@
     pub fn start() -> io::Result<Self> {
         let state = Arc::new(PlatformState::default());
         let shared = state.clone();
-        let server = HttpStandIn::start(any_port(), move |conn| serve(shared.clone(), conn))?;
-        Ok(PlatformStandIn {
+        let server = FakeServer::start(any_port(), move |conn| serve(shared.clone(), conn))?;
+        Ok(FakePlatform {
             address: server.address,
             state,
             _server: server,
@@ -152,7 +152,7 @@
             Err(error) => status_response(conn, Status::BadRequest, &error.to_string()),
         }
     };
-    if fault == FaultOutcome::ResponseLost {
+    if fault == FaultOutcome::ResponseDropped {
         return status_response(response, Status::GatewayTimeout, "the answer was lost");
     }
     response
--- a/testbed/src/fakes/fake_server.rs
+++ b/testbed/src/fakes/fake_server.rs
@@ -9,13 +9,13 @@
 
 /// HTTP server of a stand-in; it stops when dropped.
 #[derive(Debug)]
-pub struct HttpStandIn {
+pub struct FakeServer {
     /// Address that it listens on.
     pub address: SocketAddr,
     stopper: Stopper,
 }
 
-impl HttpStandIn {
+impl FakeServer {
     /// Starts a server on loopback; with port zero the system chooses the port.
     ///
     /// # Errors
@@ -38,7 +38,7 @@
             .with_stopper(stopper.clone())
             .with_prebound_server(listener)
             .spawn(handler);
-        Ok(HttpStandIn { address, stopper })
+        Ok(FakeServer { address, stopper })
     }
 }
 
@@ -48,7 +48,7 @@
         .with_received_body_max_len(u64::from(u32::MAX))
 }
 
-impl Drop for HttpStandIn {
+impl Drop for FakeServer {
     fn drop(&mut self) {
         self.stopper.stop();
     }
--- a/testbed/src/fakes/fault_switch.rs
+++ b/testbed/src/fakes/fault_switch.rs
@@ -10,7 +10,7 @@
 #[derive(Debug, Default)]
 pub struct FaultSwitch {
     down: AtomicBool,
-    responses_to_lose: AtomicU32,
+    responses_to_drop: AtomicU32,
     delay_millis: AtomicU64,
 }
 
@@ -22,7 +22,7 @@
     /// The call has no effect and gets no useful response.
     Down,
     /// The call takes effect, but its response is lost.
-    ResponseLost,
+    ResponseDropped,
 }
 
 impl FaultSwitch {
@@ -35,11 +35,11 @@
     }
 
     /// Loses the responses of the next `count` calls that write.
-    pub fn lose_responses(
+    pub fn drop_responses(
         &self,
         count: u32,
     ) {
-        self.responses_to_lose.store(count, Ordering::Relaxed);
+        self.responses_to_drop.store(count, Ordering::Relaxed);
     }
 
     /// Delays every call.
@@ -68,10 +68,10 @@
         }
         let decrement = |remaining: u32| remaining.checked_sub(1);
         let lost =
-            self.responses_to_lose
+            self.responses_to_drop
                 .fetch_update(Ordering::Relaxed, Ordering::Relaxed, decrement);
         match lost {
-            Ok(_) => FaultOutcome::ResponseLost,
+            Ok(_) => FaultOutcome::ResponseDropped,
             Err(_) => FaultOutcome::None,
         }
     }
--- a/testbed/src/fakes/plain_service.rs
+++ b/testbed/src/fakes/plain_service.rs
@@ -1,5 +1,5 @@
 use {
-    super::{any_port, json_response, read_body, HttpStandIn},
+    super::{any_port, json_response, read_body, FakeServer},
     smol::Timer,
     std::{
         collections::BTreeMap,
@@ -51,7 +51,7 @@
 pub struct PlainService {
     /// Address of its HTTP server.
     pub address: SocketAddr,
-    _server: HttpStandIn,
+    _server: FakeServer,
 }
 
 impl PlainService {
@@ -60,7 +60,7 @@
     /// # Errors
     /// Fails if no port can be bound.
     pub fn start(counter: RunCounter) -> io::Result<Self> {
-        let server = HttpStandIn::start(any_port(), move |conn| serve(counter.clone(), conn))?;
+        let server = FakeServer::start(any_port(), move |conn| serve(counter.clone(), conn))?;
         Ok(PlainService {
             address: server.address,
             _server: server,
--- a/testbed/src/fakes/store_box.rs
+++ b/testbed/src/fakes/store_box.rs
@@ -1,5 +1,5 @@
 use {
-    super::{any_port, json_response, status_response, HttpStandIn},
+    super::{any_port, json_response, status_response, FakeServer},
     pitchhitch_agent::moves::piece_checksum,
     pitchhitch_core::kv_cache::{PieceKey, StoreTier},
     pitchhitch_services::stores::{PieceList, PieceRecord, CHECKSUM_HEADER, GENERATION_HEADER},
@@ -67,7 +67,7 @@
     /// Address of its HTTP server.
     pub address: SocketAddr,
     shared: Arc<StoreShared>,
-    _server: HttpStandIn,
+    _server: FakeServer,
 }
 
 impl StoreBox {
@@ -87,7 +87,7 @@
             link_bytes: AtomicU64::new(0),
         });
         let serving = shared.clone();
-        let server = HttpStandIn::start(any_port(), move |conn| serve(serving.clone(), conn))?;
+        let server = FakeServer::start(any_port(), move |conn| serve(serving.clone(), conn))?;
         Ok(StoreBox {
             address: server.address,
             shared,
--- a/testbed/src/proxy/fault_proxy.rs
+++ b/testbed/src/proxy/fault_proxy.rs
@@ -201,7 +201,7 @@
         }
         let mut forwarded = length;
         if direction == Direction::Response {
-            if state.mode() == ProxyMode::LoseResponses {
+            if state.mode() == ProxyMode::DropResponses {
                 state.generation.fetch_add(1, Ordering::Relaxed);
                 break;
             }
--- a/testbed/src/proxy/proxy_mode.rs
+++ b/testbed/src/proxy/proxy_mode.rs
@@ -13,5 +13,5 @@
     /// Keeps connections open, but forwards nothing.
     Freeze,
     /// Forwards requests; closes the connection when a response arrives.
-    LoseResponses,
+    DropResponses,
 }
--- a/testbed/tests/config_truth.rs
+++ b/testbed/tests/config_truth.rs
@@ -50,7 +50,7 @@
         let before = deployment.status(0).await.expect("status").revision;
         let mut tasks = Vec::new();
         // Enough of them that the log is folded meanwhile, some answers lost.
-        deployment.platform.state.table_faults.lose_responses(5);
+        deployment.platform.state.table_faults.drop_responses(5);
         for operator in 0..8 {
             let store = deployment.config_store();
             tasks.push(spawn(async move {
--- a/testbed/tests/lost_processes.rs
+++ b/testbed/tests/lost_processes.rs
@@ -3,7 +3,7 @@
 use {
     pitchhitch_testbed::{
         deploy::{Deployment, DeploymentShape, EndpointStandIn, ProcessSignal},
-        engine::EngineStandIn,
+        engine::FakeEngine,
         replay::{right_answer, CallerClient, StreamSet},
     },
     smol::{block_on, Timer},
@@ -28,7 +28,7 @@
     count: usize,
 ) -> StreamSet {
     let mut streams = StreamSet::start(deployment, count, TOKENS);
-    let running = |e: &EngineStandIn| e.core.running.load(Ordering::Relaxed) > 0;
+    let running = |e: &FakeEngine| e.core.running.load(Ordering::Relaxed) > 0;
     loop {
         all_begun(deployment, &streams).await;
         if deployment.engines().all(running) {
@@ -148,7 +148,7 @@
 /// A count over all engines of a deployment.
 fn sum_engines(
     deployment: &Deployment,
-    count: impl Fn(&EngineStandIn) -> &AtomicU64,
+    count: impl Fn(&FakeEngine) -> &AtomicU64,
 ) -> u64 {
     deployment
         .engines()
--- a/testbed/tests/run_once.rs
+++ b/testbed/tests/run_once.rs
@@ -90,7 +90,7 @@
 fn lost_table_answer_settled() {
     block_on(async {
         let deployment = start().await;
-        deployment.platform.state.table_faults.lose_responses(1);
+        deployment.platform.state.table_faults.drop_responses(1);
         let answered = order(&deployment, 0, "order-1").await;
         assert_eq!(answered.status, 200, "{}", answered.text);
         assert_eq!(deployment.runs.count("order-1"), 1);
