--- a/testbed/src/engine/fake_engine.rs
+++ b/testbed/src/engine/fake_engine.rs
@@ -19,7 +19,7 @@
 /// Timeout of a weight download.
 const WEIGHT_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// Parameters of a stand-in engine.
+/// Parameters of a fake engine.
 #[derive(Debug, Clone)]
 pub struct EngineShape {
     /// Model that it serves.
@@ -94,7 +94,7 @@
     weights: ServiceClient,
 }
 
-/// Stand-in for a model engine; it stops when dropped.
+/// Fake model engine; it stops when dropped.
 #[derive(Debug)]
 pub struct FakeEngine {
     /// Address of its HTTP server.
--- a/testbed/src/engine/mod.rs
+++ b/testbed/src/engine/mod.rs
@@ -1,5 +1,5 @@
-//! Stand-in for a model engine: prefill and decode rates, a bounded prefix cache whose events
-//! come late and with gaps, resumed streams, cancellation and slow weight loads.
+//! Fake model engine: prefill and decode rates, a bounded prefix cache whose events come late
+//! and with gaps, resumed streams, cancellation and slow weight loads.
 
 mod fake_engine;
 mod prefill_queue;
--- a/testbed/src/engine/response_text.rs
+++ b/testbed/src/engine/response_text.rs
@@ -1,4 +1,4 @@
-/// The words with which a stand-in engine answers a prompt.
+/// The words with which a fake engine answers a prompt.
 ///
 /// They depend only on the prompt and the weight version, so that a replay can detect wrong or
 /// cut-off responses and responses to another request.
--- a/testbed/src/fakes/fake_platform.rs
+++ b/testbed/src/fakes/fake_platform.rs
@@ -41,7 +41,7 @@
     peak_loads: AtomicU32,
 }
 
-/// Stand-in for the platform's services, all at one address.
+/// Fake of the platform's services, all at one address.
 #[derive(Debug)]
 pub struct FakePlatform {
     /// Address of its HTTP server.
--- a/testbed/src/fakes/fake_server.rs
+++ b/testbed/src/fakes/fake_server.rs
@@ -7,7 +7,7 @@
 /// Maximum size of a request head; large, as a header lists the keys of a prompt's pieces.
 const MAX_HEAD_BYTES: usize = 256 * 1024;
 
-/// HTTP server of a stand-in; it stops when dropped.
+/// HTTP server of a fake; it stops when dropped.
 #[derive(Debug)]
 pub struct FakeServer {
     /// Address that it listens on.
--- a/testbed/src/fakes/fault_switch.rs
+++ b/testbed/src/fakes/fault_switch.rs
@@ -21,7 +21,7 @@
     None,
     /// The call has no effect and gets no useful response.
     Down,
-    /// The call takes effect, but its response is lost.
+    /// The call takes effect, but its response is dropped.
     ResponseDropped,
 }
 
@@ -34,7 +34,7 @@
         self.down.store(down, Ordering::Relaxed);
     }
 
-    /// Loses the responses of the next `count` calls that write.
+    /// Drops the responses of the next `count` calls that write.
     pub fn drop_responses(
         &self,
         count: u32,
--- a/testbed/src/fakes/mod.rs
+++ b/testbed/src/fakes/mod.rs
@@ -1,5 +1,5 @@
-//! Stand-ins for the platform's services (table, object store, box list, weight store), for
-//! store boxes and for a plain service.
+//! Fakes of the platform's services (table, object store, box list, weight store), of store
+//! boxes and of a plain service.
 
 mod body_pipe;
 mod fake_platform;
--- a/testbed/src/fakes/plain_service.rs
+++ b/testbed/src/fakes/plain_service.rs
@@ -46,7 +46,7 @@
     }
 }
 
-/// Stand-in for a plain service, such as one that accepts purchase orders.
+/// Fake plain service, such as one that accepts purchase orders.
 #[derive(Debug)]
 pub struct PlainService {
     /// Address of its HTTP server.
--- a/testbed/src/fakes/store_box.rs
+++ b/testbed/src/fakes/store_box.rs
@@ -61,7 +61,7 @@
     link_bytes: AtomicU64,
 }
 
-/// Stand-in for a store box. A dropped store box that is started again is empty.
+/// Fake store box. A dropped store box that is started again is empty.
 #[derive(Debug)]
 pub struct StoreBox {
     /// Address of its HTTP server.
--- a/testbed/src/fakes/table_rows.rs
+++ b/testbed/src/fakes/table_rows.rs
@@ -8,7 +8,7 @@
     },
 };
 
-/// Rows of the stand-in for the table service.
+/// Rows of the fake table service.
 #[derive(Debug, Default)]
 pub struct TableRows {
     state: Mutex<TableState>,
--- a/testbed/src/proxy/fault_proxy.rs
+++ b/testbed/src/proxy/fault_proxy.rs
@@ -90,8 +90,8 @@
             .unwrap_or_else(PoisonError::into_inner) = Some(bytes);
     }
 
-    /// Bytes of responses read from the target, except those lost by
-    /// [`ProxyMode::LoseResponses`].
+    /// Bytes of responses read from the target, except those dropped by
+    /// [`ProxyMode::DropResponses`].
     pub fn response_bytes(&self) -> u64 {
         self.state.response_bytes.load(Ordering::Relaxed)
     }
