--- a/testbed/examples/demo.rs
+++ b/testbed/examples/demo.rs
@@ -10,8 +10,8 @@
     pitchhitch_core::route::RoutePolicy,
     pitchhitch_process::{start_logging, start_traffic_threads},
     pitchhitch_testbed::{
-        deploy::{Deployment, DeploymentShape, ProcessSignal, ProgramSet, PATIENCE},
-        replay::{ReplayProgress, RunMeasures, TraceReplay},
+        deploy::{Deployment, DeploymentShape, ProcessSignal, ProgramSet, WAIT_TIMEOUT},
+        replay::{ReplayProgress, RunMetrics, TraceReplay},
         trace::{read_trace, TraceRow},
     },
     smol::Timer,
@@ -23,12 +23,12 @@
 };
 
 /// Length of one replay.
-const REPLAY: Duration = Duration::from_secs(20);
+const REPLAY_DURATION: Duration = Duration::from_secs(20);
 const THREADS: usize = 4;
 const MEBIBYTE: f64 = 1024.0 * 1024.0;
 
 fn main() -> ExitCode {
-    ProgramSet::play_role();
+    ProgramSet::run_role();
     std::env::set_var(
         "PITCHHITCH_LOG",
         std::env::var("PITCHHITCH_LOG").unwrap_or("error".to_string()),
@@ -51,14 +51,14 @@
 struct DemoRow {
     deployment: &'static str,
     policy: &'static str,
-    measures: RunMeasures,
+    metrics: RunMetrics,
 }
 
 async fn run() -> anyhow::Result<bool> {
     let mut rows = Vec::new();
     for policy in [RoutePolicy::RoundRobin, RoutePolicy::Estimate] {
-        let mvinyo = run_one("mvinyo", DeploymentShape::mvinyo(policy), "mvinyo.jsonl");
-        let field = run_one(
+        let mvinyo = run_deployment("mvinyo", DeploymentShape::mvinyo(policy), "mvinyo.jsonl");
+        let field = run_deployment(
             "field",
             DeploymentShape::field_boundary(policy),
             "field-boundary.jsonl",
@@ -70,10 +70,10 @@
     // The sort is stable: round robin, which ran first, stays first.
     rows.sort_by_key(|row| row.deployment);
     print_table(&rows);
-    Ok(rows.iter().all(|row| row.measures.is_clean()))
+    Ok(rows.iter().all(|row| row.metrics.is_clean()))
 }
 
-async fn run_one(
+async fn run_deployment(
     name: &'static str,
     shape: DeploymentShape,
     trace: &str,
@@ -87,49 +87,49 @@
         .join(trace);
     let rows = read_trace(&path)?;
     let started = Instant::now();
-    let mut deployment = Deployment::start(shape.clone(), ProgramSet::itself()?).await?;
-    set_sites(&deployment).await?;
-    say(
+    let mut deployment = Deployment::start(shape.clone(), ProgramSet::current_exe()?).await?;
+    label_sites(&deployment).await?;
+    print_status(
         name,
         policy,
         &format!(
             "{} processes up after {:?}",
-            processes(&shape),
+            process_count(&shape),
             started.elapsed()
         ),
     );
     let replay = TraceReplay {
-        entries: deployment.entry_places.iter().map(|p| p.callers).collect(),
+        entries: deployment.entry_boxes.iter().map(|p| p.callers).collect(),
         compression: compression(&rows),
         versions: vec![shape.version.clone()],
         shape,
     };
     let progress = ReplayProgress::default();
     let replaying = replay.run(&rows, &progress);
-    let operating = operate(name, policy, &mut deployment, &progress, rows.len());
-    let (result, operated) = future::zip(replaying, operating).await;
+    let operations = run_operations(name, policy, &mut deployment, &progress, rows.len());
+    let (result, operated) = future::zip(replaying, operations).await;
     operated?;
-    let measures = RunMeasures::gather(&deployment, &rows, result);
-    if let Some(problem) = &measures.result.first_problem {
-        say(name, policy, &format!("first problem: {problem}"));
+    let metrics = RunMetrics::gather(&deployment, &rows, result);
+    if let Some(problem) = &metrics.result.first_problem {
+        print_status(name, policy, &format!("first problem: {problem}"));
     }
     Ok(DemoRow {
         deployment: name,
         policy,
-        measures,
+        metrics,
     })
 }
 
 fn compression(rows: &[TraceRow]) -> f64 {
     let last = rows.last().map_or(1, |row| row.timestamp.max(1));
-    last as f64 / REPLAY.as_millis() as f64
+    last as f64 / REPLAY_DURATION.as_millis() as f64
 }
 
-fn processes(shape: &DeploymentShape) -> usize {
+fn process_count(shape: &DeploymentShape) -> usize {
     shape.entries + shape.engines + shape.services
 }
 
-fn say(
+fn print_status(
     name: &str,
     policy: &str,
     text: &str,
@@ -139,11 +139,11 @@
 
 /// Work labelled for a site goes to endpoints of that site. One organisation in
 /// three begins on site b.
-async fn set_sites(deployment: &Deployment) -> anyhow::Result<()> {
+async fn label_sites(deployment: &Deployment) -> anyhow::Result<()> {
     for site in ["a", "b"] {
         let work = format!("site={site}");
         let name = format!("site-{site}");
-        command(
+        run_command(
             deployment,
             &["select", &name, "--work", &work, "--endpoints", &work],
         )
@@ -152,47 +152,47 @@
     for number in 1..=deployment.shape.organisations {
         let site = if number % 3 == 0 { "site=b" } else { "site=a" };
         let target = format!("organisation/{}", deployment.shape.organisation(number));
-        command(deployment, &["label", &target, site]).await?;
+        run_command(deployment, &["label", &target, site]).await?;
     }
     Ok(())
 }
 
 /// What operators do while callers call.
-async fn operate(
+async fn run_operations(
     name: &str,
     policy: &str,
     deployment: &mut Deployment,
     progress: &ReplayProgress,
     total: usize,
 ) -> anyhow::Result<()> {
-    Timer::after(REPLAY.mul_f64(0.3)).await;
-    say(
+    Timer::after(REPLAY_DURATION.mul_f64(0.3)).await;
+    print_status(
         name,
         policy,
-        &format!("{} of {total} requests done", progress.done()),
+        &format!("{} of {total} requests done", progress.completed()),
     );
     for number in [2, 4] {
         let target = format!("organisation/{}", deployment.shape.organisation(number));
-        let answer = command(deployment, &["label", &target, "site=b"]).await?;
-        say(name, policy, &format!("{target} moves to site b: {answer}"));
+        let answer = run_command(deployment, &["label", &target, "site=b"]).await?;
+        print_status(name, policy, &format!("{target} moves to site b: {answer}"));
     }
-    Timer::after(REPLAY.mul_f64(0.25)).await;
-    say(
+    Timer::after(REPLAY_DURATION.mul_f64(0.25)).await;
+    print_status(
         name,
         policy,
-        &format!("{} of {total} requests done", progress.done()),
+        &format!("{} of {total} requests done", progress.completed()),
     );
     let engine = deployment.endpoints[0].id.clone();
     let started = Instant::now();
-    let answer = command(deployment, &["drain", &engine]).await?;
+    let answer = run_command(deployment, &["drain", &engine]).await?;
     let last = answer.lines().last().unwrap_or_default().to_string();
-    say(
+    print_status(
         name,
         policy,
         &format!("{last} (after {:?})", started.elapsed()),
     );
     stop_agent(deployment, 0).await?;
-    say(name, policy, &format!("{engine}: its agent has stopped"));
+    print_status(name, policy, &format!("{engine}: its agent has stopped"));
     Ok(())
 }
 
@@ -203,18 +203,18 @@
     let agent = deployment.endpoints[index].agent.take();
     let mut agent = agent.context("the agent does not run")?;
     agent.signal(ProcessSignal::Term);
-    let status = agent.wait(PATIENCE).await?;
+    let status = agent.wait(WAIT_TIMEOUT).await?;
     if !status.success() {
         bail!("an agent stopped with {status}");
     }
     Ok(())
 }
 
-async fn command(
+async fn run_command(
     deployment: &Deployment,
     args: &[&str],
 ) -> anyhow::Result<String> {
-    let output = deployment.operate(args).await?;
+    let output = deployment.run_command(args).await?;
     if !output.status.success() {
         bail!(
             "pitchhitch {args:?}: {}",
@@ -244,8 +244,8 @@
         "writes"
     );
     for row in rows {
-        let measures = &row.measures;
-        let result = &measures.result;
+        let metrics = &row.metrics;
+        let result = &metrics.result;
         println!(
             "{:<8} {:<12} {:>8.1} {:>8.1} {:>8.1} {:>10.1}% {:>9.1} {:>6} {:>6} {:>5} {:>8} {:>8} {:>6} {:>6}",
             row.deployment,
@@ -253,26 +253,26 @@
             result.first_token_ms(0.5),
             result.first_token_ms(0.95),
             result.first_token_ms(0.99),
-            measures.recomputed_percent(),
-            measures.link_bytes as f64 / MEBIBYTE,
-            result.right,
+            metrics.recomputed_percent(),
+            metrics.link_bytes as f64 / MEBIBYTE,
+            result.correct,
             result.wrong,
             result.lost,
             result.not_run,
             result.unknown,
-            measures.ran_twice,
-            measures.table_writes,
+            metrics.ran_twice,
+            metrics.table_writes,
         );
     }
     for pair in rows.chunks(2) {
         if let [baseline, ours] = pair {
-            let ours_result = &ours.measures.result;
-            let base_result = &baseline.measures.result;
+            let ours_result = &ours.metrics.result;
+            let base_result = &baseline.metrics.result;
             println!(
                 "{}: p95 {:.2} of round robin, recomputed {:.2} of round robin",
                 ours.deployment,
                 ours_result.first_token_ms(0.95) / base_result.first_token_ms(0.95),
-                ours.measures.recomputed_percent() / baseline.measures.recomputed_percent(),
+                ours.metrics.recomputed_percent() / baseline.metrics.recomputed_percent(),
             );
         }
     }
--- a/testbed/examples/figures/bench_place.rs
+++ b/testbed/examples/figures/bench_place.rs
@@ -5,14 +5,14 @@
     pitchhitch_core::conf::OrganisationLimits,
     pitchhitch_testbed::{
         deploy::{ChildEngine, Deployment, DeploymentShape, EngineRates},
-        replay::PromptCall,
+        replay::ChatRequest,
     },
     std::net::SocketAddr,
 };
 
 pub const MEBIBYTE: f64 = 1024.0 * 1024.0;
 
-pub fn row(
+pub fn print_row(
     figure: &str,
     measured: String,
     wanted: &str,
@@ -20,7 +20,7 @@
     println!("| {figure} | {measured} | {wanted} |");
 }
 
-pub fn shape(name: &str) -> DeploymentShape {
+pub fn bench_shape(name: &str) -> DeploymentShape {
     DeploymentShape {
         engines: 0,
         services: 0,
@@ -41,12 +41,12 @@
 
 // ---------------------------------------------------------------- delay
 
-pub fn prompt(
+pub fn chat_request(
     address: SocketAddr,
     key: &str,
     tokens: u32,
-) -> PromptCall {
-    PromptCall {
+) -> ChatRequest {
+    ChatRequest {
         address,
         key: key.to_string(),
         model: "assistant".to_string(),
@@ -60,7 +60,7 @@
 
 // ---------------------------------------------------------------- throughput
 
-pub fn histogram() -> anyhow::Result<Histogram<u64>> {
+pub fn new_histogram() -> anyhow::Result<Histogram<u64>> {
     Ok(Histogram::new(3)?)
 }
 
--- a/testbed/examples/figures/delay_figures.rs
+++ b/testbed/examples/figures/delay_figures.rs
@@ -2,21 +2,22 @@
 
 use {
     crate::{
-        bench_place::{histogram, prompt, row, shape},
+        bench_place::{bench_shape, chat_request, new_histogram, print_row},
         load_figures::STREAMS,
     },
     hdrhistogram::Histogram,
     pitchhitch_process::spawn,
     pitchhitch_testbed::{
         deploy::{ChildEngine, Deployment, DeploymentShape, EngineRates, ProgramSet},
-        replay::{CallHeader, CallerClient},
+        replay::{CallerClient, RequestHeader},
     },
     smol::Timer,
     std::{net::SocketAddr, time::Duration},
 };
 
 pub async fn added_delay() -> anyhow::Result<()> {
-    let mut deployment = Deployment::start(shape("delay"), ProgramSet::itself()?).await?;
+    let mut deployment =
+        Deployment::start(bench_shape("delay"), ProgramSet::current_exe()?).await?;
     let rates = EngineRates {
         prefill_micros: 0,
         decode_micros: 20_000,
@@ -24,14 +25,14 @@
     };
     let engine = ChildEngine::start(rates, deployment.folder(), "engine").await?;
     deployment.add_external_engine(0, engine.address).await?;
-    deployment.wait_settled().await?;
-    let entry = deployment.entry_places[0].callers;
+    deployment.wait_ready().await?;
+    let entry = deployment.entry_boxes[0].callers;
     let key = deployment.shape.key(&deployment.shape.organisation(1));
-    let mut direct = histogram()?;
-    let mut through = histogram()?;
+    let mut direct = new_histogram()?;
+    let mut through = new_histogram()?;
     for _ in 0..3 {
-        direct.add(first_tokens(engine.address, "").await?)?;
-        through.add(first_tokens(entry, &key).await?)?;
+        direct.add(measure_first_token(engine.address, "").await?)?;
+        through.add(measure_first_token(entry, &key).await?)?;
     }
     let at = |h: &Histogram<u64>, q: f64| h.value_at_quantile(q) as f64 / 1_000.0;
     let added = |q: f64| at(&through, q) - at(&direct, q);
@@ -43,16 +44,16 @@
             at(&direct, q)
         )
     };
-    row(
+    print_row(
         "time to first token, through less direct, median, 500 streams",
         each(0.5),
         "1 ms",
     );
-    row("the same, p99", each(0.99), "3 ms");
+    print_row("the same, p99", each(0.99), "3 ms");
     Ok(())
 }
 
-pub async fn first_tokens(
+pub async fn measure_first_token(
     address: SocketAddr,
     key: &str,
 ) -> anyhow::Result<Histogram<u64>> {
@@ -60,19 +61,19 @@
     let mut tasks = Vec::new();
     for number in 0..STREAMS {
         let client = client.clone();
-        let call = prompt(address, key, 40);
+        let call = chat_request(address, key, 40);
         tasks.push(spawn(async move {
             // The streams begin spread over the time that one of them takes.
             Timer::after(Duration::from_micros(1_600 * number as u64)).await;
             let mut spans = Vec::new();
             for _ in 0..4 {
-                let outcome = client.chat(&call).await;
-                spans.push((outcome.whole, outcome.first_token));
+                let response = client.chat(&call).await;
+                spans.push((response.is_complete, response.first_token));
             }
             spans
         }));
     }
-    let mut histogram = histogram()?;
+    let mut histogram = new_histogram()?;
     for task in tasks {
         for (whole, span) in task.await {
             anyhow::ensure!(whole, "a stream was not whole");
@@ -89,14 +90,14 @@
         services: 2,
         service_prefix: "/orders".to_string(),
         health_path: "/healthz".to_string(),
-        ..shape("once")
+        ..bench_shape("once")
     };
-    let deployment = Deployment::start(shape, ProgramSet::itself()?).await?;
+    let deployment = Deployment::start(shape, ProgramSet::current_exe()?).await?;
     for callers in [1, 50] {
         let before = deployment.platform.state.table.calls().writes;
-        let plain = order_delays(&deployment, callers, CALLS, false).await?;
+        let plain = measure_orders(&deployment, callers, CALLS, false).await?;
         let between = deployment.platform.state.table.calls().writes;
-        let keyed = order_delays(&deployment, callers, CALLS, true).await?;
+        let keyed = measure_orders(&deployment, callers, CALLS, true).await?;
         let after = deployment.platform.state.table.calls().writes;
         // Leases are renewed meanwhile; what the calls without key saw is taken off.
         let writes = (after - between).saturating_sub(between - before);
@@ -109,7 +110,7 @@
             ms(&plain, 0.99),
             writes as f64 / CALLS as f64
         );
-        row(
+        print_row(
             &format!("order with idempotency key, {callers} callers"),
             text,
             "",
@@ -118,7 +119,7 @@
     Ok(())
 }
 
-pub async fn order_delays(
+pub async fn measure_orders(
     deployment: &Deployment,
     callers: usize,
     calls: usize,
@@ -134,17 +135,19 @@
             let mut spans = Vec::new();
             for call in 0..calls / callers {
                 let body = format!("{caller}-{call}-of-{callers}");
-                let header = CallHeader {
+                let header = RequestHeader {
                     name: if keyed { "idempotency-key" } else { "x-plain" },
                     value: body.clone(),
                 };
-                let outcome = client.plain("POST", &url, &key, &[header], body).await;
-                spans.push((outcome.status, outcome.total));
+                let response = client
+                    .send_request("POST", &url, &key, &[header], body)
+                    .await;
+                spans.push((response.status, response.total));
             }
             spans
         }));
     }
-    let mut histogram = histogram()?;
+    let mut histogram = new_histogram()?;
     for task in tasks {
         for (status, span) in task.await {
             anyhow::ensure!(status == 200, "an order was answered {status}");
--- a/testbed/examples/figures/load_figures.rs
+++ b/testbed/examples/figures/load_figures.rs
@@ -1,7 +1,7 @@
 //! What an entry process carries, and what it needs.
 
 use {
-    crate::bench_place::{child_engine, prompt, row, shape, MEBIBYTE},
+    crate::bench_place::{bench_shape, chat_request, child_engine, print_row, MEBIBYTE},
     anyhow::Context,
     pitchhitch_process::spawn,
     pitchhitch_testbed::{
@@ -26,7 +26,8 @@
     const AGENTS: usize = 2;
     const CALLERS: usize = 64;
     let span = Duration::from_secs(6);
-    let mut deployment = Deployment::start(shape("short"), ProgramSet::itself()?).await?;
+    let mut deployment =
+        Deployment::start(bench_shape("short"), ProgramSet::current_exe()?).await?;
     let mut engines = Vec::new();
     for number in 0..AGENTS {
         let engine = child_engine(&deployment, number, 0).await?;
@@ -35,11 +36,8 @@
             .await?;
         engines.push(engine);
     }
-    deployment.wait_settled().await?;
-    let url = format!(
-        "http://{}/engine/health",
-        deployment.entry_places[0].callers
-    );
+    deployment.wait_ready().await?;
+    let url = format!("http://{}/engine/health", deployment.entry_boxes[0].callers);
     let key = deployment.shape.key(&deployment.shape.organisation(1));
     let stop = Arc::new(AtomicBool::new(false));
     let done = Arc::new(AtomicU64::new(0));
@@ -51,8 +49,14 @@
         let (client, url, key) = (client.clone(), url.clone(), key.clone());
         tasks.push(spawn(async move {
             while !stop.load(Ordering::Relaxed) {
-                let outcome = client.plain("GET", &url, &key, &[], String::new()).await;
-                let counter = if outcome.status == 200 { &done } else { &wrong };
+                let response = client
+                    .send_request("GET", &url, &key, &[], String::new())
+                    .await;
+                let counter = if response.status == 200 {
+                    &done
+                } else {
+                    &wrong
+                };
                 counter.fetch_add(1, Ordering::Relaxed);
             }
         }));
@@ -60,17 +64,19 @@
     Timer::after(Duration::from_secs(1)).await;
     let entry = deployment.entries[0].as_ref().context("no entry")?;
     let before = entry.usage();
-    let began = (done.load(Ordering::Relaxed), Instant::now());
+    let window_start = (done.load(Ordering::Relaxed), Instant::now());
     Timer::after(span).await;
-    let rate = (done.load(Ordering::Relaxed) - began.0) as f64 / began.1.elapsed().as_secs_f64();
-    let cores = (entry.usage().cpu_seconds - before.cpu_seconds) / began.1.elapsed().as_secs_f64();
+    let rate = (done.load(Ordering::Relaxed) - window_start.0) as f64
+        / window_start.1.elapsed().as_secs_f64();
+    let cores =
+        (entry.usage().cpu_seconds - before.cpu_seconds) / window_start.1.elapsed().as_secs_f64();
     stop.store(true, Ordering::Relaxed);
     for task in tasks {
         task.await;
     }
     let failed = wrong.load(Ordering::Relaxed);
     let text = format!("{rate:.0}/s on {cores:.2} cores ({failed} not answered)");
-    row(
+    print_row(
         "short requests through one entry process",
         text,
         "5,000/s on 2 cores",
@@ -81,7 +87,8 @@
 pub async fn streamed_tokens() -> anyhow::Result<()> {
     const AGENTS: usize = 4;
     const TOKENS: u32 = 1_600;
-    let mut deployment = Deployment::start(shape("tokens"), ProgramSet::itself()?).await?;
+    let mut deployment =
+        Deployment::start(bench_shape("tokens"), ProgramSet::current_exe()?).await?;
     let mut engines = Vec::new();
     for number in 0..AGENTS {
         let engine = child_engine(&deployment, number, 3_500).await?;
@@ -90,8 +97,8 @@
             .await?;
         engines.push(engine);
     }
-    deployment.wait_settled().await?;
-    let entry = deployment.entry_places[0].callers;
+    deployment.wait_ready().await?;
+    let entry = deployment.entry_boxes[0].callers;
     let key = deployment.shape.key(&deployment.shape.organisation(1));
     let client = CallerClient::default();
     let process = deployment.entries[0].as_ref().context("no entry")?;
@@ -100,8 +107,8 @@
     let tasks: Vec<_> = (0..STREAMS)
         .map(|_| {
             let client = client.clone();
-            let call = prompt(entry, &key, TOKENS);
-            spawn(async move { client.chat(&call).await.whole })
+            let call = chat_request(entry, &key, TOKENS);
+            spawn(async move { client.chat(&call).await.is_complete })
         })
         .collect();
     let mut whole = 0;
@@ -112,7 +119,7 @@
     let rate = (whole * u64::from(TOKENS)) as f64 / span;
     let cores = (process.usage().cpu_seconds - before.cpu_seconds) / span;
     let text = format!("{rate:.0}/s on {cores:.2} cores ({whole} of {STREAMS} streams whole)");
-    row(
+    print_row(
         "streamed tokens through one entry process",
         text,
         "100,000/s on 2 cores",
@@ -126,14 +133,14 @@
     const AGENTS: usize = 1_000;
     const PROMPTS: usize = 20_000;
     const PIECES: usize = 14;
-    let deployment = Deployment::start(shape("memory"), ProgramSet::itself()?).await?;
+    let deployment = Deployment::start(bench_shape("memory"), ProgramSet::current_exe()?).await?;
     let _fakes = FakeAgents::start(FakeShape {
         agents: AGENTS,
         prompts_each: PROMPTS / AGENTS,
         pieces_each: PIECES,
         model: "assistant".to_string(),
         version: "v1".to_string(),
-        homes: deployment.entry_places.iter().map(|p| p.beacons).collect(),
+        beacon_targets: deployment.entry_boxes.iter().map(|p| p.beacons).collect(),
         secret: SECRET.to_string(),
     })
     .await?;
@@ -156,12 +163,12 @@
         "with {AGENTS} endpoints, {} prompts, {} pieces",
         report.prompts, report.pieces
     );
-    row(
+    print_row(
         &format!("resident memory {what}"),
         format!("{memory:.1} MiB"),
         "64 MB",
     );
-    row(
+    print_row(
         "idle, the same",
         format!("{:.2}% of a core", core * 100.0),
         "1%",
--- a/testbed/examples/figures/main.rs
+++ b/testbed/examples/figures/main.rs
@@ -19,31 +19,31 @@
 const THREADS: usize = 4;
 
 fn main() -> anyhow::Result<()> {
-    ProgramSet::play_role();
-    ChildEngine::play_role();
+    ProgramSet::run_role();
+    ChildEngine::run_role();
     std::env::set_var("PITCHHITCH_LOG", "error");
     start_logging();
     start_traffic_threads(THREADS);
     let only = std::env::args().nth(1);
-    let wants = |name: &str| only.as_deref().is_none_or(|o| o == name);
+    let is_selected = |name: &str| only.as_deref().is_none_or(|o| o == name);
     println!("| figure | measured | wanted |\n|---|---|---|");
     smol::block_on(async {
-        if wants("route") {
+        if is_selected("route") {
             route_cost();
         }
-        if wants("delay") {
+        if is_selected("delay") {
             added_delay().await?;
         }
-        if wants("short") {
+        if is_selected("short") {
             short_requests().await?;
         }
-        if wants("tokens") {
+        if is_selected("tokens") {
             streamed_tokens().await?;
         }
-        if wants("once") {
+        if is_selected("once") {
             at_most_once().await?;
         }
-        if wants("memory") {
+        if is_selected("memory") {
             memory_and_idle().await?;
         }
         anyhow::Ok(())
--- a/testbed/examples/figures/route_figures.rs
+++ b/testbed/examples/figures/route_figures.rs
@@ -1,7 +1,7 @@
 //! What a routing decision costs.
 
 use {
-    crate::bench_place::row,
+    crate::bench_place::print_row,
     pitchhitch_core::{
         conf::{CostWeights, FleetConfig, ModelConf, OrganisationConf, VersionConf},
         kv_cache::{prefix_keys, PieceHolder},
@@ -48,7 +48,7 @@
         let wanted = if endpoints == 1_000 { "20 us" } else { "" };
         let median = spans[ROUNDS / 2].as_secs_f64() * 1e6;
         let text = format!("{median:.1} us");
-        row(
+        print_row(
             &format!("one routing decision, {endpoints} endpoints, median"),
             text,
             wanted,
--- a/testbed/examples/fuzz.rs
+++ b/testbed/examples/fuzz.rs
@@ -26,7 +26,7 @@
 };
 
 const DEFAULT_INPUTS: u64 = 1_000_000;
-const MEMORY_LIMIT: u64 = 512 * 1024 * 1024;
+const MAX_RESIDENT_BYTES: u64 = 512 * 1024 * 1024;
 
 /// Valid inputs that the others are mutated from.
 fn seeds() -> Vec<Vec<u8>> {
@@ -72,26 +72,26 @@
     seeds
 }
 
-fn mutated(
+fn mutate(
     seed: &[u8],
     random: &mut Pcg32,
 ) -> Vec<u8> {
     let mut bytes = seed.to_vec();
     for _ in 0..random.gen_range(0..6) {
-        let place = random.gen_range(0..=bytes.len());
+        let index = random.gen_range(0..=bytes.len());
         match random.gen_range(0..4) {
-            0 if place < bytes.len() => bytes[place] = random.gen(),
-            1 if place < bytes.len() => {
-                bytes.remove(place);
+            0 if index < bytes.len() => bytes[index] = random.gen(),
+            1 if index < bytes.len() => {
+                bytes.remove(index);
             }
-            2 => bytes.truncate(place),
-            _ => bytes.insert(place, random.gen()),
+            2 => bytes.truncate(index),
+            _ => bytes.insert(index, random.gen()),
         }
     }
     bytes
 }
 
-fn feed(bytes: &[u8]) {
+fn decode_all(bytes: &[u8]) {
     let mut reader = FrameReader::default();
     reader.feed(bytes);
     let _ = reader.next_frame::<LinkCall>();
@@ -113,23 +113,23 @@
 }
 
 fn main() -> ExitCode {
-    let mut numbers = std::env::args()
+    let mut args = std::env::args()
         .skip(1)
         .map(|text| text.parse().unwrap_or(0));
-    let inputs = numbers.next().unwrap_or(DEFAULT_INPUTS);
-    let mut random = Pcg32::seed_from_u64(numbers.next().unwrap_or(1));
+    let inputs = args.next().unwrap_or(DEFAULT_INPUTS);
+    let mut random = Pcg32::seed_from_u64(args.next().unwrap_or(1));
     let seeds = seeds();
     for _ in 0..inputs {
         if random.gen_bool(0.2) {
             let mut bytes = vec![0; random.gen_range(0..256)];
             random.fill_bytes(&mut bytes);
-            feed(&bytes);
+            decode_all(&bytes);
         } else {
             let seed = &seeds[random.gen_range(0..seeds.len())];
-            feed(&mutated(seed, &mut random));
+            decode_all(&mutate(seed, &mut random));
         }
     }
     let resident = ProcessUsage::current().resident_bytes;
     println!("{inputs} inputs, no panic, {} MiB resident", resident >> 20);
-    ExitCode::from(u8::from(resident > MEMORY_LIMIT))
+    ExitCode::from(u8::from(resident > MAX_RESIDENT_BYTES))
 }
--- a/testbed/examples/lease_check.rs
+++ b/testbed/examples/lease_check.rs
@@ -10,11 +10,11 @@
 const STATE_LIMIT: usize = 8_000_000;
 
 fn main() -> ExitCode {
-    let mut numbers = std::env::args()
+    let mut args = std::env::args()
         .skip(1)
         .map(|text| text.parse().unwrap_or(0));
-    let faults = numbers.next().unwrap_or(1);
-    let units = numbers.next().unwrap_or(4);
+    let faults = args.next().unwrap_or(1);
+    let units = args.next().unwrap_or(4);
     let mut start = lease_world(faults);
     start.run_smoothly(2);
     let end = start.now() + Micros(u64::from(units));
--- a/testbed/examples/load_lab/aim_plot.rs
+++ b/testbed/examples/load_lab/aim_plot.rs
@@ -8,34 +8,34 @@
 /// Width and height of one panel, in pixels.
 const PANEL_SIZE: (u32, u32) = (560, 360);
 /// Panels that stand side by side.
-const PANELS_WIDE: usize = 2;
+const PANELS_PER_ROW: usize = 2;
 
 /// Draws the part in aim by the second in which requests came, over all seeds, a
 /// line for each kind and a panel for each setting.
-pub fn draw_aims(
+pub fn draw_on_time(
     out: &Path,
     load: &LoadFile,
     runs: &[SettingRuns],
 ) -> anyhow::Result<()> {
-    let wide = runs.len().clamp(1, PANELS_WIDE);
-    let high = runs.len().div_ceil(wide).max(1);
-    let size = (PANEL_SIZE.0 * wide as u32, PANEL_SIZE.1 * high as u32);
+    let columns = runs.len().clamp(1, PANELS_PER_ROW);
+    let rows = runs.len().div_ceil(columns).max(1);
+    let size = (PANEL_SIZE.0 * columns as u32, PANEL_SIZE.1 * rows as u32);
     let area = SVGBackend::new(out, size).into_drawing_area();
     area.fill(&WHITE)?;
-    let places = area.split_evenly((high, wide));
-    for (setting, place) in runs.iter().zip(&places) {
-        draw_panel(place, load, setting)?;
+    let panels = area.split_evenly((rows, columns));
+    for (setting, panel) in runs.iter().zip(&panels) {
+        draw_panel(panel, load, setting)?;
     }
     area.present()?;
     Ok(())
 }
 
 fn draw_panel(
-    place: &DrawingArea<SVGBackend<'_>, Shift>,
+    panel: &DrawingArea<SVGBackend<'_>, Shift>,
     load: &LoadFile,
     setting: &SettingRuns,
 ) -> anyhow::Result<()> {
-    let mut chart = ChartBuilder::on(place)
+    let mut chart = ChartBuilder::on(panel)
         .margin(12)
         .x_label_area_size(36)
         .y_label_area_size(46)
@@ -50,7 +50,7 @@
         let color = Palette99::pick(number).to_rgba();
         chart
             .draw_series(LineSeries::new(
-                aim_line(setting, number),
+                on_time_line(setting, number),
                 color.stroke_width(2),
             ))?
             .label(kind.name.as_str())
@@ -65,7 +65,7 @@
     Ok(())
 }
 
-fn aim_line(
+fn on_time_line(
     setting: &SettingRuns,
     kind: usize,
 ) -> Vec<(f64, f64)> {
@@ -79,9 +79,9 @@
         }
     }
     let numbered = seconds.iter().enumerate();
-    let asked = numbered.filter(|(_, second)| second.owed > 0);
-    let part = |second: &SecondTally| f64::from(second.in_aim) / f64::from(second.owed);
-    asked
-        .map(|(number, second)| (number as f64 + 0.5, part(second)))
+    let with_requests = numbered.filter(|(_, second)| second.owed > 0);
+    let fraction = |second: &SecondTally| f64::from(second.in_aim) / f64::from(second.owed);
+    with_requests
+        .map(|(number, second)| (number as f64 + 0.5, fraction(second)))
         .collect()
 }
--- a/testbed/examples/load_lab/each_table.rs
+++ b/testbed/examples/load_lab/each_table.rs
@@ -7,7 +7,7 @@
 /// A row for each setting, the first of which is compared with. Of each kind: the
 /// median part in aim, and the seeds under which more and fewer were in aim than in
 /// the first; late, refused and failed, summed over the seeds. Then medians.
-pub fn each_table(
+pub fn comparison_table(
     load: &LoadFile,
     runs: &[SettingRuns],
 ) -> String {
@@ -24,8 +24,8 @@
     text.push('\n');
     for setting in runs {
         let _ = write!(text, "| {} |", setting.name);
-        for place in 0..load.kinds.len() {
-            text.push_str(&kind_cells(&runs[0], setting, place));
+        for kind_index in 0..load.kinds.len() {
+            text.push_str(&kind_cells(&runs[0], setting, kind_index));
         }
         let again = median(setting, |tally| tally.read_again as f64 / 1e3);
         let put_back = median(setting, |tally| f64::from(tally.put_back));
@@ -44,21 +44,24 @@
 fn kind_cells(
     first: &SettingRuns,
     setting: &SettingRuns,
-    place: usize,
+    kind_index: usize,
 ) -> String {
-    let part = median(setting, |tally| tally.kinds[place].aim_part());
+    let fraction = median(setting, |tally| tally.kinds[kind_index].aim_part());
     let pairs = || first.tallies.iter().zip(&setting.tallies);
     let count = |(before, after): (&LoadTally, &LoadTally)| {
-        (before.kinds[place].in_aim, after.kinds[place].in_aim)
+        (
+            before.kinds[kind_index].in_aim,
+            after.kinds[kind_index].in_aim,
+        )
     };
     let more = pairs().map(count).filter(|(b, a)| a > b).count();
     let fewer = pairs().map(count).filter(|(b, a)| a < b).count();
     let sum = |count: fn(&KindTally) -> u32| -> u32 {
-        let kinds = setting.tallies.iter().map(|tally| &tally.kinds[place]);
+        let kinds = setting.tallies.iter().map(|tally| &tally.kinds[kind_index]);
         kinds.map(count).sum()
     };
     let late = sum(|kind| kind.late);
     let refused = sum(|kind| kind.refused);
     let failed = sum(|kind| kind.failed);
-    format!(" {part:.3} ({more}/{fewer}) | {late} | {refused} | {failed} |")
+    format!(" {fraction:.3} ({more}/{fewer}) | {late} | {refused} | {failed} |")
 }
--- a/testbed/examples/load_lab/lab_options.rs
+++ b/testbed/examples/load_lab/lab_options.rs
@@ -11,9 +11,9 @@
     /// File of the load.
     pub load: PathBuf,
     /// Mechanisms that are left out, one at a time.
-    pub without: Vec<ServingMechanism>,
+    pub disabled: Vec<ServingMechanism>,
     /// Whether each mechanism is left out in turn, and the table has a row for each.
-    pub is_each: bool,
+    pub compares_each: bool,
     /// Seeds.
     pub seeds: Vec<u64>,
     /// File of a plot.
@@ -47,11 +47,11 @@
         let found = options.parse(args).context(usage)?;
         let names = found.opt_strs("without");
         let named = |name: &String| ServingMechanism::from_name(name).map_err(anyhow::Error::msg);
-        let without: anyhow::Result<_> = names.iter().map(named).collect();
+        let disabled: anyhow::Result<_> = names.iter().map(named).collect();
         Ok(LabOptions {
             load: found.opt_str("load").unwrap_or_default().into(),
-            without: without?,
-            is_each: found.opt_present("each"),
+            disabled: disabled?,
+            compares_each: found.opt_present("each"),
             seeds: read_seeds(&found.opt_str("seeds").unwrap_or_else(|| "1..20".into()))?,
             svg: found.opt_str("svg").map(PathBuf::from),
         })
@@ -59,12 +59,12 @@
 
     /// The settings to play: all mechanisms first, then without each that is named.
     pub fn settings(&self) -> Vec<Option<ServingMechanism>> {
-        let without = match self.is_each {
+        let disabled = match self.compares_each {
             true => ServingMechanism::ALL.to_vec(),
-            false => self.without.clone(),
+            false => self.disabled.clone(),
         };
-        let whole = std::iter::once(None);
-        whole.chain(without.into_iter().map(Some)).collect()
+        let all_enabled = std::iter::once(None);
+        all_enabled.chain(disabled.into_iter().map(Some)).collect()
     }
 }
 
--- a/testbed/examples/load_lab/main.rs
+++ b/testbed/examples/load_lab/main.rs
@@ -9,8 +9,8 @@
 mod setting_runs;
 
 use {
-    aim_plot::draw_aims,
-    each_table::each_table,
+    aim_plot::draw_on_time,
+    each_table::comparison_table,
     lab_options::LabOptions,
     pitchhitch_testbed::load_model::{load_table, LoadFile},
     setting_runs::SettingRuns,
@@ -22,10 +22,10 @@
     let options = LabOptions::parse(&args)?;
     let load = LoadFile::read(&options.load)?;
     let settings = options.settings().into_iter();
-    let play = |left_out| SettingRuns::play(&load, &options.seeds, left_out);
-    let runs: Vec<SettingRuns> = settings.map(play).collect();
-    if options.is_each {
-        print!("{}", each_table(&load, &runs));
+    let run = |disabled| SettingRuns::run(&load, &options.seeds, disabled);
+    let runs: Vec<SettingRuns> = settings.map(run).collect();
+    if options.compares_each {
+        print!("{}", comparison_table(&load, &runs));
     } else {
         for setting in &runs {
             println!("{}, {} seeds", setting.name, setting.tallies.len());
@@ -33,7 +33,7 @@
         }
     }
     if let Some(out) = &options.svg {
-        draw_aims(out, &load, &runs)?;
+        draw_on_time(out, &load, &runs)?;
     }
     Ok(())
 }
--- a/testbed/examples/load_lab/setting_runs.rs
+++ b/testbed/examples/load_lab/setting_runs.rs
@@ -5,7 +5,7 @@
 };
 
 /// Seeds that are played at once; the machine is shared.
-const AT_ONCE: usize = 4;
+const MAX_THREADS: usize = 4;
 
 /// The runs of a load in one setting.
 pub struct SettingRuns {
@@ -17,35 +17,36 @@
 
 impl SettingRuns {
     /// Plays a load under each seed.
-    pub fn play(
+    pub fn run(
         load: &LoadFile,
         seeds: &[u64],
-        left_out: Option<ServingMechanism>,
+        disabled: Option<ServingMechanism>,
     ) -> Self {
-        let name = left_out.map_or_else(
+        let name = disabled.map_or_else(
             || "whole".to_string(),
             |mechanism| format!("without {}", mechanism.name()),
         );
         SettingRuns {
             name,
-            tallies: play_seeds(load, seeds, left_out),
+            tallies: run_seeds(load, seeds, disabled),
         }
     }
 }
 
-fn play_seeds(
+fn run_seeds(
     load: &LoadFile,
     seeds: &[u64],
-    left_out: Option<ServingMechanism>,
+    disabled: Option<ServingMechanism>,
 ) -> Vec<LoadTally> {
-    let play = |seed: &u64| play_load(load, *seed, left_out);
-    let part = seeds.len().div_ceil(AT_ONCE).max(1);
+    let run = |seed: &u64| play_load(load, *seed, disabled);
+    let part = seeds.len().div_ceil(MAX_THREADS).max(1);
     thread::scope(|scope| {
         let parts = seeds.chunks(part);
-        let plays = parts.map(|part| scope.spawn(move || part.iter().map(play).collect()));
-        let plays: Vec<_> = plays.collect();
-        let ends = plays.into_iter().map(|play| play.join());
-        let tallies: Vec<Vec<LoadTally>> = ends.map(|end| end.expect("a play ends")).collect();
+        let handles = parts.map(|part| scope.spawn(move || part.iter().map(run).collect()));
+        let handles: Vec<_> = handles.collect();
+        let results = handles.into_iter().map(|handle| handle.join());
+        let tallies: Vec<Vec<LoadTally>> =
+            results.map(|result| result.expect("a play ends")).collect();
         tallies.concat()
     })
 }
--- a/testbed/examples/playground.rs
+++ b/testbed/examples/playground.rs
@@ -9,20 +9,23 @@
 };
 
 const THREADS: usize = 2;
-const A_DAY: u64 = 86_400;
+const SECONDS_PER_DAY: u64 = 86_400;
 
 fn main() -> anyhow::Result<()> {
-    ProgramSet::play_role();
+    ProgramSet::run_role();
     start_traffic_threads(THREADS);
     let seconds = std::env::args()
         .nth(1)
         .and_then(|text| text.parse().ok())
-        .unwrap_or(A_DAY);
+        .unwrap_or(SECONDS_PER_DAY);
     smol::block_on(async {
-        let deployment =
-            Deployment::start(DeploymentShape::tiny("playground"), ProgramSet::itself()?).await?;
+        let deployment = Deployment::start(
+            DeploymentShape::tiny("playground"),
+            ProgramSet::current_exe()?,
+        )
+        .await?;
         println!("KEY={}", deployment.first_key());
-        println!("ADDRESS={}", deployment.entry_places[0].callers);
+        println!("ADDRESS={}", deployment.entry_boxes[0].callers);
         println!(
             "SETTINGS={}",
             deployment.folder().join("operator.json").display()
@@ -31,10 +34,10 @@
         let stopped = async {
             let _ = wait_for_stop().await;
         };
-        let over = async {
+        let timed_out = async {
             Timer::after(Duration::from_secs(seconds)).await;
         };
-        futures_lite::future::or(stopped, over).await;
+        futures_lite::future::or(stopped, timed_out).await;
         Ok(())
     })
 }
--- a/testbed/examples/slopes/config_slopes.rs
+++ b/testbed/examples/slopes/config_slopes.rs
@@ -2,8 +2,8 @@
 
 use {
     crate::{
-        slope_row::{fit, median_micros, Point, SlopeRow},
-        small_world::{config, core_with},
+        slope_row::{fit_line, median_micros, Point, SlopeRow},
+        small_world::{build_core, config},
     },
     pitchhitch_core::{
         conf::{ChangeRecord, ConfigChange, ConfigHead, FleetConfig, LabelTarget},
@@ -14,11 +14,11 @@
 };
 
 pub fn organisations(rows: &mut Vec<SlopeRow>) {
-    let mut force = Vec::new();
+    let mut apply_times = Vec::new();
     let mut bytes = Vec::new();
     for count in [10, 100, 440, 1_000] {
         let size = count as f64;
-        let mut core = core_with(200, count);
+        let mut core = build_core(200, count);
         let mut revision = 1;
         let value = median_micros(7, || {
             revision += 1;
@@ -26,20 +26,20 @@
             newer.revision = revision;
             black_box(core.step(Micros(5), EntryEvent::ConfigRead(Arc::new(newer))));
         });
-        force.push(Point { size, value });
+        apply_times.push(Point { size, value });
         let text = serde_json::to_vec(&config(count)).unwrap_or_default();
         bytes.push(Point {
             size,
             value: text.len() as f64,
         });
     }
-    rows.push(fit(
+    rows.push(fit_line(
         "configuration put into force, 200 endpoints",
         "us",
         "organisation",
-        force,
+        apply_times,
     ));
-    rows.push(fit(
+    rows.push(fit_line(
         "configuration document",
         "bytes",
         "organisation",
@@ -72,13 +72,13 @@
         });
         apply.push(Point { size, value });
     }
-    rows.push(fit(
+    rows.push(fit_line(
         "head row, wire",
         "bytes",
         "change since the base",
         bytes,
     ));
-    rows.push(fit("change applied", "us", "change", apply));
+    rows.push(fit_line("change applied", "us", "change", apply));
 }
 
 /// One more change put into force, with so many labelled endpoints in the configuration.
@@ -101,7 +101,7 @@
             value: text.len() as f64,
         });
         let mut revision = labelled.revision;
-        let mut core = core_with(40, 10);
+        let mut core = build_core(40, 10);
         core.step(Micros(5), EntryEvent::ConfigRead(Arc::new(labelled)));
         let value = median_micros(21, || {
             revision += 1;
@@ -120,8 +120,8 @@
         });
     }
     let mechanism = "one change put into force, 440 organisations, 40 endpoints known";
-    rows.push(fit(mechanism, "us", "labelled endpoint", points));
-    rows.push(fit(
+    rows.push(fit_line(mechanism, "us", "labelled endpoint", points));
+    rows.push(fit_line(
         "configuration document, 440 organisations",
         "bytes",
         "labelled endpoint",
--- a/testbed/examples/slopes/message_slopes.rs
+++ b/testbed/examples/slopes/message_slopes.rs
@@ -3,8 +3,8 @@
 use {
     crate::{
         piece_slopes::memory_point,
-        slope_row::{fit, median_micros, Point, SlopeRow},
-        small_world::{address, agent_beacon, config, core_with, pulse, ENDPOINTS},
+        slope_row::{fit_line, median_micros, Point, SlopeRow},
+        small_world::{address, agent_beacon, build_core, config, pulse, ENDPOINT_COUNTS},
     },
     pitchhitch_core::{
         membership::{Beacon, EntryBeacon},
@@ -47,9 +47,19 @@
         });
         open.push(Point { size, value });
     }
-    rows.push(fit("agent beacon, wire", "bytes", "beacon", bytes));
-    rows.push(fit("agent beacon, make and seal", "us", "beacon", seal));
-    rows.push(fit("agent beacon, check and read", "us", "beacon", open));
+    rows.push(fit_line("agent beacon, wire", "bytes", "beacon", bytes));
+    rows.push(fit_line(
+        "agent beacon, make and seal",
+        "us",
+        "beacon",
+        seal,
+    ));
+    rows.push(fit_line(
+        "agent beacon, check and read",
+        "us",
+        "beacon",
+        open,
+    ));
     let entry = Beacon::Entry(EntryBeacon {
         entry_id: "entry-0001".to_string(),
         failure_domain: "nairobi-1".to_string(),
@@ -69,7 +79,7 @@
         size,
         value: size * one as f64,
     });
-    rows.push(fit(
+    rows.push(fit_line(
         "entry beacon, wire",
         "bytes",
         "beacon",
@@ -79,12 +89,12 @@
 
 pub fn endpoints(rows: &mut Vec<SlopeRow>) {
     let mut memory = Vec::new();
-    let mut hear = Vec::new();
+    let mut receive = Vec::new();
     let mut tick = Vec::new();
     let mut pools = Vec::new();
-    for count in ENDPOINTS {
+    for count in ENDPOINT_COUNTS {
         let size = count as f64;
-        let mut core = core_with(count, 10);
+        let mut core = build_core(count, 10);
         memory.push(memory_point("endpoints", count));
         let mut pending = 0;
         let value = median_micros(7, || {
@@ -100,7 +110,7 @@
                 );
             }
         });
-        hear.push(Point { size, value });
+        receive.push(Point { size, value });
         let mut now = 20;
         let value = median_micros(41, || {
             now += 1;
@@ -125,20 +135,20 @@
         });
         pools.push(Point { size, value });
     }
-    rows.push(fit(
+    rows.push(fit_line(
         "endpoint known in detail, memory",
         "bytes",
         "endpoint",
         memory,
     ));
-    rows.push(fit("load report taken in", "us", "report", hear));
-    rows.push(fit(
+    rows.push(fit_line("load report taken in", "us", "report", receive));
+    rows.push(fit_line(
         "tick with a new view published",
         "us",
         "endpoint",
         tick,
     ));
-    rows.push(fit(
+    rows.push(fit_line(
         "configuration put into force, 10 organisations",
         "us",
         "endpoint",
--- a/testbed/examples/slopes/piece_slopes.rs
+++ b/testbed/examples/slopes/piece_slopes.rs
@@ -2,8 +2,8 @@
 
 use {
     crate::{
-        slope_row::{fit, Point, SlopeRow},
-        small_world::{address, core_with, pulse},
+        slope_row::{fit_line, Point, SlopeRow},
+        small_world::{address, build_core, pulse},
     },
     pitchhitch_core::{
         kv_cache::{PieceKey, StoreTier},
@@ -21,14 +21,14 @@
 
 pub const MEMORY_ROLE: &str = "--memory";
 
-pub fn key(number: u128) -> PieceKey {
+pub fn piece_key(number: u128) -> PieceKey {
     let hash = blake3::hash(&number.to_le_bytes());
     let mut half = [0; 16];
     half.copy_from_slice(&hash.as_bytes()[..16]);
     PieceKey(u128::from_le_bytes(half))
 }
 
-pub fn said(
+pub fn events_received(
     first: u64,
     events: Vec<EndpointEvent>,
 ) -> EntryEvent {
@@ -45,14 +45,14 @@
 }
 
 /// What is put into a core to see how much memory it takes.
-pub fn fill(
+pub fn fill_core(
     kind: &str,
     count: usize,
 ) -> EntryCore {
     if kind == "endpoints" {
-        return core_with(count, 10);
+        return build_core(count, 10);
     }
-    let mut core = core_with(4, 10);
+    let mut core = build_core(4, 10);
     let store = ListedBox {
         id: "store-1".to_string(),
         role: BoxRole::Store,
@@ -64,14 +64,16 @@
     core.step(Micros(3), EntryEvent::BoxesListed(vec![store]));
     let numbers = 0..count as u128;
     let events: Vec<EndpointEvent> = match kind {
-        "cached" => numbers.map(|n| EndpointEvent::Cached(key(n))).collect(),
+        "cached" => numbers
+            .map(|n| EndpointEvent::Cached(piece_key(n)))
+            .collect(),
         "stored" => numbers.map(stored).collect(),
         _ => numbers.map(used).collect(),
     };
     // As they come over a link: in batches, with a view published between.
     let mut first = 0;
     for chunk in events.chunks(10_000) {
-        core.step(Micros(5), said(first, chunk.to_vec()));
+        core.step(Micros(5), events_received(first, chunk.to_vec()));
         black_box(core.step(Micros(6), EntryEvent::Tick));
         first += chunk.len() as u64;
     }
@@ -80,17 +82,17 @@
 
 pub fn stored(number: u128) -> EndpointEvent {
     EndpointEvent::Stored(StoredNotice {
-        key: key(number),
+        key: piece_key(number),
         store: "store-1".to_string(),
         tier: StoreTier::Memory,
         generation: number as u64,
-        identity: key((number / 14) << 64),
+        identity: piece_key((number / 14) << 64),
     })
 }
 
 pub fn used(number: u128) -> EndpointEvent {
     EndpointEvent::PromptUsed(PromptUse {
-        identity: key(number),
+        identity: piece_key(number),
         organisation: format!("org-{:03}", number % 10),
         label: "file".to_string(),
     })
@@ -117,7 +119,7 @@
 pub fn print_memory(args: &[String]) {
     let count = args[1].parse().unwrap_or(0);
     let before = ProcessUsage::current().resident_bytes;
-    let core = fill(&args[0], count);
+    let core = fill_core(&args[0], count);
     let after = ProcessUsage::current().resident_bytes;
     println!("{}", after.saturating_sub(before));
     black_box(core);
@@ -127,11 +129,11 @@
     let mut add = Vec::new();
     for count in [20_000u64, 80_000, 160_000, 320_000] {
         let events: Vec<EndpointEvent> = (0..count)
-            .map(|n| EndpointEvent::Cached(key(n.into())))
+            .map(|n| EndpointEvent::Cached(piece_key(n.into())))
             .collect();
-        let mut core = core_with(4, 10);
+        let mut core = build_core(4, 10);
         let started = Instant::now();
-        core.step(Micros(5), said(0, events));
+        core.step(Micros(5), events_received(0, events));
         let value = started.elapsed().as_secs_f64() * 1e6;
         add.push(Point {
             size: count as f64,
@@ -140,28 +142,33 @@
     }
     let memory = |kind: &str, counts: [usize; 4]| counts.map(|n| memory_point(kind, n)).to_vec();
     let cached = memory("cached", [40_000, 80_000, 160_000, 320_000]);
-    rows.push(fit(
+    rows.push(fit_line(
         "cached piece in the directory, memory",
         "bytes",
         "piece",
         cached,
     ));
-    rows.push(fit("cached piece taken in", "us", "piece", add));
+    rows.push(fit_line("cached piece taken in", "us", "piece", add));
     let stored = memory("stored", [10_000, 40_000, 80_000, 160_000]);
-    rows.push(fit(
+    rows.push(fit_line(
         "stored piece in directory and ledger, memory",
         "bytes",
         "piece",
         stored,
     ));
     let prompts = memory("prompts", [5_000, 10_000, 20_000, 30_000]);
-    rows.push(fit("prompt remembered, memory", "bytes", "prompt", prompts));
+    rows.push(fit_line(
+        "prompt remembered, memory",
+        "bytes",
+        "prompt",
+        prompts,
+    ));
     let mut wire = Vec::new();
     for count in [10u64, 100, 1_000, 10_000] {
         let batch = EventBatch {
             first: 0,
             events: (0..count)
-                .map(|n| EndpointEvent::Cached(key(n.into())))
+                .map(|n| EndpointEvent::Cached(piece_key(n.into())))
                 .collect(),
             pulse: pulse(1),
         };
@@ -171,5 +178,5 @@
             value: frame as f64,
         });
     }
-    rows.push(fit("cache event, wire", "bytes", "piece", wire));
+    rows.push(fit_line("cache event, wire", "bytes", "piece", wire));
 }
--- a/testbed/examples/slopes/request_slopes.rs
+++ b/testbed/examples/slopes/request_slopes.rs
@@ -2,8 +2,8 @@
 
 use {
     crate::{
-        slope_row::{fit, median_micros, Point, SlopeRow},
-        small_world::{core_with, table_of, ENDPOINTS},
+        slope_row::{fit_line, median_micros, Point, SlopeRow},
+        small_world::{build_core, published_table, ENDPOINT_COUNTS},
     },
     pitchhitch_core::{
         conf::{CostWeights, OrganisationLimits},
@@ -17,9 +17,9 @@
 
 pub fn requests(rows: &mut Vec<SlopeRow>) {
     let mut decide = Vec::new();
-    for count in ENDPOINTS {
-        let mut core = core_with(count, 10);
-        let Some(table) = table_of(&mut core) else {
+    for count in ENDPOINT_COUNTS {
+        let mut core = build_core(count, 10);
+        let Some(table) = published_table(&mut core) else {
             continue;
         };
         // Endpoints count as alive only once linked; here all of them are.
@@ -48,7 +48,7 @@
             value,
         });
     }
-    rows.push(fit("routing decision", "us", "candidate", decide));
+    rows.push(fit_line("routing decision", "us", "candidate", decide));
     let mut hash = Vec::new();
     for pieces in [4usize, 16, 64, 256] {
         let text = vec![7u8; pieces * 2_048];
@@ -60,7 +60,7 @@
             value,
         });
     }
-    rows.push(fit("names of a prompt's pieces", "us", "piece", hash));
+    rows.push(fit_line("names of a prompt's pieces", "us", "piece", hash));
     let mut admit = Vec::new();
     for count in [10usize, 100, 440, 1_000] {
         let mut limits = LimitTable::new(1_000_000);
@@ -82,7 +82,7 @@
             value,
         });
     }
-    rows.push(fit(
+    rows.push(fit_line(
         "limits of a request",
         "us",
         "active organisation",
--- a/testbed/examples/slopes/slope_row.rs
+++ b/testbed/examples/slopes/slope_row.rs
@@ -22,7 +22,7 @@
     pub points: Vec<Point>,
 }
 
-pub fn fit(
+pub fn fit_line(
     mechanism: &'static str,
     unit: &'static str,
     per: &'static str,
@@ -36,8 +36,9 @@
     let slope = xy / xx;
     let base = y - slope * x;
     let largest = points.iter().map(|p| p.value.abs()).fold(0.0, f64::max);
-    let off = |p: &Point| (p.value - base - slope * p.size).abs();
-    let fit_error = points.iter().map(off).fold(0.0, f64::max) / largest.max(f64::MIN_POSITIVE);
+    let distance = |p: &Point| (p.value - base - slope * p.size).abs();
+    let fit_error =
+        points.iter().map(distance).fold(0.0, f64::max) / largest.max(f64::MIN_POSITIVE);
     SlopeRow {
         mechanism,
         unit,
--- a/testbed/examples/slopes/small_world.rs
+++ b/testbed/examples/slopes/small_world.rs
@@ -13,7 +13,7 @@
     std::{hint::black_box, net::SocketAddr, sync::Arc},
 };
 
-pub const ENDPOINTS: [usize; 4] = [100, 500, 2_000, 10_000];
+pub const ENDPOINT_COUNTS: [usize; 4] = [100, 500, 2_000, 10_000];
 
 pub fn address() -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], 9))
@@ -92,7 +92,7 @@
     config
 }
 
-pub fn core_with(
+pub fn build_core(
     endpoints: usize,
     organisations: usize,
 ) -> EntryCore {
@@ -131,7 +131,7 @@
     core
 }
 
-pub fn table_of(core: &mut EntryCore) -> Option<Arc<RouteTable>> {
+pub fn published_table(core: &mut EntryCore) -> Option<Arc<RouteTable>> {
     // Something must have changed for a view to be published.
     core.step(
         Micros(30),
--- a/testbed/examples/worth_plot.rs
+++ b/testbed/examples/worth_plot.rs
@@ -17,7 +17,7 @@
 /// Width and height of the plot, in pixels.
 const SIZE: (u32, u32) = (1_200, 420);
 /// Part of a day's place that its bars take together.
-const BARS_PART: f64 = 0.8;
+const BAR_GROUP_FRACTION: f64 = 0.8;
 
 #[derive(Debug, Deserialize)]
 struct JournalDay {
@@ -47,8 +47,8 @@
         let text = fs::read_to_string(file).with_context(|| format!("{file}: cannot be read"))?;
         let entry: JournalEntry = serde_json::from_str(&text)
             .with_context(|| format!("{file}: no entry with days; name a run or a score"))?;
-        let named = |day: JournalDay| (format!("{} {}", entry.site, day.name), day.worth);
-        days.extend(entry.days.into_iter().map(named));
+        let keyed = |day: JournalDay| (format!("{} {}", entry.site, day.name), day.worth);
+        days.extend(entry.days.into_iter().map(keyed));
     }
     Ok(WorthRow {
         label: label.to_string(),
@@ -73,23 +73,25 @@
         .y_label_area_size(50)
         .caption("worth by day", ("sans-serif", 18))
         .build_cartesian_2d(0.0..names.len() as f64, 0.0..1.0)?;
-    let name_at = |place: &f64| match place.fract() == 0.5 {
-        true => names.get(*place as usize).map_or("", |name| name),
+    let name_at = |index: &f64| match index.fract() == 0.5 {
+        true => names.get(*index as usize).map_or("", |name| name),
         false => "",
     };
     chart
         .configure_mesh()
         .disable_x_mesh()
         .x_labels(names.len() * 2 + 1)
-        .x_label_formatter(&|place| name_at(place).to_string())
+        .x_label_formatter(&|index| name_at(index).to_string())
         .y_desc("worth")
         .draw()?;
-    let width = BARS_PART / rows.len() as f64;
+    let width = BAR_GROUP_FRACTION / rows.len() as f64;
     for (number, row) in rows.iter().enumerate() {
         let color = Palette99::pick(number).mix(0.9);
         let bars = row.days.iter().map(|(name, worth)| {
-            let place = names.iter().position(|known| known == name);
-            let left = place.unwrap_or(0) as f64 + (1.0 - BARS_PART) / 2.0 + number as f64 * width;
+            let index = names.iter().position(|known| known == name);
+            let left = index.unwrap_or(0) as f64
+                + (1.0 - BAR_GROUP_FRACTION) / 2.0
+                + number as f64 * width;
             let top = worth.clamp(0.0, 1.0);
             Rectangle::new([(left, 0.0), (left + width, top)], color.filled())
         });
--- a/testbed/src/deploy/child_engine.rs
+++ b/testbed/src/deploy/child_engine.rs
@@ -15,8 +15,8 @@
 
 /// First argument by which a program is told to be a stand-in engine.
 pub const ENGINE_ROLE: &str = "--as-stand-in-engine";
-const START_PATIENCE: Duration = Duration::from_secs(10);
-const LOOK: Duration = Duration::from_millis(10);
+const START_TIMEOUT: Duration = Duration::from_secs(10);
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
 /// A stand-in engine in a process of its own, for measurements in which it must
 /// not share threads with the load.
@@ -49,28 +49,28 @@
         folder: &Path,
         name: &str,
     ) -> anyhow::Result<Self> {
-        let place = folder.join(format!("{name}.address"));
+        let address_file = folder.join(format!("{name}.address"));
         let mut command = Command::new(env::current_exe()?);
-        command.arg(ENGINE_ROLE).arg(&place);
+        command.arg(ENGINE_ROLE).arg(&address_file);
         command.arg(rates.prefill_micros.to_string());
         command.arg(rates.decode_micros.to_string());
         command.arg(rates.threads.to_string());
         let process = ChildProcess::start(command, &folder.join(format!("{name}.log")))?;
         let started = Instant::now();
         loop {
-            let text = fs::read_to_string(&place).unwrap_or_default();
+            let text = fs::read_to_string(&address_file).unwrap_or_default();
             if let Ok(address) = text.trim().parse() {
                 return Ok(ChildEngine { address, process });
             }
-            if started.elapsed() > START_PATIENCE {
+            if started.elapsed() > START_TIMEOUT {
                 anyhow::bail!("{name} has not started");
             }
-            Timer::after(LOOK).await;
+            Timer::after(POLL_INTERVAL).await;
         }
     }
 
     /// If this program was told to be an engine, is one until it is killed.
-    pub fn play_role() {
+    pub fn run_role() {
         let args: Vec<String> = env::args().skip(1).collect();
         if args.first().map(String::as_str) != Some(ENGINE_ROLE) {
             return;
@@ -83,7 +83,7 @@
 }
 
 fn serve(args: &[String]) -> anyhow::Result<()> {
-    let [place, prefill, decode, threads] = args else {
+    let [address_file, prefill, decode, threads] = args else {
         anyhow::bail!("four arguments are wanted");
     };
     start_traffic_threads(threads.parse()?);
@@ -95,7 +95,7 @@
         ..EngineShape::small("assistant", "v1", weights)
     };
     let engine = EngineStandIn::start(shape).context("cannot start")?;
-    fs::write(place, engine.address.to_string())?;
+    fs::write(address_file, engine.address.to_string())?;
     smol::block_on(std::future::pending::<()>());
     Ok(())
 }
--- a/testbed/src/deploy/child_process.rs
+++ b/testbed/src/deploy/child_process.rs
@@ -1,5 +1,5 @@
 use {
-    super::start_alone,
+    super::spawn_locked,
     anyhow::Context,
     pitchhitch_process::ProcessUsage,
     smol::Timer,
@@ -12,7 +12,7 @@
 };
 
 /// How often a process is looked at.
-const LOOK: Duration = Duration::from_millis(10);
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
 /// A process that this program has started; it is killed when dropped.
 #[derive(Debug)]
@@ -47,7 +47,7 @@
             .stdin(Stdio::null())
             .stdout(file.try_clone()?)
             .stderr(file);
-        let child = start_alone(&mut command);
+        let child = spawn_locked(&mut command);
         let child = child.with_context(|| format!("cannot start {command:?}"))?;
         Ok(ChildProcess {
             child,
@@ -77,7 +77,7 @@
             ProcessSignal::Continue => "-CONT",
         };
         let pid = self.pid().to_string();
-        let sender = start_alone(Command::new("kill").args([name, &pid]));
+        let sender = spawn_locked(Command::new("kill").args([name, &pid]));
         let _ = sender.and_then(|mut sender| sender.wait());
     }
 
@@ -87,17 +87,17 @@
     /// When it has not after `limit`.
     pub async fn wait(
         &mut self,
-        limit: Duration,
+        timeout: Duration,
     ) -> anyhow::Result<ExitStatus> {
         let started = Instant::now();
         loop {
             if let Some(status) = self.child.try_wait()? {
                 return Ok(status);
             }
-            if started.elapsed() > limit {
-                anyhow::bail!("process {} has not ended after {limit:?}", self.pid());
+            if started.elapsed() > timeout {
+                anyhow::bail!("process {} has not ended after {timeout:?}", self.pid());
             }
-            Timer::after(LOOK).await;
+            Timer::after(POLL_INTERVAL).await;
         }
     }
 
--- a/testbed/src/deploy/deployment.rs
+++ b/testbed/src/deploy/deployment.rs
@@ -1,6 +1,6 @@
 use {
     super::{
-        start_alone, ChildProcess, DeploymentShape, EndpointPlace, EndpointStandIn, EntryPlace,
+        spawn_locked, ChildProcess, DeployedEndpoint, DeploymentShape, EndpointStandIn, EntryBox,
         FreePorts, ProgramSet,
     },
     crate::{
@@ -22,8 +22,8 @@
 };
 
 /// Longest wait for a condition.
-pub const PATIENCE: Duration = Duration::from_secs(30);
-pub(super) const LOOK: Duration = Duration::from_millis(20);
+pub const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
+pub(super) const POLL_INTERVAL: Duration = Duration::from_millis(20);
 pub(super) const CALL_TIMEOUT: Duration = Duration::from_secs(5);
 const LOG_VARIABLE: &str = "PITCHHITCH_LOG";
 pub(super) const BEACON_SECRET: &str = "secret of the testbed";
@@ -44,9 +44,9 @@
     /// Entry processes; none where one was killed.
     pub entries: Vec<Option<ChildProcess>>,
     /// Their addresses.
-    pub entry_places: Vec<EntryPlace>,
+    pub entry_boxes: Vec<EntryBox>,
     /// Endpoints.
-    pub endpoints: Vec<EndpointPlace>,
+    pub endpoints: Vec<DeployedEndpoint>,
     /// Settings and logs.
     pub folder: PathBuf,
     programs: ProgramSet,
@@ -68,7 +68,7 @@
         let platform = PlatformStandIn::start()?;
         let store = StoreBox::start(shape.store)?;
         let mut deployment = Deployment {
-            entry_places: EntryPlace::all(&shape, &mut FreePorts::of_deployment(number))?,
+            entry_boxes: EntryBox::allocate_all(&shape, &mut FreePorts::for_deployment(number))?,
             runs: RunCounter::default(),
             entries: Vec::new(),
             endpoints: Vec::new(),
@@ -87,11 +87,11 @@
         for number in 0..deployment.shape.services {
             deployment.add_service(number, false).await?;
         }
-        for index in 0..deployment.entry_places.len() {
+        for index in 0..deployment.entry_boxes.len() {
             let entry = deployment.start_entry(index)?;
             deployment.entries.push(Some(entry));
         }
-        deployment.wait_settled().await?;
+        deployment.wait_ready().await?;
         Ok(deployment)
     }
 
@@ -140,30 +140,30 @@
         &self,
         index: usize,
     ) -> anyhow::Result<ChildProcess> {
-        let place = &self.entry_places[index];
+        let entry_box = &self.entry_boxes[index];
         let settings = json!({
-            "box_id": place.id, "failure_domain": place.failure_domain,
-            "callers": place.callers, "operators": place.operators, "beacons": place.beacons,
+            "box_id": entry_box.id, "failure_domain": entry_box.failure_domain,
+            "callers": entry_box.callers, "operators": entry_box.operators, "beacons": entry_box.beacons,
             "table": self.platform.address, "objects": self.platform.address,
             "boxes": self.platform.address, "beacon_secret": BEACON_SECRET,
             "traffic_threads": self.shape.entry_threads, "policy": self.shape.policy,
             "default_deadline_ms": self.shape.default_deadline_ms, "table_poll_ms": 300, "stop_notice_ms": 300,
         });
-        self.write_settings(&place.id, &settings)?;
+        self.write_settings(&entry_box.id, &settings)?;
         let mut command = self.programs.entry();
         command
             .arg("serve")
             .arg("--settings")
-            .arg(self.settings_file(&place.id));
+            .arg(self.settings_file(&entry_box.id));
         command.env(LOG_VARIABLE, &self.shape.log_level);
-        ChildProcess::start(command, &self.folder.join(format!("{}.log", place.id)))
+        ChildProcess::start(command, &self.folder.join(format!("{}.log", entry_box.id)))
     }
 
     fn write_operator_settings(&self) -> anyhow::Result<()> {
         let settings = json!({
             "operator": "demo", "table": self.platform.address,
             "objects": self.platform.address, "weights": self.platform.address,
-            "entry": self.entry_places[0].operators,
+            "entry": self.entry_boxes[0].operators,
         });
         self.write_settings("operator", &settings)
     }
@@ -172,7 +172,7 @@
     ///
     /// # Errors
     /// When it cannot be started.
-    pub async fn operate(
+    pub async fn run_command(
         &self,
         args: &[&str],
     ) -> anyhow::Result<Output> {
@@ -183,7 +183,7 @@
             .arg(self.settings_file("operator"));
         command.args(&args[1..]);
         command.stdout(Stdio::piped()).stderr(Stdio::piped());
-        let ran = smol::unblock(move || start_alone(&mut command)?.wait_with_output()).await;
+        let ran = smol::unblock(move || spawn_locked(&mut command)?.wait_with_output()).await;
         ran.context("the command did not run")
     }
 
@@ -195,7 +195,7 @@
         &self,
         index: usize,
     ) -> anyhow::Result<StatusReport> {
-        let caller = ServiceClient::new(self.entry_places[index].operators, CALL_TIMEOUT);
+        let caller = ServiceClient::new(self.entry_boxes[index].operators, CALL_TIMEOUT);
         Ok(caller.get_json(STATUS_PATH).await?)
     }
 
@@ -203,15 +203,15 @@
     ///
     /// # Errors
     /// When that does not come about.
-    pub async fn wait_settled(&self) -> anyhow::Result<()> {
+    pub async fn wait_ready(&self) -> anyhow::Result<()> {
         let wanted = self.endpoints.iter().filter(|e| e.agent.is_some()).count();
         let running = self.entries.iter().filter(|e| e.is_some()).count();
         let peers = running.saturating_sub(1);
-        for index in 0..self.entry_places.len() {
+        for index in 0..self.entry_boxes.len() {
             if self.entries.get(index).is_some_and(Option::is_none) {
                 continue;
             }
-            let what = format!("{} to know {wanted} endpoints", self.entry_places[index].id);
+            let what = format!("{} to know {wanted} endpoints", self.entry_boxes[index].id);
             self.wait_status(index, &what, |report| {
                 let alive = report.endpoints.iter().filter(|e| e.alive).count();
                 let all = alive == wanted && report.peers.len() >= peers;
@@ -237,10 +237,10 @@
             let report = self.status(index).await;
             match report {
                 Ok(report) if condition(&report) => return Ok(report),
-                other if started.elapsed() > PATIENCE => {
+                other if started.elapsed() > WAIT_TIMEOUT => {
                     anyhow::bail!("waited in vain for {what}: {other:?}")
                 }
-                _ => Timer::after(LOOK).await,
+                _ => Timer::after(POLL_INTERVAL).await,
             };
         }
     }
--- a/testbed/src/deploy/deployment_shape.rs
+++ b/testbed/src/deploy/deployment_shape.rs
@@ -144,7 +144,7 @@
     }
 
     /// Shape of one engine.
-    pub fn engine(
+    pub fn engine_shape(
         &self,
         weights: std::net::SocketAddr,
     ) -> EngineShape {
--- a/testbed/src/deploy/endpoint_place.rs
+++ b/testbed/src/deploy/endpoint_place.rs
@@ -18,7 +18,7 @@
 
 /// One endpoint with its agent.
 #[derive(Debug)]
-pub struct EndpointPlace {
+pub struct DeployedEndpoint {
     /// Id of the endpoint.
     pub id: String,
     /// The endpoint.
@@ -71,7 +71,7 @@
         number: usize,
         proxied: bool,
     ) -> anyhow::Result<()> {
-        let engine = EngineStandIn::start(self.shape.engine(self.platform.address))?;
+        let engine = EngineStandIn::start(self.shape.engine_shape(self.platform.address))?;
         let address = engine.address;
         let stand_in = EndpointStandIn::Engine(engine);
         let endpoint = self.new_engine(number);
@@ -154,7 +154,7 @@
         });
         self.write_settings(&id, &settings)?;
         let agent = self.start_agent(&id)?;
-        self.endpoints.push(EndpointPlace {
+        self.endpoints.push(DeployedEndpoint {
             id,
             stand_in,
             proxy,
--- a/testbed/src/deploy/entry_place.rs
+++ b/testbed/src/deploy/entry_place.rs
@@ -5,7 +5,7 @@
 
 /// Addresses of one entry process.
 #[derive(Debug, Clone)]
-pub struct EntryPlace {
+pub struct EntryBox {
     /// Id of its box.
     pub id: String,
     /// Failure domain.
@@ -18,19 +18,19 @@
     pub beacons: SocketAddr,
 }
 
-impl EntryPlace {
+impl EntryBox {
     /// Places for the entry processes of a deployment.
     ///
     /// # Errors
     /// When the system has no free port.
-    pub fn all(
+    pub fn allocate_all(
         shape: &DeploymentShape,
         ports: &mut FreePorts,
     ) -> io::Result<Vec<Self>> {
-        let mut places = Vec::new();
+        let mut boxes = Vec::new();
         for number in 0..shape.entries {
             let domain = &shape.failure_domains[number % shape.failure_domains.len()];
-            places.push(EntryPlace {
+            boxes.push(EntryBox {
                 id: format!("{}-entry-{}", shape.name, number + 1),
                 failure_domain: domain.clone(),
                 callers: ports.tcp()?,
@@ -38,6 +38,6 @@
                 beacons: ports.udp()?,
             });
         }
-        Ok(places)
+        Ok(boxes)
     }
 }
--- a/testbed/src/deploy/fake_agents.rs
+++ b/testbed/src/deploy/fake_agents.rs
@@ -21,7 +21,7 @@
 const BEACON_INTERVAL: Duration = Duration::from_secs(10);
 /// Time between two pulses, as of a real agent that is idle.
 const PULSE_INTERVAL: Duration = Duration::from_millis(11_700);
-const BEACON_ROUNDS_TOGETHER: usize = 50;
+const BEACONS_PER_BATCH: usize = 50;
 
 /// How many agents are made up, and what they say.
 #[derive(Debug, Clone)]
@@ -37,7 +37,7 @@
     /// Version that they hold.
     pub version: String,
     /// Where their beacons go.
-    pub homes: Vec<SocketAddr>,
+    pub beacon_targets: Vec<SocketAddr>,
     /// Secret of the deployment.
     pub secret: String,
 }
@@ -62,7 +62,7 @@
             let listener = TcpListener::bind("127.0.0.1:0").await?;
             let beacon = beacon(&shape, number, listener.local_addr()?);
             beacons.push(beacon.clone());
-            tasks.push(spawn(take_links(listener, shape.clone(), number, beacon)));
+            tasks.push(spawn(accept_links(listener, shape.clone(), number, beacon)));
         }
         tasks.push(spawn(send_beacons(shape, beacons)));
         Ok(FakeAgents { _tasks: tasks })
@@ -128,25 +128,25 @@
             Err(_) => return,
         }
     }
-    let rounds = beacons.len().div_ceil(BEACON_ROUNDS_TOGETHER).max(1);
+    let batches = beacons.len().div_ceil(BEACONS_PER_BATCH).max(1);
     loop {
-        for round in beacons
+        for batch in beacons
             .iter()
             .zip(&sockets)
             .collect::<Vec<_>>()
-            .chunks(BEACON_ROUNDS_TOGETHER)
+            .chunks(BEACONS_PER_BATCH)
         {
-            for (beacon, socket) in round {
+            for (beacon, socket) in batch {
                 socket
-                    .send(Beacon::Agent((*beacon).clone()), &shape.homes)
+                    .send(Beacon::Agent((*beacon).clone()), &shape.beacon_targets)
                     .await;
             }
-            Timer::after(BEACON_INTERVAL / rounds as u32).await;
+            Timer::after(BEACON_INTERVAL / batches as u32).await;
         }
     }
 }
 
-async fn take_links(
+async fn accept_links(
     listener: TcpListener,
     shape: Arc<FakeShape>,
     number: usize,
@@ -157,14 +157,14 @@
         let beacon = beacon.clone();
         spawn_detached(async move {
             let _ = serve_link(stream, |call| {
-                spawn_detached(answer(call, shape.clone(), number, beacon.clone()));
+                spawn_detached(handle_call(call, shape.clone(), number, beacon.clone()));
             })
             .await;
         });
     }
 }
 
-async fn answer(
+async fn handle_call(
     call: IncomingCall,
     shape: Arc<FakeShape>,
     number: usize,
@@ -180,7 +180,7 @@
                 incarnation: beacon.incarnation,
             };
             if replies.send(&hello).await.is_ok() {
-                tell_events(&shape, number, replies).await;
+                send_events(&shape, number, replies).await;
             }
         }
         _ => {
@@ -191,7 +191,7 @@
     }
 }
 
-async fn tell_events(
+async fn send_events(
     shape: &FakeShape,
     number: usize,
     mut replies: ReplySender,
--- a/testbed/src/deploy/fork_lock.rs
+++ b/testbed/src/deploy/fork_lock.rs
@@ -9,7 +9,7 @@
 static FORK_LOCK: Mutex<()> = Mutex::new(());
 
 /// No child starts while this is held.
-pub(super) fn no_forks() -> MutexGuard<'static, ()> {
+pub(super) fn lock_forks() -> MutexGuard<'static, ()> {
     // Nothing lies behind the lock that a panic could have left half done.
     FORK_LOCK.lock().unwrap_or_else(PoisonError::into_inner)
 }
@@ -18,7 +18,7 @@
 ///
 /// # Errors
 /// When it cannot be started.
-pub fn start_alone(command: &mut Command) -> io::Result<Child> {
-    let _alone = no_forks();
+pub fn spawn_locked(command: &mut Command) -> io::Result<Child> {
+    let _guard = lock_forks();
     command.spawn()
 }
--- a/testbed/src/deploy/free_ports.rs
+++ b/testbed/src/deploy/free_ports.rs
@@ -1,5 +1,5 @@
 use {
-    super::no_forks,
+    super::lock_forks,
     std::{
         io,
         net::{IpAddr, SocketAddr, TcpListener, UdpSocket},
@@ -18,20 +18,20 @@
     listeners: Vec<TcpListener>,
     sockets: Vec<UdpSocket>,
     // Let go last, as fields are dropped in this order.
-    _alone: MutexGuard<'static, ()>,
+    _fork_guard: MutexGuard<'static, ()>,
 }
 
 impl FreePorts {
     /// Free ports of an address that no other deployment of this machine uses: a
     /// port must still be free when the process that is told it starts.
-    pub fn of_deployment(deployment: u32) -> Self {
+    pub fn for_deployment(deployment: u32) -> Self {
         let pid = std::process::id();
         let byte = |number: u32| (number % 250) as u8 + 1;
         FreePorts {
             ip: IpAddr::from([127, byte(pid), byte(pid / 250), byte(deployment)]),
             listeners: Vec::new(),
             sockets: Vec::new(),
-            _alone: no_forks(),
+            _fork_guard: lock_forks(),
         }
     }
 
--- a/testbed/src/deploy/platform_setup.rs
+++ b/testbed/src/deploy/platform_setup.rs
@@ -15,13 +15,13 @@
 /// What a deployment finds at the platform.
 impl Deployment {
     pub(super) fn list_boxes(&self) {
-        for place in &self.entry_places {
+        for entry_box in &self.entry_boxes {
             self.platform.state.list_box(BoxRecord {
-                id: place.id.clone(),
+                id: entry_box.id.clone(),
                 role: ListedRole::Entry,
                 group: String::new(),
-                failure_domain: place.failure_domain.clone(),
-                address: place.beacons,
+                failure_domain: entry_box.failure_domain.clone(),
+                address: entry_box.beacons,
                 leaving: false,
             });
         }
--- a/testbed/src/deploy/program_set.rs
+++ b/testbed/src/deploy/program_set.rs
@@ -17,7 +17,7 @@
     },
     /// This program itself, told to be one of them: an example has no binaries
     /// of other packages built beside it.
-    Itself {
+    CurrentExe {
         /// This program.
         program: PathBuf,
     },
@@ -53,8 +53,8 @@
     ///
     /// # Errors
     /// When its path is not known.
-    pub fn itself() -> anyhow::Result<Self> {
-        Ok(ProgramSet::Itself {
+    pub fn current_exe() -> anyhow::Result<Self> {
+        Ok(ProgramSet::CurrentExe {
             program: env::current_exe().context("this program has no path")?,
         })
     }
@@ -63,7 +63,7 @@
     pub fn entry(&self) -> Command {
         match self {
             ProgramSet::Built { folder } => Command::new(folder.join("pitchhitch")),
-            ProgramSet::Itself { program } => with_role(program, ENTRY_ROLE),
+            ProgramSet::CurrentExe { program } => with_role(program, ENTRY_ROLE),
         }
     }
 
@@ -71,12 +71,12 @@
     pub fn agent(&self) -> Command {
         match self {
             ProgramSet::Built { folder } => Command::new(folder.join("pitchhitch-agent")),
-            ProgramSet::Itself { program } => with_role(program, AGENT_ROLE),
+            ProgramSet::CurrentExe { program } => with_role(program, AGENT_ROLE),
         }
     }
 
     /// If this program was told to be one of the binaries, runs it and ends.
-    pub fn play_role() {
+    pub fn run_role() {
         let args: Vec<String> = env::args().skip(1).collect();
         let code = match args.first().map(String::as_str) {
             Some(ENTRY_ROLE) => pitchhitch_entry::cli::run(&args[1..]),
--- a/testbed/src/deploy/test_helpers.rs
+++ b/testbed/src/deploy/test_helpers.rs
@@ -1,6 +1,6 @@
 use {
-    super::{Deployment, DeploymentShape, ProgramSet, LOOK, PATIENCE},
-    crate::replay::PromptCall,
+    super::{Deployment, DeploymentShape, ProgramSet, POLL_INTERVAL, WAIT_TIMEOUT},
+    crate::replay::ChatRequest,
     pitchhitch_core::conf::ConfigChange,
     smol::Timer,
     std::time::Instant,
@@ -9,14 +9,14 @@
 /// What tests do with a deployment; what goes wrong here ends the test.
 impl Deployment {
     /// A streamed prompt of the first organisation.
-    pub fn prompt(
+    pub fn chat_request(
         &self,
         entry: usize,
         text: &str,
         answer_tokens: u32,
-    ) -> PromptCall {
-        PromptCall {
-            address: self.entry_places[entry].callers,
+    ) -> ChatRequest {
+        ChatRequest {
+            address: self.entry_boxes[entry].callers,
             key: self.first_key(),
             model: self.shape.model.clone(),
             text: text.to_string(),
@@ -38,7 +38,7 @@
         entry: usize,
         path: &str,
     ) -> String {
-        format!("http://{}{path}", self.entry_places[entry].callers)
+        format!("http://{}{path}", self.entry_boxes[entry].callers)
     }
 
     /// Starts a small deployment of the built binaries, or panics.
@@ -56,8 +56,11 @@
     ) {
         let started = Instant::now();
         while !condition() {
-            assert!(started.elapsed() < PATIENCE, "waited in vain for {what}");
-            Timer::after(LOOK).await;
+            assert!(
+                started.elapsed() < WAIT_TIMEOUT,
+                "waited in vain for {what}"
+            );
+            Timer::after(POLL_INTERVAL).await;
         }
     }
 
--- a/testbed/src/replay/caller_client.rs
+++ b/testbed/src/replay/caller_client.rs
@@ -11,7 +11,7 @@
 };
 
 /// Bytes read in one go.
-const CHUNK: usize = 8 * 1024;
+const READ_CHUNK_BYTES: usize = 8 * 1024;
 
 /// A caller of an entry process, or of an engine itself.
 #[derive(Debug, Clone)]
@@ -21,7 +21,7 @@
 
 /// What a caller asks.
 #[derive(Debug, Clone)]
-pub struct PromptCall {
+pub struct ChatRequest {
     /// Where.
     pub address: SocketAddr,
     /// Bearer key.
@@ -37,12 +37,12 @@
     /// Kind of work.
     pub label: String,
     /// Further headers.
-    pub headers: Vec<CallHeader>,
+    pub headers: Vec<RequestHeader>,
 }
 
 /// A header of a call.
 #[derive(Debug, Clone)]
-pub struct CallHeader {
+pub struct RequestHeader {
     /// Name.
     pub name: &'static str,
     /// Value.
@@ -51,13 +51,13 @@
 
 /// What a caller got.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct CallOutcome {
+pub struct CallerResponse {
     /// HTTP status; zero when none came.
     pub status: u16,
     /// Words of the answer, or the body of an error.
     pub text: String,
     /// Whether the answer had its end mark.
-    pub whole: bool,
+    pub is_complete: bool,
     /// Time until the first word.
     pub first_token: Duration,
     /// Time until the end.
@@ -84,7 +84,7 @@
 }
 
 /// The right answer to a chat with one message of the user.
-pub fn right_answer(
+pub fn expected_response(
     text: &str,
     version: &str,
     tokens: u32,
@@ -96,48 +96,48 @@
     /// Asks a chat completion and reads the whole answer.
     pub async fn chat(
         &self,
-        call: &PromptCall,
-    ) -> CallOutcome {
+        request: &ChatRequest,
+    ) -> CallerResponse {
         let body = json!({
-            "model": call.model, "stream": call.stream, "max_tokens": call.answer_tokens,
-            "messages": [{"role": "user", "content": call.text}],
+            "model": request.model, "stream": request.stream, "max_tokens": request.answer_tokens,
+            "messages": [{"role": "user", "content": request.text}],
         });
-        let url = format!("http://{}/v1/chat/completions", call.address);
+        let url = format!("http://{}/v1/chat/completions", request.address);
         let mut conn = self
             .client
             .build_conn("POST", url)
             .with_request_header("content-type", "application/json")
-            .with_request_header("x-pitchhitch-label", call.label.clone())
+            .with_request_header("x-pitchhitch-label", request.label.clone())
             .with_body(body.to_string());
-        conn = authorized(conn, &call.key);
-        for header in &call.headers {
+        conn = with_bearer_key(conn, &request.key);
+        for header in &request.headers {
             conn = conn.with_request_header(header.name, header.value.clone());
         }
-        if call.stream {
-            read_outcome(conn, streamed_words).await
+        if request.stream {
+            read_response(conn, parse_stream).await
         } else {
-            read_outcome(conn, whole_words).await
+            read_response(conn, parse_chat).await
         }
     }
 
     /// Makes a plain call; the outcome's text is the body.
-    pub async fn plain(
+    pub async fn send_request(
         &self,
         method: &str,
         url: &str,
         key: &str,
-        headers: &[CallHeader],
+        headers: &[RequestHeader],
         body: String,
-    ) -> CallOutcome {
-        let mut conn = authorized(self.client.build_conn(method, url), key);
+    ) -> CallerResponse {
+        let mut conn = with_bearer_key(self.client.build_conn(method, url), key);
         for header in headers {
             conn = conn.with_request_header(header.name, header.value.clone());
         }
-        read_outcome(conn.with_body(body), plain_text).await
+        read_response(conn.with_body(body), parse_plain).await
     }
 }
 
-fn authorized(
+fn with_bearer_key(
     conn: Conn,
     key: &str,
 ) -> Conn {
@@ -148,20 +148,20 @@
 }
 
 /// What a body says.
-struct ReadText {
+struct ParsedBody {
     text: String,
-    whole: bool,
+    is_complete: bool,
 }
 
-async fn read_outcome(
+async fn read_response(
     conn: Conn,
-    read: fn(&[u8]) -> ReadText,
-) -> CallOutcome {
+    parse: fn(&[u8]) -> ParsedBody,
+) -> CallerResponse {
     let started = Instant::now();
-    let mut outcome = CallOutcome {
+    let mut response = CallerResponse {
         status: 0,
         text: String::new(),
-        whole: false,
+        is_complete: false,
         first_token: Duration::ZERO,
         total: Duration::ZERO,
         request_id: String::new(),
@@ -171,25 +171,25 @@
     let mut conn = match conn.await {
         Ok(conn) => conn,
         Err(error) => {
-            outcome.text = error.to_string();
-            outcome.total = started.elapsed();
-            return outcome;
+            response.text = error.to_string();
+            response.total = started.elapsed();
+            return response;
         }
     };
-    outcome.status = conn.status().map_or(0, |s| s as u16);
+    response.status = conn.status().map_or(0, |s| s as u16);
     let header = |name: &'static str| conn.response_headers().get_str(name).unwrap_or_default();
-    outcome.request_id = header("x-request-id").to_string();
-    outcome.ran = header("x-pitchhitch-ran").to_string();
-    outcome.retry_after = header("retry-after").parse().ok();
+    response.request_id = header("x-request-id").to_string();
+    response.ran = header("x-pitchhitch-ran").to_string();
+    response.retry_after = header("retry-after").parse().ok();
     let mut body = Vec::new();
-    let mut chunk = vec![0; CHUNK];
+    let mut chunk = vec![0; READ_CHUNK_BYTES];
     let ended = loop {
         match conn.response_body().read(&mut chunk).await {
             Ok(0) => break true,
             Ok(length) => {
                 body.extend_from_slice(&chunk[..length]);
-                if outcome.first_token.is_zero() && has_word(&body) {
-                    outcome.first_token = started.elapsed();
+                if response.first_token.is_zero() && has_first_token(&body) {
+                    response.first_token = started.elapsed();
                 }
             }
             Err(_) => break false,
@@ -199,45 +199,45 @@
         // A broken connection must not be kept.
         conn.response_headers_mut().insert("connection", "close");
     }
-    outcome.total = started.elapsed();
-    let read = match outcome.status {
-        200 => read(&body),
-        _ => plain_text(&body),
+    response.total = started.elapsed();
+    let parsed = match response.status {
+        200 => parse(&body),
+        _ => parse_plain(&body),
     };
-    outcome.text = read.text;
-    outcome.whole = ended && read.whole;
-    outcome
+    response.text = parsed.text;
+    response.is_complete = ended && parsed.is_complete;
+    response
 }
 
 /// Whether a body has come to its first word; blanks in front do not count.
-fn has_word(body: &[u8]) -> bool {
+fn has_first_token(body: &[u8]) -> bool {
     match body.first() {
         Some(b':') => body.windows(6).any(|w| w == b"data: "),
         _ => !body.is_empty(),
     }
 }
 
-fn plain_text(body: &[u8]) -> ReadText {
-    ReadText {
+fn parse_plain(body: &[u8]) -> ParsedBody {
+    ParsedBody {
         text: String::from_utf8_lossy(body).to_string(),
-        whole: true,
+        is_complete: true,
     }
 }
 
-fn whole_words(body: &[u8]) -> ReadText {
+fn parse_chat(body: &[u8]) -> ParsedBody {
     let value: Value = serde_json::from_slice(body).unwrap_or(Value::Null);
     let content = value["choices"][0]["message"]["content"].as_str();
-    ReadText {
+    ParsedBody {
         text: content.unwrap_or_default().to_string(),
-        whole: content.is_some(),
+        is_complete: content.is_some(),
     }
 }
 
-fn streamed_words(body: &[u8]) -> ReadText {
+fn parse_stream(body: &[u8]) -> ParsedBody {
     let text = String::from_utf8_lossy(body);
-    let mut words = String::new();
+    let mut content = String::new();
     let mut done = false;
-    let mut garbled = false;
+    let mut malformed = false;
     for line in text.lines() {
         let Some(data) = line.strip_prefix("data: ") else {
             continue;
@@ -248,17 +248,17 @@
         }
         // A garbled event must not pass for an empty one.
         let Ok(value) = serde_json::from_str::<Value>(data) else {
-            garbled = true;
+            malformed = true;
             continue;
         };
-        words.push_str(
+        content.push_str(
             value["choices"][0]["delta"]["content"]
                 .as_str()
                 .unwrap_or_default(),
         );
     }
-    ReadText {
-        text: words,
-        whole: done && !garbled,
+    ParsedBody {
+        text: content,
+        is_complete: done && !malformed,
     }
 }
--- a/testbed/src/replay/replay_result.rs
+++ b/testbed/src/replay/replay_result.rs
@@ -6,7 +6,7 @@
     /// Times to first token of prompts, in microseconds.
     pub first_token: Histogram<u64>,
     /// Requests that were answered rightly.
-    pub right: u64,
+    pub correct: u64,
     /// Answers that were wrong, cut off or somebody else's.
     pub wrong: u64,
     /// Repeatable requests without an answer.
@@ -20,14 +20,15 @@
 }
 
 /// Digits that the histograms keep.
-const DIGITS: u8 = 3;
+const SIGNIFICANT_DIGITS: u8 = 3;
 
 impl Default for ReplayResult {
     fn default() -> Self {
-        let first_token = Histogram::new(DIGITS).unwrap_or_else(|_| unreachable!("three digits"));
+        let first_token =
+            Histogram::new(SIGNIFICANT_DIGITS).unwrap_or_else(|_| unreachable!("three digits"));
         ReplayResult {
             first_token,
-            right: 0,
+            correct: 0,
             wrong: 0,
             lost: 0,
             not_run: 0,
@@ -39,7 +40,7 @@
 
 impl ReplayResult {
     /// Notes a time to first token.
-    pub fn saw_first_token(
+    pub fn record_first_token(
         &mut self,
         span: Duration,
     ) {
@@ -48,7 +49,7 @@
     }
 
     /// Notes something that went wrong.
-    pub fn problem(
+    pub fn record_problem(
         &mut self,
         text: String,
     ) {
--- a/testbed/src/replay/run_measures.rs
+++ b/testbed/src/replay/run_measures.rs
@@ -6,7 +6,7 @@
 
 /// The brief's measures of one replay.
 #[derive(Debug, Clone)]
-pub struct RunMeasures {
+pub struct RunMetrics {
     /// What callers saw.
     pub result: ReplayResult,
     /// Prompt tokens that came in at engines.
@@ -23,7 +23,7 @@
     pub ran_twice: u64,
 }
 
-impl RunMeasures {
+impl RunMetrics {
     /// Gathers the measures of a deployment after a replay.
     pub fn gather(
         deployment: &Deployment,
@@ -43,7 +43,7 @@
             let body = service_body(&deployment.shape.name, *number);
             deployment.runs.count(&body) > 1
         });
-        RunMeasures {
+        RunMetrics {
             result,
             prompt_tokens,
             computed_tokens,
--- a/testbed/src/replay/stream_set.rs
+++ b/testbed/src/replay/stream_set.rs
@@ -1,5 +1,5 @@
 use {
-    super::{right_answer, CallOutcome, CallerClient},
+    super::{expected_response, CallerClient, CallerResponse},
     crate::deploy::Deployment,
     async_global_executor::Task,
     pitchhitch_process::spawn,
@@ -9,7 +9,7 @@
 #[derive(Debug)]
 pub struct StreamSet {
     client: CallerClient,
-    tasks: Vec<Task<CallOutcome>>,
+    tasks: Vec<Task<CallerResponse>>,
     answer_tokens: u32,
     version: String,
 }
@@ -39,10 +39,10 @@
         deployment: &Deployment,
     ) {
         let number = self.tasks.len();
-        let entry = number % deployment.entry_places.len();
-        let call = deployment.prompt(entry, &prompt_text(number), self.answer_tokens);
+        let entry = number % deployment.entry_boxes.len();
+        let request = deployment.chat_request(entry, &prompt_text(number), self.answer_tokens);
         let client = self.client.clone();
-        let task = spawn(async move { client.chat(&call).await });
+        let task = spawn(async move { client.chat(&request).await });
         self.tasks.push(task);
     }
 
@@ -52,13 +52,14 @@
     }
 
     /// Waits for all of them; panics unless each is whole and right.
-    pub async fn all_right(self) {
+    pub async fn assert_all_complete(self) {
         for (number, task) in self.tasks.into_iter().enumerate() {
-            let outcome = task.await;
-            assert_eq!(outcome.status, 200, "{number}: {}", outcome.text);
-            assert!(outcome.whole, "{number}: {}", outcome.text);
-            let right = right_answer(&prompt_text(number), &self.version, self.answer_tokens);
-            assert_eq!(outcome.text, right, "{number}");
+            let response = task.await;
+            assert_eq!(response.status, 200, "{number}: {}", response.text);
+            assert!(response.is_complete, "{number}: {}", response.text);
+            let expected =
+                expected_response(&prompt_text(number), &self.version, self.answer_tokens);
+            assert_eq!(response.text, expected, "{number}");
         }
     }
 }
--- a/testbed/src/replay/trace_replay.rs
+++ b/testbed/src/replay/trace_replay.rs
@@ -1,6 +1,7 @@
 use {
     super::{
-        right_answer, service_body, CallHeader, CallOutcome, CallerClient, PromptCall, ReplayResult,
+        expected_response, service_body, CallerClient, CallerResponse, ChatRequest, ReplayResult,
+        RequestHeader,
     },
     crate::{
         deploy::DeploymentShape,
@@ -19,7 +20,7 @@
 };
 
 /// Tries of a caller whose repeatable request was told "not run".
-const CALLER_TRIES: u32 = 4;
+const MAX_ATTEMPTS: u32 = 4;
 
 /// A replay of a trace.
 #[derive(Debug, Clone)]
@@ -38,7 +39,7 @@
 struct ReplayState {
     result: Mutex<ReplayResult>,
     next_entry: AtomicU64,
-    done: AtomicU64,
+    completed: AtomicU64,
 }
 
 /// How far a replay is; cheap to share.
@@ -49,8 +50,8 @@
 
 impl ReplayProgress {
     /// Requests that are over.
-    pub fn done(&self) -> u64 {
-        self.state.done.load(Ordering::Relaxed)
+    pub fn completed(&self) -> u64 {
+        self.state.completed.load(Ordering::Relaxed)
     }
 }
 
@@ -64,22 +65,22 @@
         let state = progress.state.clone();
         let client = CallerClient::default();
         let started = Instant::now();
-        let mut calls = Vec::new();
+        let mut tasks = Vec::new();
         for (number, row) in rows.iter().enumerate() {
             let due = Duration::from_secs_f64(row.timestamp as f64 / 1_000.0 / self.compression);
             Timer::at(started + due).await;
             let replay = self.clone();
-            let call = replay.call(number, row.clone(), client.clone(), state.clone());
-            calls.push(spawn(call));
+            let task = replay.replay_row(number, row.clone(), client.clone(), state.clone());
+            tasks.push(spawn(task));
         }
-        for call in calls {
-            call.await;
+        for task in tasks {
+            task.await;
         }
         let result = state.result.lock().unwrap_or_else(PoisonError::into_inner);
         result.clone()
     }
 
-    async fn call(
+    async fn replay_row(
         self,
         number: usize,
         row: TraceRow,
@@ -87,14 +88,15 @@
         state: Arc<ReplayState>,
     ) {
         if row.is_service_call() {
-            self.call_service(number, &row, &client, &state).await;
+            self.send_service_request(number, &row, &client, &state)
+                .await;
         } else {
-            self.call_model(&row, &client, &state).await;
+            self.send_chat(&row, &client, &state).await;
         }
-        state.done.fetch_add(1, Ordering::Relaxed);
+        state.completed.fetch_add(1, Ordering::Relaxed);
     }
 
-    fn entry(
+    fn pick_entry(
         &self,
         state: &ReplayState,
     ) -> SocketAddr {
@@ -102,7 +104,7 @@
         self.entries[turn % self.entries.len()]
     }
 
-    async fn call_model(
+    async fn send_chat(
         &self,
         row: &TraceRow,
         client: &CallerClient,
@@ -110,45 +112,45 @@
     ) {
         let text = prompt_text(row);
         let started = Instant::now();
-        let mut outcome = None;
-        for _ in 0..CALLER_TRIES {
-            let tried = client.chat(&self.prompt_call(row, &text, state)).await;
-            let again = !tried.whole || tried.status != 200;
-            outcome = Some(tried);
-            if !again {
+        let mut response = None;
+        for _ in 0..MAX_ATTEMPTS {
+            let attempt = client.chat(&self.chat_request(row, &text, state)).await;
+            let should_retry = !attempt.is_complete || attempt.status != 200;
+            response = Some(attempt);
+            if !should_retry {
                 break;
             }
             Timer::after(Duration::from_millis(200)).await;
         }
-        let Some(outcome) = outcome else {
+        let Some(response) = response else {
             return;
         };
         let mut result = state.result.lock().unwrap_or_else(PoisonError::into_inner);
-        let is_right = self
+        let is_correct = self
             .versions
             .iter()
-            .any(|version| outcome.text == right_answer(&text, version, row.output_length));
-        if outcome.status == 200 && outcome.whole && is_right {
-            result.right += 1;
-            let waited = started.elapsed().saturating_sub(outcome.total);
-            result.saw_first_token(waited + outcome.first_token);
-        } else if outcome.status == 200 && outcome.whole {
+            .any(|version| response.text == expected_response(&text, version, row.output_length));
+        if response.status == 200 && response.is_complete && is_correct {
+            result.correct += 1;
+            let waited = started.elapsed().saturating_sub(response.total);
+            result.record_first_token(waited + response.first_token);
+        } else if response.status == 200 && response.is_complete {
             result.wrong += 1;
-            result.problem(format!("wrong answer to {}", outcome.request_id));
+            result.record_problem(format!("wrong answer to {}", response.request_id));
         } else {
             result.lost += 1;
-            result.problem(describe(&outcome));
+            result.record_problem(describe(&response));
         }
     }
 
-    fn prompt_call(
+    fn chat_request(
         &self,
         row: &TraceRow,
         text: &str,
         state: &ReplayState,
-    ) -> PromptCall {
-        PromptCall {
-            address: self.entry(state),
+    ) -> ChatRequest {
+        ChatRequest {
+            address: self.pick_entry(state),
             key: self.shape.key(&row.organisation),
             model: self.shape.model.clone(),
             text: text.to_string(),
@@ -159,7 +161,7 @@
         }
     }
 
-    async fn call_service(
+    async fn send_service_request(
         &self,
         number: usize,
         row: &TraceRow,
@@ -169,56 +171,61 @@
         let body = service_body(&self.shape.name, number);
         let mut headers = Vec::new();
         if row.repeatable {
-            headers.push(CallHeader {
+            headers.push(RequestHeader {
                 name: "x-pitchhitch-repeatable",
                 value: "yes".to_string(),
             });
         } else {
-            headers.push(CallHeader {
+            headers.push(RequestHeader {
                 name: "idempotency-key",
                 value: body.clone(),
             });
         }
         let key = self.shape.key(&row.organisation);
-        let mut outcome = None;
-        for _ in 0..CALLER_TRIES {
-            let url = format!("http://{}/{}/place", self.entry(state), self.shape.service);
-            let tried = client
-                .plain("POST", &url, &key, &headers, body.clone())
+        let mut response = None;
+        for _ in 0..MAX_ATTEMPTS {
+            let url = format!(
+                "http://{}/{}/place",
+                self.pick_entry(state),
+                self.shape.service
+            );
+            let attempt = client
+                .send_request("POST", &url, &key, &headers, body.clone())
                 .await;
-            let again = tried.status != 200 && (row.repeatable || tried.ran == "not-run");
-            outcome = Some(tried);
-            if !again {
+            let should_retry =
+                attempt.status != 200 && (row.repeatable || attempt.ran == "not-run");
+            response = Some(attempt);
+            if !should_retry {
                 break;
             }
             Timer::after(Duration::from_millis(200)).await;
         }
-        let Some(outcome) = outcome else {
+        let Some(response) = response else {
             return;
         };
         let mut result = state.result.lock().unwrap_or_else(PoisonError::into_inner);
-        if outcome.status == 200 && outcome.text.contains(&format!("\"body\":\"{body}\"")) {
-            result.right += 1;
-        } else if outcome.status == 200 {
+        if response.status == 200 && response.text.contains(&format!("\"body\":\"{body}\"")) {
+            result.correct += 1;
+        } else if response.status == 200 {
             result.wrong += 1;
-            result.problem(format!("another call's answer to {}", outcome.request_id));
-        } else if outcome.ran == "not-run" {
+            result.record_problem(format!("another call's answer to {}", response.request_id));
+        } else if response.ran == "not-run" {
             result.not_run += 1;
-            result.problem(describe(&outcome));
+            result.record_problem(describe(&response));
         } else if row.repeatable {
             result.lost += 1;
-            result.problem(describe(&outcome));
+            result.record_problem(describe(&response));
         } else {
             result.unknown += 1;
-            result.problem(describe(&outcome));
+            result.record_problem(describe(&response));
         }
     }
 }
 
-fn describe(outcome: &CallOutcome) -> String {
-    let text: String = outcome.text.chars().take(200).collect();
+fn describe(response: &CallerResponse) -> String {
+    let text: String = response.text.chars().take(200).collect();
     format!(
         "request '{}': status {}: {text}",
-        outcome.request_id, outcome.status
+        response.request_id, response.status
     )
 }
--- a/testbed/src/trace/trace_generator.rs
+++ b/testbed/src/trace/trace_generator.rs
@@ -6,7 +6,7 @@
 };
 
 /// Milliseconds in a minute.
-const MINUTE: f64 = 60_000.0;
+const MS_PER_MINUTE: f64 = 60_000.0;
 
 /// How a deployment's work looks.
 #[derive(Debug, Clone, Copy)]
@@ -24,21 +24,21 @@
     /// Answer tokens, least and most.
     pub answer_tokens: [u32; 2],
     /// Median gap until a document returns, in minutes, one for each kind of work.
-    pub median_gap_minutes: [f64; 3],
+    pub median_reuse_gap_minutes: [f64; 3],
     /// Spread of the gaps: standard deviation of their natural logarithm.
-    pub gap_spread: f64,
+    pub gap_sigma: f64,
     /// Chance that a document returns once more.
-    pub return_chance: f64,
+    pub reuse_probability: f64,
     /// Part of the requests that call the plain service.
-    pub service_part: f64,
+    pub service_fraction: f64,
     /// Part of the service calls that may not be repeated.
-    pub not_repeatable_part: f64,
+    pub non_repeatable_fraction: f64,
     /// Kinds of work.
     pub labels: [&'static str; 3],
     /// Length of the trace, in hours.
     pub hours: f64,
     /// First visits of documents over the whole trace.
-    pub visits: usize,
+    pub first_requests: usize,
 }
 
 impl TraceShape {
@@ -50,14 +50,14 @@
         document_blocks: [6, 20],
         question_tokens: [40, 300],
         answer_tokens: [8, 32],
-        median_gap_minutes: [120.0, 420.0, 1_500.0],
-        gap_spread: 1.0,
-        return_chance: 0.75,
-        service_part: 0.25,
-        not_repeatable_part: 0.5,
+        median_reuse_gap_minutes: [120.0, 420.0, 1_500.0],
+        gap_sigma: 1.0,
+        reuse_probability: 0.75,
+        service_fraction: 0.25,
+        non_repeatable_fraction: 0.5,
         labels: ["price-list", "buyer-reply", "allocation"],
         hours: 72.0,
-        visits: 400,
+        first_requests: 400,
     };
 
     /// Farmers, clerks and surveyors: long parcel files that return after hours to days.
@@ -68,14 +68,14 @@
         document_blocks: [16, 48],
         question_tokens: [60, 400],
         answer_tokens: [8, 40],
-        median_gap_minutes: [240.0, 900.0, 2_400.0],
-        gap_spread: 0.9,
-        return_chance: 0.8,
-        service_part: 0.2,
-        not_repeatable_part: 0.4,
+        median_reuse_gap_minutes: [240.0, 900.0, 2_400.0],
+        gap_sigma: 0.9,
+        reuse_probability: 0.8,
+        service_fraction: 0.2,
+        non_repeatable_fraction: 0.4,
         labels: ["parcel-file", "claim-check", "survey-note"],
         hours: 96.0,
-        visits: 230,
+        first_requests: 230,
     };
 }
 
@@ -91,19 +91,19 @@
     seed: u64,
 ) -> Vec<TraceRow> {
     let mut random = Pcg32::seed_from_u64(seed);
-    let end = shape.hours * 60.0 * MINUTE;
+    let end = shape.hours * 60.0 * MS_PER_MINUTE;
     let mut rows = Vec::new();
     let sizes: Vec<f64> = (1..=shape.organisations).map(|n| 1.0 / n as f64).collect();
     let Ok(by_size) = WeightedIndex::new(&sizes) else {
         return rows;
     };
     let mut next_block = seed << 32;
-    for _ in 0..shape.visits {
-        let document = Document::draw(shape, &by_size, &mut next_block, &mut random);
-        document.visit_all(shape, end, &mut next_block, &mut rows, &mut random);
+    for _ in 0..shape.first_requests {
+        let document = Document::sample(shape, &by_size, &mut next_block, &mut random);
+        document.generate_requests(shape, end, &mut next_block, &mut rows, &mut random);
     }
     let prompts = rows.len() as f64;
-    let calls = prompts * shape.service_part / (1.0 - shape.service_part);
+    let calls = prompts * shape.service_fraction / (1.0 - shape.service_fraction);
     for _ in 0..calls as usize {
         let organisation = by_size.sample(&mut random);
         rows.push(service_call(shape, organisation, end, &mut random));
@@ -119,7 +119,7 @@
 }
 
 impl Document {
-    fn draw(
+    fn sample(
         shape: &TraceShape,
         by_size: &WeightedIndex<f64>,
         next_block: &mut u64,
@@ -127,7 +127,7 @@
     ) -> Document {
         let [least, most] = shape.document_blocks;
         let count = random.gen_range(least..=most);
-        let blocks = (0..count).map(|_| fresh_block(next_block)).collect();
+        let blocks = (0..count).map(|_| allocate_block(next_block)).collect();
         Document {
             organisation: by_size.sample(random),
             kind: random.gen_range(0..shape.labels.len()),
@@ -135,7 +135,7 @@
         }
     }
 
-    fn visit_all(
+    fn generate_requests(
         &self,
         shape: &TraceShape,
         end: f64,
@@ -145,32 +145,32 @@
     ) {
         let mut at = random.gen_range(0.0..end);
         while at < end {
-            rows.push(self.visit(shape, at, next_block, random));
-            if !random.gen_bool(shape.return_chance) {
+            rows.push(self.generate_request(shape, at, next_block, random));
+            if !random.gen_bool(shape.reuse_probability) {
                 return;
             }
-            at += gap(
-                shape.median_gap_minutes[self.kind],
-                shape.gap_spread,
+            at += sample_gap(
+                shape.median_reuse_gap_minutes[self.kind],
+                shape.gap_sigma,
                 random,
             );
         }
     }
 
-    fn visit(
+    fn generate_request(
         &self,
         shape: &TraceShape,
         at: f64,
         next_block: &mut u64,
         random: &mut Pcg32,
     ) -> TraceRow {
-        let question = between(shape.question_tokens, random);
+        let question = sample_range(shape.question_tokens, random);
         let mut hash_ids = self.blocks.clone();
-        hash_ids.push(fresh_block(next_block));
+        hash_ids.push(allocate_block(next_block));
         TraceRow {
             timestamp: at as u64,
             input_length: self.blocks.len() as u32 * PIECE_TOKENS + question,
-            output_length: between(shape.answer_tokens, random),
+            output_length: sample_range(shape.answer_tokens, random),
             hash_ids,
             organisation: organisation_name(shape, self.organisation),
             label: shape.labels[self.kind].to_string(),
@@ -192,7 +192,7 @@
         hash_ids: Vec::new(),
         organisation: organisation_name(shape, organisation),
         label: "service".to_string(),
-        repeatable: !random.gen_bool(shape.not_repeatable_part),
+        repeatable: !random.gen_bool(shape.non_repeatable_fraction),
     }
 }
 
@@ -203,12 +203,12 @@
     format!("{}-{:02}", shape.deployment, index + 1)
 }
 
-fn fresh_block(next_block: &mut u64) -> u64 {
+fn allocate_block(next_block: &mut u64) -> u64 {
     *next_block += 1;
     *next_block
 }
 
-fn between(
+fn sample_range(
     bounds: [u32; 2],
     random: &mut Pcg32,
 ) -> u32 {
@@ -216,7 +216,7 @@
 }
 
 /// A log-normal gap, in milliseconds.
-fn gap(
+fn sample_gap(
     median_minutes: f64,
     spread: f64,
     random: &mut Pcg32,
@@ -224,5 +224,5 @@
     let u: f64 = random.gen_range(f64::EPSILON..1.0);
     let v: f64 = random.gen();
     let normal = (-2.0 * u.ln()).sqrt() * (std::f64::consts::TAU * v).cos();
-    median_minutes * MINUTE * (spread * normal).exp()
+    median_minutes * MS_PER_MINUTE * (spread * normal).exp()
 }
--- a/testbed/tests/bad_input.rs
+++ b/testbed/tests/bad_input.rs
@@ -5,7 +5,7 @@
     pitchhitch_core::labels::LabelSelector,
     pitchhitch_testbed::{
         deploy::{Deployment, DeploymentShape},
-        replay::{right_answer, CallHeader, CallOutcome, CallerClient},
+        replay::{expected_response, CallerClient, CallerResponse, RequestHeader},
     },
     serde_json::Value,
     smol::block_on,
@@ -13,129 +13,137 @@
 
 const CHAT: &str = "/v1/chat/completions";
 
-struct Bench {
+struct Fixture {
     deployment: Deployment,
     client: CallerClient,
 }
 
-impl Bench {
+impl Fixture {
     async fn start() -> Self {
-        Bench {
+        Fixture {
             deployment: Deployment::for_test(DeploymentShape::tiny("bad")).await,
             client: CallerClient::default(),
         }
     }
 
-    async fn call(
+    async fn send_request(
         &self,
         method: &str,
         path: &str,
         key: &str,
-        headers: &[CallHeader],
+        headers: &[RequestHeader],
         body: &str,
-    ) -> CallOutcome {
+    ) -> CallerResponse {
         let url = self.deployment.url(0, path);
         self.client
-            .plain(method, &url, key, headers, body.to_string())
+            .send_request(method, &url, key, headers, body.to_string())
             .await
     }
 
     /// The answer must be this error, and a good request must still be answered.
-    async fn expect(
+    async fn expect_error(
         &self,
-        outcome: CallOutcome,
+        response: CallerResponse,
         status: u16,
         code: &str,
     ) {
-        assert_eq!(outcome.status, status, "{code}: {}", outcome.text);
-        let body: Value = serde_json::from_str(&outcome.text).expect("json");
+        assert_eq!(response.status, status, "{code}: {}", response.text);
+        let body: Value = serde_json::from_str(&response.text).expect("json");
         assert_eq!(body["error"]["code"], code);
         assert!(body["error"]["message"].is_string());
-        assert_eq!(outcome.ran, "not-run");
-        assert!(!outcome.request_id.is_empty());
+        assert_eq!(response.ran, "not-run");
+        assert!(!response.request_id.is_empty());
         if status == 503 {
-            assert!(outcome.retry_after.is_some());
+            assert!(response.retry_after.is_some());
         }
         let good = self
             .client
-            .chat(&self.deployment.prompt(0, "still there?", 3))
+            .chat(&self.deployment.chat_request(0, "still there?", 3))
             .await;
-        assert_eq!(good.text, right_answer("still there?", "v1", 3));
+        assert_eq!(good.text, expected_response("still there?", "v1", 3));
     }
 }
 
 #[test]
 fn every_kind_answered() {
     block_on(async {
-        let bench = Bench::start().await;
-        let key = bench.deployment.first_key();
+        let fixture = Fixture::start().await;
+        let key = fixture.deployment.first_key();
         let good = r#"{"model": "assistant", "messages": [{"role": "user", "content": "hi"}]}"#;
 
-        let broken = bench.call("POST", CHAT, &key, &[], "{\"model\": ").await;
-        bench.expect(broken, 400, "malformed_body").await;
+        let broken = fixture
+            .send_request("POST", CHAT, &key, &[], "{\"model\": ")
+            .await;
+        fixture.expect_error(broken, 400, "malformed_body").await;
         let empty = r#"{"model": "assistant", "messages": []}"#;
-        let empty = bench.call("POST", CHAT, &key, &[], empty).await;
-        bench.expect(empty, 400, "malformed_body").await;
+        let empty = fixture.send_request("POST", CHAT, &key, &[], empty).await;
+        fixture.expect_error(empty, 400, "malformed_body").await;
 
-        let missing = bench.call("POST", CHAT, "", &[], good).await;
-        bench.expect(missing, 401, "invalid_api_key").await;
-        let wrong = bench.call("POST", CHAT, "key-of-somebody", &[], good).await;
-        bench.expect(wrong, 401, "invalid_api_key").await;
+        let missing = fixture.send_request("POST", CHAT, "", &[], good).await;
+        fixture.expect_error(missing, 401, "invalid_api_key").await;
+        let wrong = fixture
+            .send_request("POST", CHAT, "key-of-somebody", &[], good)
+            .await;
+        fixture.expect_error(wrong, 401, "invalid_api_key").await;
 
         let model = good.replace("assistant", "oracle");
-        let unknown = bench.call("POST", CHAT, &key, &[], &model).await;
-        bench.expect(unknown, 404, "model_not_found").await;
-        let nowhere = bench.call("GET", "/nowhere", &key, &[], "").await;
-        bench.expect(nowhere, 404, "unknown_path").await;
+        let unknown = fixture.send_request("POST", CHAT, &key, &[], &model).await;
+        fixture.expect_error(unknown, 404, "model_not_found").await;
+        let nowhere = fixture.send_request("GET", "/nowhere", &key, &[], "").await;
+        fixture.expect_error(nowhere, 404, "unknown_path").await;
         // A prefix ends at a slash.
-        let beside = bench.call("GET", "/ordersheet", &key, &[], "").await;
-        bench.expect(beside, 404, "unknown_path").await;
+        let beside = fixture
+            .send_request("GET", "/ordersheet", &key, &[], "")
+            .await;
+        fixture.expect_error(beside, 404, "unknown_path").await;
 
         for (name, value) in [
             ("x-pitchhitch-deadline-ms", "soon"),
             ("x-pitchhitch-repeatable", "maybe"),
         ] {
-            let header = CallHeader {
+            let header = RequestHeader {
                 name,
                 value: value.to_string(),
             };
-            let bad = bench.call("POST", CHAT, &key, &[header], good).await;
-            bench.expect(bad, 400, "bad_header").await;
+            let bad = fixture
+                .send_request("POST", CHAT, &key, &[header], good)
+                .await;
+            fixture.expect_error(bad, 400, "bad_header").await;
         }
 
         let large = format!("{{\"model\": \"{}\"}}", "x".repeat(5 << 20));
-        let large = bench.call("POST", CHAT, &key, &[], &large).await;
-        bench.expect(large, 413, "body_too_large").await;
+        let large = fixture.send_request("POST", CHAT, &key, &[], &large).await;
+        fixture.expect_error(large, 413, "body_too_large").await;
     });
 }
 
 #[test]
 fn other_organisations_request() {
     block_on(async {
-        let bench = Bench::start().await;
-        let mine = bench
+        let fixture = Fixture::start().await;
+        let mine = fixture
             .client
-            .chat(&bench.deployment.prompt(0, "mine", 2))
+            .chat(&fixture.deployment.chat_request(0, "mine", 2))
             .await;
         let path = format!("/pitchhitch/requests/{}", mine.request_id);
-        let own = bench
-            .call("GET", &path, &bench.deployment.first_key(), &[], "")
+        let own = fixture
+            .send_request("GET", &path, &fixture.deployment.first_key(), &[], "")
             .await;
         assert_eq!(own.status, 200);
         assert!(own.text.contains("bad-engine-"));
-        let other = bench
+        let other = fixture
             .deployment
             .shape
-            .key(&bench.deployment.shape.organisation(2));
-        let theirs = bench.call("GET", &path, &other, &[], "").await;
-        bench.expect(theirs, 404, "unknown_request").await;
+            .key(&fixture.deployment.shape.organisation(2));
+        let theirs = fixture.send_request("GET", &path, &other, &[], "").await;
+        fixture.expect_error(theirs, 404, "unknown_request").await;
     });
 }
 
 #[test]
 fn selector_matches_nothing() {
     block_on(async {
-        let bench = Bench::start().await;
+        let fixture = Fixture::start().await;
         let rule = PlacementRule {
             precedence: 0,
             work: LabelSelector::parse("organisation=bad-02").expect("work"),
@@ -146,10 +154,10 @@
             name: "nowhere".to_string(),
             rule: Some(rule),
         };
-        bench.deployment.change_everywhere(change).await;
-        let key = bench.deployment.shape.key("bad-02");
+        fixture.deployment.change_everywhere(change).await;
+        let key = fixture.deployment.shape.key("bad-02");
         let good = r#"{"model": "assistant", "messages": [{"role": "user", "content": "hi"}]}"#;
-        let refused = bench.call("POST", CHAT, &key, &[], good).await;
-        bench.expect(refused, 503, "nothing_selected").await;
+        let refused = fixture.send_request("POST", CHAT, &key, &[], good).await;
+        fixture.expect_error(refused, 503, "nothing_selected").await;
     });
 }
--- a/testbed/tests/config_truth.rs
+++ b/testbed/tests/config_truth.rs
@@ -6,19 +6,19 @@
     pitchhitch_services::config::ChangeRequest,
     pitchhitch_testbed::{
         deploy::{Deployment, DeploymentShape},
-        replay::{right_answer, CallerClient},
+        replay::{expected_response, CallerClient},
     },
     smol::block_on,
     std::{collections::BTreeSet, time::Duration},
 };
 
-const PATIENCE: Duration = Duration::from_secs(20);
+const CHANGE_TIMEOUT: Duration = Duration::from_secs(20);
 
 async fn start(name: &str) -> Deployment {
     Deployment::for_test(DeploymentShape::tiny(name)).await
 }
 
-fn label(
+fn label_change(
     endpoint: &str,
     key: &str,
     value: &str,
@@ -57,10 +57,10 @@
                 let mut revisions = Vec::new();
                 for number in 0..12 {
                     let value = format!("{operator}-{number}");
-                    let change = label("race-engine-1", "owner", &value);
+                    let change = label_change("race-engine-1", "owner", &value);
                     let request = request(&value, change);
                     let accepted = store
-                        .change(&request, PATIENCE, operator * 1_000 + number)
+                        .change(&request, CHANGE_TIMEOUT, operator * 1_000 + number)
                         .await;
                     revisions.push((accepted.expect("accepted").revision, value));
                 }
@@ -101,9 +101,15 @@
     block_on(async {
         let deployment = start("repeat").await;
         let store = deployment.config_store();
-        let request = request("same", label("repeat-engine-1", "owner", "ann"));
-        let first = store.change(&request, PATIENCE, 1).await.expect("first");
-        let again = store.change(&request, PATIENCE, 2).await.expect("again");
+        let request = request("same", label_change("repeat-engine-1", "owner", "ann"));
+        let first = store
+            .change(&request, CHANGE_TIMEOUT, 1)
+            .await
+            .expect("first");
+        let again = store
+            .change(&request, CHANGE_TIMEOUT, 2)
+            .await
+            .expect("again");
         assert_eq!(first.revision, again.revision);
         assert!(again.repeated && !first.repeated);
     });
@@ -120,7 +126,7 @@
             "--expect",
             "1",
         ];
-        let output = deployment.operate(&args).await.expect("runs");
+        let output = deployment.run_command(&args).await.expect("runs");
         assert_eq!(output.status.code(), Some(4));
         let text = String::from_utf8_lossy(&output.stderr).to_string();
         assert!(text.contains("revision 1 was expected"), "{text}");
@@ -132,18 +138,23 @@
     block_on(async {
         let mut deployment = start("outage").await;
         let revision = deployment
-            .change_everywhere(label("outage-engine-1", "owner", "ann"))
+            .change_everywhere(label_change("outage-engine-1", "owner", "ann"))
             .await;
         deployment.platform.state.table_faults.set_down(true);
         // Nothing is accepted, and that is said.
         let store = deployment.config_store();
-        let request = request("late", label("outage-engine-1", "owner", "bob"));
+        let request = request("late", label_change("outage-engine-1", "owner", "bob"));
         let refused = store.change(&request, Duration::from_millis(300), 1).await;
         assert!(refused.is_err(), "{refused:?}");
         // Callers are served, and a process that starts now has the configuration
         // from its peer.
         let client = CallerClient::default();
-        assert!(client.chat(&deployment.prompt(0, "during", 2)).await.whole);
+        assert!(
+            client
+                .chat(&deployment.chat_request(0, "during", 2))
+                .await
+                .is_complete
+        );
         deployment.entries[1].take().expect("entry").kill();
         let entry = deployment.start_entry(1).expect("starts anew");
         deployment.entries[1] = Some(entry);
@@ -152,10 +163,18 @@
             report.ready && report.endpoints.iter().filter(|e| e.alive).count() == 4
         });
         assert_eq!(report.await.expect(what).revision, revision);
-        assert!(client.chat(&deployment.prompt(1, "after", 2)).await.whole);
+        assert!(
+            client
+                .chat(&deployment.chat_request(1, "after", 2))
+                .await
+                .is_complete
+        );
         // Once the table is back the same change goes through.
         deployment.platform.state.table_faults.set_down(false);
-        let accepted = store.change(&request, PATIENCE, 2).await.expect("accepted");
+        let accepted = store
+            .change(&request, CHANGE_TIMEOUT, 2)
+            .await
+            .expect("accepted");
         deployment.wait_revision(accepted.revision).await;
     });
 }
@@ -182,18 +201,24 @@
         let text = "which is it? ".repeat(700);
         let mut asked = 0;
         while !swapped() {
-            let outcome = client.chat(&deployment.prompt(asked % 2, &text, 4)).await;
-            assert_eq!(outcome.status, 200, "{}", outcome.text);
-            let right = ["v1", "v2"]
+            let response = client
+                .chat(&deployment.chat_request(asked % 2, &text, 4))
+                .await;
+            assert_eq!(response.status, 200, "{}", response.text);
+            let is_expected = ["v1", "v2"]
                 .iter()
-                .any(|v| outcome.text == right_answer(&text, v, 4));
-            assert!(right, "an answer of neither version: {}", outcome.text);
+                .any(|v| response.text == expected_response(&text, v, 4));
+            assert!(
+                is_expected,
+                "an answer of neither version: {}",
+                response.text
+            );
             asked += 1;
             assert!(asked < 5_000, "the engines were not swapped");
         }
         assert!(deployment.platform.state.most_loading() <= 2);
-        deployment.wait_settled().await.expect("settled");
-        let outcome = client.chat(&deployment.prompt(0, &text, 4)).await;
-        assert_eq!(outcome.text, right_answer(&text, "v2", 4));
+        deployment.wait_ready().await.expect("settled");
+        let response = client.chat(&deployment.chat_request(0, &text, 4)).await;
+        assert_eq!(response.text, expected_response(&text, "v2", 4));
     });
 }
--- a/testbed/tests/free_ports.rs
+++ b/testbed/tests/free_ports.rs
@@ -1,7 +1,7 @@
 //! Processes of one deployment are told ports that nobody else has.
 
 use {
-    pitchhitch_testbed::deploy::{start_alone, FreePorts},
+    pitchhitch_testbed::deploy::{spawn_locked, FreePorts},
     std::{
         collections::HashSet,
         net::{SocketAddr, TcpListener},
@@ -16,20 +16,20 @@
 
 const PORTS: usize = 600;
 const ROUNDS: usize = 1_500;
-const STARTERS: usize = 6;
+const SPAWNER_THREADS: usize = 6;
 
 #[test]
 fn ports_differ() {
-    let mut ports = FreePorts::of_deployment(201);
-    let mut named = HashSet::new();
+    let mut ports = FreePorts::for_deployment(201);
+    let mut allocated = HashSet::new();
     for _ in 0..PORTS {
         let address = ports.tcp().expect("a free port");
-        assert!(named.insert(address), "{address} was named twice");
+        assert!(allocated.insert(address), "{address} was named twice");
     }
 }
 
-fn found() -> Vec<SocketAddr> {
-    let mut ports = FreePorts::of_deployment(202);
+fn find_ports() -> Vec<SocketAddr> {
+    let mut ports = FreePorts::for_deployment(202);
     let found = (0..4).map(|_| ports.tcp().expect("a free port"));
     found.collect()
 }
@@ -38,21 +38,21 @@
 #[test]
 fn ports_stay_free() {
     let stop = Arc::new(AtomicBool::new(false));
-    let starters = (0..STARTERS).map(|_| {
+    let spawners = (0..SPAWNER_THREADS).map(|_| {
         let stop = stop.clone();
         thread::spawn(move || {
             while !stop.load(Ordering::Relaxed) {
-                let mut child = start_alone(&mut Command::new("true")).expect("started");
+                let mut child = spawn_locked(&mut Command::new("true")).expect("started");
                 child.wait().expect("ended");
             }
         })
     });
-    let starters: Vec<_> = starters.collect();
+    let spawners: Vec<_> = spawners.collect();
     let is_taken = |ports: &Vec<SocketAddr>| ports.iter().any(|p| TcpListener::bind(p).is_err());
-    let taken = (0..ROUNDS).map(|_| found()).filter(is_taken).count();
+    let taken = (0..ROUNDS).map(|_| find_ports()).filter(is_taken).count();
     stop.store(true, Ordering::Relaxed);
-    for starter in starters {
-        starter.join().expect("a starter");
+    for spawner in spawners {
+        spawner.join().expect("a starter");
     }
     assert_eq!(taken, 0, "of {ROUNDS} rounds");
 }
--- a/testbed/tests/lost_processes.rs
+++ b/testbed/tests/lost_processes.rs
@@ -4,7 +4,7 @@
     pitchhitch_testbed::{
         deploy::{Deployment, DeploymentShape, EndpointStandIn, ProcessSignal},
         engine::EngineStandIn,
-        replay::{right_answer, CallerClient, StreamSet},
+        replay::{expected_response, CallerClient, StreamSet},
     },
     smol::{block_on, Timer},
     std::{
@@ -15,7 +15,7 @@
 
 const TOKENS: u32 = 300;
 /// Streams that all choose one of two idle engines by chance: none in our lifetime.
-const MOST_STREAMS: usize = 32;
+const MAX_STREAMS: usize = 32;
 
 async fn start(name: &str) -> Deployment {
     Deployment::for_test(DeploymentShape::streaming(name)).await
@@ -23,30 +23,30 @@
 
 /// Starts so many streams, and more until both engines work on some: idle engines are
 /// told apart by chance, so that a few streams that start at once may all be at one.
-async fn streams(
+async fn start_streams(
     deployment: &Deployment,
     count: usize,
 ) -> StreamSet {
     let mut streams = StreamSet::start(deployment, count, TOKENS);
     let running = |e: &EngineStandIn| e.core.running.load(Ordering::Relaxed) > 0;
     loop {
-        all_begun(deployment, &streams).await;
+        wait_all_started(deployment, &streams).await;
         if deployment.engines().all(running) {
             return streams;
         }
-        assert!(streams.count() < MOST_STREAMS, "all are at one engine");
+        assert!(streams.count() < MAX_STREAMS, "all are at one engine");
         streams.add(deployment);
     }
 }
 
 /// Waits until all are at an engine: a caller that is gone before has nothing to cancel.
-async fn all_begun(
+async fn wait_all_started(
     deployment: &Deployment,
     streams: &StreamSet,
 ) {
-    let begun = || sum_engines(deployment, |e| &e.core.counts.begun);
+    let started = || sum_engines(deployment, |e| &e.core.counts.begun);
     deployment
-        .wait_until("all to run", || begun() == streams.count() as u64)
+        .wait_until("all to run", || started() == streams.count() as u64)
         .await;
 }
 
@@ -60,9 +60,9 @@
 fn killed_agent_streams_resume() {
     block_on(async {
         let mut deployment = start("kill").await;
-        let streams = streams(&deployment, 8).await;
+        let streams = start_streams(&deployment, 8).await;
         kill_agent(&mut deployment);
-        streams.all_right().await;
+        streams.assert_all_complete().await;
     });
 }
 
@@ -74,11 +74,11 @@
         let mut shape = DeploymentShape::streaming("late");
         shape.default_deadline_ms = DEADLINE_MS;
         let mut deployment = Deployment::for_test(shape).await;
-        let streams = streams(&deployment, 8).await;
+        let streams = start_streams(&deployment, 8).await;
         // The trouble comes when the deadline of all of them has passed.
         Timer::after(Duration::from_millis(DEADLINE_MS)).await;
         kill_agent(&mut deployment);
-        streams.all_right().await;
+        streams.assert_all_complete().await;
     });
 }
 
@@ -86,17 +86,17 @@
 fn frozen_agent_streams_resume() {
     block_on(async {
         let deployment = start("freeze").await;
-        let streams = streams(&deployment, 8).await;
+        let streams = start_streams(&deployment, 8).await;
         deployment.endpoints[0]
             .agent
             .as_ref()
             .expect("agent")
             .signal(ProcessSignal::Stop);
-        streams.all_right().await;
+        streams.assert_all_complete().await;
         // A request that comes now is not sent there, or not left there.
         let client = CallerClient::default();
-        let outcome = client.chat(&deployment.prompt(0, "after", 5)).await;
-        assert_eq!(outcome.text, right_answer("after", "v1", 5));
+        let response = client.chat(&deployment.chat_request(0, "after", 5)).await;
+        assert_eq!(response.text, expected_response("after", "v1", 5));
     });
 }
 
@@ -108,14 +108,14 @@
             .add_engine(2, true)
             .await
             .expect("engine behind a proxy");
-        deployment.wait_settled().await.expect("settled");
+        deployment.wait_ready().await.expect("settled");
         let streams = StreamSet::start(&deployment, 40, TOKENS);
-        let place = deployment
+        let endpoint = deployment
             .endpoints
             .iter()
             .find(|e| e.proxy.is_some())
             .expect("place");
-        let EndpointStandIn::Engine(engine) = &place.stand_in else {
+        let EndpointStandIn::Engine(engine) = &endpoint.stand_in else {
             panic!("an engine stands behind the proxy");
         };
         let running = || engine.core.running.load(Ordering::Relaxed) > 1;
@@ -123,8 +123,8 @@
             .wait_until("streams on the engine", running)
             .await;
         // In the middle of an event, some bytes after the next.
-        place.proxy.as_ref().expect("proxy").cut_after(777);
-        streams.all_right().await;
+        endpoint.proxy.as_ref().expect("proxy").cut_after(777);
+        streams.assert_all_complete().await;
     });
 }
 
@@ -132,7 +132,7 @@
 fn gone_caller_cancels() {
     block_on(async {
         let deployment = start("gone").await;
-        let streams = streams(&deployment, 4).await;
+        let streams = start_streams(&deployment, 4).await;
         let count = streams.count() as u64;
         drop(streams);
         deployment
@@ -162,7 +162,12 @@
         let deployment = start("store").await;
         let client = CallerClient::default();
         let text = "a long parcel file ".repeat(1_000);
-        assert!(client.chat(&deployment.prompt(0, &text, 2)).await.whole);
+        assert!(
+            client
+                .chat(&deployment.chat_request(0, &text, 2))
+                .await
+                .is_complete
+        );
         deployment
             .wait_until("exports", || deployment.store.piece_count() >= 9)
             .await;
@@ -170,7 +175,7 @@
             engine.core.cache().clear();
         }
         deployment.store.empty();
-        let again = client.chat(&deployment.prompt(0, &text, 2)).await;
-        assert_eq!(again.text, right_answer(&text, "v1", 2));
+        let again = client.chat(&deployment.chat_request(0, &text, 2)).await;
+        assert_eq!(again.text, expected_response(&text, "v1", 2));
     });
 }
--- a/testbed/tests/planned_stops.rs
+++ b/testbed/tests/planned_stops.rs
@@ -2,7 +2,7 @@
 
 use {
     pitchhitch_testbed::{
-        deploy::{Deployment, DeploymentShape, ProcessSignal, PATIENCE},
+        deploy::{Deployment, DeploymentShape, ProcessSignal, WAIT_TIMEOUT},
         replay::{CallerClient, StreamSet},
     },
     smol::block_on,
@@ -16,7 +16,7 @@
 }
 
 /// Starts streams and waits until all of them run at an engine.
-async fn streams(
+async fn start_streams(
     deployment: &Deployment,
     count: usize,
 ) -> StreamSet {
@@ -33,28 +33,28 @@
 }
 
 /// All streams whole and right, and none begun twice at an engine.
-async fn all_uncut(
+async fn assert_uninterrupted(
     deployment: &Deployment,
     streams: StreamSet,
     count: u64,
 ) {
-    streams.all_right().await;
+    streams.assert_all_complete().await;
     let engines = deployment.engines();
-    let begun: u64 = engines
+    let started: u64 = engines
         .map(|e| e.core.counts.begun.load(Ordering::Relaxed))
         .sum();
-    assert_eq!(begun, count);
+    assert_eq!(started, count);
 }
 
 #[test]
 fn entry_stop_cuts_nothing() {
     block_on(async {
         let mut deployment = start("stop").await;
-        let streams = streams(&deployment, 6).await;
+        let streams = start_streams(&deployment, 6).await;
         let mut entry = deployment.entries[0].take().expect("entry");
         entry.signal(ProcessSignal::Term);
-        all_uncut(&deployment, streams, 6).await;
-        assert!(entry.wait(PATIENCE).await.expect("ends").success());
+        assert_uninterrupted(&deployment, streams, 6).await;
+        assert!(entry.wait(WAIT_TIMEOUT).await.expect("ends").success());
         assert!(entry.log_text().contains("cut_off=0"));
     });
 }
@@ -63,11 +63,11 @@
 fn agent_stop_cuts_nothing() {
     block_on(async {
         let mut deployment = start("leave").await;
-        let streams = streams(&deployment, 6).await;
+        let streams = start_streams(&deployment, 6).await;
         let mut agent = deployment.endpoints[0].agent.take().expect("agent");
         agent.signal(ProcessSignal::Term);
-        all_uncut(&deployment, streams, 6).await;
-        assert!(agent.wait(PATIENCE).await.expect("ends").success());
+        assert_uninterrupted(&deployment, streams, 6).await;
+        assert!(agent.wait(WAIT_TIMEOUT).await.expect("ends").success());
         assert!(agent.log_text().contains("cut_off=0"));
     });
 }
@@ -76,14 +76,14 @@
 fn two_stops_cut_nothing() {
     block_on(async {
         let mut deployment = start("both").await;
-        let streams = streams(&deployment, 6).await;
+        let streams = start_streams(&deployment, 6).await;
         let mut agent = deployment.endpoints[1].agent.take().expect("agent");
         let mut entry = deployment.entries[1].take().expect("entry");
         agent.signal(ProcessSignal::Term);
         entry.signal(ProcessSignal::Term);
-        all_uncut(&deployment, streams, 6).await;
-        assert!(agent.wait(PATIENCE).await.expect("ends").success());
-        assert!(entry.wait(PATIENCE).await.expect("ends").success());
+        assert_uninterrupted(&deployment, streams, 6).await;
+        assert!(agent.wait(WAIT_TIMEOUT).await.expect("ends").success());
+        assert!(entry.wait(WAIT_TIMEOUT).await.expect("ends").success());
     });
 }
 
@@ -91,9 +91,12 @@
 fn drain_tells_when() {
     block_on(async {
         let deployment = start("drain").await;
-        let streams = streams(&deployment, 6).await;
+        let streams = start_streams(&deployment, 6).await;
         let engine = deployment.endpoints[0].id.clone();
-        let output = deployment.operate(&["drain", &engine]).await.expect("runs");
+        let output = deployment
+            .run_command(&["drain", &engine])
+            .await
+            .expect("runs");
         let text = String::from_utf8_lossy(&output.stdout).to_string();
         assert!(output.status.success(), "{text}");
         assert!(text.contains("requests run"), "{text}");
@@ -101,17 +104,17 @@
             text.trim_end().ends_with("drained: the box may stop"),
             "{text}"
         );
-        all_uncut(&deployment, streams, 6).await;
+        assert_uninterrupted(&deployment, streams, 6).await;
         // From now on the other engine has all the work.
         let before = deployment.engines().next().expect("engine");
-        let begun = before.core.counts.begun.load(Ordering::Relaxed);
+        let started = before.core.counts.begun.load(Ordering::Relaxed);
         let client = CallerClient::default();
         for number in 0..6 {
-            let outcome = client
-                .chat(&deployment.prompt(number % 2, "later", 2))
+            let response = client
+                .chat(&deployment.chat_request(number % 2, "later", 2))
                 .await;
-            assert!(outcome.whole);
+            assert!(response.is_complete);
         }
-        assert_eq!(before.core.counts.begun.load(Ordering::Relaxed), begun);
+        assert_eq!(before.core.counts.begun.load(Ordering::Relaxed), started);
     });
 }
--- a/testbed/tests/run_once.rs
+++ b/testbed/tests/run_once.rs
@@ -3,7 +3,7 @@
 use {
     pitchhitch_testbed::{
         deploy::{Deployment, DeploymentShape},
-        replay::{CallHeader, CallOutcome, CallerClient},
+        replay::{CallerClient, CallerResponse, RequestHeader},
     },
     smol::block_on,
 };
@@ -12,19 +12,19 @@
     Deployment::for_test(DeploymentShape::tiny("once")).await
 }
 
-async fn order(
+async fn place_order(
     deployment: &Deployment,
     entry: usize,
     body: &str,
-) -> CallOutcome {
-    let headers = [CallHeader {
+) -> CallerResponse {
+    let headers = [RequestHeader {
         name: "idempotency-key",
         value: format!("key-{body}"),
     }];
     let url = deployment.url(entry, "/orders/place");
     let key = deployment.first_key();
     CallerClient::default()
-        .plain("POST", &url, &key, &headers, body.to_string())
+        .send_request("POST", &url, &key, &headers, body.to_string())
         .await
 }
 
@@ -32,9 +32,9 @@
 fn second_try_elsewhere_refused() {
     block_on(async {
         let deployment = start().await;
-        let first = order(&deployment, 0, "order-1").await;
+        let first = place_order(&deployment, 0, "order-1").await;
         assert_eq!(first.status, 200, "{}", first.text);
-        let second = order(&deployment, 1, "order-1").await;
+        let second = place_order(&deployment, 1, "order-1").await;
         assert_eq!(second.status, 409, "{}", second.text);
         assert!(second.text.contains("already_started"));
         assert_eq!(second.ran, "unknown");
@@ -46,22 +46,22 @@
 fn racing_tries_run_once() {
     block_on(async {
         let deployment = start().await;
-        let tries = (0..10).map(|number| order(&deployment, number % 2, "order-1"));
+        let attempts = (0..10).map(|number| place_order(&deployment, number % 2, "order-1"));
         let mut answered = 0;
-        let mut tasks: Vec<_> = tries.map(Box::pin).collect();
-        let mut outcomes = Vec::new();
+        let mut tasks: Vec<_> = attempts.map(Box::pin).collect();
+        let mut responses = Vec::new();
         while let Some(task) = tasks.pop() {
             // Two at a time, one at each entry process.
             match tasks.pop() {
                 Some(other) => {
                     let (a, b) = futures_lite::future::zip(task, other).await;
-                    outcomes.extend([a, b]);
+                    responses.extend([a, b]);
                 }
-                None => outcomes.push(task.await),
+                None => responses.push(task.await),
             }
         }
-        for outcome in outcomes {
-            answered += u32::from(outcome.status == 200);
+        for response in responses {
+            answered += u32::from(response.status == 200);
         }
         assert_eq!(answered, 1);
         assert_eq!(deployment.runs.count("order-1"), 1);
@@ -73,14 +73,14 @@
     block_on(async {
         let deployment = start().await;
         deployment.platform.state.table_faults.set_down(true);
-        let refused = order(&deployment, 0, "order-1").await;
+        let refused = place_order(&deployment, 0, "order-1").await;
         assert_eq!(refused.status, 503, "{}", refused.text);
         assert!(refused.text.contains("cannot_settle"));
         assert_eq!(refused.ran, "not-run");
         assert!(refused.retry_after.is_some());
         assert_eq!(deployment.runs.count("order-1"), 0);
         deployment.platform.state.table_faults.set_down(false);
-        let answered = order(&deployment, 1, "order-1").await;
+        let answered = place_order(&deployment, 1, "order-1").await;
         assert_eq!(answered.status, 200, "{}", answered.text);
         assert_eq!(deployment.runs.count("order-1"), 1);
     });
@@ -91,10 +91,10 @@
     block_on(async {
         let deployment = start().await;
         deployment.platform.state.table_faults.lose_answers(1);
-        let answered = order(&deployment, 0, "order-1").await;
+        let answered = place_order(&deployment, 0, "order-1").await;
         assert_eq!(answered.status, 200, "{}", answered.text);
         assert_eq!(deployment.runs.count("order-1"), 1);
-        assert_eq!(order(&deployment, 1, "order-1").await.status, 409);
+        assert_eq!(place_order(&deployment, 1, "order-1").await.status, 409);
     });
 }
 
@@ -103,9 +103,9 @@
     block_on(async {
         let mut deployment = start().await;
         // Without any agent of the service nothing can run.
-        for place in &mut deployment.endpoints {
-            if place.id.contains("service") {
-                place.agent = None;
+        for endpoint in &mut deployment.endpoints {
+            if endpoint.id.contains("service") {
+                endpoint.agent = None;
             }
         }
         let what = "the services to be gone";
@@ -116,14 +116,14 @@
             });
             gone.await.expect(what);
         }
-        let refused = order(&deployment, 0, "order-1").await;
+        let refused = place_order(&deployment, 0, "order-1").await;
         assert_eq!(refused.ran, "not-run", "{}", refused.text);
         let agent = deployment.start_agent("once-service-1").expect("agent");
-        let place = deployment
+        let endpoint = deployment
             .endpoints
             .iter_mut()
             .find(|e| e.id == "once-service-1");
-        place.expect("place").agent = Some(agent);
+        endpoint.expect("place").agent = Some(agent);
         let back = deployment.wait_status(1, "the service to be back", |report| {
             report
                 .endpoints
@@ -131,7 +131,7 @@
                 .any(|e| e.id.contains("service") && e.alive)
         });
         back.await.expect("back");
-        let answered = order(&deployment, 1, "order-1").await;
+        let answered = place_order(&deployment, 1, "order-1").await;
         assert_eq!(answered.status, 200, "{}", answered.text);
         assert_eq!(deployment.runs.count("order-1"), 1);
     });
--- a/testbed/tests/whole_path.rs
+++ b/testbed/tests/whole_path.rs
@@ -3,7 +3,7 @@
 use {
     pitchhitch_testbed::{
         deploy::{Deployment, DeploymentShape},
-        replay::{right_answer, CallHeader, CallerClient},
+        replay::{expected_response, CallerClient, RequestHeader},
         stand_ins::ServiceAnswer,
     },
     serde_json::Value,
@@ -22,15 +22,15 @@
         let text = "which wines came in? ".repeat(300);
         for entry in 0..2 {
             for stream in [false, true] {
-                let mut call = deployment.prompt(entry, &text, 12);
+                let mut call = deployment.chat_request(entry, &text, 12);
                 call.stream = stream;
-                let outcome = client.chat(&call).await;
-                assert_eq!(outcome.status, 200, "{}", outcome.text);
-                assert!(outcome.whole);
-                assert_eq!(outcome.text, right_answer(&text, "v1", 12));
-                assert!(outcome
+                let response = client.chat(&call).await;
+                assert_eq!(response.status, 200, "{}", response.text);
+                assert!(response.is_complete);
+                assert_eq!(response.text, expected_response(&text, "v1", 12));
+                assert!(response
                     .request_id
-                    .starts_with(&deployment.entry_places[entry].id));
+                    .starts_with(&deployment.entry_boxes[entry].id));
             }
         }
     });
@@ -44,10 +44,10 @@
         let url = deployment.url(0, "/v1/completions");
         let client = CallerClient::default();
         let key = deployment.first_key();
-        let outcome = client
-            .plain("POST", &url, &key, &[], body.to_string())
+        let response = client
+            .send_request("POST", &url, &key, &[], body.to_string())
             .await;
-        let answer: Value = serde_json::from_str(&outcome.text).expect("json");
+        let answer: Value = serde_json::from_str(&response.text).expect("json");
         assert_eq!(answer["object"], "text_completion");
         assert_eq!(answer["usage"]["completion_tokens"], 3);
         assert_eq!(answer["usage"]["total_tokens"], 5);
@@ -61,14 +61,18 @@
         let client = CallerClient::default();
         let url = deployment.url(0, "/v1/models");
         let key = deployment.first_key();
-        let outcome = client.plain("GET", &url, &key, &[], String::new()).await;
-        let list: Value = serde_json::from_str(&outcome.text).expect("json");
+        let response = client
+            .send_request("GET", &url, &key, &[], String::new())
+            .await;
+        let list: Value = serde_json::from_str(&response.text).expect("json");
         assert_eq!(list["object"], "list");
         assert_eq!(list["data"][0]["id"], "assistant");
         for path in ["/healthz", "/readyz"] {
             let url = deployment.url(1, path);
-            let outcome = client.plain("GET", &url, "", &[], String::new()).await;
-            assert_eq!(outcome.status, 200, "{path}");
+            let response = client
+                .send_request("GET", &url, "", &[], String::new())
+                .await;
+            assert_eq!(response.status, 200, "{path}");
         }
     });
 }
@@ -80,7 +84,7 @@
         let client = CallerClient::default();
         let key = deployment.first_key();
         let url = deployment.url(0, "/orders/7/lines?dry=1");
-        let headers = [CallHeader {
+        let headers = [RequestHeader {
             name: "x-pitchhitch-repeatable",
             value: "yes".to_string(),
         }];
@@ -90,11 +94,11 @@
             } else {
                 "{\"odd\":  bytes}\u{7}"
             };
-            let outcome = client
-                .plain(method, &url, &key, &headers, body.to_string())
+            let response = client
+                .send_request(method, &url, &key, &headers, body.to_string())
                 .await;
-            assert_eq!(outcome.status, 200, "{}", outcome.text);
-            let answer: ServiceAnswer = serde_json::from_str(&outcome.text).expect("json");
+            assert_eq!(response.status, 200, "{}", response.text);
+            let answer: ServiceAnswer = serde_json::from_str(&response.text).expect("json");
             assert_eq!(answer.method, method);
             assert_eq!(answer.path, "/orders/7/lines?dry=1");
             assert_eq!(answer.body, body);
@@ -107,10 +111,12 @@
     block_on(async {
         let deployment = start().await;
         let client = CallerClient::default();
-        let outcome = client.chat(&deployment.prompt(1, "why there?", 2)).await;
+        let response = client
+            .chat(&deployment.chat_request(1, "why there?", 2))
+            .await;
         // Asked at the other entry process, which asks the one that decided.
         let output = deployment
-            .operate(&["explain", &outcome.request_id])
+            .run_command(&["explain", &response.request_id])
             .await
             .expect("runs");
         let text = String::from_utf8_lossy(&output.stdout).to_string();
@@ -122,7 +128,7 @@
         assert!(text.contains("path-engine-"), "{text}");
         assert!(text.contains("outcome: answered"), "{text}");
         let output = deployment
-            .operate(&["explain", "path-entry-1.0.999"])
+            .run_command(&["explain", "path-entry-1.0.999"])
             .await
             .expect("runs");
         assert_eq!(output.status.code(), Some(1));
@@ -135,15 +141,15 @@
         let deployment = start().await;
         let client = CallerClient::default();
         let text = "a long price list ".repeat(1_200);
-        let first = client.chat(&deployment.prompt(0, &text, 2)).await;
-        assert!(first.whole);
+        let first = client.chat(&deployment.chat_request(0, &text, 2)).await;
+        assert!(first.is_complete);
         // The other entry process hears of the pieces by the agents' events.
         deployment
             .wait_status(1, "pieces", |report| report.pieces >= 10)
             .await
             .expect("pieces");
-        let again = client.chat(&deployment.prompt(1, &text, 2)).await;
-        assert_eq!(again.text, right_answer(&text, "v1", 2));
+        let again = client.chat(&deployment.chat_request(1, &text, 2)).await;
+        assert_eq!(again.text, expected_response(&text, "v1", 2));
         let counts: u64 = deployment
             .engines()
             .map(|e| {
