--- a/testbed/src/deploy/mod.rs
+++ b/testbed/src/deploy/mod.rs
@@ -2,9 +2,9 @@
 
 mod child_engine;
 mod child_process;
+mod deployed_endpoint;
 mod deployment;
 mod deployment_shape;
-mod endpoint_place;
 mod entry_place;
 mod fake_agents;
 mod fork_lock;
@@ -14,6 +14,6 @@
 mod test_helpers;
 
 pub use {
-    child_engine::*, child_process::*, deployment::*, deployment_shape::*, endpoint_place::*,
+    child_engine::*, child_process::*, deployed_endpoint::*, deployment::*, deployment_shape::*,
     entry_place::*, fake_agents::*, fork_lock::*, free_ports::*, program_set::*,
 };
