--- a/testbed/src/deploy/mod.rs
+++ b/testbed/src/deploy/mod.rs
@@ -5,7 +5,7 @@
 mod deployed_endpoint;
 mod deployment;
 mod deployment_shape;
-mod entry_place;
+mod entry_box;
 mod fake_agents;
 mod fork_lock;
 mod free_ports;
@@ -15,5 +15,5 @@
 
 pub use {
     child_engine::*, child_process::*, deployed_endpoint::*, deployment::*, deployment_shape::*,
-    entry_place::*, fake_agents::*, fork_lock::*, free_ports::*, program_set::*,
+    entry_box::*, fake_agents::*, fork_lock::*, free_ports::*, program_set::*,
 };
