--- a/testbed/src/replay/mod.rs
+++ b/testbed/src/replay/mod.rs
@@ -2,8 +2,8 @@
 
 mod caller_client;
 mod replay_result;
-mod run_measures;
+mod run_metrics;
 mod stream_set;
 mod trace_replay;
 
-pub use {caller_client::*, replay_result::*, run_measures::*, stream_set::*, trace_replay::*};
+pub use {caller_client::*, replay_result::*, run_metrics::*, stream_set::*, trace_replay::*};
