--- a/testbed/examples/figures/delay_figures.rs
+++ b/testbed/examples/figures/delay_figures.rs
@@ -2,7 +2,7 @@
 
 use {
     crate::{
-        bench_place::{bench_shape, chat_request, new_histogram, print_row},
+        bench_setup::{bench_shape, chat_request, new_histogram, print_row},
         load_figures::STREAMS,
     },
     hdrhistogram::Histogram,
--- a/testbed/examples/figures/load_figures.rs
+++ b/testbed/examples/figures/load_figures.rs
@@ -1,7 +1,7 @@
 //! What an entry process carries, and what it needs.
 
 use {
-    crate::bench_place::{bench_shape, chat_request, child_engine, print_row, MEBIBYTE},
+    crate::bench_setup::{bench_shape, chat_request, child_engine, print_row, MEBIBYTE},
     anyhow::Context,
     pitchhitch_process::spawn,
     pitchhitch_testbed::{
--- a/testbed/examples/figures/main.rs
+++ b/testbed/examples/figures/main.rs
@@ -1,7 +1,7 @@
 //! Measures what one entry process adds, carries and needs, and what a routing
 //! decision costs. Prints one table; each figure stands beside the one wanted.
 
-mod bench_place;
+mod bench_setup;
 mod delay_figures;
 mod load_figures;
 mod route_figures;
--- a/testbed/examples/figures/route_figures.rs
+++ b/testbed/examples/figures/route_figures.rs
@@ -1,7 +1,7 @@
 //! What a routing decision costs.
 
 use {
-    crate::bench_place::print_row,
+    crate::bench_setup::print_row,
     pitchhitch_core::{
         conf::{CostWeights, FleetConfig, ModelConf, OrganisationConf, VersionConf},
         kv_cache::{prefix_keys, PieceHolder},
