--- a/testbed/examples/slopes/config_slopes.rs
+++ b/testbed/examples/slopes/config_slopes.rs
@@ -2,8 +2,8 @@
 
 use {
     crate::{
+        core_fixture::{build_core, config},
         slope_row::{fit_line, median_micros, Point, SlopeRow},
-        small_world::{build_core, config},
     },
     pitchhitch_core::{
         conf::{ChangeRecord, ConfigChange, ConfigHead, FleetConfig, LabelTarget},
--- a/testbed/examples/slopes/main.rs
+++ b/testbed/examples/slopes/main.rs
@@ -3,11 +3,11 @@
 //! `docs/CAPACITY.md`.
 
 mod config_slopes;
+mod core_fixture;
 mod message_slopes;
 mod piece_slopes;
 mod request_slopes;
 mod slope_row;
-mod small_world;
 
 use {
     config_slopes::{changes, changes_in_force, organisations},
--- a/testbed/examples/slopes/message_slopes.rs
+++ b/testbed/examples/slopes/message_slopes.rs
@@ -2,9 +2,9 @@
 
 use {
     crate::{
+        core_fixture::{address, agent_beacon, build_core, config, pulse, ENDPOINT_COUNTS},
         piece_slopes::memory_point,
         slope_row::{fit_line, median_micros, Point, SlopeRow},
-        small_world::{address, agent_beacon, build_core, config, pulse, ENDPOINT_COUNTS},
     },
     pitchhitch_core::{
         membership::{Beacon, EntryBeacon},
--- a/testbed/examples/slopes/piece_slopes.rs
+++ b/testbed/examples/slopes/piece_slopes.rs
@@ -2,8 +2,8 @@
 
 use {
     crate::{
+        core_fixture::{address, build_core, pulse},
         slope_row::{fit_line, Point, SlopeRow},
-        small_world::{address, build_core, pulse},
     },
     pitchhitch_core::{
         kv_cache::{PieceKey, StoreTier},
--- a/testbed/examples/slopes/request_slopes.rs
+++ b/testbed/examples/slopes/request_slopes.rs
@@ -2,8 +2,8 @@
 
 use {
     crate::{
+        core_fixture::{build_core, published_table, ENDPOINT_COUNTS},
         slope_row::{fit_line, median_micros, Point, SlopeRow},
-        small_world::{build_core, published_table, ENDPOINT_COUNTS},
     },
     pitchhitch_core::{
         conf::{CostWeights, OrganisationLimits},
