--- a/testbed/examples/load_lab/main.rs
+++ b/testbed/examples/load_lab/main.rs
@@ -3,13 +3,13 @@
 //! `cargo run --release -p pitchhitch-testbed --example load_lab -- --load FILE
 //! [--without MECHANISM]... [--each] [--seeds 1..20] [--svg OUT.svg]`
 
-mod each_table;
+mod comparison_table;
 mod lab_options;
 mod on_time_plot;
 mod setting_runs;
 
 use {
-    each_table::comparison_table,
+    comparison_table::comparison_table,
     lab_options::LabOptions,
     on_time_plot::draw_on_time,
     pitchhitch_testbed::load_model::{load_table, LoadFile},
