--- a/testbed/src/deploy/mod.rs
+++ b/testbed/src/deploy/mod.rs
@@ -2,10 +2,10 @@
 
 mod child_engine;
 mod child_process;
+mod deployed_endpoint;
 mod deployment;
 mod deployment_shape;
-mod endpoint_place;
-mod entry_place;
+mod entry_box;
 mod fake_agents;
 mod fork_lock;
 mod free_ports;
@@ -14,6 +14,6 @@
 mod test_helpers;
 
 pub use {
-    child_engine::*, child_process::*, deployment::*, deployment_shape::*, endpoint_place::*,
-    entry_place::*, fake_agents::*, fork_lock::*, free_ports::*, program_set::*,
+    child_engine::*, child_process::*, deployed_endpoint::*, deployment::*, deployment_shape::*,
+    entry_box::*, fake_agents::*, fork_lock::*, free_ports::*, program_set::*,
 };
