--- a/testbed/examples/demo.rs
+++ b/testbed/examples/demo.rs
@@ -107,8 +107,8 @@
     let progress = ReplayProgress::default();
     let replaying = replay.run(&rows, &progress);
     let operations = run_operations(name, policy, &mut deployment, &progress, rows.len());
-    let (result, operated) = future::zip(replaying, operations).await;
-    operated?;
+    let (result, operations_result) = future::zip(replaying, operations).await;
+    operations_result?;
     let metrics = RunMetrics::gather(&deployment, &rows, result);
     if let Some(problem) = &metrics.result.first_problem {
         print_status(name, policy, &format!("first problem: {problem}"));
@@ -173,8 +173,8 @@
     );
     for number in [2, 4] {
         let target = format!("organisation/{}", deployment.shape.organisation(number));
-        let answer = run_command(deployment, &["label", &target, "site=b"]).await?;
-        print_status(name, policy, &format!("{target} moves to site b: {answer}"));
+        let output = run_command(deployment, &["label", &target, "site=b"]).await?;
+        print_status(name, policy, &format!("{target} moves to site b: {output}"));
     }
     Timer::after(REPLAY_DURATION.mul_f64(0.25)).await;
     print_status(
@@ -184,8 +184,8 @@
     );
     let engine = deployment.endpoints[0].id.clone();
     let started = Instant::now();
-    let answer = run_command(deployment, &["drain", &engine]).await?;
-    let last = answer.lines().last().unwrap_or_default().to_string();
+    let output = run_command(deployment, &["drain", &engine]).await?;
+    let last = output.lines().last().unwrap_or_default().to_string();
     print_status(
         name,
         policy,
--- a/testbed/examples/figures/bench_setup.rs
+++ b/testbed/examples/figures/bench_setup.rs
@@ -15,9 +15,9 @@
 pub fn print_row(
     figure: &str,
     measured: String,
-    wanted: &str,
+    goal: &str,
 ) {
-    println!("| {figure} | {measured} | {wanted} |");
+    println!("| {figure} | {measured} | {goal} |");
 }
 
 pub fn bench_shape(name: &str) -> DeploymentShape {
--- a/testbed/examples/figures/delay_figures.rs
+++ b/testbed/examples/figures/delay_figures.rs
@@ -61,16 +61,16 @@
     let mut tasks = Vec::new();
     for number in 0..STREAMS {
         let client = client.clone();
-        let call = chat_request(address, key, 40);
+        let request = chat_request(address, key, 40);
         tasks.push(spawn(async move {
             // The streams begin spread over the time that one of them takes.
             Timer::after(Duration::from_micros(1_600 * number as u64)).await;
-            let mut spans = Vec::new();
+            let mut durations = Vec::new();
             for _ in 0..4 {
-                let response = client.chat(&call).await;
-                spans.push((response.is_complete, response.first_token));
+                let response = client.chat(&request).await;
+                durations.push((response.is_complete, response.first_token));
             }
-            spans
+            durations
         }));
     }
     let mut histogram = new_histogram()?;
@@ -132,7 +132,7 @@
         let (url, key) = (url.clone(), key.clone());
         tasks.push(spawn(async move {
             let client = CallerClient::default();
-            let mut spans = Vec::new();
+            let mut durations = Vec::new();
             for call in 0..calls / callers {
                 let body = format!("{caller}-{call}-of-{callers}");
                 let header = RequestHeader {
@@ -142,9 +142,9 @@
                 let response = client
                     .send_request("POST", &url, &key, &[header], body)
                     .await;
-                spans.push((response.status, response.total));
+                durations.push((response.status, response.total));
             }
-            spans
+            durations
         }));
     }
     let mut histogram = new_histogram()?;
--- a/testbed/examples/figures/load_figures.rs
+++ b/testbed/examples/figures/load_figures.rs
@@ -107,8 +107,8 @@
     let tasks: Vec<_> = (0..STREAMS)
         .map(|_| {
             let client = client.clone();
-            let call = chat_request(entry, &key, TOKENS);
-            spawn(async move { client.chat(&call).await.is_complete })
+            let request = chat_request(entry, &key, TOKENS);
+            spawn(async move { client.chat(&request).await.is_complete })
         })
         .collect();
     let mut whole = 0;
--- a/testbed/examples/figures/route_figures.rs
+++ b/testbed/examples/figures/route_figures.rs
@@ -23,7 +23,7 @@
         let target = WorkTarget::Model("assistant".to_string());
         let text: Vec<u8> = (0..28_000).map(|n| (n % 251) as u8).collect();
         let pieces = prefix_keys("org", "v1", &text);
-        let mut spans = Vec::with_capacity(ROUNDS);
+        let mut durations = Vec::with_capacity(ROUNDS);
         let mut chosen = 0;
         for round in 0..ROUNDS {
             let request = RouteRequest {
@@ -40,18 +40,18 @@
             };
             let started = Instant::now();
             let choice = table.choose(&request, |_| InFlightLoad::default());
-            spans.push(started.elapsed());
+            durations.push(started.elapsed());
             chosen += usize::from(choice.is_ok());
         }
         assert_eq!(chosen, ROUNDS);
-        spans.sort();
-        let wanted = if endpoints == 1_000 { "20 us" } else { "" };
-        let median = spans[ROUNDS / 2].as_secs_f64() * 1e6;
+        durations.sort();
+        let goal = if endpoints == 1_000 { "20 us" } else { "" };
+        let median = durations[ROUNDS / 2].as_secs_f64() * 1e6;
         let text = format!("{median:.1} us");
         print_row(
             &format!("one routing decision, {endpoints} endpoints, median"),
             text,
-            wanted,
+            goal,
         );
     }
 }
--- a/testbed/examples/load_lab/on_time_plot.rs
+++ b/testbed/examples/load_lab/on_time_plot.rs
@@ -71,9 +71,12 @@
 ) -> Vec<(f64, f64)> {
     let mut seconds: Vec<SecondTally> = Vec::new();
     for tally in &setting.tallies {
-        let of_kind = &tally.kinds[kind].seconds;
-        seconds.resize(seconds.len().max(of_kind.len()), SecondTally::default());
-        for (sum, second) in seconds.iter_mut().zip(of_kind) {
+        let kind_seconds = &tally.kinds[kind].seconds;
+        seconds.resize(
+            seconds.len().max(kind_seconds.len()),
+            SecondTally::default(),
+        );
+        for (sum, second) in seconds.iter_mut().zip(kind_seconds) {
             sum.owed += second.owed;
             sum.in_aim += second.in_aim;
         }
--- a/testbed/src/deploy/deployment.rs
+++ b/testbed/src/deploy/deployment.rs
@@ -195,8 +195,8 @@
         &self,
         index: usize,
     ) -> anyhow::Result<StatusReport> {
-        let caller = ServiceClient::new(self.entry_boxes[index].operators, CALL_TIMEOUT);
-        Ok(caller.get_json(STATUS_PATH).await?)
+        let client = ServiceClient::new(self.entry_boxes[index].operators, CALL_TIMEOUT);
+        Ok(client.get_json(STATUS_PATH).await?)
     }
 
     /// Waits until every running entry process knows every endpoint as usable.
@@ -204,17 +204,20 @@
     /// # Errors
     /// When that does not come about.
     pub async fn wait_ready(&self) -> anyhow::Result<()> {
-        let wanted = self.endpoints.iter().filter(|e| e.agent.is_some()).count();
+        let expected = self.endpoints.iter().filter(|e| e.agent.is_some()).count();
         let running = self.entries.iter().filter(|e| e.is_some()).count();
         let peers = running.saturating_sub(1);
         for index in 0..self.entry_boxes.len() {
             if self.entries.get(index).is_some_and(Option::is_none) {
                 continue;
             }
-            let what = format!("{} to know {wanted} endpoints", self.entry_boxes[index].id);
+            let what = format!(
+                "{} to know {expected} endpoints",
+                self.entry_boxes[index].id
+            );
             self.wait_status(index, &what, |report| {
                 let alive = report.endpoints.iter().filter(|e| e.alive).count();
-                let all = alive == wanted && report.peers.len() >= peers;
+                let all = alive == expected && report.peers.len() >= peers;
                 report.ready && all && !report.stores.is_empty()
             })
             .await?;
--- a/testbed/src/replay/run_metrics.rs
+++ b/testbed/src/replay/run_metrics.rs
@@ -38,8 +38,8 @@
             computed_tokens += counts.computed_tokens.load(Ordering::Relaxed);
         }
         let calls = deployment.platform.state.table.calls();
-        let once = rows.iter().enumerate().filter(|(_, row)| !row.repeatable);
-        let ran_twice = once.filter(|(number, _)| {
+        let non_repeatable = rows.iter().enumerate().filter(|(_, row)| !row.repeatable);
+        let ran_twice = non_repeatable.filter(|(number, _)| {
             let body = service_body(&deployment.shape.name, *number);
             deployment.runs.count(&body) > 1
         });
--- a/testbed/src/replay/trace_replay.rs
+++ b/testbed/src/replay/trace_replay.rs
@@ -87,7 +87,7 @@
         client: CallerClient,
         state: Arc<ReplayState>,
     ) {
-        if row.is_service_call() {
+        if row.is_service_request() {
             self.send_service_request(number, &row, &client, &state)
                 .await;
         } else {
--- a/testbed/src/trace/prompt_text.rs
+++ b/testbed/src/trace/prompt_text.rs
@@ -3,12 +3,12 @@
 /// The text that a trace row stands for: a block of text for each id, the last
 /// one cut to the length of the prompt.
 pub fn prompt_text(row: &TraceRow) -> String {
-    let wanted = row.input_length as usize * pitchhitch_core::kv_cache::BYTES_PER_TOKEN as usize;
-    let mut text = String::with_capacity(wanted + PIECE_TEXT_BYTES);
+    let length = row.input_length as usize * pitchhitch_core::kv_cache::BYTES_PER_TOKEN as usize;
+    let mut text = String::with_capacity(length + PIECE_TEXT_BYTES);
     for id in &row.hash_ids {
         block_text(*id, &mut text);
     }
-    text.truncate(wanted);
+    text.truncate(length);
     text
 }
 
--- a/testbed/src/trace/trace_generator.rs
+++ b/testbed/src/trace/trace_generator.rs
@@ -103,10 +103,10 @@
         document.generate_requests(shape, end, &mut next_block, &mut rows, &mut random);
     }
     let prompts = rows.len() as f64;
-    let calls = prompts * shape.service_fraction / (1.0 - shape.service_fraction);
-    for _ in 0..calls as usize {
+    let service_requests = prompts * shape.service_fraction / (1.0 - shape.service_fraction);
+    for _ in 0..service_requests as usize {
         let organisation = by_size.sample(&mut random);
-        rows.push(service_call(shape, organisation, end, &mut random));
+        rows.push(service_request(shape, organisation, end, &mut random));
     }
     rows.sort_by_key(|row| row.timestamp);
     rows
@@ -125,8 +125,8 @@
         next_block: &mut u64,
         random: &mut Pcg32,
     ) -> Document {
-        let [least, most] = shape.document_blocks;
-        let count = random.gen_range(least..=most);
+        let [min, max] = shape.document_blocks;
+        let count = random.gen_range(min..=max);
         let blocks = (0..count).map(|_| allocate_block(next_block)).collect();
         Document {
             organisation: by_size.sample(random),
@@ -179,7 +179,7 @@
     }
 }
 
-fn service_call(
+fn service_request(
     shape: &TraceShape,
     organisation: usize,
     end: f64,
--- a/testbed/src/trace/trace_row.rs
+++ b/testbed/src/trace/trace_row.rs
@@ -26,7 +26,7 @@
 
 impl TraceRow {
     /// Whether it is a call of a plain service.
-    pub fn is_service_call(&self) -> bool {
+    pub fn is_service_request(&self) -> bool {
         self.input_length == 0
     }
 }
--- a/testbed/tests/bad_input.rs
+++ b/testbed/tests/bad_input.rs
@@ -92,10 +92,10 @@
         let nowhere = fixture.send_request("GET", "/nowhere", &key, &[], "").await;
         fixture.expect_error(nowhere, 404, "unknown_path").await;
         // A prefix ends at a slash.
-        let beside = fixture
+        let longer_path = fixture
             .send_request("GET", "/ordersheet", &key, &[], "")
             .await;
-        fixture.expect_error(beside, 404, "unknown_path").await;
+        fixture.expect_error(longer_path, 404, "unknown_path").await;
 
         for (name, value) in [
             ("x-pitchhitch-deadline-ms", "soon"),
--- a/testbed/tests/config_consistency.rs
+++ b/testbed/tests/config_consistency.rs
@@ -199,10 +199,10 @@
         deployment.change(change).await.expect("change");
         let swapped = || deployment.engines().all(|e| e.core.version() == "v2");
         let text = "which is it? ".repeat(700);
-        let mut asked = 0;
+        let mut request_count = 0;
         while !swapped() {
             let response = client
-                .chat(&deployment.chat_request(asked % 2, &text, 4))
+                .chat(&deployment.chat_request(request_count % 2, &text, 4))
                 .await;
             assert_eq!(response.status, 200, "{}", response.text);
             let is_expected = ["v1", "v2"]
@@ -213,8 +213,8 @@
                 "an answer of neither version: {}",
                 response.text
             );
-            asked += 1;
-            assert!(asked < 5_000, "the engines were not swapped");
+            request_count += 1;
+            assert!(request_count < 5_000, "the engines were not swapped");
         }
         assert!(deployment.platform.state.most_loading() <= 2);
         deployment.wait_ready().await.expect("settled");
--- a/testbed/tests/end_to_end.rs
+++ b/testbed/tests/end_to_end.rs
@@ -22,9 +22,9 @@
         let text = "which wines came in? ".repeat(300);
         for entry in 0..2 {
             for stream in [false, true] {
-                let mut call = deployment.chat_request(entry, &text, 12);
-                call.stream = stream;
-                let response = client.chat(&call).await;
+                let mut request = deployment.chat_request(entry, &text, 12);
+                request.stream = stream;
+                let response = client.chat(&request).await;
                 assert_eq!(response.status, 200, "{}", response.text);
                 assert!(response.is_complete);
                 assert_eq!(response.text, expected_response(&text, "v1", 12));
