--- a/testbed/src/deploy/child_engine.rs
+++ b/testbed/src/deploy/child_engine.rs
@@ -13,37 +13,37 @@
     },
 };
 
-/// First argument by which a program is told to be a stand-in engine.
+/// First argument that makes the program run as a stand-in engine.
 pub const ENGINE_ROLE: &str = "--as-stand-in-engine";
 const START_TIMEOUT: Duration = Duration::from_secs(10);
 const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// A stand-in engine in a process of its own, for measurements in which it must
-/// not share threads with the load.
+/// A stand-in engine in its own process, for benchmarks in which it must not share
+/// threads with the load generator.
 #[derive(Debug)]
 pub struct ChildEngine {
-    /// Where it answers.
+    /// Address that it serves.
     pub address: SocketAddr,
-    /// The process.
+    /// Its process; killed on drop.
     pub process: ChildProcess,
 }
 
-/// Rates of a stand-in engine, as its arguments say them.
+/// Speed of a stand-in engine, passed to its process as arguments.
 #[derive(Debug, Clone, Copy)]
 pub struct EngineRates {
-    /// Microseconds for one prompt token.
+    /// Prefill time of one prompt token, in microseconds.
     pub prefill_micros: u64,
-    /// Microseconds for one answer token.
+    /// Decode time of one output token, in microseconds.
     pub decode_micros: u64,
-    /// Threads.
+    /// Number of worker threads.
     pub threads: usize,
 }
 
 impl ChildEngine {
-    /// Starts one.
+    /// Starts an engine process and waits until it has written its address.
     ///
     /// # Errors
-    /// When it does not say where it answers.
+    /// When it cannot be started or writes no address within 10 s.
     pub async fn start(
         rates: EngineRates,
         folder: &Path,
@@ -63,13 +63,13 @@
                 return Ok(ChildEngine { address, process });
             }
             if started.elapsed() > START_TIMEOUT {
-                anyhow::bail!("{name} has not started");
+                anyhow::bail!("{name} did not write its address within {START_TIMEOUT:?}");
             }
             Timer::after(POLL_INTERVAL).await;
         }
     }
 
-    /// If this program was told to be an engine, is one until it is killed.
+    /// Runs as an engine until killed if the arguments say so; otherwise returns.
     pub fn run_role() {
         let args: Vec<String> = env::args().skip(1).collect();
         if args.first().map(String::as_str) != Some(ENGINE_ROLE) {
@@ -84,7 +84,9 @@
 
 fn serve(args: &[String]) -> anyhow::Result<()> {
     let [address_file, prefill, decode, threads] = args else {
-        anyhow::bail!("four arguments are wanted");
+        anyhow::bail!(
+            "expected four arguments: address file, prefill and decode time in us, threads"
+        );
     };
     start_traffic_threads(threads.parse()?);
     let weights = SocketAddr::from(([127, 0, 0, 1], 9));
@@ -94,7 +96,7 @@
         slots: 100_000,
         ..EngineShape::small("assistant", "v1", weights)
     };
-    let engine = EngineStandIn::start(shape).context("cannot start")?;
+    let engine = EngineStandIn::start(shape).context("cannot start the stand-in engine")?;
     fs::write(address_file, engine.address.to_string())?;
     smol::block_on(std::future::pending::<()>());
     Ok(())
--- a/testbed/src/deploy/child_process.rs
+++ b/testbed/src/deploy/child_process.rs
@@ -11,30 +11,29 @@
     },
 };
 
-/// How often a process is looked at.
 const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// A process that this program has started; it is killed when dropped.
+/// A child process; it is killed on drop.
 #[derive(Debug)]
 pub struct ChildProcess {
     child: Child,
-    /// Where its log goes.
+    /// File that its output is appended to.
     pub log: PathBuf,
 }
 
-/// A signal, by the name that `kill` knows.
+/// A signal that can be sent to a child process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ProcessSignal {
-    /// Planned stop.
+    /// SIGTERM: graceful shutdown.
     Term,
-    /// Freeze.
+    /// SIGSTOP: pause.
     Stop,
-    /// Go on after a freeze.
+    /// SIGCONT: resume after a pause.
     Continue,
 }
 
 impl ChildProcess {
-    /// Starts a process whose log goes to a file.
+    /// Starts a process and appends its output to a log file.
     ///
     /// # Errors
     /// When it cannot be started.
@@ -55,18 +54,18 @@
         })
     }
 
-    /// Its process id.
+    /// Process id.
     pub fn pid(&self) -> u32 {
         self.child.id()
     }
 
-    /// Kills it at once.
+    /// Sends SIGKILL and waits for the end of the process.
     pub fn kill(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
 
-    /// Sends it a signal.
+    /// Sends a signal through the `kill` command.
     pub fn signal(
         &self,
         signal: ProcessSignal,
@@ -81,10 +80,10 @@
         let _ = sender.and_then(|mut sender| sender.wait());
     }
 
-    /// Waits until it has ended.
+    /// Waits for the process to exit.
     ///
     /// # Errors
-    /// When it has not after `limit`.
+    /// When it has not exited after `timeout`.
     pub async fn wait(
         &mut self,
         timeout: Duration,
@@ -95,18 +94,18 @@
                 return Ok(status);
             }
             if started.elapsed() > timeout {
-                anyhow::bail!("process {} has not ended after {timeout:?}", self.pid());
+                anyhow::bail!("process {} has not exited after {timeout:?}", self.pid());
             }
             Timer::after(POLL_INTERVAL).await;
         }
     }
 
-    /// What it has used so far.
+    /// CPU time and memory that it uses.
     pub fn usage(&self) -> ProcessUsage {
         ProcessUsage::for_pid(self.pid())
     }
 
-    /// Its log so far.
+    /// Content of its log file.
     pub fn log_text(&self) -> String {
         std::fs::read_to_string(&self.log).unwrap_or_default()
     }
--- a/testbed/src/deploy/deployed_endpoint.rs
+++ b/testbed/src/deploy/deployed_endpoint.rs
@@ -5,31 +5,31 @@
     std::net::SocketAddr,
 };
 
-/// What stands behind an agent.
+/// The endpoint behind an agent.
 #[derive(Debug)]
 pub enum EndpointStandIn {
     /// A model engine.
     Engine(EngineStandIn),
     /// A plain service.
     Service(PlainService),
-    /// Something in a process of its own.
+    /// An endpoint in another process.
     External,
 }
 
 /// One endpoint with its agent.
 #[derive(Debug)]
 pub struct DeployedEndpoint {
-    /// Id of the endpoint.
+    /// Endpoint id.
     pub id: String,
     /// The endpoint.
     pub stand_in: EndpointStandIn,
-    /// Between agent and endpoint, if the test wants it.
+    /// Proxy between agent and endpoint, if requested.
     pub proxy: Option<FaultProxy>,
-    /// The agent.
+    /// The agent process; `None` where it was stopped.
     pub agent: Option<ChildProcess>,
 }
 
-/// An endpoint that is about to be added.
+/// Settings of an endpoint to be added.
 struct NewEndpoint {
     id: String,
     kind: Value,
@@ -62,10 +62,10 @@
         }
     }
 
-    /// Adds an engine with its agent.
+    /// Starts an engine and its agent.
     ///
     /// # Errors
-    /// When it does not start.
+    /// When either cannot be started.
     pub async fn add_engine(
         &mut self,
         number: usize,
@@ -79,10 +79,10 @@
             .await
     }
 
-    /// Adds a plain service with its agent.
+    /// Starts a plain service and its agent.
     ///
     /// # Errors
-    /// When it does not start.
+    /// When either cannot be started.
     pub async fn add_service(
         &mut self,
         number: usize,
@@ -96,10 +96,10 @@
             .await
     }
 
-    /// Adds an agent before an engine that runs in a process of its own.
+    /// Starts an agent for an engine in another process.
     ///
     /// # Errors
-    /// When it does not start.
+    /// When it cannot be started.
     pub async fn add_external_engine(
         &mut self,
         number: usize,
@@ -110,10 +110,10 @@
             .await
     }
 
-    /// Adds an agent before a plain service that runs in a process of its own.
+    /// Starts an agent for a plain service in another process.
     ///
     /// # Errors
-    /// When it does not start.
+    /// When it cannot be started.
     pub async fn add_external_service(
         &mut self,
         number: usize,
--- a/testbed/src/deploy/deployment.rs
+++ b/testbed/src/deploy/deployment.rs
@@ -21,7 +21,7 @@
     },
 };
 
-/// Longest wait for a condition.
+/// Timeout of all waits for a condition.
 pub const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
 pub(super) const POLL_INTERVAL: Duration = Duration::from_millis(20);
 pub(super) const CALL_TIMEOUT: Duration = Duration::from_secs(5);
@@ -30,33 +30,34 @@
 
 static FOLDERS: AtomicU32 = AtomicU32::new(0);
 
-/// A running deployment. Everything ends when it is dropped.
+/// A running deployment. Its processes are killed and, unless `PITCHHITCH_KEEP` is
+/// set, its folder is removed on drop.
 #[derive(Debug)]
 pub struct Deployment {
-    /// How it is built.
+    /// Its shape.
     pub shape: DeploymentShape,
-    /// The platform.
+    /// The stand-in platform.
     pub platform: PlatformStandIn,
-    /// The store box of the engines' group.
+    /// The store box in the engines' group.
     pub store: StoreBox,
-    /// Calls that ran at the plain service.
+    /// Counts how often each request ran at the plain service.
     pub runs: RunCounter,
-    /// Entry processes; none where one was killed.
+    /// Entry processes; `None` where one was stopped.
     pub entries: Vec<Option<ChildProcess>>,
-    /// Their addresses.
+    /// Boxes of the entry processes, in the same order.
     pub entry_boxes: Vec<EntryBox>,
-    /// Endpoints.
+    /// Endpoints and their agents.
     pub endpoints: Vec<DeployedEndpoint>,
-    /// Settings and logs.
+    /// Folder of the settings files and logs.
     pub folder: PathBuf,
     programs: ProgramSet,
 }
 
 impl Deployment {
-    /// Starts everything and waits until every entry process is ready.
+    /// Starts all processes and waits until every entry process is ready.
     ///
     /// # Errors
-    /// When something does not start.
+    /// When a process cannot be started or does not become ready.
     pub async fn start(
         shape: DeploymentShape,
         programs: ProgramSet,
@@ -95,7 +96,7 @@
         Ok(deployment)
     }
 
-    /// Group of the engines.
+    /// Name of the engines' group.
     pub fn engine_group(&self) -> String {
         format!("{}-engines", self.shape.name)
     }
@@ -116,7 +117,7 @@
         self.folder.join(format!("{name}.json"))
     }
 
-    /// Starts, or starts anew, the agent of an endpoint.
+    /// Starts or restarts the agent of an endpoint.
     ///
     /// # Errors
     /// When it cannot be started.
@@ -132,7 +133,7 @@
         ChildProcess::start(command, &self.folder.join(format!("{endpoint_id}.log")))
     }
 
-    /// Starts, or starts anew, an entry process.
+    /// Starts or restarts an entry process.
     ///
     /// # Errors
     /// When it cannot be started.
@@ -168,7 +169,7 @@
         self.write_settings("operator", &settings)
     }
 
-    /// Runs an operator's command with the settings of this deployment.
+    /// Runs an operator command of the entry binary on this deployment.
     ///
     /// # Errors
     /// When it cannot be started.
@@ -184,13 +185,13 @@
         command.args(&args[1..]);
         command.stdout(Stdio::piped()).stderr(Stdio::piped());
         let ran = smol::unblock(move || spawn_locked(&mut command)?.wait_with_output()).await;
-        ran.context("the command did not run")
+        ran.context("cannot run the operator command")
     }
 
-    /// The status report of an entry process.
+    /// Requests the status report of an entry process.
     ///
     /// # Errors
-    /// When it does not answer.
+    /// When it does not respond.
     pub async fn status(
         &self,
         index: usize,
@@ -199,10 +200,11 @@
         Ok(client.get_json(STATUS_PATH).await?)
     }
 
-    /// Waits until every running entry process knows every endpoint as usable.
+    /// Waits until every running entry process is ready, has live reports of all
+    /// endpoints with an agent, and knows its peers and a store box.
     ///
     /// # Errors
-    /// When that does not come about.
+    /// After [`WAIT_TIMEOUT`].
     pub async fn wait_ready(&self) -> anyhow::Result<()> {
         let expected = self.endpoints.iter().filter(|e| e.agent.is_some()).count();
         let running = self.entries.iter().filter(|e| e.is_some()).count();
@@ -225,10 +227,11 @@
         Ok(())
     }
 
-    /// Waits until the status report of an entry process fulfils a condition.
+    /// Polls the status report of an entry process until a condition holds; returns
+    /// that report.
     ///
     /// # Errors
-    /// When that does not come about.
+    /// After [`WAIT_TIMEOUT`].
     pub async fn wait_status(
         &self,
         index: usize,
@@ -241,14 +244,14 @@
             match report {
                 Ok(report) if condition(&report) => return Ok(report),
                 other if started.elapsed() > WAIT_TIMEOUT => {
-                    anyhow::bail!("waited in vain for {what}: {other:?}")
+                    anyhow::bail!("timed out after {WAIT_TIMEOUT:?} waiting for {what}: {other:?}")
                 }
                 _ => Timer::after(POLL_INTERVAL).await,
             };
         }
     }
 
-    /// The engines.
+    /// The stand-in engines that run in this process.
     pub fn engines(&self) -> impl Iterator<Item = &EngineStandIn> {
         self.endpoints.iter().filter_map(|e| match &e.stand_in {
             EndpointStandIn::Engine(engine) => Some(engine),
@@ -256,7 +259,7 @@
         })
     }
 
-    /// The folder with logs and settings.
+    /// Folder of the settings files and logs.
     pub fn folder(&self) -> &Path {
         &self.folder
     }
--- a/testbed/src/deploy/deployment_shape.rs
+++ b/testbed/src/deploy/deployment_shape.rs
@@ -7,59 +7,59 @@
     std::time::Duration,
 };
 
-/// How a small deployment is built.
+/// Size and settings of a small deployment.
 #[derive(Debug, Clone)]
 pub struct DeploymentShape {
-    /// Its name, and the prefix of its organisations.
+    /// Name of the deployment; prefix of its organisations, boxes and endpoints.
     pub name: String,
     /// Failure domains.
     pub failure_domains: Vec<String>,
-    /// Organisations.
+    /// Number of organisations.
     pub organisations: usize,
-    /// Model and its first version.
+    /// Name of the model.
     pub model: String,
-    /// First version of the model.
+    /// First weight version of the model.
     pub version: String,
-    /// Model engines.
+    /// Number of model engines.
     pub engines: usize,
     /// Name of the plain service.
     pub service: String,
     /// Path prefix of the plain service.
     pub service_prefix: String,
-    /// Path that the plain service answers when it is well.
+    /// Health check path of the endpoints.
     pub health_path: String,
-    /// Endpoints of the plain service.
+    /// Number of endpoints of the plain service.
     pub services: usize,
-    /// Entry processes.
+    /// Number of entry processes.
     pub entries: usize,
-    /// How endpoints are chosen.
+    /// Routing policy.
     pub policy: RoutePolicy,
-    /// What every organisation weighs.
+    /// Cost weights of every organisation.
     pub weights: CostWeights,
-    /// Limits of every organisation.
+    /// Request limits of every organisation.
     pub limits: OrganisationLimits,
-    /// Time for one prompt token.
+    /// Prefill time of one prompt token.
     pub prefill_token: Duration,
-    /// Time for one answer token.
+    /// Decode time of one output token.
     pub decode_token: Duration,
-    /// Pieces in the cache of an engine.
+    /// Cache capacity of an engine, in pieces.
     pub cache_pieces: usize,
-    /// Requests that an engine runs at once.
+    /// Concurrent requests per engine.
     pub slots: usize,
-    /// Bytes of kept state for one token.
+    /// Bytes of cached state per token.
     pub token_bytes: u64,
     /// The store box.
     pub store: StoreBoxShape,
-    /// Milliseconds in which an answer must begin if the caller names none.
+    /// Deadline for the start of a response if the caller sets none, in milliseconds.
     pub default_deadline_ms: u64,
-    /// Threads for traffic of an entry process.
+    /// Traffic threads of an entry process.
     pub entry_threads: usize,
-    /// What processes log, as `env_logger` reads it.
+    /// Log filter of all processes, in the syntax of `env_logger`.
     pub log_level: String,
 }
 
 impl DeploymentShape {
-    /// A deployment that is just large enough for tests.
+    /// The smallest deployment for tests: two of each process.
     pub fn tiny(name: &str) -> Self {
         DeploymentShape {
             name: name.to_string(),
@@ -88,7 +88,7 @@
         }
     }
 
-    /// A tiny deployment whose streams last long enough to be disturbed.
+    /// A tiny deployment with slow streams, so that faults can occur during them.
     pub fn streaming(name: &str) -> Self {
         DeploymentShape {
             decode_token: Duration::from_millis(5),
@@ -96,7 +96,7 @@
         }
     }
 
-    /// Mvinyo at a size that fits one machine.
+    /// Mvinyo, scaled down to one machine.
     pub fn mvinyo(policy: RoutePolicy) -> Self {
         DeploymentShape {
             name: "mvinyo".to_string(),
@@ -118,7 +118,7 @@
         }
     }
 
-    /// Field Boundary Services at a size that fits one machine.
+    /// Field Boundary Services, scaled down to one machine.
     pub fn field_boundary(policy: RoutePolicy) -> Self {
         DeploymentShape {
             name: "field".to_string(),
@@ -143,7 +143,7 @@
         }
     }
 
-    /// Shape of one engine.
+    /// Shape of an engine that loads its weights from an address.
     pub fn engine_shape(
         &self,
         weights: std::net::SocketAddr,
@@ -159,7 +159,7 @@
         }
     }
 
-    /// Name of an organisation, counted from one.
+    /// Name of an organisation; numbers start at 1.
     pub fn organisation(
         &self,
         number: usize,
--- a/testbed/src/deploy/entry_box.rs
+++ b/testbed/src/deploy/entry_box.rs
@@ -3,23 +3,23 @@
     std::{io, net::SocketAddr},
 };
 
-/// Addresses of one entry process.
+/// The box of an entry process and the addresses that the process listens on.
 #[derive(Debug, Clone)]
 pub struct EntryBox {
-    /// Id of its box.
+    /// Box id.
     pub id: String,
-    /// Failure domain.
+    /// Failure domain of the box.
     pub failure_domain: String,
-    /// Where callers are served.
+    /// HTTP address for callers.
     pub callers: SocketAddr,
-    /// Where operators are served.
+    /// HTTP address for operators.
     pub operators: SocketAddr,
-    /// Where beacons are taken.
+    /// UDP address for beacons.
     pub beacons: SocketAddr,
 }
 
 impl EntryBox {
-    /// Places for the entry processes of a deployment.
+    /// Allocates ids and addresses for all entry processes of a deployment.
     ///
     /// # Errors
     /// When the system has no free port.
--- a/testbed/src/deploy/fake_agents.rs
+++ b/testbed/src/deploy/fake_agents.rs
@@ -17,40 +17,41 @@
     std::{io, net::SocketAddr, sync::Arc, time::Duration},
 };
 
-/// Time between two beacons, as of a real agent whose homes are all linked.
+/// Beacon interval of a real agent that has a link from each of its beacon targets.
 const BEACON_INTERVAL: Duration = Duration::from_secs(10);
-/// Time between two pulses, as of a real agent that is idle.
+/// Pulse interval of a real idle agent.
 const PULSE_INTERVAL: Duration = Duration::from_millis(11_700);
 const BEACONS_PER_BATCH: usize = 50;
 
-/// How many agents are made up, and what they say.
+/// Number of fake agents and what they report.
 #[derive(Debug, Clone)]
 pub struct FakeShape {
-    /// Agents.
+    /// Number of agents.
     pub agents: usize,
-    /// Prompts whose pieces each of them holds.
+    /// Prompts whose pieces each agent reports as cached.
     pub prompts_each: usize,
-    /// Pieces of one prompt.
+    /// Cached pieces of one prompt.
     pub pieces_each: usize,
     /// Model that they serve.
     pub model: String,
-    /// Version that they hold.
+    /// Weight version that they have loaded.
     pub version: String,
-    /// Where their beacons go.
+    /// Entry processes that their beacons are sent to.
     pub beacon_targets: Vec<SocketAddr>,
-    /// Secret of the deployment.
+    /// Beacon secret of the deployment.
     pub secret: String,
 }
 
-/// Agents without endpoints: they send beacons, take links and tell events, but
-/// run no requests. For measuring what an entry process needs for many of them.
+/// Agents without endpoints: they send beacons, accept links and send events, but
+/// run no requests. Used to measure the memory and CPU time that an entry process
+/// needs for many agents.
 #[derive(Debug)]
 pub struct FakeAgents {
     _tasks: Vec<Task<()>>,
 }
 
 impl FakeAgents {
-    /// Starts them.
+    /// Starts the agents.
     ///
     /// # Errors
     /// When an address cannot be bound.
--- a/testbed/src/deploy/fork_lock.rs
+++ b/testbed/src/deploy/fork_lock.rs
@@ -4,17 +4,18 @@
     sync::{Mutex, MutexGuard, PoisonError},
 };
 
-/// A child that another thread starts holds all sockets of this process from its
-/// beginning until it runs its program; a port that is let go meanwhile stays taken.
+/// Serialises forks with the allocation of ports. Between fork and exec, a child
+/// holds all sockets of this process, so a port that is closed in that time stays
+/// in use.
 static FORK_LOCK: Mutex<()> = Mutex::new(());
 
-/// No child starts while this is held.
+/// Blocks the start of child processes until the guard is dropped.
 pub(super) fn lock_forks() -> MutexGuard<'static, ()> {
-    // Nothing lies behind the lock that a panic could have left half done.
+    // The lock guards no data, so poisoning does not matter.
     FORK_LOCK.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// Starts a program while nobody looks for free ports.
+/// Starts a program, but not while free ports are being allocated.
 ///
 /// # Errors
 /// When it cannot be started.
--- a/testbed/src/deploy/free_ports.rs
+++ b/testbed/src/deploy/free_ports.rs
@@ -7,23 +7,23 @@
     },
 };
 
-/// Ports of one address that the system names free.
+/// Free ports of one IP address, chosen by the operating system.
 ///
-/// Each stays bound as long as this lives: the system names a port that was let
-/// go again, so two processes would be told the same one. No child starts meanwhile,
-/// as it would hold the ports for a moment longer.
+/// Each port stays bound until this is dropped, since the system could otherwise
+/// choose a port again and two processes would get the same one. No child process
+/// starts in that time, as it would hold the ports open until its exec.
 #[derive(Debug)]
 pub struct FreePorts {
     ip: IpAddr,
     listeners: Vec<TcpListener>,
     sockets: Vec<UdpSocket>,
-    // Let go last, as fields are dropped in this order.
+    // Must be the last field: fields are dropped in this order.
     _fork_guard: MutexGuard<'static, ()>,
 }
 
 impl FreePorts {
-    /// Free ports of an address that no other deployment of this machine uses: a
-    /// port must still be free when the process that is told it starts.
+    /// Free ports of a loopback address that no other deployment on this machine
+    /// uses, so that a port is still free when the process that gets it starts.
     pub fn for_deployment(deployment: u32) -> Self {
         let pid = std::process::id();
         let byte = |number: u32| (number % 250) as u8 + 1;
@@ -35,10 +35,10 @@
         }
     }
 
-    /// A port for TCP.
+    /// Allocates a TCP port.
     ///
     /// # Errors
-    /// When the system has none.
+    /// When the system has no free port.
     pub fn tcp(&mut self) -> io::Result<SocketAddr> {
         let listener = TcpListener::bind((self.ip, 0))?;
         let address = listener.local_addr()?;
@@ -46,10 +46,10 @@
         Ok(address)
     }
 
-    /// A port for UDP.
+    /// Allocates a UDP port.
     ///
     /// # Errors
-    /// When the system has none.
+    /// When the system has no free port.
     pub fn udp(&mut self) -> io::Result<SocketAddr> {
         let socket = UdpSocket::bind((self.ip, 0))?;
         let address = socket.local_addr()?;
--- a/testbed/src/deploy/mod.rs
+++ b/testbed/src/deploy/mod.rs
@@ -1,4 +1,5 @@
-//! A small deployment: real processes of the two binaries over stand-ins.
+//! Small deployments: processes of the two real binaries that use stand-ins for
+//! the platform, the engines and the services.
 
 mod child_engine;
 mod child_process;
--- a/testbed/src/deploy/platform_setup.rs
+++ b/testbed/src/deploy/platform_setup.rs
@@ -12,7 +12,7 @@
 
 static CHANGES: AtomicU32 = AtomicU32::new(0);
 
-/// What a deployment finds at the platform.
+/// Boxes, weights and configuration on the stand-in platform.
 impl Deployment {
     pub(super) fn list_boxes(&self) {
         for entry_box in &self.entry_boxes {
@@ -38,7 +38,7 @@
             .add_weights(&self.shape.model, &self.shape.version);
     }
 
-    /// The store of the configuration.
+    /// A client of the configuration store.
     pub fn config_store(&self) -> ConfigStore {
         ConfigStore::new(
             TableClient::new(self.platform.address, CALL_TIMEOUT),
@@ -46,10 +46,10 @@
         )
     }
 
-    /// Makes one change; gives its revision.
+    /// Makes one configuration change and returns its revision.
     ///
     /// # Errors
-    /// When it is not accepted.
+    /// When the store does not accept it.
     pub async fn change(
         &self,
         change: ConfigChange,
--- a/testbed/src/deploy/program_set.rs
+++ b/testbed/src/deploy/program_set.rs
@@ -7,38 +7,38 @@
     },
 };
 
-/// How the two binaries are started.
+/// How the entry and the agent binary are started.
 #[derive(Debug, Clone)]
 pub enum ProgramSet {
-    /// The binaries that cargo has built beside the tests.
+    /// The binaries in the target folder of the running test.
     Built {
-        /// Folder of both.
+        /// Folder of both binaries.
         folder: PathBuf,
     },
-    /// This program itself, told to be one of them: an example has no binaries
-    /// of other packages built beside it.
+    /// The current executable, started with a role argument: cargo does not build
+    /// the binaries of other packages for an example.
     CurrentExe {
-        /// This program.
+        /// Path of the current executable.
         program: PathBuf,
     },
 }
 
-/// First argument by which a program is told to be the entry binary.
+/// First argument that makes the program run as the entry binary.
 pub const ENTRY_ROLE: &str = "--as-pitchhitch";
-/// First argument by which a program is told to be the agent binary.
+/// First argument that makes the program run as the agent binary.
 pub const AGENT_ROLE: &str = "--as-pitchhitch-agent";
 
 impl ProgramSet {
-    /// The binaries beside the running test.
+    /// Finds the binaries in the target folder of the running test.
     ///
     /// # Errors
-    /// When they were not built.
+    /// When they have not been built.
     pub fn built() -> anyhow::Result<Self> {
-        let test = env::current_exe().context("this program has no path")?;
+        let test = env::current_exe().context("the path of this program is unknown")?;
         let folder = test
             .parent()
             .and_then(Path::parent)
-            .context("unexpected target folder")?;
+            .context("the test is not in a target folder of cargo")?;
         for name in ["pitchhitch", "pitchhitch-agent"] {
             if !folder.join(name).exists() {
                 bail!("{name} is not built; run 'cargo build --workspace' first");
@@ -49,13 +49,13 @@
         })
     }
 
-    /// This program in two further roles.
+    /// Uses the current executable for both binaries.
     ///
     /// # Errors
-    /// When its path is not known.
+    /// When its path is unknown.
     pub fn current_exe() -> anyhow::Result<Self> {
         Ok(ProgramSet::CurrentExe {
-            program: env::current_exe().context("this program has no path")?,
+            program: env::current_exe().context("the path of this program is unknown")?,
         })
     }
 
@@ -75,7 +75,8 @@
         }
     }
 
-    /// If this program was told to be one of the binaries, runs it and ends.
+    /// Runs as one of the binaries and exits if the arguments say so; otherwise
+    /// returns.
     pub fn run_role() {
         let args: Vec<String> = env::args().skip(1).collect();
         let code = match args.first().map(String::as_str) {
@@ -83,7 +84,7 @@
             Some(AGENT_ROLE) => pitchhitch_agent::cli::run(&args[1..]),
             _ => return,
         };
-        // ExitCode has no number to read, so success is told apart by comparing.
+        // ExitCode has no accessor for its number, so the Debug texts are compared.
         let ok = format!("{code:?}") == format!("{:?}", std::process::ExitCode::SUCCESS);
         std::process::exit(i32::from(!ok));
     }
--- a/testbed/src/deploy/test_helpers.rs
+++ b/testbed/src/deploy/test_helpers.rs
@@ -6,9 +6,9 @@
     std::time::Instant,
 };
 
-/// What tests do with a deployment; what goes wrong here ends the test.
+/// Helpers for tests; they panic on failure.
 impl Deployment {
-    /// A streamed prompt of the first organisation.
+    /// A streamed chat request of the first organisation.
     pub fn chat_request(
         &self,
         entry: usize,
@@ -32,7 +32,7 @@
         self.shape.key(&self.shape.organisation(1))
     }
 
-    /// Where an entry process serves a path.
+    /// URL of a path on the callers' port of an entry process.
     pub fn url(
         &self,
         entry: usize,
@@ -41,14 +41,14 @@
         format!("http://{}{path}", self.entry_boxes[entry].callers)
     }
 
-    /// Starts a small deployment of the built binaries, or panics.
+    /// Starts a deployment of the built binaries.
     pub async fn for_test(shape: DeploymentShape) -> Self {
         let programs = ProgramSet::built().unwrap_or_else(|e| panic!("binaries: {e:#}"));
         let deployment = Deployment::start(shape, programs).await;
         deployment.unwrap_or_else(|e| panic!("deployment: {e:#}"))
     }
 
-    /// Waits until a condition holds, or panics.
+    /// Polls a condition until it holds; panics after [`WAIT_TIMEOUT`].
     pub async fn wait_until(
         &self,
         what: &str,
@@ -58,13 +58,14 @@
         while !condition() {
             assert!(
                 started.elapsed() < WAIT_TIMEOUT,
-                "waited in vain for {what}"
+                "timed out after {WAIT_TIMEOUT:?} waiting for {what}"
             );
             Timer::after(POLL_INTERVAL).await;
         }
     }
 
-    /// Makes a change and waits until every entry process has it in force.
+    /// Makes a configuration change and waits until every running entry process has
+    /// applied it; returns its revision.
     pub async fn change_everywhere(
         &self,
         change: ConfigChange,
@@ -77,7 +78,7 @@
         revision
     }
 
-    /// Waits until every running entry process has a revision in force.
+    /// Waits until every running entry process has applied a revision or a later one.
     pub async fn wait_revision(
         &self,
         revision: u64,
--- a/testbed/src/lib.rs
+++ b/testbed/src/lib.rs
@@ -1,5 +1,5 @@
-//! Small stand-ins for the systems that pitchhitch serves with, a fault proxy,
-//! traces and their replay. Not shipped.
+//! Test environment: stand-ins for the systems that pitchhitch works with, a fault
+//! proxy, request traces and their replay. Not part of the shipped binaries.
 
 pub mod check;
 pub mod deploy;
--- a/testbed/src/replay/caller_client.rs
+++ b/testbed/src/replay/caller_client.rs
@@ -10,37 +10,37 @@
     trillium_smol::ClientConfig,
 };
 
-/// Bytes read in one go.
 const READ_CHUNK_BYTES: usize = 8 * 1024;
 
-/// A caller of an entry process, or of an engine itself.
+/// HTTP client that sends callers' requests to an entry process, or directly to an
+/// engine.
 #[derive(Debug, Clone)]
 pub struct CallerClient {
     client: Client,
 }
 
-/// What a caller asks.
+/// A chat completion request with one user message.
 #[derive(Debug, Clone)]
 pub struct ChatRequest {
-    /// Where.
+    /// Address of the entry process or engine.
     pub address: SocketAddr,
-    /// Bearer key.
+    /// Bearer key; sent unless empty.
     pub key: String,
     /// Model.
     pub model: String,
     /// Text of the user's message.
     pub text: String,
-    /// Answer tokens.
+    /// Output tokens, sent as `max_tokens`.
     pub answer_tokens: u32,
-    /// Whether the answer is streamed.
+    /// Whether the response is streamed.
     pub stream: bool,
-    /// Kind of work.
+    /// Value of the header `x-pitchhitch-label`.
     pub label: String,
-    /// Further headers.
+    /// Additional headers.
     pub headers: Vec<RequestHeader>,
 }
 
-/// A header of a call.
+/// A request header.
 #[derive(Debug, Clone)]
 pub struct RequestHeader {
     /// Name.
@@ -49,24 +49,24 @@
     pub value: String,
 }
 
-/// What a caller got.
+/// A response as the caller received it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct CallerResponse {
-    /// HTTP status; zero when none came.
+    /// HTTP status; 0 if no response was received.
     pub status: u16,
-    /// Words of the answer, or the body of an error.
+    /// Generated text, or the body of a plain response or an error.
     pub text: String,
-    /// Whether the answer had its end mark.
+    /// Whether the response was received to its end; a stream must end with `[DONE]`.
     pub is_complete: bool,
-    /// Time until the first word.
+    /// Time to the first token, or to the first byte of a body without events.
     pub first_token: Duration,
-    /// Time until the end.
+    /// Time to the end of the response.
     pub total: Duration,
-    /// Id of the request.
+    /// Value of the header `x-request-id`.
     pub request_id: String,
-    /// What a failure says about whether the request ran.
+    /// Value of the header `x-pitchhitch-ran`: whether a failed request ran.
     pub ran: String,
-    /// Seconds after which to come back.
+    /// Value of the header `retry-after`, in seconds.
     pub retry_after: Option<u64>,
 }
 
@@ -78,12 +78,12 @@
     }
 }
 
-/// Text that counts as the prompt of a chat with one message of the user.
+/// Prompt text that a chat with one user message is converted to.
 pub fn chat_prompt(text: &str) -> Vec<u8> {
     format!("user\n{text}\n").into_bytes()
 }
 
-/// The right answer to a chat with one message of the user.
+/// The text that an engine generates for a chat with one user message.
 pub fn expected_response(
     text: &str,
     version: &str,
@@ -93,7 +93,7 @@
 }
 
 impl CallerClient {
-    /// Asks a chat completion and reads the whole answer.
+    /// Sends a chat completion request and reads the response to its end.
     pub async fn chat(
         &self,
         request: &ChatRequest,
@@ -120,7 +120,7 @@
         }
     }
 
-    /// Makes a plain call; the outcome's text is the body.
+    /// Sends a request; the text of the response is its body.
     pub async fn send_request(
         &self,
         method: &str,
@@ -147,7 +147,7 @@
     conn.with_request_header("authorization", format!("Bearer {key}"))
 }
 
-/// What a body says.
+/// Content of a response body.
 struct ParsedBody {
     text: String,
     is_complete: bool,
@@ -196,7 +196,7 @@
         }
     };
     if !ended {
-        // A broken connection must not be kept.
+        // A broken connection must not return to the pool.
         conn.response_headers_mut().insert("connection", "close");
     }
     response.total = started.elapsed();
@@ -209,7 +209,8 @@
     response
 }
 
-/// Whether a body has come to its first word; blanks in front do not count.
+/// Whether a body contains its first event, or any byte if it has no events.
+/// Comment lines before the first event do not count.
 fn has_first_token(body: &[u8]) -> bool {
     match body.first() {
         Some(b':') => body.windows(6).any(|w| w == b"data: "),
@@ -246,7 +247,7 @@
             done = true;
             continue;
         }
-        // A garbled event must not pass for an empty one.
+        // A malformed event must not be treated as an empty one.
         let Ok(value) = serde_json::from_str::<Value>(data) else {
             malformed = true;
             continue;
--- a/testbed/src/replay/mod.rs
+++ b/testbed/src/replay/mod.rs
@@ -1,4 +1,4 @@
-//! Replay of traces against entry processes, with every answer checked.
+//! Replay of traces against entry processes; every response is checked.
 
 mod caller_client;
 mod replay_result;
--- a/testbed/src/replay/replay_result.rs
+++ b/testbed/src/replay/replay_result.rs
@@ -1,31 +1,32 @@
 use {hdrhistogram::Histogram, std::time::Duration};
 
-/// What a replay brought.
+/// Results of a replay.
 #[derive(Debug, Clone)]
 pub struct ReplayResult {
     /// Times to first token of prompts, in microseconds.
     pub first_token: Histogram<u64>,
-    /// Requests that were answered rightly.
+    /// Requests with a correct response.
     pub correct: u64,
-    /// Answers that were wrong, cut off or somebody else's.
+    /// Responses that were wrong or belong to another request, and truncated responses
+    /// of services.
     pub wrong: u64,
-    /// Repeatable requests without an answer.
+    /// Repeatable requests without a complete response.
     pub lost: u64,
-    /// Requests that were refused with proof that they did not run.
+    /// Requests that failed with the statement that they did not run.
     pub not_run: u64,
-    /// Not-repeatable requests whose fate the caller was told to be unknown.
+    /// Non-repeatable requests that failed and may have run.
     pub unknown: u64,
-    /// What went wrong first, for people.
+    /// Description of the first failure.
     pub first_problem: Option<String>,
 }
 
-/// Digits that the histograms keep.
+/// Precision of the histogram.
 const SIGNIFICANT_DIGITS: u8 = 3;
 
 impl Default for ReplayResult {
     fn default() -> Self {
-        let first_token =
-            Histogram::new(SIGNIFICANT_DIGITS).unwrap_or_else(|_| unreachable!("three digits"));
+        let first_token = Histogram::new(SIGNIFICANT_DIGITS)
+            .unwrap_or_else(|_| unreachable!("3 significant digits are valid"));
         ReplayResult {
             first_token,
             correct: 0,
@@ -39,16 +40,16 @@
 }
 
 impl ReplayResult {
-    /// Notes a time to first token.
+    /// Records a time to first token.
     pub fn record_first_token(
         &mut self,
         span: Duration,
     ) {
-        // The histogram grows as it must, so every value can be recorded.
+        // The histogram resizes itself, so recording never fails.
         let _ = self.first_token.record(span.as_micros() as u64);
     }
 
-    /// Notes something that went wrong.
+    /// Records the description of a failure if it is the first.
     pub fn record_problem(
         &mut self,
         text: String,
@@ -56,7 +57,7 @@
         self.first_problem.get_or_insert(text);
     }
 
-    /// A quantile of the time to first token, in milliseconds.
+    /// Quantile of the time to first token, in milliseconds.
     pub fn first_token_ms(
         &self,
         quantile: f64,
@@ -64,7 +65,7 @@
         self.first_token.value_at_quantile(quantile) as f64 / 1_000.0
     }
 
-    /// Whether no answer was wrong and no repeatable request lost.
+    /// Whether no response was wrong and no repeatable request was lost.
     pub fn is_clean(&self) -> bool {
         self.wrong == 0 && self.lost == 0
     }
--- a/testbed/src/replay/run_metrics.rs
+++ b/testbed/src/replay/run_metrics.rs
@@ -4,27 +4,27 @@
     std::sync::atomic::Ordering,
 };
 
-/// The brief's measures of one replay.
+/// Metrics of one replay, as the users' brief names them.
 #[derive(Debug, Clone)]
 pub struct RunMetrics {
-    /// What callers saw.
+    /// Results as seen by callers.
     pub result: ReplayResult,
-    /// Prompt tokens that came in at engines.
+    /// Prompt tokens received by engines.
     pub prompt_tokens: u64,
-    /// Prompt tokens that engines computed.
+    /// Prompt tokens computed by engines.
     pub computed_tokens: u64,
-    /// Bytes over the links to store boxes.
+    /// Bytes transferred to and from the store box.
     pub link_bytes: u64,
     /// Commits in the table.
     pub table_writes: u64,
     /// Reads of the table.
     pub table_reads: u64,
-    /// Requests that may run at most once and ran more often.
+    /// Non-repeatable requests that ran more than once.
     pub ran_twice: u64,
 }
 
 impl RunMetrics {
-    /// Gathers the measures of a deployment after a replay.
+    /// Gathers the metrics of a deployment after a replay.
     pub fn gather(
         deployment: &Deployment,
         rows: &[TraceRow],
@@ -54,18 +54,19 @@
         }
     }
 
-    /// Share of prompt work that was computed rather than reused, in percent.
+    /// Percentage of prompt tokens that were computed rather than reused.
     pub fn recomputed_percent(&self) -> f64 {
         100.0 * self.computed_tokens as f64 / self.prompt_tokens.max(1) as f64
     }
 
-    /// Whether every promise that a replay can see was kept.
+    /// Whether no response was wrong, no repeatable request was lost and no
+    /// non-repeatable request ran twice.
     pub fn is_clean(&self) -> bool {
         self.result.is_clean() && self.ran_twice == 0
     }
 }
 
-/// Body of the service call with a number in its trace.
+/// Body of the service request at an index of a trace; unique in a deployment.
 pub fn service_body(
     deployment: &str,
     number: usize,
--- a/testbed/src/replay/stream_set.rs
+++ b/testbed/src/replay/stream_set.rs
@@ -5,7 +5,7 @@
     pitchhitch_process::spawn,
 };
 
-/// Streams that run at the same time, over all entry processes.
+/// Concurrent streams, distributed over all entry processes.
 #[derive(Debug)]
 pub struct StreamSet {
     client: CallerClient,
@@ -15,7 +15,7 @@
 }
 
 impl StreamSet {
-    /// Starts so many streams of so many tokens each.
+    /// Starts `count` streams of `answer_tokens` output tokens each.
     pub fn start(
         deployment: &Deployment,
         count: usize,
@@ -33,7 +33,7 @@
         set
     }
 
-    /// Starts one more.
+    /// Starts another stream.
     pub fn add(
         &mut self,
         deployment: &Deployment,
@@ -46,12 +46,12 @@
         self.tasks.push(task);
     }
 
-    /// How many were started.
+    /// Number of streams started.
     pub fn count(&self) -> usize {
         self.tasks.len()
     }
 
-    /// Waits for all of them; panics unless each is whole and right.
+    /// Waits for all streams; panics unless each is complete and correct.
     pub async fn assert_all_complete(self) {
         for (number, task) in self.tasks.into_iter().enumerate() {
             let response = task.await;
--- a/testbed/src/replay/trace_replay.rs
+++ b/testbed/src/replay/trace_replay.rs
@@ -19,19 +19,19 @@
     },
 };
 
-/// Tries of a caller whose repeatable request was told "not run".
+/// Attempts of a caller at a request that may be retried.
 const MAX_ATTEMPTS: u32 = 4;
 
 /// A replay of a trace.
 #[derive(Debug, Clone)]
 pub struct TraceReplay {
-    /// How the deployment is built.
+    /// Shape of the deployment.
     pub shape: DeploymentShape,
-    /// Where callers are served; requests go to them in turn, as from a balancer.
+    /// Caller addresses of the entry processes, used round robin as by a load balancer.
     pub entries: Vec<SocketAddr>,
-    /// Milliseconds of the trace in one millisecond of the replay.
+    /// Speed-up: milliseconds of the trace per millisecond of the replay.
     pub compression: f64,
-    /// Weight versions whose answers are right.
+    /// Weight versions whose responses are correct.
     pub versions: Vec<String>,
 }
 
@@ -42,21 +42,21 @@
     completed: AtomicU64,
 }
 
-/// How far a replay is; cheap to share.
+/// Progress of a replay; clones share their state.
 #[derive(Debug, Clone, Default)]
 pub struct ReplayProgress {
     state: Arc<ReplayState>,
 }
 
 impl ReplayProgress {
-    /// Requests that are over.
+    /// Number of completed requests.
     pub fn completed(&self) -> u64 {
         self.state.completed.load(Ordering::Relaxed)
     }
 }
 
 impl TraceReplay {
-    /// Replays a trace to its end.
+    /// Replays a trace and waits for all responses.
     pub async fn run(
         &self,
         rows: &[TraceRow],
@@ -136,7 +136,7 @@
             result.record_first_token(waited + response.first_token);
         } else if response.status == 200 && response.is_complete {
             result.wrong += 1;
-            result.record_problem(format!("wrong answer to {}", response.request_id));
+            result.record_problem(format!("wrong response to request {}", response.request_id));
         } else {
             result.lost += 1;
             result.record_problem(describe(&response));
@@ -208,7 +208,10 @@
             result.correct += 1;
         } else if response.status == 200 {
             result.wrong += 1;
-            result.record_problem(format!("another call's answer to {}", response.request_id));
+            result.record_problem(format!(
+                "response of another request to request {}",
+                response.request_id
+            ));
         } else if response.ran == "not-run" {
             result.not_run += 1;
             result.record_problem(describe(&response));
--- a/testbed/src/trace/mod.rs
+++ b/testbed/src/trace/mod.rs
@@ -1,4 +1,4 @@
-//! Traces: JSON lines in the field names of the published Mooncake traces.
+//! Request traces: JSON lines with the field names of the published Mooncake traces.
 
 mod prompt_text;
 mod trace_generator;
--- a/testbed/src/trace/prompt_text.rs
+++ b/testbed/src/trace/prompt_text.rs
@@ -1,7 +1,7 @@
 use {super::TraceRow, pitchhitch_core::kv_cache::PIECE_TEXT_BYTES};
 
-/// The text that a trace row stands for: a block of text for each id, the last
-/// one cut to the length of the prompt.
+/// Builds the prompt of a trace row: a pseudorandom block of text for each block id,
+/// truncated to the length of the prompt.
 pub fn prompt_text(row: &TraceRow) -> String {
     let length = row.input_length as usize * pitchhitch_core::kv_cache::BYTES_PER_TOKEN as usize;
     let mut text = String::with_capacity(length + PIECE_TEXT_BYTES);
--- a/testbed/src/trace/trace_generator.rs
+++ b/testbed/src/trace/trace_generator.rs
@@ -5,44 +5,43 @@
     rand_pcg::Pcg32,
 };
 
-/// Milliseconds in a minute.
 const MS_PER_MINUTE: f64 = 60_000.0;
 
-/// How a deployment's work looks.
+/// Parameters of a generated trace.
 #[derive(Debug, Clone, Copy)]
 pub struct TraceShape {
     /// Prefix of organisation names.
     pub deployment: &'static str,
-    /// Organisations; the first are the largest.
+    /// Number of organisations; the first ones send the most requests.
     pub organisations: usize,
-    /// Documents of each organisation.
+    /// Documents per organisation.
     pub documents: usize,
-    /// Blocks of a document, least and most.
+    /// Minimum and maximum blocks of a document.
     pub document_blocks: [u32; 2],
-    /// Tokens of a question after the document, least and most.
+    /// Minimum and maximum tokens of the question that follows the document.
     pub question_tokens: [u32; 2],
-    /// Answer tokens, least and most.
+    /// Minimum and maximum output tokens.
     pub answer_tokens: [u32; 2],
-    /// Median gap until a document returns, in minutes, one for each kind of work.
+    /// Median time between two requests about a document, in minutes, for each label.
     pub median_reuse_gap_minutes: [f64; 3],
-    /// Spread of the gaps: standard deviation of their natural logarithm.
+    /// Standard deviation of the natural logarithm of these times.
     pub gap_sigma: f64,
-    /// Chance that a document returns once more.
+    /// Probability that another request about the document follows.
     pub reuse_probability: f64,
-    /// Part of the requests that call the plain service.
+    /// Fraction of the requests that go to the plain service.
     pub service_fraction: f64,
-    /// Part of the service calls that may not be repeated.
+    /// Fraction of the service requests that are not repeatable.
     pub non_repeatable_fraction: f64,
-    /// Kinds of work.
+    /// Labels of the prompts.
     pub labels: [&'static str; 3],
     /// Length of the trace, in hours.
     pub hours: f64,
-    /// First visits of documents over the whole trace.
+    /// Documents that get a first request in the trace.
     pub first_requests: usize,
 }
 
 impl TraceShape {
-    /// Shop staff and tills: middling documents that return after minutes to hours.
+    /// Shop staff and tills: documents of medium size, reused after minutes to hours.
     pub const MVINYO: TraceShape = TraceShape {
         deployment: "mvinyo",
         organisations: 10,
@@ -60,7 +59,7 @@
         first_requests: 400,
     };
 
-    /// Farmers, clerks and surveyors: long parcel files that return after hours to days.
+    /// Farmers, clerks and surveyors: long parcel files, reused after hours to days.
     pub const FIELD_BOUNDARY: TraceShape = TraceShape {
         deployment: "field",
         organisations: 10,
@@ -79,13 +78,13 @@
     };
 }
 
-/// Makes a trace; the same seed makes the same trace.
+/// Generates a trace; the same shape and seed give the same trace.
 ///
-/// A document is visited for the first time at a random moment, by an
-/// organisation drawn by size (the n-th largest has weight 1/n). After each
-/// visit it returns with a fixed chance, after a gap drawn from a log-normal
-/// distribution around the median of its kind of work. Calls of the plain
-/// service are spread evenly over the time.
+/// The first request about a document arrives at a uniformly random time and comes
+/// from an organisation drawn by size (the n-th largest has weight 1/n). After each
+/// request another one follows with a fixed probability; the time until then has a
+/// log-normal distribution around the median of the document's label. Requests to
+/// the plain service arrive uniformly over the trace.
 pub fn generate_trace(
     shape: &TraceShape,
     seed: u64,
@@ -215,7 +214,8 @@
     random.gen_range(bounds[0]..=bounds[1])
 }
 
-/// A log-normal gap, in milliseconds.
+/// Samples a log-normal time between two requests, in milliseconds, by the
+/// Box-Muller transform.
 fn sample_gap(
     median_minutes: f64,
     spread: f64,
--- a/testbed/src/trace/trace_row.rs
+++ b/testbed/src/trace/trace_row.rs
@@ -8,49 +8,50 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct TraceRow {
-    /// Milliseconds since the start, before any compression of time.
+    /// Time since the start of the trace in milliseconds, before any speed-up.
     pub timestamp: u64,
-    /// Prompt tokens; zero is a call of a plain service.
+    /// Prompt tokens; 0 for a request to a plain service.
     pub input_length: u32,
-    /// Answer tokens.
+    /// Output tokens.
     pub output_length: u32,
-    /// Ids of the blocks of 512 prompt tokens; equal ids are equal text.
+    /// Ids of the prompt's blocks of 512 tokens; equal ids mean equal text.
     pub hash_ids: Vec<u64>,
     /// Organisation.
     pub organisation: String,
-    /// Kind of work.
+    /// Label of the request.
     pub label: String,
-    /// Whether it may run more than once.
+    /// Whether the request may run more than once.
     pub repeatable: bool,
 }
 
 impl TraceRow {
-    /// Whether it is a call of a plain service.
+    /// Whether this is a request to a plain service.
     pub fn is_service_request(&self) -> bool {
         self.input_length == 0
     }
 }
 
-/// Reads a trace.
+/// Reads a trace file.
 ///
 /// # Errors
-/// Naming file and line of what cannot be read.
+/// When the file or a line cannot be read; the message names file and line.
 pub fn read_trace(path: &Path) -> anyhow::Result<Vec<TraceRow>> {
     let text = fs::read_to_string(path)
-        .with_context(|| format!("{}: cannot be read; name a trace file", path.display()))?;
+        .with_context(|| format!("{}: cannot read the trace file", path.display()))?;
     let mut rows = Vec::new();
     for (index, line) in text.lines().enumerate() {
         if line.trim().is_empty() {
             continue;
         }
-        let row = serde_json::from_str(line)
-            .with_context(|| format!("{}: line {}: not a trace row", path.display(), index + 1))?;
+        let row = serde_json::from_str(line).with_context(|| {
+            format!("{}: line {}: invalid trace row", path.display(), index + 1)
+        })?;
         rows.push(row);
     }
     Ok(rows)
 }
 
-/// Writes a trace.
+/// Writes a trace file.
 ///
 /// # Errors
 /// When the file cannot be written.
@@ -63,5 +64,6 @@
         text.push_str(&serde_json::to_string(row)?);
         text.push('\n');
     }
-    fs::write(path, text).with_context(|| format!("{}: cannot be written", path.display()))
+    fs::write(path, text)
+        .with_context(|| format!("{}: cannot write the trace file", path.display()))
 }
