--- a/testbed/examples/demo.rs
+++ b/testbed/examples/demo.rs
@@ -1,8 +1,8 @@
-//! Runs both deployments small on loopback: real processes of the two binaries
-//! over stand-ins. The traces are replayed twice, once with round robin and once
-//! with pitchhitch's own decisions, while operators move work by changing labels
-//! and drain an endpoint. Ends with a table of the measures, and with a non-zero
-//! exit code if an answer was wrong or lost.
+//! Runs two scaled-down deployments on loopback, as processes of the real binaries
+//! that use stand-ins. The traces are replayed with round robin and with the routing
+//! of pitchhitch, while an operator moves organisations to another site by label and
+//! drains an endpoint. Prints a table of metrics; the exit code is non-zero if a
+//! response was wrong or lost or a request ran twice.
 
 use {
     anyhow::{bail, Context},
@@ -22,7 +22,7 @@
     },
 };
 
-/// Length of one replay.
+/// Duration of the replay of one trace.
 const REPLAY_DURATION: Duration = Duration::from_secs(20);
 const THREADS: usize = 4;
 const MEBIBYTE: f64 = 1024.0 * 1024.0;
@@ -38,7 +38,7 @@
     match smol::block_on(run()) {
         Ok(true) => ExitCode::SUCCESS,
         Ok(false) => {
-            eprintln!("demo: an answer was wrong or lost, or a request ran twice");
+            eprintln!("demo: a response was wrong or lost, or a request ran twice");
             ExitCode::FAILURE
         }
         Err(error) => {
@@ -67,7 +67,7 @@
         rows.push(mvinyo?);
         rows.push(field?);
     }
-    // The sort is stable: round robin, which ran first, stays first.
+    // The sort is stable, so round robin stays before pitchhitch.
     rows.sort_by_key(|row| row.deployment);
     print_table(&rows);
     Ok(rows.iter().all(|row| row.metrics.is_clean()))
@@ -137,8 +137,8 @@
     println!("[{name}, {policy}] {text}");
 }
 
-/// Work labelled for a site goes to endpoints of that site. One organisation in
-/// three begins on site b.
+/// Routes requests labelled with a site to the endpoints of that site, and labels
+/// every third organisation for site b.
 async fn label_sites(deployment: &Deployment) -> anyhow::Result<()> {
     for site in ["a", "b"] {
         let work = format!("site={site}");
@@ -157,7 +157,7 @@
     Ok(())
 }
 
-/// What operators do while callers call.
+/// Runs the operator commands during the replay.
 async fn run_operations(
     name: &str,
     policy: &str,
@@ -201,11 +201,11 @@
     index: usize,
 ) -> anyhow::Result<()> {
     let agent = deployment.endpoints[index].agent.take();
-    let mut agent = agent.context("the agent does not run")?;
+    let mut agent = agent.context("the agent is not running")?;
     agent.signal(ProcessSignal::Term);
     let status = agent.wait(WAIT_TIMEOUT).await?;
     if !status.success() {
-        bail!("an agent stopped with {status}");
+        bail!("an agent exited with {status}");
     }
     Ok(())
 }
--- a/testbed/examples/figures/bench_setup.rs
+++ b/testbed/examples/figures/bench_setup.rs
@@ -1,4 +1,4 @@
-//! A small deployment to measure, and the lines of the table.
+//! The deployment and requests of the benchmarks, and the rows of the table.
 
 use {
     hdrhistogram::Histogram,
@@ -39,8 +39,6 @@
     }
 }
 
-// ---------------------------------------------------------------- delay
-
 pub fn chat_request(
     address: SocketAddr,
     key: &str,
@@ -58,13 +56,11 @@
     }
 }
 
-// ---------------------------------------------------------------- throughput
-
 pub fn new_histogram() -> anyhow::Result<Histogram<u64>> {
     Ok(Histogram::new(3)?)
 }
 
-/// An engine in a process of its own, with one thread and no time for prompts.
+/// Starts an engine in its own process, with one thread and no prefill time.
 pub async fn child_engine(
     deployment: &Deployment,
     number: usize,
--- a/testbed/examples/figures/delay_figures.rs
+++ b/testbed/examples/figures/delay_figures.rs
@@ -1,4 +1,4 @@
-//! What an entry process adds to a request, and what changes and keys take.
+//! Latency that an entry process and an idempotency key add to a request.
 
 use {
     crate::{
@@ -63,7 +63,7 @@
         let client = client.clone();
         let request = chat_request(address, key, 40);
         tasks.push(spawn(async move {
-            // The streams begin spread over the time that one of them takes.
+            // The starts are spread over about the duration of one stream.
             Timer::after(Duration::from_micros(1_600 * number as u64)).await;
             let mut durations = Vec::new();
             for _ in 0..4 {
@@ -76,14 +76,14 @@
     let mut histogram = new_histogram()?;
     for task in tasks {
         for (whole, span) in task.await {
-            anyhow::ensure!(whole, "a stream was not whole");
+            anyhow::ensure!(whole, "a stream was not complete");
             histogram.record(span.as_micros() as u64)?;
         }
     }
     Ok(histogram)
 }
 
-/// What an idempotency key costs: delay, and writes of the table.
+/// Measures the cost of an idempotency key: latency and table writes.
 pub async fn at_most_once() -> anyhow::Result<()> {
     const CALLS: usize = 400;
     let shape = DeploymentShape {
@@ -99,7 +99,7 @@
         let between = deployment.platform.state.table.calls().writes;
         let keyed = measure_orders(&deployment, callers, CALLS, true).await?;
         let after = deployment.platform.state.table.calls().writes;
-        // Leases are renewed meanwhile; what the calls without key saw is taken off.
+        // Lease renewals write too; the writes during the run without keys are subtracted.
         let writes = (after - between).saturating_sub(between - before);
         let ms = |h: &Histogram<u64>, q: f64| h.value_at_quantile(q) as f64 / 1_000.0;
         let text = format!(
@@ -150,11 +150,9 @@
     let mut histogram = new_histogram()?;
     for task in tasks {
         for (status, span) in task.await {
-            anyhow::ensure!(status == 200, "an order was answered {status}");
+            anyhow::ensure!(status == 200, "an order got status {status}");
             histogram.record(span.as_micros() as u64)?;
         }
     }
     Ok(histogram)
 }
-
-// ---------------------------------------------------------------- memory
--- a/testbed/examples/figures/load_figures.rs
+++ b/testbed/examples/figures/load_figures.rs
@@ -1,4 +1,4 @@
-//! What an entry process carries, and what it needs.
+//! Throughput, memory and idle CPU time of an entry process.
 
 use {
     crate::bench_setup::{bench_shape, chat_request, child_engine, print_row, MEBIBYTE},
@@ -62,7 +62,7 @@
         }));
     }
     Timer::after(Duration::from_secs(1)).await;
-    let entry = deployment.entries[0].as_ref().context("no entry")?;
+    let entry = deployment.entries[0].as_ref().context("no entry process")?;
     let before = entry.usage();
     let window_start = (done.load(Ordering::Relaxed), Instant::now());
     Timer::after(span).await;
@@ -101,7 +101,7 @@
     let entry = deployment.entry_boxes[0].callers;
     let key = deployment.shape.key(&deployment.shape.organisation(1));
     let client = CallerClient::default();
-    let process = deployment.entries[0].as_ref().context("no entry")?;
+    let process = deployment.entries[0].as_ref().context("no entry process")?;
     let before = process.usage();
     let started = Instant::now();
     let tasks: Vec<_> = (0..STREAMS)
@@ -127,8 +127,6 @@
     Ok(())
 }
 
-// ---------------------------------------------------------------- at most once
-
 pub async fn memory_and_idle() -> anyhow::Result<()> {
     const AGENTS: usize = 1_000;
     const PROMPTS: usize = 20_000;
@@ -150,8 +148,8 @@
             alive == AGENTS && report.prompts >= PROMPTS
         })
         .await?;
-    let process = deployment.entries[0].as_ref().context("no entry")?;
-    // What the start has left to do must be over: idle means idle.
+    let process = deployment.entries[0].as_ref().context("no entry process")?;
+    // Waits for the work of the start to finish, so that the process is idle.
     Timer::after(Duration::from_secs(6)).await;
     let before = process.usage();
     let started = Instant::now();
@@ -175,5 +173,3 @@
     );
     Ok(())
 }
-
-// ---------------------------------------------------------------- decision
--- a/testbed/examples/figures/main.rs
+++ b/testbed/examples/figures/main.rs
@@ -1,5 +1,6 @@
-//! Measures what one entry process adds, carries and needs, and what a routing
-//! decision costs. Prints one table; each figure stands beside the one wanted.
+//! Benchmarks one entry process (added latency, throughput, memory, idle CPU) and a
+//! routing decision. Prints a table of measured and target figures; an argument
+//! selects one benchmark.
 
 mod bench_setup;
 mod delay_figures;
--- a/testbed/examples/figures/route_figures.rs
+++ b/testbed/examples/figures/route_figures.rs
@@ -1,4 +1,4 @@
-//! What a routing decision costs.
+//! Duration of a routing decision.
 
 use {
     crate::bench_setup::print_row,
@@ -104,7 +104,7 @@
             ..EndpointLoad::default()
         };
         loads.insert(key, load);
-        // A few of them hold the prompt.
+        // About five endpoints have the prompt cached.
         if number % (endpoints / 5).max(1) == 0 {
             for piece in &pieces {
                 table.pieces.add(*piece, PieceHolder::Endpoint(key));
--- a/testbed/examples/fuzz.rs
+++ b/testbed/examples/fuzz.rs
@@ -1,7 +1,8 @@
-//! Feeds generated and mutated inputs to every decoder that takes bytes from
-//! another process, a caller or an operator: `fuzz [INPUTS] [SEED]`.
+//! Fuzzes every decoder of bytes that come from another process, a caller or an
+//! operator with random and mutated inputs: `fuzz [INPUTS] [SEED]`.
 //!
-//! A panic ends the run. The peak of resident memory is printed and bounded.
+//! A panic aborts the run. Resident memory after the run is printed; above 512 MiB
+//! the run fails.
 
 use {
     pitchhitch_core::{
@@ -28,7 +29,7 @@
 const DEFAULT_INPUTS: u64 = 1_000_000;
 const MAX_RESIDENT_BYTES: u64 = 512 * 1024 * 1024;
 
-/// Valid inputs that the others are mutated from.
+/// Valid inputs to mutate.
 fn seeds() -> Vec<Vec<u8>> {
     let pulse = AgentPulse {
         load: LoadReport::default(),
--- a/testbed/examples/lease_check.rs
+++ b/testbed/examples/lease_check.rs
@@ -1,4 +1,5 @@
-//! A deeper run of the check of the lease protocol: `lease_check FAULTS UNITS`.
+//! Model check of the lease protocol with more faults and time than in the tests:
+//! `lease_check FAULTS UNITS`.
 
 use {
     pitchhitch_core::time::Micros,
@@ -6,7 +7,7 @@
     std::process::ExitCode,
 };
 
-/// States at which the run is cut off; they fill about 6 GiB.
+/// States after which the check is aborted; they take about 6 GiB of memory.
 const STATE_LIMIT: usize = 8_000_000;
 
 fn main() -> ExitCode {
--- a/testbed/examples/load_lab/comparison_table.rs
+++ b/testbed/examples/load_lab/comparison_table.rs
@@ -4,9 +4,10 @@
     std::fmt::Write,
 };
 
-/// A row for each setting, the first of which is compared with. Of each kind: the
-/// median part in aim, and the seeds under which more and fewer were in aim than in
-/// the first; late, refused and failed, summed over the seeds. Then medians.
+/// Renders one row for each setting; the first setting is the baseline. For each kind
+/// of request: the median fraction on time, the number of seeds with more and with
+/// fewer requests on time than the baseline, and the late, refused and failed requests
+/// of all seeds. The last two columns are medians.
 pub fn comparison_table(
     load: &LoadFile,
     runs: &[SettingRuns],
--- a/testbed/examples/load_lab/lab_options.rs
+++ b/testbed/examples/load_lab/lab_options.rs
@@ -5,36 +5,36 @@
     std::path::PathBuf,
 };
 
-/// What is played.
+/// Command line options.
 #[derive(Debug)]
 pub struct LabOptions {
-    /// File of the load.
+    /// TOML file of the load.
     pub load: PathBuf,
-    /// Mechanisms that are left out, one at a time.
+    /// Mechanisms to disable, one at a time.
     pub disabled: Vec<ServingMechanism>,
-    /// Whether each mechanism is left out in turn, and the table has a row for each.
+    /// Whether to disable each mechanism in turn and print the comparison table.
     pub compares_each: bool,
     /// Seeds.
     pub seeds: Vec<u64>,
-    /// File of a plot.
+    /// SVG file for the plot, if any.
     pub svg: Option<PathBuf>,
 }
 
 impl LabOptions {
-    /// Reads the arguments of the command.
+    /// Parses the command line arguments.
     pub fn parse(args: &[String]) -> anyhow::Result<Self> {
         let mut options = Options::new();
         options.reqopt("", "load", "the load, a TOML file", "FILE");
         options.optmulti(
             "",
             "without",
-            "leave this out; may be repeated",
+            "disable this mechanism; may be repeated",
             "MECHANISM",
         );
         options.optflag(
             "",
             "each",
-            "leave each mechanism out in turn, a row for each",
+            "disable each mechanism in turn, with a row for each",
         );
         options.optopt(
             "",
@@ -42,7 +42,7 @@
             "seeds from the first to the last (1..20)",
             "A..B",
         );
-        options.optopt("", "svg", "plot the part in aim over time", "OUT.svg");
+        options.optopt("", "svg", "plot the fraction on time over time", "OUT.svg");
         let usage = options.usage("use: load_lab --load FILE");
         let found = options.parse(args).context(usage)?;
         let names = found.opt_strs("without");
@@ -57,7 +57,8 @@
         })
     }
 
-    /// The settings to play: all mechanisms first, then without each that is named.
+    /// Settings to simulate: first with all mechanisms, then with each selected one
+    /// disabled.
     pub fn settings(&self) -> Vec<Option<ServingMechanism>> {
         let disabled = match self.compares_each {
             true => ServingMechanism::ALL.to_vec(),
@@ -68,14 +69,14 @@
     }
 }
 
-/// Reads `FIRST..LAST`, both of them played, or one seed.
+/// Parses `FIRST..LAST`, which includes both ends, or a single seed.
 fn read_seeds(text: &str) -> anyhow::Result<Vec<u64>> {
     let (first, last) = text.split_once("..").unwrap_or((text, text));
     let number = |text: &str| {
         let number = text.trim().parse::<u64>();
-        number.with_context(|| format!("seeds: {text} is no number"))
+        number.with_context(|| format!("seeds: {text} is not a number"))
     };
     let seeds: Vec<u64> = (number(first)?..=number(last)?).collect();
-    ensure!(!seeds.is_empty(), "seeds: write them as 1..20");
+    ensure!(!seeds.is_empty(), "seeds: empty range; write them as 1..20");
     Ok(seeds)
 }
--- a/testbed/examples/load_lab/main.rs
+++ b/testbed/examples/load_lab/main.rs
@@ -1,4 +1,4 @@
-//! Plays a load on the model of engines, fronts and callers, with and without
+//! Simulates a load on a model of engines, fronts and callers, with and without
 //! mechanisms of the product:
 //! `cargo run --release -p pitchhitch-testbed --example load_lab -- --load FILE
 //! [--without MECHANISM]... [--each] [--seeds 1..20] [--svg OUT.svg]`
--- a/testbed/examples/load_lab/on_time_plot.rs
+++ b/testbed/examples/load_lab/on_time_plot.rs
@@ -7,11 +7,10 @@
 
 /// Width and height of one panel, in pixels.
 const PANEL_SIZE: (u32, u32) = (560, 360);
-/// Panels that stand side by side.
 const PANELS_PER_ROW: usize = 2;
 
-/// Draws the part in aim by the second in which requests came, over all seeds, a
-/// line for each kind and a panel for each setting.
+/// Plots the fraction of requests that were on time by the second of their arrival,
+/// over all seeds: one panel for each setting, one line for each kind of request.
 pub fn draw_on_time(
     out: &Path,
     load: &LoadFile,
--- a/testbed/examples/load_lab/setting_runs.rs
+++ b/testbed/examples/load_lab/setting_runs.rs
@@ -4,19 +4,19 @@
     std::thread,
 };
 
-/// Seeds that are played at once; the machine is shared.
+/// Limit on simulation threads, since the machine is shared.
 const MAX_THREADS: usize = 4;
 
 /// The runs of a load in one setting.
 pub struct SettingRuns {
     /// Name of the setting.
     pub name: String,
-    /// Runs, in the order of the seeds.
+    /// Results in the order of the seeds.
     pub tallies: Vec<LoadTally>,
 }
 
 impl SettingRuns {
-    /// Plays a load under each seed.
+    /// Simulates a load with each seed.
     pub fn run(
         load: &LoadFile,
         seeds: &[u64],
@@ -45,8 +45,9 @@
         let handles = parts.map(|part| scope.spawn(move || part.iter().map(run).collect()));
         let handles: Vec<_> = handles.collect();
         let results = handles.into_iter().map(|handle| handle.join());
-        let tallies: Vec<Vec<LoadTally>> =
-            results.map(|result| result.expect("a play ends")).collect();
+        let tallies: Vec<Vec<LoadTally>> = results
+            .map(|result| result.expect("a simulation thread panicked"))
+            .collect();
         tallies.concat()
     })
 }
--- a/testbed/examples/make_traces.rs
+++ b/testbed/examples/make_traces.rs
@@ -1,4 +1,4 @@
-//! Makes the traces under `testbed/traces`; the same seeds make the same files.
+//! Generates the traces in `testbed/traces`; the same seeds give the same files.
 
 use {
     pitchhitch_testbed::trace::{generate_trace, write_trace, TraceShape},
--- a/testbed/examples/playground.rs
+++ b/testbed/examples/playground.rs
@@ -1,5 +1,6 @@
-//! Starts a small deployment over stand-ins, prints how to ask it something, and
-//! serves until it is stopped or for as many seconds as its argument says.
+//! Starts a small deployment that uses stand-ins, prints its key, address and
+//! settings file, and serves until it is stopped or, with an argument, for that many
+//! seconds.
 
 use {
     pitchhitch_process::{start_traffic_threads, wait_for_stop},
--- a/testbed/examples/slopes/config_slopes.rs
+++ b/testbed/examples/slopes/config_slopes.rs
@@ -1,4 +1,4 @@
-//! What organisations and changes of the configuration cost.
+//! Cost of organisations and of configuration changes.
 
 use {
     crate::{
@@ -81,7 +81,8 @@
     rows.push(fit_line("change applied", "us", "change", apply));
 }
 
-/// One more change put into force, with so many labelled endpoints in the configuration.
+/// Measures the application of one more change, by the number of labelled endpoints
+/// in the configuration.
 pub fn changes_in_force(rows: &mut Vec<SlopeRow>) {
     let mut points = Vec::new();
     let mut bytes = Vec::new();
--- a/testbed/examples/slopes/core_fixture.rs
+++ b/testbed/examples/slopes/core_fixture.rs
@@ -1,4 +1,4 @@
-//! Agents and control states of any size, to be measured.
+//! Test data of any size for the measurements: agents, configurations and entry cores.
 
 use {
     pitchhitch_core::{
@@ -115,7 +115,7 @@
             black_box(entry.linked);
         }
     }
-    // One publication for all of them, not one each.
+    // Only four links, since the opening of each publishes a view.
     for number in 0..endpoints {
         let endpoint_id = format!("engine-{number:05}");
         if number < 4 {
@@ -132,7 +132,7 @@
 }
 
 pub fn published_table(core: &mut EntryCore) -> Option<Arc<RouteTable>> {
-    // Something must have changed for a view to be published.
+    // A view is published only after a change.
     core.step(
         Micros(30),
         EntryEvent::PulseReceived {
--- a/testbed/examples/slopes/main.rs
+++ b/testbed/examples/slopes/main.rs
@@ -1,6 +1,6 @@
-//! Measures what each mechanism costs at four or more sizes, in one process, and
-//! prints slope, fit error and range: as JSON with `--json`, else as the tables of
-//! `docs/CAPACITY.md`.
+//! Measures the cost of each mechanism at four or more sizes and prints the fitted
+//! slope, the fit error and the measured range: as JSON with `--json`, otherwise as
+//! the table in `docs/CAPACITY.md`.
 
 mod config_slopes;
 mod core_fixture;
--- a/testbed/examples/slopes/message_slopes.rs
+++ b/testbed/examples/slopes/message_slopes.rs
@@ -1,4 +1,4 @@
-//! What beacons, reports and known endpoints cost.
+//! Cost of beacons, load reports and known endpoints.
 
 use {
     crate::{
@@ -114,7 +114,7 @@
         let mut now = 20;
         let value = median_micros(41, || {
             now += 1;
-            // Something has changed, so the view is published.
+            // A view is published only after a change.
             core.step(
                 Micros(now),
                 EntryEvent::PulseReceived {
--- a/testbed/examples/slopes/piece_slopes.rs
+++ b/testbed/examples/slopes/piece_slopes.rs
@@ -1,4 +1,4 @@
-//! What kept pieces cost.
+//! Cost of cached and stored pieces.
 
 use {
     crate::{
@@ -44,7 +44,7 @@
     }
 }
 
-/// What is put into a core to see how much memory it takes.
+/// Builds a core that holds `count` items of a kind, to measure its memory.
 pub fn fill_core(
     kind: &str,
     count: usize,
@@ -70,7 +70,7 @@
         "stored" => numbers.map(stored).collect(),
         _ => numbers.map(used).collect(),
     };
-    // As they come over a link: in batches, with a view published between.
+    // As over a link: in batches, with a view published after each.
     let mut first = 0;
     for chunk in events.chunks(10_000) {
         core.step(Micros(5), events_received(first, chunk.to_vec()));
@@ -98,7 +98,7 @@
     })
 }
 
-/// Memory that one filling takes, in bytes, measured in a process of its own.
+/// Memory of `count` items of a kind in bytes, measured in a separate process.
 pub fn memory_point(
     kind: &str,
     count: usize,
--- a/testbed/examples/slopes/request_slopes.rs
+++ b/testbed/examples/slopes/request_slopes.rs
@@ -1,4 +1,4 @@
-//! What routing and limits cost a request.
+//! Cost of routing and limits per request.
 
 use {
     crate::{
@@ -22,7 +22,7 @@
         let Some(table) = published_table(&mut core) else {
             continue;
         };
-        // Endpoints count as alive only once linked; here all of them are.
+        // Endpoints are alive only with a link, so all are set alive here.
         let mut table = (*table).clone();
         table.loads.values_mut().for_each(|load| load.alive = true);
         let target = WorkTarget::Model("assistant".to_string());
--- a/testbed/examples/slopes/slope_row.rs
+++ b/testbed/examples/slopes/slope_row.rs
@@ -1,4 +1,4 @@
-//! A straight line through measured points.
+//! Least-squares line through measured points.
 
 use {serde::Serialize, std::time::Instant};
 
@@ -9,7 +9,7 @@
     pub value: f64,
 }
 
-/// A straight line through measured points.
+/// Least-squares line through measured points.
 #[derive(Debug, Clone, Serialize)]
 pub struct SlopeRow {
     pub mechanism: &'static str,
@@ -17,7 +17,7 @@
     pub per: &'static str,
     pub base: f64,
     pub slope: f64,
-    /// Largest distance of a point from the line, as a part of the largest value.
+    /// Largest deviation of a point from the line, relative to the largest value.
     pub fit_error: f64,
     pub points: Vec<Point>,
 }
@@ -50,7 +50,7 @@
     }
 }
 
-/// Median of several runs, in microseconds.
+/// Median duration of several runs, in microseconds.
 pub fn median_micros(
     runs: usize,
     mut work: impl FnMut(),
--- a/testbed/examples/worth_plot.rs
+++ b/testbed/examples/worth_plot.rs
@@ -1,7 +1,7 @@
-//! Draws the worth of days in journal entries as bars, an SVG file:
+//! Plots the worth (`G`) of the days in journal entries as an SVG bar chart:
 //! `cargo run --example worth_plot -- OUT.svg LABEL=ENTRY.json,ENTRY.json...`
 //!
-//! Days of the same site and name stand beside each other, one bar a label.
+//! Days are grouped by site and name, with one bar for each label.
 
 use {
     anyhow::{ensure, Context},
@@ -16,7 +16,7 @@
 
 /// Width and height of the plot, in pixels.
 const SIZE: (u32, u32) = (1_200, 420);
-/// Part of a day's place that its bars take together.
+/// Fraction of a day's width on the axis that its bars fill together.
 const BAR_GROUP_FRACTION: f64 = 0.8;
 
 #[derive(Debug, Deserialize)]
@@ -41,12 +41,14 @@
 fn read_row(arg: &str) -> anyhow::Result<WorthRow> {
     let (label, files) = arg
         .split_once('=')
-        .with_context(|| format!("{arg}: write LABEL=ENTRY.json"))?;
+        .with_context(|| format!("{arg}: expected LABEL=ENTRY.json"))?;
     let mut days = BTreeMap::new();
     for file in files.split(',') {
-        let text = fs::read_to_string(file).with_context(|| format!("{file}: cannot be read"))?;
-        let entry: JournalEntry = serde_json::from_str(&text)
-            .with_context(|| format!("{file}: no entry with days; name a run or a score"))?;
+        let text = fs::read_to_string(file)
+            .with_context(|| format!("{file}: cannot read the journal entry"))?;
+        let entry: JournalEntry = serde_json::from_str(&text).with_context(|| {
+            format!("{file}: not a journal entry with days; give a run or a score")
+        })?;
         let keyed = |day: JournalDay| (format!("{} {}", entry.site, day.name), day.worth);
         days.extend(entry.days.into_iter().map(keyed));
     }
--- a/testbed/tests/at_most_once.rs
+++ b/testbed/tests/at_most_once.rs
@@ -1,4 +1,4 @@
-//! Requests that may not be repeated run at most once.
+//! Non-repeatable requests run at most once.
 
 use {
     pitchhitch_testbed::{
@@ -51,7 +51,7 @@
         let mut tasks: Vec<_> = attempts.map(Box::pin).collect();
         let mut responses = Vec::new();
         while let Some(task) = tasks.pop() {
-            // Two at a time, one at each entry process.
+            // Two concurrent attempts, one at each entry process.
             match tasks.pop() {
                 Some(other) => {
                     let (a, b) = futures_lite::future::zip(task, other).await;
@@ -102,7 +102,7 @@
 fn not_run_key_used_again() {
     block_on(async {
         let mut deployment = start().await;
-        // Without any agent of the service nothing can run.
+        // Without an agent of the service no request can run.
         for endpoint in &mut deployment.endpoints {
             if endpoint.id.contains("service") {
                 endpoint.agent = None;
@@ -123,7 +123,7 @@
             .endpoints
             .iter_mut()
             .find(|e| e.id == "once-service-1");
-        endpoint.expect("place").agent = Some(agent);
+        endpoint.expect("endpoint").agent = Some(agent);
         let back = deployment.wait_status(1, "the service to be back", |report| {
             report
                 .endpoints
--- a/testbed/tests/bad_input.rs
+++ b/testbed/tests/bad_input.rs
@@ -1,4 +1,4 @@
-//! Bad input: each kind has its answer, and none of it ends anything else.
+//! Each kind of invalid input gets its error response and affects no other request.
 
 use {
     pitchhitch_core::conf::{ConfigChange, PlacementRule, RuleEffect},
@@ -40,7 +40,7 @@
             .await
     }
 
-    /// The answer must be this error, and a good request must still be answered.
+    /// Asserts that a response is this error and that a valid request still succeeds.
     async fn expect_error(
         &self,
         response: CallerResponse,
@@ -91,7 +91,7 @@
         fixture.expect_error(unknown, 404, "model_not_found").await;
         let nowhere = fixture.send_request("GET", "/nowhere", &key, &[], "").await;
         fixture.expect_error(nowhere, 404, "unknown_path").await;
-        // A prefix ends at a slash.
+        // A path prefix matches whole segments only.
         let longer_path = fixture
             .send_request("GET", "/ordersheet", &key, &[], "")
             .await;
--- a/testbed/tests/config_consistency.rs
+++ b/testbed/tests/config_consistency.rs
@@ -1,4 +1,4 @@
-//! Accepted configuration is in force everywhere and never reverts.
+//! Accepted configuration takes effect on every entry process and is never reverted.
 
 use {
     pitchhitch_core::conf::{ConfigChange, LabelTarget, ModelConf, VersionConf},
@@ -49,7 +49,7 @@
         let deployment = start("race").await;
         let before = deployment.status(0).await.expect("status").revision;
         let mut tasks = Vec::new();
-        // Enough of them that the log is folded meanwhile, some answers lost.
+        // Enough changes for a compaction of the change log; some responses are lost.
         deployment.platform.state.table_faults.lose_answers(5);
         for operator in 0..8 {
             let store = deployment.config_store();
@@ -78,7 +78,7 @@
             "each accepted change has a revision of its own"
         );
         let (last, value) = all.iter().max().cloned().expect("changes");
-        assert_eq!(last, before + 96, "no change was made twice");
+        assert_eq!(last, before + 96, "no change was applied twice");
         deployment.wait_revision(last).await;
         for index in 0..2 {
             let report = deployment.status(index).await.expect("status");
@@ -141,12 +141,12 @@
             .change_everywhere(label_change("outage-engine-1", "owner", "ann"))
             .await;
         deployment.platform.state.table_faults.set_down(true);
-        // Nothing is accepted, and that is said.
+        // Changes are rejected with an error.
         let store = deployment.config_store();
         let request = request("late", label_change("outage-engine-1", "owner", "bob"));
         let refused = store.change(&request, Duration::from_millis(300), 1).await;
         assert!(refused.is_err(), "{refused:?}");
-        // Callers are served, and a process that starts now has the configuration
+        // Callers are served, and a process that starts now gets the configuration
         // from its peer.
         let client = CallerClient::default();
         assert!(
@@ -156,7 +156,7 @@
                 .is_complete
         );
         deployment.entries[1].take().expect("entry").kill();
-        let entry = deployment.start_entry(1).expect("starts anew");
+        let entry = deployment.start_entry(1).expect("restarts");
         deployment.entries[1] = Some(entry);
         let what = "the new process to be ready";
         let report = deployment.wait_status(1, what, |report| {
@@ -169,7 +169,7 @@
                 .await
                 .is_complete
         );
-        // Once the table is back the same change goes through.
+        // The same change is accepted once the table is available again.
         deployment.platform.state.table_faults.set_down(false);
         let accepted = store
             .change(&request, CHANGE_TIMEOUT, 2)
@@ -214,7 +214,7 @@
                 response.text
             );
             request_count += 1;
-            assert!(request_count < 5_000, "the engines were not swapped");
+            assert!(request_count < 5_000, "the engines still serve v1");
         }
         assert!(deployment.platform.state.most_loading() <= 2);
         deployment.wait_ready().await.expect("settled");
--- a/testbed/tests/end_to_end.rs
+++ b/testbed/tests/end_to_end.rs
@@ -1,4 +1,4 @@
-//! The whole path: caller, entry process, agent, endpoint and back.
+//! Requests end to end: caller, entry process, agent, endpoint and back.
 
 use {
     pitchhitch_testbed::{
@@ -114,7 +114,7 @@
         let response = client
             .chat(&deployment.chat_request(1, "why there?", 2))
             .await;
-        // Asked at the other entry process, which asks the one that decided.
+        // The operator queries entry process 0, which forwards to the one that decided.
         let output = deployment
             .run_command(&["explain", &response.request_id])
             .await
@@ -143,7 +143,7 @@
         let text = "a long price list ".repeat(1_200);
         let first = client.chat(&deployment.chat_request(0, &text, 2)).await;
         assert!(first.is_complete);
-        // The other entry process hears of the pieces by the agents' events.
+        // The other entry process learns of the pieces from the agents' events.
         deployment
             .wait_status(1, "pieces", |report| report.pieces >= 10)
             .await
@@ -159,7 +159,7 @@
                     .load(std::sync::atomic::Ordering::Relaxed)
             })
             .sum();
-        // 21,600 bytes are 5,400 tokens; the second time most of them were there.
+        // 21,600 bytes are 5,400 tokens; the second request reuses most of them.
         assert!(counts < 6_500, "{counts}");
     });
 }
--- a/testbed/tests/free_ports.rs
+++ b/testbed/tests/free_ports.rs
@@ -1,4 +1,4 @@
-//! Processes of one deployment are told ports that nobody else has.
+//! Processes of a deployment get ports that no other process has.
 
 use {
     pitchhitch_testbed::deploy::{spawn_locked, FreePorts},
@@ -24,7 +24,7 @@
     let mut allocated = HashSet::new();
     for _ in 0..PORTS {
         let address = ports.tcp().expect("a free port");
-        assert!(allocated.insert(address), "{address} was named twice");
+        assert!(allocated.insert(address), "{address} was allocated twice");
     }
 }
 
@@ -34,7 +34,8 @@
     found.collect()
 }
 
-/// Ports that were found free can be taken, also while other tests start programs.
+/// Ports found free can be bound afterwards, even while other threads start programs:
+/// between fork and exec a child holds all sockets of its parent.
 #[test]
 fn ports_stay_free() {
     let stop = Arc::new(AtomicBool::new(false));
@@ -52,7 +53,7 @@
     let taken = (0..ROUNDS).map(|_| find_ports()).filter(is_taken).count();
     stop.store(true, Ordering::Relaxed);
     for spawner in spawners {
-        spawner.join().expect("a starter");
+        spawner.join().expect("a spawner thread");
     }
     assert_eq!(taken, 0, "of {ROUNDS} rounds");
 }
--- a/testbed/tests/graceful_shutdown.rs
+++ b/testbed/tests/graceful_shutdown.rs
@@ -1,4 +1,4 @@
-//! A planned stop and a drain cut off no request.
+//! Graceful shutdown and draining interrupt no request.
 
 use {
     pitchhitch_testbed::{
@@ -15,7 +15,7 @@
     Deployment::for_test(DeploymentShape::streaming(name)).await
 }
 
-/// Starts streams and waits until all of them run at an engine.
+/// Starts streams and waits until each of them runs at an engine.
 async fn start_streams(
     deployment: &Deployment,
     count: usize,
@@ -32,7 +32,7 @@
     streams
 }
 
-/// All streams whole and right, and none begun twice at an engine.
+/// Asserts that all streams are complete and correct and none was started twice.
 async fn assert_uninterrupted(
     deployment: &Deployment,
     streams: StreamSet,
@@ -105,7 +105,7 @@
             "{text}"
         );
         assert_uninterrupted(&deployment, streams, 6).await;
-        // From now on the other engine has all the work.
+        // All further requests go to the other engine.
         let before = deployment.engines().next().expect("engine");
         let started = before.core.counts.begun.load(Ordering::Relaxed);
         let client = CallerClient::default();
--- a/testbed/tests/process_failures.rs
+++ b/testbed/tests/process_failures.rs
@@ -1,4 +1,4 @@
-//! Agents, engines and store boxes die, freeze or are cut off under load.
+//! Agents, engines and store boxes crash, pause or lose connections under load.
 
 use {
     pitchhitch_testbed::{
@@ -14,15 +14,15 @@
 };
 
 const TOKENS: u32 = 300;
-/// Streams that all choose one of two idle engines by chance: none in our lifetime.
+/// So many streams do not all choose the same of two idle engines by chance.
 const MAX_STREAMS: usize = 32;
 
 async fn start(name: &str) -> Deployment {
     Deployment::for_test(DeploymentShape::streaming(name)).await
 }
 
-/// Starts so many streams, and more until both engines work on some: idle engines are
-/// told apart by chance, so that a few streams that start at once may all be at one.
+/// Starts `count` streams, and more until each engine runs some: the choice between
+/// idle engines is random, so a few concurrent streams may all get the same engine.
 async fn start_streams(
     deployment: &Deployment,
     count: usize,
@@ -34,12 +34,16 @@
         if deployment.engines().all(running) {
             return streams;
         }
-        assert!(streams.count() < MAX_STREAMS, "all are at one engine");
+        assert!(
+            streams.count() < MAX_STREAMS,
+            "all streams are at one engine"
+        );
         streams.add(deployment);
     }
 }
 
-/// Waits until all are at an engine: a caller that is gone before has nothing to cancel.
+/// Waits until all streams have started at an engine: if a caller disconnects before,
+/// there is nothing to cancel.
 async fn wait_all_started(
     deployment: &Deployment,
     streams: &StreamSet,
@@ -66,7 +70,8 @@
     });
 }
 
-/// The deadline is for the beginning: what began in time is brought to its end.
+/// The deadline applies to the start of a response: a stream that started in time is
+/// resumed after it.
 #[test]
 fn late_break_resumes() {
     const DEADLINE_MS: u64 = 1_000;
@@ -75,7 +80,7 @@
         shape.default_deadline_ms = DEADLINE_MS;
         let mut deployment = Deployment::for_test(shape).await;
         let streams = start_streams(&deployment, 8).await;
-        // The trouble comes when the deadline of all of them has passed.
+        // The agent fails after the deadline of all streams.
         Timer::after(Duration::from_millis(DEADLINE_MS)).await;
         kill_agent(&mut deployment);
         streams.assert_all_complete().await;
@@ -93,7 +98,7 @@
             .expect("agent")
             .signal(ProcessSignal::Stop);
         streams.assert_all_complete().await;
-        // A request that comes now is not sent there, or not left there.
+        // A new request is not routed to the paused agent, or is retried elsewhere.
         let client = CallerClient::default();
         let response = client.chat(&deployment.chat_request(0, "after", 5)).await;
         assert_eq!(response.text, expected_response("after", "v1", 5));
@@ -116,13 +121,13 @@
             .find(|e| e.proxy.is_some())
             .expect("place");
         let EndpointStandIn::Engine(engine) = &endpoint.stand_in else {
-            panic!("an engine stands behind the proxy");
+            panic!("the endpoint behind the proxy is not an engine");
         };
         let running = || engine.core.running.load(Ordering::Relaxed) > 1;
         deployment
             .wait_until("streams on the engine", running)
             .await;
-        // In the middle of an event, some bytes after the next.
+        // Cuts the connection within an event, 777 bytes from now.
         endpoint.proxy.as_ref().expect("proxy").cut_after(777);
         streams.assert_all_complete().await;
     });
@@ -140,12 +145,12 @@
                 sum_engines(&deployment, |e| &e.core.counts.cancelled) == count
             })
             .await;
-        // None of them was taken up again elsewhere.
+        // No stream was resumed at another engine.
         assert_eq!(sum_engines(&deployment, |e| &e.core.counts.begun), count);
     });
 }
 
-/// A count over all engines of a deployment.
+/// Sums a counter over all engines of a deployment.
 fn sum_engines(
     deployment: &Deployment,
     count: impl Fn(&EngineStandIn) -> &AtomicU64,
--- a/testbed/tests/store_pieces.rs
+++ b/testbed/tests/store_pieces.rs
@@ -1,4 +1,4 @@
-//! Kept pieces on a store box: only whole, sealed, undamaged ones are read.
+//! Pieces on a store box: only complete, sealed and undamaged ones can be read.
 
 use {
     futures_lite::AsyncWriteExt,
@@ -47,7 +47,7 @@
     block_on(async {
         let store = StoreBox::start(StoreBoxShape::default()).expect("store");
         let first = put(&store, b"one").await.expect("sealed");
-        let second = put(&store, b"two").await.expect("sealed anew");
+        let second = put(&store, b"two").await.expect("sealed again");
         assert!(second > first);
         assert_eq!(
             client(&store).get(KEY, first, checksum).await,
@@ -56,7 +56,7 @@
         client(&store)
             .delete_piece(KEY, second)
             .await
-            .expect("dropped");
+            .expect("deleted");
         assert_eq!(
             client(&store).get(KEY, second, checksum).await,
             Err(StoreError::Missing)
@@ -99,7 +99,7 @@
         stream.write_all(head.as_bytes()).await.expect("head");
         stream.write_all(&[1; 400]).await.expect("part");
         drop(stream);
-        // A whole write afterwards shows that the box has dealt with the torn one.
+        // The complete write afterwards ensures that the box has processed the torn one.
         let generation = put(&store, b"whole").await.expect("sealed");
         let content = client(&store).list().await.expect("list");
         assert_eq!(content.pieces.len(), 1);
