--- a/testbed/examples/demo.rs
+++ b/testbed/examples/demo.rs
@@ -70,7 +70,7 @@
     // The sort is stable, so round robin stays before pitchhitch.
     rows.sort_by_key(|row| row.deployment);
     print_table(&rows);
-    Ok(rows.iter().all(|row| row.metrics.is_clean()))
+    Ok(rows.iter().all(|row| row.metrics.passed()))
 }
 
 async fn run_deployment(
@@ -100,7 +100,7 @@
     );
     let replay = TraceReplay {
         entries: deployment.entry_boxes.iter().map(|p| p.callers).collect(),
-        compression: compression(&rows),
+        speedup: speedup(&rows),
         versions: vec![shape.version.clone()],
         shape,
     };
@@ -109,7 +109,7 @@
     let operations = run_operations(name, policy, &mut deployment, &progress, rows.len());
     let (result, operations_result) = future::zip(replaying, operations).await;
     operations_result?;
-    let metrics = RunMetrics::gather(&deployment, &rows, result);
+    let metrics = RunMetrics::collect(&deployment, &rows, result);
     if let Some(problem) = &metrics.result.first_problem {
         print_status(name, policy, &format!("first problem: {problem}"));
     }
@@ -120,7 +120,7 @@
     })
 }
 
-fn compression(rows: &[TraceRow]) -> f64 {
+fn speedup(rows: &[TraceRow]) -> f64 {
     let last = rows.last().map_or(1, |row| row.timestamp.max(1));
     last as f64 / REPLAY_DURATION.as_millis() as f64
 }
@@ -151,7 +151,10 @@
     }
     for number in 1..=deployment.shape.organisations {
         let site = if number % 3 == 0 { "site=b" } else { "site=a" };
-        let target = format!("organisation/{}", deployment.shape.organisation(number));
+        let target = format!(
+            "organisation/{}",
+            deployment.shape.organisation_name(number)
+        );
         run_command(deployment, &["label", &target, site]).await?;
     }
     Ok(())
@@ -172,7 +175,10 @@
         &format!("{} of {total} requests done", progress.completed()),
     );
     for number in [2, 4] {
-        let target = format!("organisation/{}", deployment.shape.organisation(number));
+        let target = format!(
+            "organisation/{}",
+            deployment.shape.organisation_name(number)
+        );
         let output = run_command(deployment, &["label", &target, "site=b"]).await?;
         print_status(name, policy, &format!("{target} moves to site b: {output}"));
     }
--- a/testbed/examples/figures/delay_figures.rs
+++ b/testbed/examples/figures/delay_figures.rs
@@ -15,7 +15,7 @@
     std::{net::SocketAddr, time::Duration},
 };
 
-pub async fn added_delay() -> anyhow::Result<()> {
+pub async fn measure_added_latency() -> anyhow::Result<()> {
     let mut deployment =
         Deployment::start(bench_shape("delay"), ProgramSet::current_exe()?).await?;
     let rates = EngineRates {
@@ -27,7 +27,9 @@
     deployment.add_external_engine(0, engine.address).await?;
     deployment.wait_ready().await?;
     let entry = deployment.entry_boxes[0].callers;
-    let key = deployment.shape.key(&deployment.shape.organisation(1));
+    let key = deployment
+        .shape
+        .api_key(&deployment.shape.organisation_name(1));
     let mut direct = new_histogram()?;
     let mut through = new_histogram()?;
     for _ in 0..3 {
@@ -84,7 +86,7 @@
 }
 
 /// Measures the cost of an idempotency key: latency and table writes.
-pub async fn at_most_once() -> anyhow::Result<()> {
+pub async fn measure_idempotency() -> anyhow::Result<()> {
     const CALLS: usize = 400;
     let shape = DeploymentShape {
         services: 2,
--- a/testbed/examples/figures/load_figures.rs
+++ b/testbed/examples/figures/load_figures.rs
@@ -5,7 +5,7 @@
     anyhow::Context,
     pitchhitch_process::spawn,
     pitchhitch_testbed::{
-        deploy::{Deployment, FakeAgents, FakeShape, ProgramSet},
+        deploy::{Deployment, FakeAgents, FakeAgentsShape, ProgramSet},
         replay::CallerClient,
     },
     smol::Timer,
@@ -22,7 +22,7 @@
 
 pub const SECRET: &str = "secret of the testbed";
 
-pub async fn short_requests() -> anyhow::Result<()> {
+pub async fn measure_short_requests() -> anyhow::Result<()> {
     const AGENTS: usize = 2;
     const CALLERS: usize = 64;
     let span = Duration::from_secs(6);
@@ -38,7 +38,9 @@
     }
     deployment.wait_ready().await?;
     let url = format!("http://{}/engine/health", deployment.entry_boxes[0].callers);
-    let key = deployment.shape.key(&deployment.shape.organisation(1));
+    let key = deployment
+        .shape
+        .api_key(&deployment.shape.organisation_name(1));
     let stop = Arc::new(AtomicBool::new(false));
     let done = Arc::new(AtomicU64::new(0));
     let wrong = Arc::new(AtomicU64::new(0));
@@ -84,7 +86,7 @@
     Ok(())
 }
 
-pub async fn streamed_tokens() -> anyhow::Result<()> {
+pub async fn measure_streamed_tokens() -> anyhow::Result<()> {
     const AGENTS: usize = 4;
     const TOKENS: u32 = 1_600;
     let mut deployment =
@@ -99,7 +101,9 @@
     }
     deployment.wait_ready().await?;
     let entry = deployment.entry_boxes[0].callers;
-    let key = deployment.shape.key(&deployment.shape.organisation(1));
+    let key = deployment
+        .shape
+        .api_key(&deployment.shape.organisation_name(1));
     let client = CallerClient::default();
     let process = deployment.entries[0].as_ref().context("no entry process")?;
     let before = process.usage();
@@ -127,12 +131,12 @@
     Ok(())
 }
 
-pub async fn memory_and_idle() -> anyhow::Result<()> {
+pub async fn measure_memory_and_idle() -> anyhow::Result<()> {
     const AGENTS: usize = 1_000;
     const PROMPTS: usize = 20_000;
     const PIECES: usize = 14;
     let deployment = Deployment::start(bench_shape("memory"), ProgramSet::current_exe()?).await?;
-    let _fakes = FakeAgents::start(FakeShape {
+    let _fakes = FakeAgents::start(FakeAgentsShape {
         agents: AGENTS,
         prompts_each: PROMPTS / AGENTS,
         pieces_each: PIECES,
--- a/testbed/examples/figures/main.rs
+++ b/testbed/examples/figures/main.rs
@@ -9,9 +9,9 @@
 
 use {
     crate::{
-        delay_figures::{added_delay, at_most_once},
-        load_figures::{memory_and_idle, short_requests, streamed_tokens},
-        route_figures::route_cost,
+        delay_figures::{measure_added_latency, measure_idempotency},
+        load_figures::{measure_memory_and_idle, measure_short_requests, measure_streamed_tokens},
+        route_figures::measure_routing,
     },
     pitchhitch_process::{start_logging, start_traffic_threads},
     pitchhitch_testbed::deploy::{ChildEngine, ProgramSet},
@@ -30,22 +30,22 @@
     println!("| figure | measured | wanted |\n|---|---|---|");
     smol::block_on(async {
         if is_selected("route") {
-            route_cost();
+            measure_routing();
         }
         if is_selected("delay") {
-            added_delay().await?;
+            measure_added_latency().await?;
         }
         if is_selected("short") {
-            short_requests().await?;
+            measure_short_requests().await?;
         }
         if is_selected("tokens") {
-            streamed_tokens().await?;
+            measure_streamed_tokens().await?;
         }
         if is_selected("once") {
-            at_most_once().await?;
+            measure_idempotency().await?;
         }
         if is_selected("memory") {
-            memory_and_idle().await?;
+            measure_memory_and_idle().await?;
         }
         anyhow::Ok(())
     })
--- a/testbed/examples/figures/route_figures.rs
+++ b/testbed/examples/figures/route_figures.rs
@@ -16,7 +16,7 @@
     std::{net::SocketAddr, sync::Arc, time::Instant},
 };
 
-pub fn route_cost() {
+pub fn measure_routing() {
     const ROUNDS: usize = 2_000;
     for endpoints in [10, 100, 1_000, 10_000] {
         let table = route_table(endpoints);
--- a/testbed/examples/slopes/config_slopes.rs
+++ b/testbed/examples/slopes/config_slopes.rs
@@ -13,7 +13,7 @@
     std::{hint::black_box, sync::Arc},
 };
 
-pub fn organisations(rows: &mut Vec<SlopeRow>) {
+pub fn measure_organisations(rows: &mut Vec<SlopeRow>) {
     let mut apply_times = Vec::new();
     let mut bytes = Vec::new();
     for count in [10, 100, 440, 1_000] {
@@ -47,7 +47,7 @@
     ));
 }
 
-pub fn changes(rows: &mut Vec<SlopeRow>) {
+pub fn measure_changes(rows: &mut Vec<SlopeRow>) {
     let change = |n: usize| ConfigChange::Label {
         target: LabelTarget::Endpoint(format!("engine-{n:05}")),
         key: "site".to_string(),
@@ -83,7 +83,7 @@
 
 /// Measures the application of one more change, by the number of labelled endpoints
 /// in the configuration.
-pub fn changes_in_force(rows: &mut Vec<SlopeRow>) {
+pub fn measure_change_application(rows: &mut Vec<SlopeRow>) {
     let mut points = Vec::new();
     let mut bytes = Vec::new();
     for count in [100usize, 1_000, 3_000, 10_000] {
--- a/testbed/examples/slopes/main.rs
+++ b/testbed/examples/slopes/main.rs
@@ -10,10 +10,10 @@
 mod slope_row;
 
 use {
-    config_slopes::{changes, changes_in_force, organisations},
-    message_slopes::{beacons, endpoints},
-    piece_slopes::{pieces, print_memory, MEMORY_ROLE},
-    request_slopes::requests,
+    config_slopes::{measure_change_application, measure_changes, measure_organisations},
+    message_slopes::{measure_beacons, measure_endpoints},
+    piece_slopes::{measure_pieces, print_memory, MEMORY_ROLE},
+    request_slopes::measure_requests,
 };
 
 fn main() {
@@ -23,13 +23,13 @@
         return;
     }
     let mut rows = Vec::new();
-    beacons(&mut rows);
-    endpoints(&mut rows);
-    organisations(&mut rows);
-    changes(&mut rows);
-    changes_in_force(&mut rows);
-    pieces(&mut rows);
-    requests(&mut rows);
+    measure_beacons(&mut rows);
+    measure_endpoints(&mut rows);
+    measure_organisations(&mut rows);
+    measure_changes(&mut rows);
+    measure_change_application(&mut rows);
+    measure_pieces(&mut rows);
+    measure_requests(&mut rows);
     if std::env::args().any(|arg| arg == "--json") {
         println!(
             "{}",
--- a/testbed/examples/slopes/message_slopes.rs
+++ b/testbed/examples/slopes/message_slopes.rs
@@ -16,7 +16,7 @@
     std::{hint::black_box, sync::Arc},
 };
 
-pub fn beacons(rows: &mut Vec<SlopeRow>) {
+pub fn measure_beacons(rows: &mut Vec<SlopeRow>) {
     let key = BeaconKey::from_secret("slopes");
     let sealed = |counter| NumberedBeacon {
         counter,
@@ -87,7 +87,7 @@
     ));
 }
 
-pub fn endpoints(rows: &mut Vec<SlopeRow>) {
+pub fn measure_endpoints(rows: &mut Vec<SlopeRow>) {
     let mut memory = Vec::new();
     let mut receive = Vec::new();
     let mut tick = Vec::new();
--- a/testbed/examples/slopes/piece_slopes.rs
+++ b/testbed/examples/slopes/piece_slopes.rs
@@ -67,8 +67,8 @@
         "cached" => numbers
             .map(|n| EndpointEvent::Cached(piece_key(n)))
             .collect(),
-        "stored" => numbers.map(stored).collect(),
-        _ => numbers.map(used).collect(),
+        "stored" => numbers.map(piece_stored).collect(),
+        _ => numbers.map(prompt_used).collect(),
     };
     // As over a link: in batches, with a view published after each.
     let mut first = 0;
@@ -80,7 +80,7 @@
     core
 }
 
-pub fn stored(number: u128) -> EndpointEvent {
+pub fn piece_stored(number: u128) -> EndpointEvent {
     EndpointEvent::Stored(StoredNotice {
         key: piece_key(number),
         store: "store-1".to_string(),
@@ -90,7 +90,7 @@
     })
 }
 
-pub fn used(number: u128) -> EndpointEvent {
+pub fn prompt_used(number: u128) -> EndpointEvent {
     EndpointEvent::PromptUsed(PromptUse {
         identity: piece_key(number),
         organisation: format!("org-{:03}", number % 10),
@@ -125,7 +125,7 @@
     black_box(core);
 }
 
-pub fn pieces(rows: &mut Vec<SlopeRow>) {
+pub fn measure_pieces(rows: &mut Vec<SlopeRow>) {
     let mut add = Vec::new();
     for count in [20_000u64, 80_000, 160_000, 320_000] {
         let events: Vec<EndpointEvent> = (0..count)
--- a/testbed/examples/slopes/request_slopes.rs
+++ b/testbed/examples/slopes/request_slopes.rs
@@ -15,7 +15,7 @@
     std::hint::black_box,
 };
 
-pub fn requests(rows: &mut Vec<SlopeRow>) {
+pub fn measure_requests(rows: &mut Vec<SlopeRow>) {
     let mut decide = Vec::new();
     for count in ENDPOINT_COUNTS {
         let mut core = build_core(count, 10);
--- a/testbed/examples/worth_plot.rs
+++ b/testbed/examples/worth_plot.rs
@@ -15,7 +15,7 @@
 };
 
 /// Width and height of the plot, in pixels.
-const SIZE: (u32, u32) = (1_200, 420);
+const PLOT_SIZE: (u32, u32) = (1_200, 420);
 /// Fraction of a day's width on the axis that its bars fill together.
 const BAR_GROUP_FRACTION: f64 = 0.8;
 
@@ -67,7 +67,7 @@
         .flat_map(|row| row.days.keys().map(String::as_str))
         .collect();
     let names: Vec<&str> = names.into_iter().collect();
-    let area = SVGBackend::new(out, SIZE).into_drawing_area();
+    let area = SVGBackend::new(out, PLOT_SIZE).into_drawing_area();
     area.fill(&WHITE)?;
     let mut chart = ChartBuilder::on(&area)
         .margin(12)
--- a/testbed/src/deploy/deployment.rs
+++ b/testbed/src/deploy/deployment.rs
@@ -25,10 +25,10 @@
 pub const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
 pub(super) const POLL_INTERVAL: Duration = Duration::from_millis(20);
 pub(super) const CALL_TIMEOUT: Duration = Duration::from_secs(5);
-const LOG_VARIABLE: &str = "PITCHHITCH_LOG";
+const LOG_ENV_VAR: &str = "PITCHHITCH_LOG";
 pub(super) const BEACON_SECRET: &str = "secret of the testbed";
 
-static FOLDERS: AtomicU32 = AtomicU32::new(0);
+static NEXT_FOLDER_NUMBER: AtomicU32 = AtomicU32::new(0);
 
 /// A running deployment. Its processes are killed and, unless `PITCHHITCH_KEEP` is
 /// set, its folder is removed on drop.
@@ -62,7 +62,7 @@
         shape: DeploymentShape,
         programs: ProgramSet,
     ) -> anyhow::Result<Self> {
-        let number = FOLDERS.fetch_add(1, Ordering::Relaxed);
+        let number = NEXT_FOLDER_NUMBER.fetch_add(1, Ordering::Relaxed);
         let name = format!("pitchhitch-{}-{}-{number}", shape.name, std::process::id());
         let folder = std::env::temp_dir().join(name);
         fs::create_dir_all(&folder)?;
@@ -81,7 +81,7 @@
         };
         deployment.list_boxes();
         deployment.write_operator_settings()?;
-        deployment.configure().await?;
+        deployment.write_config().await?;
         for number in 0..deployment.shape.engines {
             deployment.add_engine(number, false).await?;
         }
@@ -129,7 +129,7 @@
         command
             .arg("--settings")
             .arg(self.settings_file(endpoint_id));
-        command.env(LOG_VARIABLE, &self.shape.log_level);
+        command.env(LOG_ENV_VAR, &self.shape.log_level);
         ChildProcess::start(command, &self.folder.join(format!("{endpoint_id}.log")))
     }
 
@@ -156,7 +156,7 @@
             .arg("serve")
             .arg("--settings")
             .arg(self.settings_file(&entry_box.id));
-        command.env(LOG_VARIABLE, &self.shape.log_level);
+        command.env(LOG_ENV_VAR, &self.shape.log_level);
         ChildProcess::start(command, &self.folder.join(format!("{}.log", entry_box.id)))
     }
 
--- a/testbed/src/deploy/deployment_shape.rs
+++ b/testbed/src/deploy/deployment_shape.rs
@@ -160,7 +160,7 @@
     }
 
     /// Name of an organisation; numbers start at 1.
-    pub fn organisation(
+    pub fn organisation_name(
         &self,
         number: usize,
     ) -> String {
@@ -168,7 +168,7 @@
     }
 
     /// Bearer key of an organisation.
-    pub fn key(
+    pub fn api_key(
         &self,
         organisation: &str,
     ) -> String {
--- a/testbed/src/deploy/fake_agents.rs
+++ b/testbed/src/deploy/fake_agents.rs
@@ -25,7 +25,7 @@
 
 /// Number of fake agents and what they report.
 #[derive(Debug, Clone)]
-pub struct FakeShape {
+pub struct FakeAgentsShape {
     /// Number of agents.
     pub agents: usize,
     /// Prompts whose pieces each agent reports as cached.
@@ -55,7 +55,7 @@
     ///
     /// # Errors
     /// When an address cannot be bound.
-    pub async fn start(shape: FakeShape) -> io::Result<Self> {
+    pub async fn start(shape: FakeAgentsShape) -> io::Result<Self> {
         let shape = Arc::new(shape);
         let mut tasks = Vec::new();
         let mut beacons = Vec::new();
@@ -71,7 +71,7 @@
 }
 
 fn beacon(
-    shape: &FakeShape,
+    shape: &FakeAgentsShape,
     number: usize,
     address: SocketAddr,
 ) -> AgentBeacon {
@@ -118,7 +118,7 @@
 }
 
 async fn send_beacons(
-    shape: Arc<FakeShape>,
+    shape: Arc<FakeAgentsShape>,
     beacons: Vec<AgentBeacon>,
 ) {
     let mut sockets = Vec::new();
@@ -149,7 +149,7 @@
 
 async fn accept_links(
     listener: TcpListener,
-    shape: Arc<FakeShape>,
+    shape: Arc<FakeAgentsShape>,
     number: usize,
     beacon: AgentBeacon,
 ) {
@@ -167,7 +167,7 @@
 
 async fn handle_call(
     call: IncomingCall,
-    shape: Arc<FakeShape>,
+    shape: Arc<FakeAgentsShape>,
     number: usize,
     beacon: AgentBeacon,
 ) {
@@ -193,7 +193,7 @@
 }
 
 async fn send_events(
-    shape: &FakeShape,
+    shape: &FakeAgentsShape,
     number: usize,
     mut replies: ReplySender,
 ) {
@@ -215,7 +215,7 @@
 }
 
 fn events(
-    shape: &FakeShape,
+    shape: &FakeAgentsShape,
     number: usize,
 ) -> Vec<EndpointEvent> {
     let mut events = Vec::new();
--- a/testbed/src/deploy/platform_setup.rs
+++ b/testbed/src/deploy/platform_setup.rs
@@ -10,7 +10,7 @@
     std::sync::atomic::{AtomicU32, Ordering},
 };
 
-static CHANGES: AtomicU32 = AtomicU32::new(0);
+static NEXT_CHANGE_NUMBER: AtomicU32 = AtomicU32::new(0);
 
 /// Boxes, weights and configuration on the stand-in platform.
 impl Deployment {
@@ -54,7 +54,7 @@
         &self,
         change: ConfigChange,
     ) -> anyhow::Result<u64> {
-        let number = CHANGES.fetch_add(1, Ordering::Relaxed);
+        let number = NEXT_CHANGE_NUMBER.fetch_add(1, Ordering::Relaxed);
         let request = ChangeRequest {
             change_id: format!("testbed-{number}"),
             operator: "testbed".to_string(),
@@ -69,10 +69,10 @@
         Ok(accepted?.revision)
     }
 
-    pub(super) async fn configure(&self) -> anyhow::Result<()> {
+    pub(super) async fn write_config(&self) -> anyhow::Result<()> {
         for number in 1..=self.shape.organisations {
-            let name = self.shape.organisation(number);
-            let key = self.shape.key(&name);
+            let name = self.shape.organisation_name(number);
+            let key = self.shape.api_key(&name);
             let conf = OrganisationConf {
                 key_hashes: vec![blake3::hash(key.as_bytes()).to_hex().to_string()],
                 weights: self.shape.weights,
--- a/testbed/src/deploy/test_helpers.rs
+++ b/testbed/src/deploy/test_helpers.rs
@@ -29,7 +29,7 @@
 
     /// Bearer key of the first organisation.
     pub fn first_key(&self) -> String {
-        self.shape.key(&self.shape.organisation(1))
+        self.shape.api_key(&self.shape.organisation_name(1))
     }
 
     /// URL of a path on the callers' port of an entry process.
--- a/testbed/src/replay/replay_result.rs
+++ b/testbed/src/replay/replay_result.rs
@@ -66,7 +66,7 @@
     }
 
     /// Whether no response was wrong and no repeatable request was lost.
-    pub fn is_clean(&self) -> bool {
+    pub fn passed(&self) -> bool {
         self.wrong == 0 && self.lost == 0
     }
 }
--- a/testbed/src/replay/run_metrics.rs
+++ b/testbed/src/replay/run_metrics.rs
@@ -25,7 +25,7 @@
 
 impl RunMetrics {
     /// Gathers the metrics of a deployment after a replay.
-    pub fn gather(
+    pub fn collect(
         deployment: &Deployment,
         rows: &[TraceRow],
         result: ReplayResult,
@@ -61,8 +61,8 @@
 
     /// Whether no response was wrong, no repeatable request was lost and no
     /// non-repeatable request ran twice.
-    pub fn is_clean(&self) -> bool {
-        self.result.is_clean() && self.ran_twice == 0
+    pub fn passed(&self) -> bool {
+        self.result.passed() && self.ran_twice == 0
     }
 }
 
--- a/testbed/src/replay/trace_replay.rs
+++ b/testbed/src/replay/trace_replay.rs
@@ -30,7 +30,7 @@
     /// Caller addresses of the entry processes, used round robin as by a load balancer.
     pub entries: Vec<SocketAddr>,
     /// Speed-up: milliseconds of the trace per millisecond of the replay.
-    pub compression: f64,
+    pub speedup: f64,
     /// Weight versions whose responses are correct.
     pub versions: Vec<String>,
 }
@@ -67,7 +67,7 @@
         let started = Instant::now();
         let mut tasks = Vec::new();
         for (number, row) in rows.iter().enumerate() {
-            let due = Duration::from_secs_f64(row.timestamp as f64 / 1_000.0 / self.compression);
+            let due = Duration::from_secs_f64(row.timestamp as f64 / 1_000.0 / self.speedup);
             Timer::at(started + due).await;
             let replay = self.clone();
             let task = replay.replay_row(number, row.clone(), client.clone(), state.clone());
@@ -151,7 +151,7 @@
     ) -> ChatRequest {
         ChatRequest {
             address: self.pick_entry(state),
-            key: self.shape.key(&row.organisation),
+            key: self.shape.api_key(&row.organisation),
             model: self.shape.model.clone(),
             text: text.to_string(),
             answer_tokens: row.output_length,
@@ -181,7 +181,7 @@
                 value: body.clone(),
             });
         }
-        let key = self.shape.key(&row.organisation);
+        let key = self.shape.api_key(&row.organisation);
         let mut response = None;
         for _ in 0..MAX_ATTEMPTS {
             let url = format!(
--- a/testbed/src/trace/prompt_text.rs
+++ b/testbed/src/trace/prompt_text.rs
@@ -6,13 +6,13 @@
     let length = row.input_length as usize * pitchhitch_core::kv_cache::BYTES_PER_TOKEN as usize;
     let mut text = String::with_capacity(length + PIECE_TEXT_BYTES);
     for id in &row.hash_ids {
-        block_text(*id, &mut text);
+        push_block_text(*id, &mut text);
     }
     text.truncate(length);
     text
 }
 
-fn block_text(
+fn push_block_text(
     id: u64,
     text: &mut String,
 ) {
@@ -22,8 +22,8 @@
         .finalize_xof();
     reader.fill(&mut bytes);
     for byte in bytes {
-        let letter = |nibble: u8| char::from(b'a' + nibble);
-        text.push(letter(byte >> 4));
-        text.push(letter(byte & 15));
+        let hex_letter = |nibble: u8| char::from(b'a' + nibble);
+        text.push(hex_letter(byte >> 4));
+        text.push(hex_letter(byte & 15));
     }
 }
--- a/testbed/tests/bad_input.rs
+++ b/testbed/tests/bad_input.rs
@@ -134,7 +134,7 @@
         let other = fixture
             .deployment
             .shape
-            .key(&fixture.deployment.shape.organisation(2));
+            .api_key(&fixture.deployment.shape.organisation_name(2));
         let theirs = fixture.send_request("GET", &path, &other, &[], "").await;
         fixture.expect_error(theirs, 404, "unknown_request").await;
     });
@@ -155,7 +155,7 @@
             rule: Some(rule),
         };
         fixture.deployment.change_everywhere(change).await;
-        let key = fixture.deployment.shape.key("bad-02");
+        let key = fixture.deployment.shape.api_key("bad-02");
         let good = r#"{"model": "assistant", "messages": [{"role": "user", "content": "hi"}]}"#;
         let refused = fixture.send_request("POST", CHAT, &key, &[], good).await;
         fixture.expect_error(refused, 503, "nothing_selected").await;
