--- a/testbed/src/replay/caller_client.rs
+++ b/testbed/src/replay/caller_client.rs
@@ -209,8 +209,8 @@
     response
 }
 
-/// Whether a body contains its first event, or any byte if it has no events.
-/// Comment lines before the first event do not count.
+/// Whether a body contains its first token: a `data:` line if it starts with an SSE
+/// comment, otherwise any byte.
 fn has_first_token(body: &[u8]) -> bool {
     match body.first() {
         Some(b':') => body.windows(6).any(|w| w == b"data: "),
