--- a/testbed/examples/load_lab/comparison_table.rs
+++ b/testbed/examples/load_lab/comparison_table.rs
@@ -43,12 +43,12 @@
 }
 
 fn kind_cells(
-    first: &SettingRuns,
+    baseline: &SettingRuns,
     setting: &SettingRuns,
     kind_index: usize,
 ) -> String {
     let fraction = median(setting, |tally| tally.kinds[kind_index].aim_part());
-    let pairs = || first.tallies.iter().zip(&setting.tallies);
+    let pairs = || baseline.tallies.iter().zip(&setting.tallies);
     let count = |(before, after): (&LoadTally, &LoadTally)| {
         (
             before.kinds[kind_index].in_aim,
