--- a/testbed/examples/demo.rs
+++ b/testbed/examples/demo.rs
@@ -1,8 +1,8 @@
-//! Runs both deployments small on loopback: real processes of the two binaries
-//! over stand-ins. The traces are replayed twice, once with round robin and once
-//! with pitchhitch's own decisions, while operators move work by changing labels
-//! and drain an endpoint. Ends with a table of the measures, and with a non-zero
-//! exit code if an answer was wrong or lost.
+//! Runs two scaled-down deployments on loopback, as processes of the real binaries
+//! that use stand-ins. The traces are replayed with round robin and with the routing
+//! of pitchhitch, while an operator moves organisations to another site by label and
+//! drains an endpoint. Prints a table of metrics; the exit code is non-zero if a
+//! response was wrong or lost or a request ran twice.
 
 use {
     anyhow::{bail, Context},
@@ -22,7 +22,7 @@
     },
 };
 
-/// Length of one replay.
+/// Duration of the replay of one trace.
 const REPLAY_DURATION: Duration = Duration::from_secs(20);
 const THREADS: usize = 4;
 const MEBIBYTE: f64 = 1024.0 * 1024.0;
@@ -38,7 +38,7 @@
     match smol::block_on(run()) {
         Ok(true) => ExitCode::SUCCESS,
         Ok(false) => {
-            eprintln!("demo: an answer was wrong or lost, or a request ran twice");
+            eprintln!("demo: a response was wrong or lost, or a request ran twice");
             ExitCode::FAILURE
         }
         Err(error) => {
@@ -67,10 +67,10 @@
         rows.push(mvinyo?);
         rows.push(field?);
     }
-    // The sort is stable: round robin, which ran first, stays first.
+    // The sort is stable, so round robin stays before pitchhitch.
     rows.sort_by_key(|row| row.deployment);
     print_table(&rows);
-    Ok(rows.iter().all(|row| row.metrics.is_clean()))
+    Ok(rows.iter().all(|row| row.metrics.passed()))
 }
 
 async fn run_deployment(
@@ -100,16 +100,16 @@
     );
     let replay = TraceReplay {
         entries: deployment.entry_boxes.iter().map(|p| p.callers).collect(),
-        compression: compression(&rows),
+        speedup: speedup(&rows),
         versions: vec![shape.version.clone()],
         shape,
     };
     let progress = ReplayProgress::default();
     let replaying = replay.run(&rows, &progress);
     let operations = run_operations(name, policy, &mut deployment, &progress, rows.len());
-    let (result, operated) = future::zip(replaying, operations).await;
-    operated?;
-    let metrics = RunMetrics::gather(&deployment, &rows, result);
+    let (result, operations_result) = future::zip(replaying, operations).await;
+    operations_result?;
+    let metrics = RunMetrics::collect(&deployment, &rows, result);
     if let Some(problem) = &metrics.result.first_problem {
         print_status(name, policy, &format!("first problem: {problem}"));
     }
@@ -120,7 +120,7 @@
     })
 }
 
-fn compression(rows: &[TraceRow]) -> f64 {
+fn speedup(rows: &[TraceRow]) -> f64 {
     let last = rows.last().map_or(1, |row| row.timestamp.max(1));
     last as f64 / REPLAY_DURATION.as_millis() as f64
 }
@@ -137,8 +137,8 @@
     println!("[{name}, {policy}] {text}");
 }
 
-/// Work labelled for a site goes to endpoints of that site. One organisation in
-/// three begins on site b.
+/// Routes requests labelled with a site to the endpoints of that site, and labels
+/// every third organisation for site b.
 async fn label_sites(deployment: &Deployment) -> anyhow::Result<()> {
     for site in ["a", "b"] {
         let work = format!("site={site}");
@@ -151,13 +151,16 @@
     }
     for number in 1..=deployment.shape.organisations {
         let site = if number % 3 == 0 { "site=b" } else { "site=a" };
-        let target = format!("organisation/{}", deployment.shape.organisation(number));
+        let target = format!(
+            "organisation/{}",
+            deployment.shape.organisation_name(number)
+        );
         run_command(deployment, &["label", &target, site]).await?;
     }
     Ok(())
 }
 
-/// What operators do while callers call.
+/// Runs the operator commands during the replay.
 async fn run_operations(
     name: &str,
     policy: &str,
@@ -172,9 +175,12 @@
         &format!("{} of {total} requests done", progress.completed()),
     );
     for number in [2, 4] {
-        let target = format!("organisation/{}", deployment.shape.organisation(number));
-        let answer = run_command(deployment, &["label", &target, "site=b"]).await?;
-        print_status(name, policy, &format!("{target} moves to site b: {answer}"));
+        let target = format!(
+            "organisation/{}",
+            deployment.shape.organisation_name(number)
+        );
+        let output = run_command(deployment, &["label", &target, "site=b"]).await?;
+        print_status(name, policy, &format!("{target} moves to site b: {output}"));
     }
     Timer::after(REPLAY_DURATION.mul_f64(0.25)).await;
     print_status(
@@ -184,8 +190,8 @@
     );
     let engine = deployment.endpoints[0].id.clone();
     let started = Instant::now();
-    let answer = run_command(deployment, &["drain", &engine]).await?;
-    let last = answer.lines().last().unwrap_or_default().to_string();
+    let output = run_command(deployment, &["drain", &engine]).await?;
+    let last = output.lines().last().unwrap_or_default().to_string();
     print_status(
         name,
         policy,
@@ -201,11 +207,11 @@
     index: usize,
 ) -> anyhow::Result<()> {
     let agent = deployment.endpoints[index].agent.take();
-    let mut agent = agent.context("the agent does not run")?;
+    let mut agent = agent.context("the agent is not running")?;
     agent.signal(ProcessSignal::Term);
     let status = agent.wait(WAIT_TIMEOUT).await?;
     if !status.success() {
-        bail!("an agent stopped with {status}");
+        bail!("an agent exited with {status}");
     }
     Ok(())
 }
--- a/testbed/examples/figures/delay_figures.rs
+++ b/testbed/examples/figures/delay_figures.rs
@@ -1,4 +1,4 @@
-//! What an entry process adds to a request, and what changes and keys take.
+//! Latency that an entry process and an idempotency key add to a request.
 
 use {
     crate::{
@@ -15,7 +15,7 @@
     std::{net::SocketAddr, time::Duration},
 };
 
-pub async fn added_delay() -> anyhow::Result<()> {
+pub async fn measure_added_latency() -> anyhow::Result<()> {
     let mut deployment =
         Deployment::start(bench_shape("delay"), ProgramSet::current_exe()?).await?;
     let rates = EngineRates {
@@ -27,7 +27,9 @@
     deployment.add_external_engine(0, engine.address).await?;
     deployment.wait_ready().await?;
     let entry = deployment.entry_boxes[0].callers;
-    let key = deployment.shape.key(&deployment.shape.organisation(1));
+    let key = deployment
+        .shape
+        .api_key(&deployment.shape.organisation_name(1));
     let mut direct = new_histogram()?;
     let mut through = new_histogram()?;
     for _ in 0..3 {
@@ -61,30 +63,30 @@
     let mut tasks = Vec::new();
     for number in 0..STREAMS {
         let client = client.clone();
-        let call = chat_request(address, key, 40);
+        let request = chat_request(address, key, 40);
         tasks.push(spawn(async move {
-            // The streams begin spread over the time that one of them takes.
+            // The starts are spread over about the duration of one stream.
             Timer::after(Duration::from_micros(1_600 * number as u64)).await;
-            let mut spans = Vec::new();
+            let mut durations = Vec::new();
             for _ in 0..4 {
-                let response = client.chat(&call).await;
-                spans.push((response.is_complete, response.first_token));
+                let response = client.chat(&request).await;
+                durations.push((response.is_complete, response.first_token));
             }
-            spans
+            durations
         }));
     }
     let mut histogram = new_histogram()?;
     for task in tasks {
         for (whole, span) in task.await {
-            anyhow::ensure!(whole, "a stream was not whole");
+            anyhow::ensure!(whole, "a stream was not complete");
             histogram.record(span.as_micros() as u64)?;
         }
     }
     Ok(histogram)
 }
 
-/// What an idempotency key costs: delay, and writes of the table.
-pub async fn at_most_once() -> anyhow::Result<()> {
+/// Measures the cost of an idempotency key: latency and table writes.
+pub async fn measure_idempotency() -> anyhow::Result<()> {
     const CALLS: usize = 400;
     let shape = DeploymentShape {
         services: 2,
@@ -99,7 +101,7 @@
         let between = deployment.platform.state.table.calls().writes;
         let keyed = measure_orders(&deployment, callers, CALLS, true).await?;
         let after = deployment.platform.state.table.calls().writes;
-        // Leases are renewed meanwhile; what the calls without key saw is taken off.
+        // Lease renewals write too; the writes during the run without keys are subtracted.
         let writes = (after - between).saturating_sub(between - before);
         let ms = |h: &Histogram<u64>, q: f64| h.value_at_quantile(q) as f64 / 1_000.0;
         let text = format!(
@@ -132,7 +134,7 @@
         let (url, key) = (url.clone(), key.clone());
         tasks.push(spawn(async move {
             let client = CallerClient::default();
-            let mut spans = Vec::new();
+            let mut durations = Vec::new();
             for call in 0..calls / callers {
                 let body = format!("{caller}-{call}-of-{callers}");
                 let header = RequestHeader {
@@ -142,19 +144,17 @@
                 let response = client
                     .send_request("POST", &url, &key, &[header], body)
                     .await;
-                spans.push((response.status, response.total));
+                durations.push((response.status, response.total));
             }
-            spans
+            durations
         }));
     }
     let mut histogram = new_histogram()?;
     for task in tasks {
         for (status, span) in task.await {
-            anyhow::ensure!(status == 200, "an order was answered {status}");
+            anyhow::ensure!(status == 200, "an order got status {status}");
             histogram.record(span.as_micros() as u64)?;
         }
     }
     Ok(histogram)
 }
-
-// ---------------------------------------------------------------- memory
--- a/testbed/examples/lease_check.rs
+++ b/testbed/examples/lease_check.rs
@@ -1,12 +1,13 @@
-//! A deeper run of the check of the lease protocol: `lease_check FAULTS UNITS`.
+//! Model check of the lease protocol with more faults and time than in the tests:
+//! `lease_check FAULTS UNITS`.
 
 use {
     pitchhitch_core::time::Micros,
-    pitchhitch_testbed::check::{check_single_holder, explore_leases, initial_world},
+    pitchhitch_testbed::check::{explore_leases, initial_world, check_single_holder},
     std::process::ExitCode,
 };
 
-/// States at which the run is cut off; they fill about 6 GiB.
+/// States after which the check is aborted; they take about 6 GiB of memory.
 const STATE_LIMIT: usize = 8_000_000;
 
 fn main() -> ExitCode {
--- a/testbed/examples/load_lab/comparison_table.rs
+++ b/testbed/examples/load_lab/comparison_table.rs
@@ -1,12 +1,13 @@
 use {
     super::SettingRuns,
-    pitchhitch_testbed::load_model::{KindTally, LoadFile, LoadTally, SampleSummary},
+    pitchhitch_testbed::load_model::{SampleSummary, KindTally, LoadFile, LoadTally},
     std::fmt::Write,
 };
 
-/// A row for each setting, the first of which is compared with. Of each kind: the
-/// median part in aim, and the seeds under which more and fewer were in aim than in
-/// the first; late, refused and failed, summed over the seeds. Then medians.
+/// Renders one row for each setting; the first setting is the baseline. For each kind
+/// of request: the median fraction on time, the number of seeds with more and with
+/// fewer requests on time than the baseline, and the late, refused and failed requests
+/// of all seeds. The last two columns are medians.
 pub fn comparison_table(
     load: &LoadFile,
     runs: &[SettingRuns],
@@ -42,14 +43,17 @@
 }
 
 fn kind_cells(
-    first: &SettingRuns,
+    baseline: &SettingRuns,
     setting: &SettingRuns,
     kind_index: usize,
 ) -> String {
     let fraction = median(setting, |tally| tally.kinds[kind_index].on_time_fraction());
-    let pairs = || first.tallies.iter().zip(&setting.tallies);
+    let pairs = || baseline.tallies.iter().zip(&setting.tallies);
     let count = |(before, after): (&LoadTally, &LoadTally)| {
-        (before.kinds[kind_index].on_time, after.kinds[kind_index].on_time)
+        (
+            before.kinds[kind_index].on_time,
+            after.kinds[kind_index].on_time,
+        )
     };
     let more = pairs().map(count).filter(|(b, a)| a > b).count();
     let fewer = pairs().map(count).filter(|(b, a)| a < b).count();
--- a/testbed/examples/load_lab/on_time_plot.rs
+++ b/testbed/examples/load_lab/on_time_plot.rs
@@ -7,11 +7,10 @@
 
 /// Width and height of one panel, in pixels.
 const PANEL_SIZE: (u32, u32) = (560, 360);
-/// Panels that stand side by side.
 const PANELS_PER_ROW: usize = 2;
 
-/// Draws the part in aim by the second in which requests came, over all seeds, a
-/// line for each kind and a panel for each setting.
+/// Plots the fraction of requests that were on time by the second of their arrival,
+/// over all seeds: one panel for each setting, one line for each kind of request.
 pub fn draw_on_time(
     out: &Path,
     load: &LoadFile,
@@ -71,9 +70,12 @@
 ) -> Vec<(f64, f64)> {
     let mut seconds: Vec<SecondTally> = Vec::new();
     for tally in &setting.tallies {
-        let of_kind = &tally.kinds[kind].seconds;
-        seconds.resize(seconds.len().max(of_kind.len()), SecondTally::default());
-        for (sum, second) in seconds.iter_mut().zip(of_kind) {
+        let kind_seconds = &tally.kinds[kind].seconds;
+        seconds.resize(
+            seconds.len().max(kind_seconds.len()),
+            SecondTally::default(),
+        );
+        for (sum, second) in seconds.iter_mut().zip(kind_seconds) {
             sum.eligible += second.eligible;
             sum.on_time += second.on_time;
         }
--- a/testbed/examples/slopes/message_slopes.rs
+++ b/testbed/examples/slopes/message_slopes.rs
@@ -1,4 +1,4 @@
-//! What beacons, reports and known endpoints cost.
+//! Cost of beacons, load reports and known endpoints.
 
 use {
     crate::{
@@ -16,7 +16,7 @@
     std::{hint::black_box, sync::Arc},
 };
 
-pub fn beacons(rows: &mut Vec<SlopeRow>) {
+pub fn measure_beacons(rows: &mut Vec<SlopeRow>) {
     let key = BeaconKey::from_secret("slopes");
     let sealed = |counter| NumberedBeacon {
         counter,
@@ -87,7 +87,7 @@
     ));
 }
 
-pub fn endpoints(rows: &mut Vec<SlopeRow>) {
+pub fn measure_endpoints(rows: &mut Vec<SlopeRow>) {
     let mut memory = Vec::new();
     let mut receive = Vec::new();
     let mut tick = Vec::new();
@@ -114,7 +114,7 @@
         let mut now = 20;
         let value = median_micros(41, || {
             now += 1;
-            // Something has changed, so the view is published.
+            // A view is published only after a change.
             core.step(
                 Micros(now),
                 EntryEvent::PulseReceived {
--- a/testbed/examples/slopes/piece_slopes.rs
+++ b/testbed/examples/slopes/piece_slopes.rs
@@ -1,4 +1,4 @@
-//! What kept pieces cost.
+//! Cost of cached and stored pieces.
 
 use {
     crate::{
@@ -44,7 +44,7 @@
     }
 }
 
-/// What is put into a core to see how much memory it takes.
+/// Builds a core that holds `count` items of a kind, to measure its memory.
 pub fn fill_core(
     kind: &str,
     count: usize,
@@ -67,10 +67,10 @@
         "cached" => numbers
             .map(|n| EndpointEvent::Cached(piece_key(n)))
             .collect(),
-        "stored" => numbers.map(stored).collect(),
-        _ => numbers.map(used).collect(),
+        "stored" => numbers.map(piece_stored).collect(),
+        _ => numbers.map(prompt_used).collect(),
     };
-    // As they come over a link: in batches, with a view published between.
+    // As over a link: in batches, with a view published after each.
     let mut first = 0;
     for chunk in events.chunks(10_000) {
         core.step(Micros(5), events_received(first, chunk.to_vec()));
@@ -80,7 +80,7 @@
     core
 }
 
-pub fn stored(number: u128) -> EndpointEvent {
+pub fn piece_stored(number: u128) -> EndpointEvent {
     EndpointEvent::Stored(StoredNotice {
         key: piece_key(number),
         store: "store-1".to_string(),
@@ -90,7 +90,7 @@
     })
 }
 
-pub fn used(number: u128) -> EndpointEvent {
+pub fn prompt_used(number: u128) -> EndpointEvent {
     EndpointEvent::PromptUsed(PromptUse {
         identity: piece_key(number),
         organisation: format!("org-{:03}", number % 10),
@@ -98,7 +98,7 @@
     })
 }
 
-/// Memory that one filling takes, in bytes, measured in a process of its own.
+/// Memory of `count` items of a kind in bytes, measured in a separate process.
 pub fn memory_point(
     kind: &str,
     count: usize,
@@ -125,7 +125,7 @@
     black_box(core);
 }
 
-pub fn pieces(rows: &mut Vec<SlopeRow>) {
+pub fn measure_pieces(rows: &mut Vec<SlopeRow>) {
     let mut add = Vec::new();
     for count in [20_000u64, 80_000, 160_000, 320_000] {
         let events: Vec<EndpointEvent> = (0..count)
--- a/testbed/src/deploy/deployment.rs
+++ b/testbed/src/deploy/deployment.rs
@@ -1,6 +1,6 @@
 use {
     super::{
-        spawn_locked, ChildProcess, DeploymentShape, DeployedEndpoint, EndpointStandIn, EntryBox,
+        spawn_locked, ChildProcess, DeployedEndpoint, DeploymentShape, EndpointStandIn, EntryBox,
         FreePorts, ProgramSet,
     },
     crate::{
@@ -21,47 +21,48 @@
     },
 };
 
-/// Longest wait for a condition.
+/// Timeout of all waits for a condition.
 pub const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
 pub(super) const POLL_INTERVAL: Duration = Duration::from_millis(20);
 pub(super) const CALL_TIMEOUT: Duration = Duration::from_secs(5);
-const LOG_VARIABLE: &str = "PITCHHITCH_LOG";
+const LOG_ENV_VAR: &str = "PITCHHITCH_LOG";
 pub(super) const BEACON_SECRET: &str = "secret of the testbed";
 
-static FOLDERS: AtomicU32 = AtomicU32::new(0);
+static NEXT_FOLDER_NUMBER: AtomicU32 = AtomicU32::new(0);
 
-/// A running deployment. Everything ends when it is dropped.
+/// A running deployment. Its processes are killed and, unless `PITCHHITCH_KEEP` is
+/// set, its folder is removed on drop.
 #[derive(Debug)]
 pub struct Deployment {
-    /// How it is built.
+    /// Its shape.
     pub shape: DeploymentShape,
-    /// The platform.
+    /// The stand-in platform.
     pub platform: FakePlatform,
-    /// The store box of the engines' group.
+    /// The store box in the engines' group.
     pub store: StoreBox,
-    /// Calls that ran at the plain service.
+    /// Counts how often each request ran at the plain service.
     pub runs: RunCounter,
-    /// Entry processes; none where one was killed.
+    /// Entry processes; `None` where one was stopped.
     pub entries: Vec<Option<ChildProcess>>,
-    /// Their addresses.
+    /// Boxes of the entry processes, in the same order.
     pub entry_boxes: Vec<EntryBox>,
-    /// Endpoints.
+    /// Endpoints and their agents.
     pub endpoints: Vec<DeployedEndpoint>,
-    /// Settings and logs.
+    /// Folder of the settings files and logs.
     pub folder: PathBuf,
     programs: ProgramSet,
 }
 
 impl Deployment {
-    /// Starts everything and waits until every entry process is ready.
+    /// Starts all processes and waits until every entry process is ready.
     ///
     /// # Errors
-    /// When something does not start.
+    /// When a process cannot be started or does not become ready.
     pub async fn start(
         shape: DeploymentShape,
         programs: ProgramSet,
     ) -> anyhow::Result<Self> {
-        let number = FOLDERS.fetch_add(1, Ordering::Relaxed);
+        let number = NEXT_FOLDER_NUMBER.fetch_add(1, Ordering::Relaxed);
         let name = format!("pitchhitch-{}-{}-{number}", shape.name, std::process::id());
         let folder = std::env::temp_dir().join(name);
         fs::create_dir_all(&folder)?;
@@ -80,7 +81,7 @@
         };
         deployment.list_boxes();
         deployment.write_operator_settings()?;
-        deployment.configure().await?;
+        deployment.write_config().await?;
         for number in 0..deployment.shape.engines {
             deployment.add_engine(number, false).await?;
         }
@@ -95,7 +96,7 @@
         Ok(deployment)
     }
 
-    /// Group of the engines.
+    /// Name of the engines' group.
     pub fn engine_group(&self) -> String {
         format!("{}-engines", self.shape.name)
     }
@@ -116,7 +117,7 @@
         self.folder.join(format!("{name}.json"))
     }
 
-    /// Starts, or starts anew, the agent of an endpoint.
+    /// Starts or restarts the agent of an endpoint.
     ///
     /// # Errors
     /// When it cannot be started.
@@ -128,11 +129,11 @@
         command
             .arg("--settings")
             .arg(self.settings_file(endpoint_id));
-        command.env(LOG_VARIABLE, &self.shape.log_level);
+        command.env(LOG_ENV_VAR, &self.shape.log_level);
         ChildProcess::start(command, &self.folder.join(format!("{endpoint_id}.log")))
     }
 
-    /// Starts, or starts anew, an entry process.
+    /// Starts or restarts an entry process.
     ///
     /// # Errors
     /// When it cannot be started.
@@ -155,7 +156,7 @@
             .arg("serve")
             .arg("--settings")
             .arg(self.settings_file(&entry_box.id));
-        command.env(LOG_VARIABLE, &self.shape.log_level);
+        command.env(LOG_ENV_VAR, &self.shape.log_level);
         ChildProcess::start(command, &self.folder.join(format!("{}.log", entry_box.id)))
     }
 
@@ -168,7 +169,7 @@
         self.write_settings("operator", &settings)
     }
 
-    /// Runs an operator's command with the settings of this deployment.
+    /// Runs an operator command of the entry binary on this deployment.
     ///
     /// # Errors
     /// When it cannot be started.
@@ -184,37 +185,41 @@
         command.args(&args[1..]);
         command.stdout(Stdio::piped()).stderr(Stdio::piped());
         let ran = smol::unblock(move || spawn_locked(&mut command)?.wait_with_output()).await;
-        ran.context("the command did not run")
+        ran.context("cannot run the operator command")
     }
 
-    /// The status report of an entry process.
+    /// Requests the status report of an entry process.
     ///
     /// # Errors
-    /// When it does not answer.
+    /// When it does not respond.
     pub async fn status(
         &self,
         index: usize,
     ) -> anyhow::Result<StatusReport> {
-        let caller = ServiceClient::new(self.entry_boxes[index].operators, CALL_TIMEOUT);
-        Ok(caller.get_json(STATUS_PATH).await?)
+        let client = ServiceClient::new(self.entry_boxes[index].operators, CALL_TIMEOUT);
+        Ok(client.get_json(STATUS_PATH).await?)
     }
 
-    /// Waits until every running entry process knows every endpoint as usable.
+    /// Waits until every running entry process is ready, has live reports of all
+    /// endpoints with an agent, and knows its peers and a store box.
     ///
     /// # Errors
-    /// When that does not come about.
+    /// After [`WAIT_TIMEOUT`].
     pub async fn wait_ready(&self) -> anyhow::Result<()> {
-        let wanted = self.endpoints.iter().filter(|e| e.agent.is_some()).count();
+        let expected = self.endpoints.iter().filter(|e| e.agent.is_some()).count();
         let running = self.entries.iter().filter(|e| e.is_some()).count();
         let peers = running.saturating_sub(1);
         for index in 0..self.entry_boxes.len() {
             if self.entries.get(index).is_some_and(Option::is_none) {
                 continue;
             }
-            let what = format!("{} to know {wanted} endpoints", self.entry_boxes[index].id);
+            let what = format!(
+                "{} to know {expected} endpoints",
+                self.entry_boxes[index].id
+            );
             self.wait_status(index, &what, |report| {
                 let alive = report.endpoints.iter().filter(|e| e.alive).count();
-                let all = alive == wanted && report.peers.len() >= peers;
+                let all = alive == expected && report.peers.len() >= peers;
                 report.ready && all && !report.stores.is_empty()
             })
             .await?;
@@ -222,10 +227,11 @@
         Ok(())
     }
 
-    /// Waits until the status report of an entry process fulfils a condition.
+    /// Polls the status report of an entry process until a condition holds; returns
+    /// that report.
     ///
     /// # Errors
-    /// When that does not come about.
+    /// After [`WAIT_TIMEOUT`].
     pub async fn wait_status(
         &self,
         index: usize,
@@ -238,14 +244,14 @@
             match report {
                 Ok(report) if condition(&report) => return Ok(report),
                 other if started.elapsed() > WAIT_TIMEOUT => {
-                    anyhow::bail!("waited in vain for {what}: {other:?}")
+                    anyhow::bail!("timed out after {WAIT_TIMEOUT:?} waiting for {what}: {other:?}")
                 }
                 _ => Timer::after(POLL_INTERVAL).await,
             };
         }
     }
 
-    /// The engines.
+    /// The stand-in engines that run in this process.
     pub fn engines(&self) -> impl Iterator<Item = &FakeEngine> {
         self.endpoints.iter().filter_map(|e| match &e.stand_in {
             EndpointStandIn::Engine(engine) => Some(engine),
@@ -253,7 +259,7 @@
         })
     }
 
-    /// The folder with logs and settings.
+    /// Folder of the settings files and logs.
     pub fn folder(&self) -> &Path {
         &self.folder
     }
--- a/testbed/src/deploy/fake_agents.rs
+++ b/testbed/src/deploy/fake_agents.rs
@@ -17,44 +17,45 @@
     std::{io, net::SocketAddr, sync::Arc, time::Duration},
 };
 
-/// Time between two beacons, as of a real agent whose homes are all linked.
+/// Beacon interval of a real agent that has a link from each of its beacon targets.
 const BEACON_INTERVAL: Duration = Duration::from_secs(10);
-/// Time between two pulses, as of a real agent that is idle.
+/// Pulse interval of a real idle agent.
 const PULSE_INTERVAL: Duration = Duration::from_millis(11_700);
 const BEACONS_PER_BATCH: usize = 50;
 
-/// How many agents are made up, and what they say.
+/// Number of fake agents and what they report.
 #[derive(Debug, Clone)]
-pub struct FakeShape {
-    /// Agents.
+pub struct FakeAgentsShape {
+    /// Number of agents.
     pub agents: usize,
-    /// Prompts whose pieces each of them holds.
+    /// Prompts whose pieces each agent reports as cached.
     pub prompts_each: usize,
-    /// Pieces of one prompt.
+    /// Cached pieces of one prompt.
     pub pieces_each: usize,
     /// Model that they serve.
     pub model: String,
-    /// Version that they hold.
+    /// Weight version that they have loaded.
     pub version: String,
-    /// Where their beacons go.
+    /// Entry processes that their beacons are sent to.
     pub beacon_targets: Vec<SocketAddr>,
-    /// Secret of the deployment.
+    /// Beacon secret of the deployment.
     pub secret: String,
 }
 
-/// Agents without endpoints: they send beacons, take links and tell events, but
-/// run no requests. For measuring what an entry process needs for many of them.
+/// Agents without endpoints: they send beacons, accept links and send events, but
+/// run no requests. Used to measure the memory and CPU time that an entry process
+/// needs for many agents.
 #[derive(Debug)]
 pub struct FakeAgents {
     _tasks: Vec<Task<()>>,
 }
 
 impl FakeAgents {
-    /// Starts them.
+    /// Starts the agents.
     ///
     /// # Errors
     /// When an address cannot be bound.
-    pub async fn start(shape: FakeShape) -> io::Result<Self> {
+    pub async fn start(shape: FakeAgentsShape) -> io::Result<Self> {
         let shape = Arc::new(shape);
         let mut tasks = Vec::new();
         let mut beacons = Vec::new();
@@ -70,7 +71,7 @@
 }
 
 fn beacon(
-    shape: &FakeShape,
+    shape: &FakeAgentsShape,
     number: usize,
     address: SocketAddr,
 ) -> AgentBeacon {
@@ -117,7 +118,7 @@
 }
 
 async fn send_beacons(
-    shape: Arc<FakeShape>,
+    shape: Arc<FakeAgentsShape>,
     beacons: Vec<AgentBeacon>,
 ) {
     let mut sockets = Vec::new();
@@ -148,7 +149,7 @@
 
 async fn accept_links(
     listener: TcpListener,
-    shape: Arc<FakeShape>,
+    shape: Arc<FakeAgentsShape>,
     number: usize,
     beacon: AgentBeacon,
 ) {
@@ -166,7 +167,7 @@
 
 async fn handle_call(
     call: IncomingCall,
-    shape: Arc<FakeShape>,
+    shape: Arc<FakeAgentsShape>,
     number: usize,
     beacon: AgentBeacon,
 ) {
@@ -192,7 +193,7 @@
 }
 
 async fn send_events(
-    shape: &FakeShape,
+    shape: &FakeAgentsShape,
     number: usize,
     mut replies: ReplySender,
 ) {
@@ -214,7 +215,7 @@
 }
 
 fn events(
-    shape: &FakeShape,
+    shape: &FakeAgentsShape,
     number: usize,
 ) -> Vec<EndpointEvent> {
     let mut events = Vec::new();
--- a/testbed/src/deploy/platform_setup.rs
+++ b/testbed/src/deploy/platform_setup.rs
@@ -10,9 +10,9 @@
     std::sync::atomic::{AtomicU32, Ordering},
 };
 
-static CHANGES: AtomicU32 = AtomicU32::new(0);
+static NEXT_CHANGE_NUMBER: AtomicU32 = AtomicU32::new(0);
 
-/// What a deployment finds at the platform.
+/// Boxes, weights and configuration on the stand-in platform.
 impl Deployment {
     pub(super) fn list_boxes(&self) {
         for entry_box in &self.entry_boxes {
@@ -38,7 +38,7 @@
             .add_weights(&self.shape.model, &self.shape.version);
     }
 
-    /// The store of the configuration.
+    /// A client of the configuration store.
     pub fn config_store(&self) -> ConfigStore {
         ConfigStore::new(
             TableClient::new(self.platform.address, CALL_TIMEOUT),
@@ -46,15 +46,15 @@
         )
     }
 
-    /// Makes one change; gives its revision.
+    /// Makes one configuration change and returns its revision.
     ///
     /// # Errors
-    /// When it is not accepted.
+    /// When the store does not accept it.
     pub async fn change(
         &self,
         change: ConfigChange,
     ) -> anyhow::Result<u64> {
-        let number = CHANGES.fetch_add(1, Ordering::Relaxed);
+        let number = NEXT_CHANGE_NUMBER.fetch_add(1, Ordering::Relaxed);
         let request = ChangeRequest {
             change_id: format!("testbed-{number}"),
             operator: "testbed".to_string(),
@@ -69,10 +69,10 @@
         Ok(accepted?.revision)
     }
 
-    pub(super) async fn configure(&self) -> anyhow::Result<()> {
+    pub(super) async fn write_config(&self) -> anyhow::Result<()> {
         for number in 1..=self.shape.organisations {
-            let name = self.shape.organisation(number);
-            let key = self.shape.key(&name);
+            let name = self.shape.organisation_name(number);
+            let key = self.shape.api_key(&name);
             let conf = OrganisationConf {
                 key_hashes: vec![blake3::hash(key.as_bytes()).to_hex().to_string()],
                 weights: self.shape.weights,
--- a/testbed/tests/bad_input.rs
+++ b/testbed/tests/bad_input.rs
@@ -1,4 +1,4 @@
-//! Bad input: each kind has its answer, and none of it ends anything else.
+//! Each kind of invalid input gets its error response and affects no other request.
 
 use {
     pitchhitch_core::conf::{ConfigChange, PlacementRule, RuleEffect},
@@ -40,7 +40,7 @@
             .await
     }
 
-    /// The answer must be this error, and a good request must still be answered.
+    /// Asserts that a response is this error and that a valid request still succeeds.
     async fn expect_error(
         &self,
         response: CallerResponse,
@@ -91,11 +91,11 @@
         fixture.expect_error(unknown, 404, "model_not_found").await;
         let nowhere = fixture.send_request("GET", "/nowhere", &key, &[], "").await;
         fixture.expect_error(nowhere, 404, "unknown_path").await;
-        // A prefix ends at a slash.
-        let beside = fixture
+        // A path prefix matches whole segments only.
+        let longer_path = fixture
             .send_request("GET", "/ordersheet", &key, &[], "")
             .await;
-        fixture.expect_error(beside, 404, "unknown_path").await;
+        fixture.expect_error(longer_path, 404, "unknown_path").await;
 
         for (name, value) in [
             ("x-pitchhitch-deadline-ms", "soon"),
@@ -134,7 +134,7 @@
         let other = fixture
             .deployment
             .shape
-            .key(&fixture.deployment.shape.organisation(2));
+            .api_key(&fixture.deployment.shape.organisation_name(2));
         let theirs = fixture.send_request("GET", &path, &other, &[], "").await;
         fixture.expect_error(theirs, 404, "unknown_request").await;
     });
@@ -155,7 +155,7 @@
             rule: Some(rule),
         };
         fixture.deployment.change_everywhere(change).await;
-        let key = fixture.deployment.shape.key("bad-02");
+        let key = fixture.deployment.shape.api_key("bad-02");
         let good = r#"{"model": "assistant", "messages": [{"role": "user", "content": "hi"}]}"#;
         let refused = fixture.send_request("POST", CHAT, &key, &[], good).await;
         fixture.expect_error(refused, 503, "nothing_selected").await;
--- a/testbed/tests/config_consistency.rs
+++ b/testbed/tests/config_consistency.rs
@@ -1,4 +1,4 @@
-//! Accepted configuration is in force everywhere and never reverts.
+//! Accepted configuration takes effect on every entry process and is never reverted.
 
 use {
     pitchhitch_core::conf::{ConfigChange, LabelTarget, ModelConf, VersionConf},
@@ -49,7 +49,7 @@
         let deployment = start("race").await;
         let before = deployment.status(0).await.expect("status").revision;
         let mut tasks = Vec::new();
-        // Enough of them that the log is folded meanwhile, some answers lost.
+        // Enough changes for a compaction of the change log; some responses are lost.
         deployment.platform.state.table_faults.drop_responses(5);
         for operator in 0..8 {
             let store = deployment.config_store();
@@ -78,7 +78,7 @@
             "each accepted change has a revision of its own"
         );
         let (last, value) = all.iter().max().cloned().expect("changes");
-        assert_eq!(last, before + 96, "no change was made twice");
+        assert_eq!(last, before + 96, "no change was applied twice");
         deployment.wait_revision(last).await;
         for index in 0..2 {
             let report = deployment.status(index).await.expect("status");
@@ -102,8 +102,14 @@
         let deployment = start("repeat").await;
         let store = deployment.config_store();
         let request = request("same", label_change("repeat-engine-1", "owner", "ann"));
-        let first = store.change(&request, CHANGE_TIMEOUT, 1).await.expect("first");
-        let again = store.change(&request, CHANGE_TIMEOUT, 2).await.expect("again");
+        let first = store
+            .change(&request, CHANGE_TIMEOUT, 1)
+            .await
+            .expect("first");
+        let again = store
+            .change(&request, CHANGE_TIMEOUT, 2)
+            .await
+            .expect("again");
         assert_eq!(first.revision, again.revision);
         assert!(again.repeated && !first.repeated);
     });
@@ -135,27 +141,40 @@
             .change_everywhere(label_change("outage-engine-1", "owner", "ann"))
             .await;
         deployment.platform.state.table_faults.set_down(true);
-        // Nothing is accepted, and that is said.
+        // Changes are rejected with an error.
         let store = deployment.config_store();
         let request = request("late", label_change("outage-engine-1", "owner", "bob"));
         let refused = store.change(&request, Duration::from_millis(300), 1).await;
         assert!(refused.is_err(), "{refused:?}");
-        // Callers are served, and a process that starts now has the configuration
+        // Callers are served, and a process that starts now gets the configuration
         // from its peer.
         let client = CallerClient::default();
-        assert!(client.chat(&deployment.chat_request(0, "during", 2)).await.is_complete);
+        assert!(
+            client
+                .chat(&deployment.chat_request(0, "during", 2))
+                .await
+                .is_complete
+        );
         deployment.entries[1].take().expect("entry").kill();
-        let entry = deployment.start_entry(1).expect("starts anew");
+        let entry = deployment.start_entry(1).expect("restarts");
         deployment.entries[1] = Some(entry);
         let what = "the new process to be ready";
         let report = deployment.wait_status(1, what, |report| {
             report.ready && report.endpoints.iter().filter(|e| e.alive).count() == 4
         });
         assert_eq!(report.await.expect(what).revision, revision);
-        assert!(client.chat(&deployment.chat_request(1, "after", 2)).await.is_complete);
-        // Once the table is back the same change goes through.
+        assert!(
+            client
+                .chat(&deployment.chat_request(1, "after", 2))
+                .await
+                .is_complete
+        );
+        // The same change is accepted once the table is available again.
         deployment.platform.state.table_faults.set_down(false);
-        let accepted = store.change(&request, CHANGE_TIMEOUT, 2).await.expect("accepted");
+        let accepted = store
+            .change(&request, CHANGE_TIMEOUT, 2)
+            .await
+            .expect("accepted");
         deployment.wait_revision(accepted.revision).await;
     });
 }
@@ -180,16 +199,22 @@
         deployment.change(change).await.expect("change");
         let swapped = || deployment.engines().all(|e| e.core.version() == "v2");
         let text = "which is it? ".repeat(700);
-        let mut asked = 0;
+        let mut request_count = 0;
         while !swapped() {
-            let response = client.chat(&deployment.chat_request(asked % 2, &text, 4)).await;
+            let response = client
+                .chat(&deployment.chat_request(request_count % 2, &text, 4))
+                .await;
             assert_eq!(response.status, 200, "{}", response.text);
             let is_expected = ["v1", "v2"]
                 .iter()
                 .any(|v| response.text == expected_response(&text, v, 4));
-            assert!(is_expected, "an answer of neither version: {}", response.text);
-            asked += 1;
-            assert!(asked < 5_000, "the engines were not swapped");
+            assert!(
+                is_expected,
+                "an answer of neither version: {}",
+                response.text
+            );
+            request_count += 1;
+            assert!(request_count < 5_000, "the engines still serve v1");
         }
         assert!(deployment.platform.state.peak_loads() <= 2);
         deployment.wait_ready().await.expect("settled");
--- a/testbed/tests/end_to_end.rs
+++ b/testbed/tests/end_to_end.rs
@@ -1,10 +1,10 @@
-//! The whole path: caller, entry process, agent, endpoint and back.
+//! Requests end to end: caller, entry process, agent, endpoint and back.
 
 use {
     pitchhitch_testbed::{
         deploy::{Deployment, DeploymentShape},
+        replay::{expected_response, CallerClient, RequestHeader},
         fakes::ServiceResponse,
-        replay::{expected_response, RequestHeader, CallerClient},
     },
     serde_json::Value,
     smol::block_on,
@@ -22,9 +22,9 @@
         let text = "which wines came in? ".repeat(300);
         for entry in 0..2 {
             for stream in [false, true] {
-                let mut call = deployment.chat_request(entry, &text, 12);
-                call.stream = stream;
-                let response = client.chat(&call).await;
+                let mut request = deployment.chat_request(entry, &text, 12);
+                request.stream = stream;
+                let response = client.chat(&request).await;
                 assert_eq!(response.status, 200, "{}", response.text);
                 assert!(response.is_complete);
                 assert_eq!(response.text, expected_response(&text, "v1", 12));
@@ -61,13 +61,17 @@
         let client = CallerClient::default();
         let url = deployment.url(0, "/v1/models");
         let key = deployment.first_key();
-        let response = client.send_request("GET", &url, &key, &[], String::new()).await;
+        let response = client
+            .send_request("GET", &url, &key, &[], String::new())
+            .await;
         let list: Value = serde_json::from_str(&response.text).expect("json");
         assert_eq!(list["object"], "list");
         assert_eq!(list["data"][0]["id"], "assistant");
         for path in ["/healthz", "/readyz"] {
             let url = deployment.url(1, path);
-            let response = client.send_request("GET", &url, "", &[], String::new()).await;
+            let response = client
+                .send_request("GET", &url, "", &[], String::new())
+                .await;
             assert_eq!(response.status, 200, "{path}");
         }
     });
@@ -107,8 +111,10 @@
     block_on(async {
         let deployment = start().await;
         let client = CallerClient::default();
-        let response = client.chat(&deployment.chat_request(1, "why there?", 2)).await;
-        // Asked at the other entry process, which asks the one that decided.
+        let response = client
+            .chat(&deployment.chat_request(1, "why there?", 2))
+            .await;
+        // The operator queries entry process 0, which forwards to the one that decided.
         let output = deployment
             .run_command(&["explain", &response.request_id])
             .await
@@ -137,7 +143,7 @@
         let text = "a long price list ".repeat(1_200);
         let first = client.chat(&deployment.chat_request(0, &text, 2)).await;
         assert!(first.is_complete);
-        // The other entry process hears of the pieces by the agents' events.
+        // The other entry process learns of the pieces from the agents' events.
         deployment
             .wait_status(1, "pieces", |report| report.pieces >= 10)
             .await
@@ -153,7 +159,7 @@
                     .load(std::sync::atomic::Ordering::Relaxed)
             })
             .sum();
-        // 21,600 bytes are 5,400 tokens; the second time most of them were there.
+        // 21,600 bytes are 5,400 tokens; the second request reuses most of them.
         assert!(counts < 6_500, "{counts}");
     });
 }
