--- a/testbed/examples/lease_check.rs
+++ b/testbed/examples/lease_check.rs
@@ -3,7 +3,7 @@
 
 use {
     pitchhitch_core::time::Micros,
-    pitchhitch_testbed::check::{explore_leases, initial_world, check_single_holder},
+    pitchhitch_testbed::check::{check_single_holder, explore_leases, initial_world},
     std::process::ExitCode,
 };
 
--- a/testbed/examples/load_lab/comparison_table.rs
+++ b/testbed/examples/load_lab/comparison_table.rs
@@ -1,6 +1,6 @@
 use {
     super::SettingRuns,
-    pitchhitch_testbed::load_model::{SampleSummary, KindTally, LoadFile, LoadTally},
+    pitchhitch_testbed::load_model::{KindTally, LoadFile, LoadTally, SampleSummary},
     std::fmt::Write,
 };
 
--- a/testbed/src/deploy/deployed_endpoint.rs
+++ b/testbed/src/deploy/deployed_endpoint.rs
@@ -1,6 +1,6 @@
 use {
     super::{ChildProcess, Deployment, BEACON_SECRET},
-    crate::{engine::FakeEngine, proxy::FaultProxy, fakes::PlainService},
+    crate::{engine::FakeEngine, fakes::PlainService, proxy::FaultProxy},
     serde_json::{json, Value},
     std::net::SocketAddr,
 };
--- a/testbed/src/lib.rs
+++ b/testbed/src/lib.rs
@@ -4,8 +4,8 @@
 pub mod check;
 pub mod deploy;
 pub mod engine;
+pub mod fakes;
 pub mod load_model;
 pub mod proxy;
 pub mod replay;
-pub mod fakes;
 pub mod trace;
--- a/testbed/tests/end_to_end.rs
+++ b/testbed/tests/end_to_end.rs
@@ -3,8 +3,8 @@
 use {
     pitchhitch_testbed::{
         deploy::{Deployment, DeploymentShape},
-        replay::{expected_response, CallerClient, RequestHeader},
         fakes::ServiceResponse,
+        replay::{expected_response, CallerClient, RequestHeader},
     },
     serde_json::Value,
     smol::block_on,
