--- a/agent/src/cli/agent_cli.rs
+++ b/agent/src/cli/agent_cli.rs
@@ -11,14 +11,14 @@
 
 /// Environment variable with the path of the settings file on the platform's boxes.
 const SETTINGS_VARIABLE: &str = "PITCHHITCH_NODE_FILE";
-/// Exit code for an invalid command line.
+/// Exit code for a usage error.
 const EXIT_USAGE: u8 = 2;
 /// Exit code for invalid settings.
 const EXIT_SETTINGS: u8 = 3;
 /// Exit code for a failure at run time.
 const EXIT_FAILED: u8 = 1;
 
-/// Kind of process that the agent runs next to.
+/// What the agent runs for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum AgentMode {
     /// An endpoint of a deployment without the platform.
@@ -51,7 +51,7 @@
         let missing = match self {
             AgentMode::Endpoint => "--settings FILE is missing".to_string(),
             AgentMode::Engine => {
-                format!("settings file is missing: use --settings FILE or set {SETTINGS_VARIABLE}")
+                format!("--settings FILE is missing and {SETTINGS_VARIABLE} is not set")
             }
         };
         format!("{missing}; see {} --help", self.command())
@@ -102,9 +102,9 @@
 fn print_help() {
     let usage = options().usage("pitchhitch-agent [beside] --settings FILE");
     print!("{usage}");
-    println!("\n'beside' runs the agent of a platform engine; its settings file may also be");
-    println!("set by {SETTINGS_VARIABLE}.");
-    println!("\nExit codes: 0 success, 1 failure, 2 invalid command line, 3 invalid settings");
+    println!("\n'beside' runs the agent of a platform engine. Without --settings the file");
+    println!("named by {SETTINGS_VARIABLE} is used.");
+    println!("\nExit codes: 0 success, 1 failure, 2 usage error, 3 invalid settings");
 }
 
 fn run_endpoint(
@@ -140,7 +140,7 @@
     parse: impl Fn(&str, &str) -> Result<S, E>,
 ) -> Result<S, String> {
     let text = fs::read_to_string(file)
-        .map_err(|e| format!("{file}: cannot be read: {e}; specify an existing settings file"))?;
+        .map_err(|e| format!("{file}: cannot be read: {e}; check the path"))?;
     parse(file, &text).map_err(|e| e.to_string())
 }
 
--- a/agent/src/engine_agent/engine_agent_process.rs
+++ b/agent/src/engine_agent/engine_agent_process.rs
@@ -23,7 +23,7 @@
     settings: EngineAgentSettings,
     reload: &dyn Fn() -> Result<EngineAgentSettings, String>,
 ) -> anyhow::Result<()> {
-    let mut signals = SignalListener::start().context("cannot watch signals")?;
+    let mut signals = SignalListener::start().context("cannot install signal handlers")?;
     let socket = DatagramSocket::bind(settings.listen).await;
     let socket = socket.with_context(|| format!("cannot listen on {}", settings.listen))?;
     let socket = socket.with_key(settings.peer_key);
@@ -67,7 +67,7 @@
     signals: &mut SignalListener,
     reload: &dyn Fn() -> Result<EngineAgentSettings, String>,
 ) -> anyhow::Result<()> {
-    while signals.next().await.context("cannot watch signals")? == ProcessSignal::Reload {
+    while signals.next().await.context("cannot receive signals")? == ProcessSignal::Reload {
         match reload() {
             Ok(settings) => {
                 let changed = settings != agent.settings;
--- a/core/src/membership/replay_guard.rs
+++ b/core/src/membership/replay_guard.rs
@@ -24,7 +24,7 @@
 impl ReplayGuard {
     /// Records a beacon; returns true if it is newer than all earlier ones from this sender.
     ///
-    /// Beacons of new senders are rejected once [`SENDER_LIMIT`] senders are tracked.
+    /// Beacons of new senders are rejected once `SENDER_LIMIT` senders are tracked.
     pub fn accept(
         &mut self,
         sender: &str,
--- a/core/src/serving/fetch_completion.rs
+++ b/core/src/serving/fetch_completion.rs
@@ -113,7 +113,7 @@
         }
     }
 
-    /// Removes engines that have been neither listed nor reporting for [`FORGET_AFTER`].
+    /// Removes engines that have been neither listed nor reporting for `FORGET_AFTER`.
     pub fn prune(
         &mut self,
         now: Micros,
--- a/core/src/serving/key_freshness.rs
+++ b/core/src/serving/key_freshness.rs
@@ -118,7 +118,7 @@
     }
 
     /// Whether the box may report itself ready for more callers. Where keys fail closed, the
-    /// configuration is then younger than [`READY_AGE_PERCENT`] percent of the limit.
+    /// configuration is then younger than `READY_AGE_PERCENT` percent of the limit.
     pub fn is_ready(
         &self,
         now: Micros,
--- a/core/src/serving/publication_records.rs
+++ b/core/src/serving/publication_records.rs
@@ -166,7 +166,7 @@
         }
     }
 
-    /// Newest publications of each model known to this box, at most [`MAX_REPORTED_PUBLICATIONS`].
+    /// Newest publications of each model known to this box, at most `MAX_REPORTED_PUBLICATIONS`.
     pub fn recent_publications(
         &self,
         now: Micros,
--- a/entry/src/cli/entry_process.rs
+++ b/entry/src/cli/entry_process.rs
@@ -108,7 +108,9 @@
         incarnation = clock.incarnation();
         ""
     );
-    wait_for_stop().await.context("cannot watch signals")?;
+    wait_for_stop()
+        .await
+        .context("cannot install signal handlers")?;
     log::info!(event = "stopping", entry = settings.box_id.as_str(); "");
     app.stopping.store(true, Ordering::Relaxed);
     // The load balancer needs time to notice that the process is no longer ready.
--- a/entry/src/command/command_args.rs
+++ b/entry/src/command/command_args.rs
@@ -40,7 +40,7 @@
     ) -> Result<Option<Self>, CliError> {
         options.optopt("s", "settings", "settings file, in JSON", "FILE");
         options.optflag("", "json", "print JSON, for programs");
-        options.optflag("h", "help", "print this text");
+        options.optflag("h", "help", "print this help");
         let matches = options.parse(args);
         let matches = matches.map_err(|e| CliError::Usage(format!("{e}; see --help")))?;
         if matches.opt_present("help") {
@@ -116,10 +116,10 @@
     }
 }
 
-/// Client for the entry process that the settings name.
+/// Creates a client for the entry process in the settings.
 ///
 /// # Errors
-/// [`CliError::Settings`] when the settings name no entry process.
+/// [`CliError::Settings`] when the settings have no entry process.
 pub fn entry_client(settings: &OperatorSettings) -> Result<ServiceClient, CliError> {
     let entry = settings.entry.ok_or_else(|| {
         let text = "the settings have no 'entry'; add the operator address of an entry process";
--- a/entry/src/command/front.rs
+++ b/entry/src/command/front.rs
@@ -32,7 +32,7 @@
         .or_else(|| std::env::var(SETTINGS_VARIABLE).ok())
         .ok_or_else(|| {
             CliError::Usage(format!(
-                "give a settings file with --settings or in {SETTINGS_VARIABLE}"
+                "--settings FILE is missing and {SETTINGS_VARIABLE} is not set; see --help"
             ))
         })?;
     let settings = read_settings(&file).map_err(CliError::Settings)?;
--- a/entry/src/front/front_process.rs
+++ b/entry/src/front/front_process.rs
@@ -44,7 +44,7 @@
     reload: &dyn Fn() -> Result<FrontSettings, String>,
 ) -> anyhow::Result<()> {
     let settings = front.settings.clone();
-    let mut signals = SignalListener::start().context("cannot watch signals")?;
+    let mut signals = SignalListener::start().context("cannot install signal handlers")?;
     let callers = TcpListener::bind(settings.callers);
     let callers = callers.with_context(|| format!("cannot listen on {}", settings.callers))?;
     front.spawn(serve_paths(settings.ready, front.clone(), serve_readiness).await?);
@@ -83,7 +83,7 @@
         let names = settings.disabled_mechanisms.names();
         log::warn!(event = "left-out", mechanisms = names.as_str(); "");
     }
-    while signals.next().await.context("cannot watch signals")? == ProcessSignal::Reload {
+    while signals.next().await.context("cannot receive signals")? == ProcessSignal::Reload {
         check_reload(&front, reload);
     }
     shut_down(&front).await;
