--- a/agent/src/engine_agent/engine_agent_context.rs
+++ b/agent/src/engine_agent/engine_agent_context.rs
@@ -1,6 +1,6 @@
 use {
     super::{
-        EngineAgentMetrics, EngineAgentSettings, FrontContacts, PolledStores, SentDigests,
+        EngineAgentMetrics, EngineAgentSettings, FrontContacts, PolledKvStores, SentDigests,
         SnapshotCache,
     },
     pitchhitch_core::{
@@ -96,7 +96,7 @@
     /// Whether a new result has arrived since the last digest.
     pub has_new_proofs: bool,
     /// KV stores that are polled on behalf of all fronts.
-    pub stores: PolledStores,
+    pub stores: PolledKvStores,
     announced_at: Option<Micros>,
     silent_fronts: usize,
     cached_parts: HashMap<(NamespaceTag, PartId), u32>,
--- a/agent/src/engine_agent/store_poller.rs
+++ b/agent/src/engine_agent/store_poller.rs
@@ -3,7 +3,7 @@
     pitchhitch_core::{serving::NamespaceTag, time::Micros},
     pitchhitch_platform::{KvChanges, KvClient, KvError},
     pitchhitch_process::to_duration,
-    pitchhitch_wire::engine_agent::{StorePart, StoreUpdate},
+    pitchhitch_wire::engine_agent::{KvStorePart, KvStoreUpdate},
     smol::Timer,
     std::{
         collections::{BTreeMap, VecDeque},
@@ -37,30 +37,30 @@
 /// KV stores that are polled on behalf of all fronts. When each front polled each store itself, a
 /// hundred fronts used most of the polls that the stores could hold at once.
 #[derive(Debug, Default)]
-pub(crate) struct PolledStores {
+pub(crate) struct PolledKvStores {
     requested: BTreeMap<SocketAddr, Micros>,
-    polled: BTreeMap<SocketAddr, PolledStore>,
+    polled: BTreeMap<SocketAddr, PolledKvStore>,
 }
 
 /// Latest responses of one store.
 #[derive(Debug)]
-struct PolledStore {
+struct PolledKvStore {
     epoch: u64,
     clock_ms: Option<u64>,
     sent_at: Micros,
     answered_at: Micros,
     from: u64,
     next: u64,
-    parts: VecDeque<(StorePart, Micros)>,
+    parts: VecDeque<(KvStorePart, Micros)>,
 }
 
-impl PolledStore {
+impl PolledKvStore {
     fn to_update(
         &self,
         store: SocketAddr,
         now: Micros,
-    ) -> StoreUpdate {
-        StoreUpdate {
+    ) -> KvStoreUpdate {
+        KvStoreUpdate {
             store,
             epoch: self.epoch,
             clock_ms: self.clock_ms,
@@ -79,7 +79,7 @@
         now: Micros,
     ) {
         let report_period = Micros(digest_interval.0 * DIGESTS_PER_CHANGE);
-        let is_old = |(_, at): &(StorePart, Micros)| now.since(*at) > report_period;
+        let is_old = |(_, at): &(KvStorePart, Micros)| now.since(*at) > report_period;
         while self.parts.len() > MAX_CHANGES || self.parts.front().is_some_and(is_old) {
             if let Some((part, _)) = self.parts.pop_front() {
                 self.from = part.number;
@@ -88,7 +88,7 @@
     }
 }
 
-impl PolledStores {
+impl PolledKvStores {
     /// Records a front's request to poll this store.
     pub fn request(
         &mut self,
@@ -105,7 +105,7 @@
         &mut self,
         digest_interval: Micros,
         now: Micros,
-    ) -> Vec<StoreUpdate> {
+    ) -> Vec<KvStoreUpdate> {
         let mut updates = Vec::new();
         for (store, polled_store) in &mut self.polled {
             polled_store.prune(digest_interval, now);
@@ -134,7 +134,7 @@
     ) {
         let known = self.polled.remove(&store);
         let known = known.filter(|known| known.epoch == changes.epoch && !changes.has_gap);
-        let mut polled_store = known.unwrap_or(PolledStore {
+        let mut polled_store = known.unwrap_or(PolledKvStore {
             epoch: changes.epoch,
             clock_ms: None,
             sent_at,
@@ -149,8 +149,8 @@
             .changes
             .iter()
             .filter(|change| !is_known(change.number));
-        let parts: Vec<StorePart> = new_changes
-            .map(|change| StorePart {
+        let parts: Vec<KvStorePart> = new_changes
+            .map(|change| KvStorePart {
                 number: change.number,
                 namespace: NamespaceTag::of(&change.salt),
                 id: change.id,
--- a/core/src/conf/change_history.rs
+++ b/core/src/conf/change_history.rs
@@ -5,7 +5,7 @@
 };
 
 /// Maximum number of recent changes kept for peers that need to catch up.
-const HISTORY_LIMIT: usize = 256;
+const MAX_HISTORY_CHANGES: usize = 256;
 
 /// The most recent changes, with consecutive revisions, so that a peer that lags
 /// does not have to fetch the whole configuration.
@@ -39,7 +39,7 @@
                 self.records.clear();
             }
             self.records.push_back(record);
-            if self.records.len() > HISTORY_LIMIT {
+            if self.records.len() > MAX_HISTORY_CHANGES {
                 self.records.pop_front();
             }
         }
--- a/core/src/conf/config_head.rs
+++ b/core/src/conf/config_head.rs
@@ -5,9 +5,9 @@
 };
 
 /// Log length from which a writer compacts the log into a new base document.
-pub const TAIL_LIMIT: usize = 64;
+pub const COMPACTION_THRESHOLD: usize = 64;
 /// Number of compacted change ids that are kept, so that late retries are recognised.
-pub const COMPACTED_ID_LIMIT: usize = 512;
+pub const MAX_COMPACTED_IDS: usize = 512;
 
 /// The table row that defines the current configuration.
 ///
@@ -76,9 +76,9 @@
         head
     }
 
-    /// Whether the log has reached [`TAIL_LIMIT`].
+    /// Whether the log has reached [`COMPACTION_THRESHOLD`].
     pub fn needs_compaction(&self) -> bool {
-        self.tail.len() >= TAIL_LIMIT
+        self.tail.len() >= COMPACTION_THRESHOLD
     }
 
     /// Returns the head after the whole log was compacted into the base document `base_name`.
@@ -93,7 +93,7 @@
                 revision: record.revision,
             });
         }
-        while settled.len() > COMPACTED_ID_LIMIT {
+        while settled.len() > MAX_COMPACTED_IDS {
             settled.pop_front();
         }
         ConfigHead {
--- a/core/src/kv_cache/piece_directory.rs
+++ b/core/src/kv_cache/piece_directory.rs
@@ -54,7 +54,7 @@
 }
 
 /// Maximum number of pieces in the directory.
-const PIECE_LIMIT: usize = 400_000;
+const MAX_PIECES: usize = 400_000;
 /// Number of buckets; the leading bits of a key select its bucket.
 const BUCKET_COUNT: usize = 4_096;
 const BUCKET_BITS: u32 = BUCKET_COUNT.trailing_zeros();
@@ -146,7 +146,7 @@
         key: PieceKey,
         holder: PieceHolder,
     ) {
-        if self.length < PIECE_LIMIT || self.holders(key).next().is_some() {
+        if self.length < MAX_PIECES || self.holders(key).next().is_some() {
             self.add(key, holder);
         }
     }
--- a/core/src/membership/replay_guard.rs
+++ b/core/src/membership/replay_guard.rs
@@ -1,7 +1,7 @@
 use std::collections::BTreeMap;
 
 /// Maximum number of senders to track.
-const SENDER_LIMIT: usize = 65_536;
+const MAX_SENDERS: usize = 65_536;
 
 /// Rejects replayed beacons.
 ///
@@ -24,7 +24,7 @@
 impl ReplayGuard {
     /// Records a beacon; returns true if it is newer than all earlier ones from this sender.
     ///
-    /// Beacons of new senders are rejected once `SENDER_LIMIT` senders are tracked.
+    /// Beacons of new senders are rejected once `MAX_SENDERS` senders are tracked.
     pub fn accept(
         &mut self,
         sender: &str,
@@ -35,7 +35,7 @@
             *newest = number.max(*newest);
             return is_newer;
         }
-        if self.newest.len() >= SENDER_LIMIT {
+        if self.newest.len() >= MAX_SENDERS {
             return false;
         }
         self.newest.insert(sender.to_string(), number);
--- a/core/src/place/reuse_model.rs
+++ b/core/src/place/reuse_model.rs
@@ -7,7 +7,7 @@
 /// Prior probability that a prompt is reused.
 const PRIOR_PROBABILITY: f64 = 0.5;
 /// Maximum number of distinct labels; further ones share one entry.
-const LABEL_LIMIT: usize = 4_096;
+const MAX_LABELS: usize = 4_096;
 /// Total count at which all counts are halved, so that the model follows changing usage.
 const DECAY_THRESHOLD: f64 = 10_000.0;
 
@@ -124,7 +124,7 @@
         label: &ReuseLabel,
     ) -> &mut GapCounts {
         let known = self.counts.contains_key(label);
-        let key = if known || self.counts.len() < LABEL_LIMIT {
+        let key = if known || self.counts.len() < MAX_LABELS {
             label.clone()
         } else {
             ReuseLabel {
--- a/core/src/retry/retry_budget.rs
+++ b/core/src/retry/retry_budget.rs
@@ -8,12 +8,12 @@
 /// Number of retries earned by each first attempt.
 pub const RETRY_RATIO: f64 = 0.1;
 /// Maximum number of retries that can accumulate.
-const LEVEL_CAP: f64 = 20.0;
+const MAX_LEVEL: f64 = 20.0;
 
 impl Default for RetryBudget {
     fn default() -> Self {
         RetryBudget {
-            level: LEVEL_CAP / 2.0,
+            level: MAX_LEVEL / 2.0,
         }
     }
 }
@@ -21,7 +21,7 @@
 impl RetryBudget {
     /// Records a first attempt.
     pub fn earn(&mut self) {
-        self.level = (self.level + RETRY_RATIO).min(LEVEL_CAP);
+        self.level = (self.level + RETRY_RATIO).min(MAX_LEVEL);
     }
 
     /// Takes one retry from the budget; returns false if there is none.
--- a/core/src/role/endpoint_roster.rs
+++ b/core/src/role/endpoint_roster.rs
@@ -22,7 +22,7 @@
 /// does not report on is detected by the unscaled limits.
 pub const IDLE_FACTOR: u64 = 8;
 /// Time without a message after which the endpoint is removed.
-pub const REMOVE_AFTER: Micros = Micros::from_secs(60);
+pub const ENDPOINT_RETENTION: Micros = Micros::from_secs(60);
 
 /// Endpoints that this process knows, with their load.
 #[derive(Debug, Default)]
@@ -212,7 +212,7 @@
             let load = self.loads.get_mut(entry.key);
             let idle = load.as_ref().is_none_or(|l| l.report.running == 0);
             let factor = if idle { IDLE_FACTOR } else { 1 };
-            if silence >= REMOVE_AFTER {
+            if silence >= ENDPOINT_RETENTION {
                 report.expired.push(id.clone());
             } else if (silence.0 >= HUNG_AFTER.0 * factor || unreported >= HUNG_AFTER)
                 && entry.linked
--- a/core/src/serving/endpoint_entry.rs
+++ b/core/src/serving/endpoint_entry.rs
@@ -212,18 +212,18 @@
     pub fn other_prefill_tokens(
         &self,
         now: Micros,
-        pace: &LatencyEstimator,
+        estimator: &LatencyEstimator,
     ) -> f64 {
         let Some(load) = self.fresh_load(now) else {
             return 0.0;
         };
         let reading = f64::from(load.reading) / f64::from(load.unread.max(1));
         let others = f64::from(self.other_pending_prefills(now));
-        let reported = others * (1.0 - reading * PREFILL_PROGRESS) * pace.prefill_tokens();
-        let average = pace.mean_queued_tokens();
+        let reported = others * (1.0 - reading * PREFILL_PROGRESS) * estimator.prefill_tokens();
+        let average = estimator.mean_queued_tokens();
         // Unchanged values are not reported again.
         let age = now.since(load.at).min(load.changes_within);
-        average + (reported - average) * pace.report_weight(age)
+        average + (reported - average) * estimator.report_weight(age)
     }
 
     /// Tokens to prefill for requests of this front that precede a request of this priority.
@@ -243,7 +243,7 @@
     pub fn unreported_tokens(
         &self,
         now: Micros,
-        pace: &LatencyEstimator,
+        estimator: &LatencyEstimator,
     ) -> u64 {
         let load = self.fresh_load(now);
         let is_new =
@@ -251,7 +251,7 @@
         let ours = self.pending_prefills.iter().filter(is_new);
         let ours: u64 = ours.map(|prefill| u64::from(prefill.memory_tokens)).sum();
         let waiting = load.map_or(0.0, |load| f64::from(load.waiting));
-        ours + (waiting * pace.prompt_tokens()) as u64
+        ours + (waiting * estimator.prompt_tokens()) as u64
     }
 
     /// Memory left for further prompts, in tokens, without the reserve for growing answers. `None`
@@ -260,11 +260,11 @@
     pub fn free_tokens(
         &self,
         now: Micros,
-        pace: &LatencyEstimator,
+        estimator: &LatencyEstimator,
     ) -> Option<u64> {
         let load = self.fresh_load(now)?;
         let usable = load.total_tokens * PROMPT_MEMORY_PERCENT / 100;
-        let used = load.used_tokens + self.unreported_tokens(now, pace);
+        let used = load.used_tokens + self.unreported_tokens(now, estimator);
         (used > 0).then(|| usable.saturating_sub(used))
     }
 
--- a/core/src/serving/fetch_completion.rs
+++ b/core/src/serving/fetch_completion.rs
@@ -20,7 +20,7 @@
 
 /// Time after which an engine that is neither listed nor reporting is no longer waited for: no
 /// part is kept for longer for any engine.
-const FORGET_AFTER: Micros = RECLAIM_TIMEOUT;
+const ENGINE_RETENTION: Micros = RECLAIM_TIMEOUT;
 
 /// Evidence that the fetches of one engine are over.
 #[derive(Debug, Clone, Default)]
@@ -113,13 +113,13 @@
         }
     }
 
-    /// Removes engines that have been neither listed nor reporting for `FORGET_AFTER`.
+    /// Removes engines that have been neither listed nor reporting for `ENGINE_RETENTION`.
     pub fn prune(
         &mut self,
         now: Micros,
     ) {
         self.engines
-            .retain(|_, period| now.since(period.known_at) <= FORGET_AFTER);
+            .retain(|_, period| now.since(period.known_at) <= ENGINE_RETENTION);
     }
 
     /// Records that an engine has restarted: it may have older weights than before, and has proven
--- a/core/src/serving/order_right.rs
+++ b/core/src/serving/order_right.rs
@@ -4,7 +4,7 @@
 /// that takes over waits for longer.
 const CHECK_TTL: Micros = Micros::from_millis(400);
 /// Time that an order may be in transit after the check expires.
-const ORDER_TRANSIT_LIMIT: Micros = Micros::from_millis(300);
+const MAX_ORDER_TRANSIT_TIME: Micros = Micros::from_millis(300);
 /// Bits of a fencing token used for the version: ten years at 3,000 changes a second.
 const VERSION_BITS: u32 = 40;
 
@@ -138,7 +138,7 @@
         &mut self,
         now: Micros,
     ) {
-        self.wait_until = now + self.gap + CHECK_TTL + ORDER_TRANSIT_LIMIT;
+        self.wait_until = now + self.gap + CHECK_TTL + MAX_ORDER_TRANSIT_TIME;
     }
 }
 
--- a/core/src/serving/store_clock.rs
+++ b/core/src/serving/store_clock.rs
@@ -24,7 +24,7 @@
     /// Earliest local time at which the store can have given an answer, and whose content it
     /// therefore proves: no earlier than the request was sent and no later than the answer
     /// arrived.
-    pub fn earliest_answer_time(
+    pub fn earliest_response_time(
         &mut self,
         sent_at: Micros,
         store_ms: Option<u64>,
--- a/core/src/serving/store_directory.rs
+++ b/core/src/serving/store_directory.rs
@@ -1,8 +1,8 @@
 use {
     super::{
         mix_bits, transfer_ms, unit_fraction, EndpointEntry, EndpointKey, EndpointRegistry,
-        EndpointStatus, EngineGroup, KvStore, MechanismSet, NamespaceTag, PromptPart,
-        ServingMechanism, StoreView,
+        EndpointStatus, EngineGroup, KvStore, KvStoreView, MechanismSet, NamespaceTag, PromptPart,
+        ServingMechanism,
     },
     crate::time::Micros,
     std::net::SocketAddr,
@@ -86,17 +86,17 @@
 
 /// All stores and their known content.
 #[derive(Debug, Clone, Default)]
-pub struct StoreDirectory {
-    views: Vec<StoreView>,
+pub struct KvStoreDirectory {
+    views: Vec<KvStoreView>,
     disabled: MechanismSet,
 }
 
-impl StoreDirectory {
+impl KvStoreDirectory {
     /// An empty directory with some mechanisms disabled.
     pub fn without(disabled: MechanismSet) -> Self {
-        StoreDirectory {
+        KvStoreDirectory {
             disabled,
-            ..StoreDirectory::default()
+            ..KvStoreDirectory::default()
         }
     }
 
@@ -106,7 +106,7 @@
         stores: &[KvStore],
     ) {
         let previous = std::mem::take(&mut self.views);
-        let mut previous: Vec<Option<StoreView>> = previous.into_iter().map(Some).collect();
+        let mut previous: Vec<Option<KvStoreView>> = previous.into_iter().map(Some).collect();
         for store in stores {
             let known = previous.iter_mut().find(|view| {
                 view.as_ref()
@@ -117,7 +117,7 @@
                 view.store = store.clone();
             }
             self.views
-                .push(view.unwrap_or_else(|| StoreView::new(store.clone())));
+                .push(view.unwrap_or_else(|| KvStoreView::new(store.clone())));
         }
     }
 
@@ -125,7 +125,7 @@
     pub fn view_mut(
         &mut self,
         address: SocketAddr,
-    ) -> Option<&mut StoreView> {
+    ) -> Option<&mut KvStoreView> {
         self.views
             .iter_mut()
             .find(|view| view.store.address == address)
@@ -135,12 +135,12 @@
     pub fn view_at(
         &mut self,
         index: usize,
-    ) -> Option<&mut StoreView> {
+    ) -> Option<&mut KvStoreView> {
         self.views.get_mut(index)
     }
 
     /// Views of all stores.
-    pub fn views(&self) -> &[StoreView] {
+    pub fn views(&self) -> &[KvStoreView] {
         &self.views
     }
 
@@ -252,11 +252,11 @@
         may_save: &dyn Fn(&KvStore) -> bool,
         now: Micros,
     ) -> Option<SocketAddr> {
-        let is_saved = |view: &StoreView| view.has_or_expects(namespace, part.id, part.tokens);
+        let is_saved = |view: &KvStoreView| view.has_or_expects(namespace, part.id, part.tokens);
         if self.disabled.contains(ServingMechanism::Stores) || self.views.iter().any(is_saved) {
             return None;
         }
-        let mut best: Option<(f64, &mut StoreView)> = None;
+        let mut best: Option<(f64, &mut KvStoreView)> = None;
         for view in &mut self.views {
             if !may_save(&view.store) || !view.can_save(part.tokens, now) {
                 continue;
--- a/core/src/serving/store_uptime.rs
+++ b/core/src/serving/store_uptime.rs
@@ -1,5 +1,5 @@
 use {
-    super::StoreDirectory,
+    super::KvStoreDirectory,
     crate::time::Micros,
     serde::{Deserialize, Serialize},
     std::net::SocketAddr,
@@ -7,7 +7,7 @@
 
 /// Uptime of a store's current incarnation, as one box reports it to another.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct StoreUptime {
+pub struct KvStoreUptime {
     /// Address from which engines fetch.
     pub address: SocketAddr,
     /// Epoch, which identifies the store's incarnation.
@@ -16,12 +16,12 @@
     pub lasted: Micros,
 }
 
-impl StoreDirectory {
+impl KvStoreDirectory {
     /// Uptimes of all stores that have answered.
     pub fn store_uptimes(
         &self,
         now: Micros,
-    ) -> Vec<StoreUptime> {
+    ) -> Vec<KvStoreUptime> {
         let uptimes = self.views().iter().filter_map(|view| view.uptime(now));
         uptimes.collect()
     }
@@ -29,7 +29,7 @@
     /// Records a store's uptime that another box reported; the report arrived at `at`.
     pub fn record_uptime(
         &mut self,
-        uptime: &StoreUptime,
+        uptime: &KvStoreUptime,
         at: Micros,
     ) {
         if let Some(view) = self.view_mut(uptime.address) {
--- a/core/src/serving/store_view.rs
+++ b/core/src/serving/store_view.rs
@@ -1,5 +1,5 @@
 use {
-    super::{KvStore, NamespaceTag, PartId, PartIndex, StoreUptime},
+    super::{KvStore, KvStoreUptime, NamespaceTag, PartId, PartIndex},
     crate::time::Micros,
     std::collections::HashMap,
 };
@@ -12,13 +12,13 @@
 /// view of the previous incarnation is in use any more.
 pub const SAVE_DELAY: Micros = Micros::from_millis(2_400);
 /// Time within which a requested save appears in the store.
-const SAVE_VISIBLE_LIMIT: Micros = Micros::from_secs(3);
+const SAVE_TIMEOUT: Micros = Micros::from_secs(3);
 /// Share of a store's capacity that is filled, in percent; the store rounds blocks up.
 const FILL_PERCENT: u64 = 96;
 
 /// View of one store's content.
 #[derive(Debug, Clone)]
-pub struct StoreView {
+pub struct KvStoreView {
     /// Store that is described.
     pub store: KvStore,
     /// Complete parts.
@@ -31,7 +31,7 @@
     epoch: Option<u64>,
     epoch_seen_at: Micros,
     /// Incarnation reported by another box, and when the report arrived.
-    uptime_report: Option<(StoreUptime, Micros)>,
+    uptime_report: Option<(KvStoreUptime, Micros)>,
     proven_at: Option<Micros>,
     clock: Option<(u64, Micros)>,
     latest_clock: Option<(u64, Micros)>,
@@ -40,10 +40,10 @@
     busy_until: Micros,
 }
 
-impl StoreView {
+impl KvStoreView {
     /// Starts with no knowledge of the store's content.
     pub fn new(store: KvStore) -> Self {
-        StoreView {
+        KvStoreView {
             store,
             parts: PartIndex::default(),
             next_change: None,
@@ -70,14 +70,14 @@
     pub fn uptime(
         &self,
         now: Micros,
-    ) -> Option<StoreUptime> {
+    ) -> Option<KvStoreUptime> {
         let epoch = self.epoch?;
         let seen_for = now.since(self.epoch_seen_at);
         let reported = self
             .uptime_report
             .filter(|(reported, _)| reported.epoch == epoch);
         let reported_for = reported.map(|(reported, at)| reported.lasted + now.since(at));
-        Some(StoreUptime {
+        Some(KvStoreUptime {
             address: self.store.address,
             epoch,
             lasted: reported_for.map_or(seen_for, |reported| reported.max(seen_for)),
@@ -93,7 +93,7 @@
     /// pause of the other box before its answer.
     pub fn record_uptime(
         &mut self,
-        reported: &StoreUptime,
+        reported: &KvStoreUptime,
         at: Micros,
     ) {
         let is_better = match self.uptime_report {
@@ -111,7 +111,7 @@
 
     /// Records an answer to a request sent at `sent_at`. Returns true if it shows a new
     /// incarnation, whose content is unknown.
-    pub fn record_answer(
+    pub fn record_response(
         &mut self,
         epoch: u64,
         clock_ms: Option<u64>,
@@ -264,7 +264,7 @@
     ) {
         let pending_tokens = &mut self.pending_tokens;
         self.pending.retain(|_, (tokens, at)| {
-            let is_pending = now.since(*at) < SAVE_VISIBLE_LIMIT;
+            let is_pending = now.since(*at) < SAVE_TIMEOUT;
             if !is_pending {
                 *pending_tokens -= u64::from(*tokens);
             }
--- a/core/src/serving/suspect_record.rs
+++ b/core/src/serving/suspect_record.rs
@@ -96,7 +96,7 @@
     }
 
     /// Merges the time of a complete answer; true if this clears at least one crash.
-    pub(super) fn merge_answer(
+    pub(super) fn merge_response(
         &mut self,
         answered: Micros,
     ) -> bool {
--- a/core/src/serving/suspect_tracker.rs
+++ b/core/src/serving/suspect_tracker.rs
@@ -103,7 +103,7 @@
     }
 
     /// Records that a request was answered completely; true if this clears it.
-    pub fn record_answer(
+    pub fn record_response(
         &mut self,
         fingerprint: RequestFingerprint,
         now: Micros,
@@ -111,7 +111,7 @@
         let Some(record) = self.records.get_mut(&fingerprint) else {
             return false;
         };
-        let is_cleared = record.merge_answer(now);
+        let is_cleared = record.merge_response(now);
         if is_cleared {
             self.updates.insert(fingerprint, SEND_ROUNDS);
         }
@@ -165,7 +165,7 @@
         let record = self.records.get_mut(&report.fingerprint);
         let answered = report.answered.map(|age| now.since(age));
         if let (Some(record), Some(answered)) = (record, answered) {
-            is_new |= record.merge_answer(answered);
+            is_new |= record.merge_response(answered);
         }
         is_new
     }
@@ -243,7 +243,7 @@
         fingerprint: RequestFingerprint,
         now: Micros,
     ) -> bool {
-        self.record_answer(fingerprint, now)
+        self.record_response(fingerprint, now)
     }
 
     /// Removes expired records and requests that were cleared some time ago.
--- a/core/src/serving/swap_planner.rs
+++ b/core/src/serving/swap_planner.rs
@@ -19,11 +19,11 @@
 const MIN_CONCURRENT_DRAINS: usize = 2;
 const LOADS_PER_DRAIN: usize = 3;
 /// Time given to an engine to finish its long runs before it loads.
-const DRAIN_LIMIT: Micros = Micros::from_millis(1_600);
+const DRAIN_TIMEOUT: Micros = Micros::from_millis(1_600);
 /// Requests that an engine may still run when it is told to load.
 const MAX_RUNNING_AT_LOAD: u32 = 2;
 /// Time after which an engine that was told to load and did not loses its turn.
-const TURN_LIMIT: Micros = Micros::from_secs(7);
+const TURN_TIMEOUT: Micros = Micros::from_secs(7);
 
 /// Published weights, and the engines whose turn it is to load them.
 #[derive(Debug, Clone, Default)]
@@ -127,7 +127,7 @@
         }
     }
 
-    /// Tells engines to load that run few requests or have had [`DRAIN_LIMIT`] to finish them.
+    /// Tells engines to load that run few requests or have had [`DRAIN_TIMEOUT`] to finish them.
     fn start_loads(
         &mut self,
         registry: &EndpointRegistry,
@@ -159,8 +159,9 @@
             let Some(turn) = self.turns.get_mut(&key) else {
                 continue;
             };
-            let is_quiet = running <= MAX_RUNNING_AT_LOAD || now.since(turn.since) >= DRAIN_LIMIT;
-            if count < max_loads && is_quiet {
+            let is_drained =
+                running <= MAX_RUNNING_AT_LOAD || now.since(turn.since) >= DRAIN_TIMEOUT;
+            if count < max_loads && is_drained {
                 turn.is_loading = true;
                 turn.since = now;
                 loading.push(key);
@@ -211,7 +212,7 @@
                 missed_turns.remove(key);
                 return false;
             }
-            let is_over = turn.is_loading && now.since(turn.since) > TURN_LIMIT;
+            let is_over = turn.is_loading && now.since(turn.since) > TURN_TIMEOUT;
             if is_over {
                 *missed_turns.entry(*key).or_default() += 1;
             }
--- a/core/tests/disabled_mechanisms.rs
+++ b/core/tests/disabled_mechanisms.rs
@@ -5,8 +5,8 @@
     pitchhitch_core::{
         serving::{
             pick_endpoint, EndpointChoice, EndpointKey, EndpointNotice, EndpointRegistry,
-            EngineGroup, EngineLoad, KvStore, LatencyEstimator, MechanismSet, NamespaceTag, PartId,
-            PickRequest, PromptInfo, PromptPart, ServingMechanism, StoreDirectory,
+            EngineGroup, EngineLoad, KvStore, KvStoreDirectory, LatencyEstimator, MechanismSet,
+            NamespaceTag, PartId, PickRequest, PromptInfo, PromptPart, ServingMechanism,
             VersionAvailability, WeightBounds, SAVE_DELAY,
         },
         time::Micros,
@@ -74,7 +74,7 @@
         tried: &[EndpointKey],
         disabled: MechanismSet,
     ) -> EndpointChoice {
-        let stores = StoreDirectory::without(disabled);
+        let stores = KvStoreDirectory::without(disabled);
         let group = EngineGroup {
             slots: 128,
             capacity_tokens: MEMORY,
@@ -182,12 +182,12 @@
         max_pending_calls: 12,
     };
     let saved = |disabled| {
-        let mut stores = StoreDirectory::without(disabled);
+        let mut stores = KvStoreDirectory::without(disabled);
         stores.set_stores(std::slice::from_ref(&store));
         let later = NOW + SAVE_DELAY + Micros(1);
         let view = stores.view_mut(store.address).expect("view");
-        view.record_answer(1, Some(1), NOW, NOW);
-        view.record_answer(1, Some(1), later, later);
+        view.record_response(1, Some(1), NOW, NOW);
+        view.record_response(1, Some(1), later, later);
         let saves = stores.plan_saves(NAMESPACE, &prompt(3).parts, &|_| true, later);
         saves.into_iter().flatten().count()
     };
--- a/core/tests/early_saves.rs
+++ b/core/tests/early_saves.rs
@@ -9,7 +9,7 @@
 
 use {
     pitchhitch_core::{
-        serving::{StoreDirectory, StoreUptime, StoreView, SAVE_DELAY, VIEW_TTL},
+        serving::{KvStoreDirectory, KvStoreUptime, KvStoreView, SAVE_DELAY, VIEW_TTL},
         time::Micros,
     },
     proptest::prelude::*,
@@ -81,23 +81,23 @@
     PeerReply {
         to: usize,
         incarnation: u64,
-        reports: Vec<StoreUptime>,
+        reports: Vec<KvStoreUptime>,
     },
 }
 
 struct SimFront {
-    map: StoreDirectory,
+    map: KvStoreDirectory,
     incarnation: u64,
 }
 
 impl SimFront {
     fn start(incarnation: u64) -> Self {
-        let mut map = StoreDirectory::default();
+        let mut map = KvStoreDirectory::default();
         map.set_stores(&[store()]);
         SimFront { map, incarnation }
     }
 
-    fn view(&mut self) -> &mut StoreView {
+    fn view(&mut self) -> &mut KvStoreView {
         self.map.view_mut(address()).expect("view")
     }
 }
@@ -194,7 +194,7 @@
             } => {
                 let front = &mut self.fronts[to];
                 if front.incarnation == incarnation {
-                    front.view().record_answer(epoch, Some(1), sent_at, now);
+                    front.view().record_response(epoch, Some(1), sent_at, now);
                 }
             }
             Message::PeerQuery {
--- a/core/tests/endpoint_pick.rs
+++ b/core/tests/endpoint_pick.rs
@@ -6,8 +6,8 @@
     fleet_fixture::{part, prompt, Fleet, NOW},
     pitchhitch_core::{
         serving::{
-            EndpointKey, LatencyEstimator, PartLocation, PendingPrefill, PromptInfo,
-            StoreDirectory, SwapStage, WeightBounds,
+            EndpointKey, KvStoreDirectory, LatencyEstimator, PartLocation, PendingPrefill,
+            PromptInfo, SwapStage, WeightBounds,
         },
         time::Micros,
     },
@@ -187,7 +187,7 @@
         assert_eq!(place, Some(PartLocation::Store(0)));
     }
     // Parts that are not expected to be fetched add nothing to the queue of the store.
-    let wait = |stores: &StoreDirectory| stores.views()[0].fetch_ms(0, NOW);
+    let wait = |stores: &KvStoreDirectory| stores.views()[0].fetch_ms(0, NOW);
     let before = wait(&fleet.stores);
     fleet.stores.record_fetches(&choice.plan, NOW);
     assert_eq!(wait(&fleet.stores), before);
--- a/core/tests/fleet_fixture/mod.rs
+++ b/core/tests/fleet_fixture/mod.rs
@@ -4,8 +4,9 @@
     pitchhitch_core::{
         serving::{
             pick_endpoint, EndpointChoice, EndpointKey, EndpointNotice, EndpointRegistry,
-            EngineGroup, EngineLoad, KvStore, LatencyEstimator, MechanismSet, NamespaceTag, PartId,
-            PickRequest, PromptInfo, PromptPart, StoreDirectory, VersionAvailability, WeightBounds,
+            EngineGroup, EngineLoad, KvStore, KvStoreDirectory, LatencyEstimator, MechanismSet,
+            NamespaceTag, PartId, PickRequest, PromptInfo, PromptPart, VersionAvailability,
+            WeightBounds,
         },
         time::Micros,
     },
@@ -17,7 +18,7 @@
 
 pub struct Fleet {
     pub registry: EndpointRegistry,
-    pub stores: StoreDirectory,
+    pub stores: KvStoreDirectory,
     pub bounds: WeightBounds,
     /// Engines with an open connection; `None` for all.
     pub connected: Option<BTreeSet<EndpointKey>>,
@@ -54,7 +55,7 @@
     pub fn new() -> Self {
         let mut fleet = Fleet {
             registry: EndpointRegistry::default(),
-            stores: StoreDirectory::default(),
+            stores: KvStoreDirectory::default(),
             bounds: WeightBounds::default(),
             connected: None,
         };
@@ -120,7 +121,7 @@
             max_pending_calls: 12,
         }]);
         let view = self.stores.view_mut(address).expect("view");
-        view.record_answer(5, Some(1_000), NOW, NOW);
+        view.record_response(5, Some(1_000), NOW, NOW);
         for shared in &prompt().parts[..2] {
             view.set_part(NAMESPACE, shared.id, shared.tokens);
         }
--- a/core/tests/fleet_sim/mod.rs
+++ b/core/tests/fleet_sim/mod.rs
@@ -3,7 +3,7 @@
 use {
     pitchhitch_core::{
         serving::{
-            FetchCompletion, KnownWeights, KvStore, PartId, ReclaimState, StoreView, SwapPlanner,
+            FetchCompletion, KnownWeights, KvStore, KvStoreView, PartId, ReclaimState, SwapPlanner,
         },
         time::Micros,
     },
@@ -123,7 +123,7 @@
     planner: SwapPlanner,
     reads: FetchCompletion,
     known_weights: Vec<KnownWeights>,
-    view: StoreView,
+    view: KvStoreView,
     proven_at: Option<Micros>,
     /// Reports not processed yet: engine index, weight version and engine clock.
     inbox: Vec<(usize, u64, u64)>,
@@ -139,7 +139,7 @@
                 .iter()
                 .map(|engine| known_weights(engine.version))
                 .collect(),
-            view: StoreView::new(KvStore {
+            view: KvStoreView::new(KvStore {
                 name: "s".to_string(),
                 address: ([10, 9, 0, 1], 1).into(),
                 domain: "a".to_string(),
@@ -171,7 +171,7 @@
         // The reply was delayed by one poll interval.
         let sent_at = at(now.saturating_sub(POLL_MS));
         self.view
-            .record_answer(1, Some(CLOCK_MS + now - STEP_MS), sent_at, at(now));
+            .record_response(1, Some(CLOCK_MS + now - STEP_MS), sent_at, at(now));
     }
 }
 
--- a/core/tests/store_clock.rs
+++ b/core/tests/store_clock.rs
@@ -13,20 +13,23 @@
 fn held_answer_dated() {
     let mut clock = StoreClock::default();
     assert_eq!(
-        clock.earliest_answer_time(ms(100), Some(7_002), ms(104)),
+        clock.earliest_response_time(ms(100), Some(7_002), ms(104)),
         ms(100)
     );
     // Held for a second: the answer proves the content a moment before it arrived.
-    let proven = clock.earliest_answer_time(ms(105), Some(8_007), ms(1_109));
+    let proven = clock.earliest_response_time(ms(105), Some(8_007), ms(1_109));
     assert!(proven >= ms(1_100) && proven <= ms(1_107), "{proven:?}");
 }
 
 #[test]
 fn untold_clock_unused() {
     let mut clock = StoreClock::default();
-    assert_eq!(clock.earliest_answer_time(ms(100), None, ms(104)), ms(100));
     assert_eq!(
-        clock.earliest_answer_time(ms(105), None, ms(1_109)),
+        clock.earliest_response_time(ms(100), None, ms(104)),
+        ms(100)
+    );
+    assert_eq!(
+        clock.earliest_response_time(ms(105), None, ms(1_109)),
         ms(105)
     );
 }
@@ -34,10 +37,10 @@
 #[test]
 fn reset_forgets() {
     let mut clock = StoreClock::default();
-    clock.earliest_answer_time(ms(100), Some(7_002), ms(104));
+    clock.earliest_response_time(ms(100), Some(7_002), ms(104));
     clock.reset();
     assert_eq!(
-        clock.earliest_answer_time(ms(105), Some(8_007), ms(1_109)),
+        clock.earliest_response_time(ms(105), Some(8_007), ms(1_109)),
         ms(105)
     );
 }
@@ -63,7 +66,7 @@
             let given = sent + (there + hold) * 1_000;
             local_us = given + back * 1_000;
             let store_us = zero * 1_000 + given + given * drift_ppm / 1_000_000;
-            let proven = clock.earliest_answer_time(Micros(sent), Some(store_us / 1_000), Micros(local_us));
+            let proven = clock.earliest_response_time(Micros(sent), Some(store_us / 1_000), Micros(local_us));
             prop_assert!(proven.0 >= sent);
             let drifted = 100_000_000 * drift_ppm / 1_000_000;
             prop_assert!(proven.0 <= given + drifted, "{} after {given}", proven.0);
--- a/core/tests/store_uptimes.rs
+++ b/core/tests/store_uptimes.rs
@@ -4,7 +4,7 @@
 
 use {
     pitchhitch_core::{
-        serving::{StoreDirectory, StoreUptime, StoreView, SAVE_DELAY},
+        serving::{KvStoreDirectory, KvStoreUptime, KvStoreView, SAVE_DELAY},
         time::Micros,
     },
     store_fixture::{address, at, store, PORT, START},
@@ -13,8 +13,8 @@
 fn uptime(
     epoch: u64,
     lasted: Micros,
-) -> StoreUptime {
-    StoreUptime {
+) -> KvStoreUptime {
+    KvStoreUptime {
         address: address(),
         epoch,
         lasted,
@@ -26,13 +26,13 @@
 #[test]
 fn reported_uptime_saves_at_once() {
     let long = uptime(1, SAVE_DELAY + Micros(1));
-    let mut before = StoreView::new(store());
+    let mut before = KvStoreView::new(store());
     before.record_uptime(&long, START);
     assert!(!before.can_save(10, START), "it has not answered");
-    before.record_answer(1, Some(1), START, START);
+    before.record_response(1, Some(1), START, START);
     assert!(before.can_save(10, START));
-    let mut after = StoreView::new(store());
-    after.record_answer(1, Some(1), START, START);
+    let mut after = KvStoreView::new(store());
+    after.record_response(1, Some(1), START, START);
     assert!(!after.can_save(10, START));
     after.record_uptime(&long, START);
     assert!(after.can_save(10, START));
@@ -43,9 +43,9 @@
 #[test]
 fn other_epoch_proves_nothing() {
     let hours = Micros::from_secs(7_200);
-    let mut view = StoreView::new(store());
+    let mut view = KvStoreView::new(store());
     view.record_uptime(&uptime(1, hours), START);
-    view.record_answer(2, Some(1), START, START);
+    view.record_response(2, Some(1), START, START);
     assert!(!view.can_save(10, START));
     view.record_uptime(&uptime(2, hours), START);
     view.record_uptime(&uptime(1, hours + hours), START);
@@ -53,18 +53,18 @@
         view.can_save(10, START),
         "the report of the previous epoch changes nothing"
     );
-    view.record_answer(3, Some(1), START, START);
+    view.record_response(3, Some(1), START, START);
     assert!(!view.can_save(10, START));
     let waited = START + SAVE_DELAY + Micros(1);
-    view.record_answer(3, Some(1), waited, waited);
+    view.record_response(3, Some(1), waited, waited);
     assert!(view.can_save(10, waited));
 }
 
 /// The greater of two minimum uptimes counts, and both continue to grow.
 #[test]
 fn greatest_counts() {
-    let mut view = StoreView::new(store());
-    view.record_answer(1, Some(1), START, START);
+    let mut view = KvStoreView::new(store());
+    view.record_response(1, Some(1), START, START);
     view.record_uptime(&uptime(1, at(900)), START);
     view.record_uptime(&uptime(1, at(300)), START + at(100));
     let later = START + at(500);
@@ -75,7 +75,7 @@
 
 #[test]
 fn uptimes_by_address() {
-    let mut directory = StoreDirectory::default();
+    let mut directory = KvStoreDirectory::default();
     directory.set_stores(&[store()]);
     let hours = Micros::from_secs(7_200);
     directory.record_uptime(&uptime(1, hours), START);
@@ -84,13 +84,13 @@
         Vec::new(),
         "it has not answered here"
     );
-    let other = StoreUptime {
+    let other = KvStoreUptime {
         address: ([10, 9, 0, 2], PORT).into(),
         ..uptime(2, hours)
     };
     directory.record_uptime(&other, START);
     let view = directory.view_mut(address()).expect("view");
-    view.record_answer(1, Some(1), START, START);
+    view.record_response(1, Some(1), START, START);
     assert_eq!(
         directory.store_uptimes(START + at(5)),
         vec![uptime(1, hours + at(5))]
--- a/core/tests/store_view.rs
+++ b/core/tests/store_view.rs
@@ -2,8 +2,8 @@
 
 use pitchhitch_core::{
     serving::{
-        transfer_ms, CacheNamespace, KvStore, NamespaceTag, PartId, PromptPart, StoreDirectory,
-        StoreView, SAVE_DELAY, VIEW_TTL,
+        transfer_ms, CacheNamespace, KvStore, KvStoreDirectory, KvStoreView, NamespaceTag, PartId,
+        PromptPart, SAVE_DELAY, VIEW_TTL,
     },
     time::Micros,
 };
@@ -37,9 +37,9 @@
 
 #[test]
 fn old_view_unused() {
-    let mut view = StoreView::new(store(1, 1_000));
+    let mut view = KvStoreView::new(store(1, 1_000));
     assert_eq!(view.fetch_until_ms(START), None);
-    view.record_answer(1, Some(50_000), START, START);
+    view.record_response(1, Some(50_000), START, START);
     let until = view.fetch_until_ms(START + Micros::from_millis(500));
     assert_eq!(until, Some(50_000 + VIEW_TTL.as_millis()));
     assert_eq!(view.fetch_until_ms(START + VIEW_TTL), None);
@@ -49,9 +49,9 @@
 /// that polls at once for a missing clock would never stop.
 #[test]
 fn age_makes_stale() {
-    let mut view = StoreView::new(store(1, 1_000));
+    let mut view = KvStoreView::new(store(1, 1_000));
     assert!(!view.is_stale(START), "nothing is known yet");
-    view.record_answer(1, None, START, START);
+    view.record_response(1, None, START, START);
     assert_eq!(view.fetch_until_ms(START), None);
     assert!(!view.is_stale(START + Micros::from_millis(100)));
     assert!(view.is_stale(START + VIEW_TTL));
@@ -61,21 +61,21 @@
 
 #[test]
 fn lost_store_unused() {
-    let mut view = StoreView::new(store(1, 1_000));
-    view.record_answer(1, Some(50_000), START, START);
+    let mut view = KvStoreView::new(store(1, 1_000));
+    view.record_response(1, Some(50_000), START, START);
     view.mark_unreachable();
     assert_eq!(view.fetch_until_ms(START), None);
 }
 
 #[test]
 fn restart_empties() {
-    let mut view = StoreView::new(store(1, 1_000));
-    assert!(view.record_answer(1, Some(1), START, START));
+    let mut view = KvStoreView::new(store(1, 1_000));
+    assert!(view.record_response(1, Some(1), START, START));
     let id = part("aa", 100).id;
     view.set_part(NAMESPACE, id, 100);
-    assert!(!view.record_answer(1, Some(2), START, START));
+    assert!(!view.record_response(1, Some(2), START, START));
     assert_eq!(view.parts.cached_tokens(NAMESPACE, id), 100);
-    assert!(view.record_answer(2, Some(3), START, START));
+    assert!(view.record_response(2, Some(3), START, START));
     assert_eq!(view.parts.cached_tokens(NAMESPACE, id), 0);
 }
 
@@ -84,22 +84,22 @@
 #[test]
 fn saves_wait_out_views() {
     assert!(SAVE_DELAY > VIEW_TTL);
-    let mut view = StoreView::new(store(1, 1_000));
-    view.record_answer(1, Some(1), START, START);
+    let mut view = KvStoreView::new(store(1, 1_000));
+    view.record_response(1, Some(1), START, START);
     assert!(!view.can_save(10, START + VIEW_TTL));
     let later = START + SAVE_DELAY + Micros(1);
-    view.record_answer(1, Some(1), later, later);
+    view.record_response(1, Some(1), later, later);
     assert!(view.can_save(10, later));
-    view.record_answer(2, Some(1), later, later);
+    view.record_response(2, Some(1), later, later);
     assert!(!view.can_save(10, later));
 }
 
 #[test]
 fn full_store_refuses() {
-    let mut view = StoreView::new(store(1, 1_000));
-    view.record_answer(1, Some(1), START, START);
+    let mut view = KvStoreView::new(store(1, 1_000));
+    view.record_response(1, Some(1), START, START);
     let later = START + SAVE_DELAY + Micros(1);
-    view.record_answer(1, Some(1), later, later);
+    view.record_response(1, Some(1), later, later);
     view.set_part(NAMESPACE, part("aa", 1).id, 900);
     assert!(view.can_save(60, later) && !view.can_save(61, later));
     view.record_save(NAMESPACE, part("bb", 1).id, 50, later);
@@ -110,18 +110,18 @@
 
 #[test]
 fn saved_once() {
-    let mut map = StoreDirectory::default();
+    let mut map = KvStoreDirectory::default();
     map.set_stores(&[store(1, 100_000), store(2, 100_000)]);
     for address in [store(1, 0).address, store(2, 0).address] {
         map.view_mut(address)
             .expect("view")
-            .record_answer(1, Some(1), START, START);
+            .record_response(1, Some(1), START, START);
     }
     let later = START + SAVE_DELAY + Micros(1);
     for address in [store(1, 0).address, store(2, 0).address] {
         map.view_mut(address)
             .expect("view")
-            .record_answer(1, Some(1), later, later);
+            .record_response(1, Some(1), later, later);
     }
     let parts = [part("aa", 500), part("bb", 8_000), part("cc", 900)];
     let saves = map.plan_saves(NAMESPACE, &parts, &|_| true, later);
@@ -144,13 +144,13 @@
         link_mbps: 28_000.0,
         ..store(2, 7_000_000)
     };
-    let mut map = StoreDirectory::default();
+    let mut map = KvStoreDirectory::default();
     map.set_stores(&[quick.clone(), slow.clone()]);
     let later = START + SAVE_DELAY + Micros(1);
     for at in [START, later] {
         for store in [&quick, &slow] {
             let view = map.view_mut(store.address).expect("view");
-            view.record_answer(1, Some(1), at, at);
+            view.record_response(1, Some(1), at, at);
         }
     }
     let mut link_ms = [0.0, 0.0];
@@ -169,7 +169,7 @@
 
 #[test]
 fn known_content_kept() {
-    let mut map = StoreDirectory::default();
+    let mut map = KvStoreDirectory::default();
     map.set_stores(&[store(1, 1_000)]);
     let id = part("aa", 1).id;
     map.view_mut(store(1, 0).address)
--- a/core/tests/suspect_tracker.rs
+++ b/core/tests/suspect_tracker.rs
@@ -157,7 +157,7 @@
     ];
     let mut tracker = crashed(&crashes);
     let answered = Micros::from_millis(2_500);
-    assert!(tracker.record_answer(named("a"), answered));
+    assert!(tracker.record_response(named("a"), answered));
     assert_eq!(status_at(&tracker, answered), SuspectStatus::Clear);
     // For a while, crashes of engines have another cause.
     tracker.record_crash(named("a"), crash(4, 3_000, 3_100));
@@ -172,7 +172,7 @@
 #[test]
 fn cleared_is_forgotten() {
     let mut tracker = crashed(&[crash(1, 100, 200)]);
-    tracker.record_answer(named("a"), Micros::from_millis(300));
+    tracker.record_response(named("a"), Micros::from_millis(300));
     tracker.prune(Micros::from_secs(10));
     assert_eq!(tracker.len(), 1);
     tracker.prune(Micros::from_secs(21));
--- a/entry/src/front/caller_conn.rs
+++ b/entry/src/front/caller_conn.rs
@@ -213,7 +213,7 @@
 ) {
     let response = kind.response();
     log::info!(event = "refused", kind = response.code, status = response.status; "");
-    front.metrics.count("refused", response.code);
+    front.metrics.increment("refused", response.code);
     let bytes = encode_refusal(kind, &response, "", true);
     // A caller that does not read its refusal in time does not get it.
     let _ = with_timeout(REFUSAL_WRITE_TIMEOUT, connection.write_all(&bytes)).await;
--- a/entry/src/front/digest_receiver.rs
+++ b/entry/src/front/digest_receiver.rs
@@ -1,6 +1,6 @@
 use {
     super::{
-        apply_store_update, handle_endpoint_changes, is_engine, reader_id, update_weights,
+        apply_kv_store_update, handle_endpoint_changes, is_engine, reader_id, update_weights,
         FrontContext, FrontState, TableProofs,
     },
     pitchhitch_core::{
@@ -48,7 +48,7 @@
         }
         if socket.rejected_count() != rejected {
             rejected = socket.rejected_count();
-            front.metrics.count("digests", "stranger");
+            front.metrics.increment("digests", "stranger");
         }
     }
 }
@@ -144,7 +144,7 @@
         state.key_freshness.record_confirmed_read(at);
     }
     for update in &digest.stores {
-        apply_store_update(state, update, max_delay, now);
+        apply_kv_store_update(state, update, max_delay, now);
     }
 }
 
@@ -172,10 +172,10 @@
     let is_engine = service.is_some_and(|service| service.engine.is_some());
     // Until the list has been read, every engine would appear to be unlisted.
     if !is_own || !is_engine || !state.has_list || state.registry.len() >= MAX_ENDPOINTS {
-        front.metrics.count("announcements", "refused");
+        front.metrics.increment("announcements", "refused");
         return None;
     }
-    front.metrics.count("announcements", "taken");
+    front.metrics.increment("announcements", "taken");
     state.registry.apply(&EndpointNotice {
         is_away: true,
         weights: digest.weights.clone(),
@@ -205,7 +205,7 @@
     }
     let order = key.map(|key| state.registry.observe_incarnation(key, digest.born, now));
     if order == Some(IncarnationOrder::Earlier) {
-        front.metrics.count("digests", "earlier-life");
+        front.metrics.increment("digests", "earlier-life");
         return None;
     }
     state
@@ -218,12 +218,12 @@
         .then(|| EndpointChange::Restarts(entry.id.clone()));
     match record_position(entry, &digest, now) {
         DigestOrder::Overtaken => {
-            front.metrics.count("digests", "overtaken");
+            front.metrics.increment("digests", "overtaken");
             return change;
         }
         DigestOrder::Gap => {
             // The next greeting requests all cached parts again.
-            front.metrics.count("digests", "gap");
+            front.metrics.increment("digests", "gap");
             entry.is_mirrored = false;
             state.wants_suspects = true;
         }
@@ -248,7 +248,7 @@
         if !state.suspects.merge(report, now) {
             continue;
         }
-        front.metrics.count("suspects", "told");
+        front.metrics.increment("suspects", "told");
         let is_held = state.suspects.is_held(report.fingerprint, now);
         if is_held != was_held {
             if was_held {
--- a/entry/src/front/evacuations.rs
+++ b/entry/src/front/evacuations.rs
@@ -36,6 +36,6 @@
             source = source;
             ""
         );
-        front.metrics.count("evacuations", change_name);
+        front.metrics.increment("evacuations", change_name);
     }
 }
--- a/entry/src/front/exit_probe.rs
+++ b/entry/src/front/exit_probe.rs
@@ -118,7 +118,7 @@
     let Some(address) = front.state().registry.get(key).map(|entry| entry.address) else {
         return false;
     };
-    front.metrics.count("links", "probes");
+    front.metrics.increment("links", "probes");
     let mut connection = match TcpConnection::connect(address, to_duration(PROBE_TIMEOUT)).await {
         Ok(connection) => connection,
         Err(error) => return is_refusal(error.kind()),
--- a/entry/src/front/foreign_rows.rs
+++ b/entry/src/front/foreign_rows.rs
@@ -27,7 +27,7 @@
         key: &str,
         error: &RowError,
     ) {
-        front.metrics.count("foreign_rows", self.table);
+        front.metrics.increment("foreign_rows", self.table);
         let has_capacity = self.keys.len() < MAX_KEYS;
         if !has_capacity || !self.keys.insert(key.to_string()) {
             return;
--- a/entry/src/front/front_metrics.rs
+++ b/entry/src/front/front_metrics.rs
@@ -19,7 +19,7 @@
 
 impl FrontMetrics {
     /// Increments the counter of a label.
-    pub fn count(
+    pub fn increment(
         &self,
         name: &'static str,
         label: &str,
--- a/entry/src/front/front_process.rs
+++ b/entry/src/front/front_process.rs
@@ -114,7 +114,7 @@
         if let Some(gap) = gap {
             front.state().wants_suspects = true;
             log::warn!(event = "stood-still", gap_ms = gap.as_millis(); "");
-            front.metrics.count("standstills", "seen");
+            front.metrics.increment("standstills", "seen");
         }
         flush_log();
         Timer::after(to_duration(TICK)).await;
--- a/entry/src/front/front_settings.rs
+++ b/entry/src/front/front_settings.rs
@@ -33,7 +33,7 @@
     /// Key that authenticates state snapshots, if a secret is set.
     pub peer_key: Option<BeaconKey>,
     /// Port of the engine agents.
-    pub beside_port: u16,
+    pub agent_port: u16,
     /// Address of the platform store.
     pub store: SocketAddr,
     /// Age up to which the known keys count as fresh.
@@ -140,7 +140,7 @@
             control: reader.optional_address("control"),
             seeds: seeds.unwrap_or_default(),
             peer_key: secret.map(|secret| BeaconKey::from_secret(&secret)),
-            beside_port: reader.number("beside_port", 7_700, 1..=65_535) as u16,
+            agent_port: reader.number("beside_port", 7_700, 1..=65_535) as u16,
             store: reader.address("store"),
             key_limit: Micros(key_limit.0 * KEY_LIMIT_PERCENT / 100),
             key_policy: match fails_closed {
--- a/entry/src/front/front_state.rs
+++ b/entry/src/front/front_state.rs
@@ -3,8 +3,8 @@
     pitchhitch_core::{
         serving::{
             AdmissionController, CacheNamespace, EndpointEntry, EndpointKey, EndpointRegistry,
-            EraTracker, EvacuationSet, FetchCompletion, KeyFreshness, LatencyEstimator,
-            NamespaceTag, PauseDetector, ProvenTable, RetryWindow, ServingConfig, StoreDirectory,
+            EraTracker, EvacuationSet, FetchCompletion, KeyFreshness, KvStoreDirectory,
+            LatencyEstimator, NamespaceTag, PauseDetector, ProvenTable, RetryWindow, ServingConfig,
             StoreEra, SuspectTracker, SwapPlanner, TrialTable, REWRITE_DELAY,
         },
         time::Micros,
@@ -55,7 +55,7 @@
     /// Estimates of how fast engines process prompts.
     pub latency_estimator: LatencyEstimator,
     /// KV stores and their known content.
-    pub store_directory: StoreDirectory,
+    pub kv_store_directory: KvStoreDirectory,
     /// Time before which all fetches of the engines have completed.
     pub fetch_completion: FetchCompletion,
     /// Published weights and the engines whose turn it is to load them.
@@ -111,7 +111,7 @@
             evacuations: EvacuationSet::default(),
             admission: AdmissionController::without(settings.disabled_mechanisms),
             latency_estimator: LatencyEstimator::without(settings.disabled_mechanisms),
-            store_directory: StoreDirectory::without(settings.disabled_mechanisms),
+            kv_store_directory: KvStoreDirectory::without(settings.disabled_mechanisms),
             fetch_completion: FetchCompletion::default(),
             planner: SwapPlanner::default(),
             pool: ConnectionPool::default(),
@@ -192,7 +192,7 @@
         &self,
         now: Micros,
     ) -> bool {
-        self.pause_detector.has_just_resumed(now) && self.store_directory.is_stale(now)
+        self.pause_detector.has_just_resumed(now) && self.kv_store_directory.is_stale(now)
     }
 
     /// Whether the process has just started and still expects reports of requests during which
--- a/entry/src/front/greeting_sender.rs
+++ b/entry/src/front/greeting_sender.rs
@@ -96,7 +96,7 @@
             ""
         );
         if let Some(entry) = state.registry.get(*key) {
-            let to = SocketAddr::new(entry.address.ip(), front.settings.beside_port);
+            let to = SocketAddr::new(entry.address.ip(), front.settings.agent_port);
             state.greetings.request(to);
         }
     }
@@ -129,7 +129,7 @@
     let count = engines.len();
     let mut greetings = Vec::new();
     for (index, (address, key)) in engines.iter().enumerate() {
-        let to = SocketAddr::new(address.ip(), front.settings.beside_port);
+        let to = SocketAddr::new(address.ip(), front.settings.agent_port);
         let is_receiver = receivers.contains(&index);
         let is_urgent = needs_urgent_greeting(state, *key);
         if !is_receiver && !state.greetings.is_due(to, count, is_urgent, now) {
--- a/entry/src/front/held_rows.rs
+++ b/entry/src/front/held_rows.rs
@@ -82,7 +82,7 @@
         };
         // A row of another program contains no request.
         let Ok(held) = decode_body::<HeldRow>(bytes) else {
-            front.metrics.count("foreign_rows", "held");
+            front.metrics.increment("foreign_rows", "held");
             continue;
         };
         let age = Micros::from_secs(unix_seconds().saturating_sub(held.wall_secs));
--- a/entry/src/front/kv_store_watch.rs
+++ b/entry/src/front/kv_store_watch.rs
@@ -1,12 +1,12 @@
 use {
     super::{reclaim_outdated_parts, FrontContext, FrontState},
     pitchhitch_core::{
-        serving::{PollPlan, StoreView},
+        serving::{KvStoreView, PollPlan},
         time::Micros,
     },
     pitchhitch_platform::{KvChange, KvClient, KvError},
     pitchhitch_process::to_duration,
-    pitchhitch_wire::engine_agent::StoreUpdate,
+    pitchhitch_wire::engine_agent::KvStoreUpdate,
     smol::Timer,
     std::{collections::HashSet, net::SocketAddr, rc::Rc, time::Duration},
 };
@@ -43,7 +43,7 @@
         let known: Vec<SocketAddr> = {
             let state = front.state();
             state
-                .store_directory
+                .kv_store_directory
                 .views()
                 .iter()
                 .map(|view| view.store.address)
@@ -102,11 +102,11 @@
                 Micros::ZERO
             }
             PollOutcome::Busy => {
-                front.metrics.count("kept_store", "busy");
+                front.metrics.increment("kept_store", "busy");
                 BUSY_RETRY_DELAY
             }
             PollOutcome::Unreachable => {
-                with_view(&front, address, StoreView::mark_unreachable);
+                with_view(&front, address, KvStoreView::mark_unreachable);
                 plan.pause
             }
         };
@@ -134,7 +134,7 @@
 ) -> Option<Micros> {
     let now = front.now();
     let mut state = front.state();
-    let reported_at = state.store_directory.view_mut(address)?.reported_at?;
+    let reported_at = state.kv_store_directory.view_mut(address)?.reported_at?;
     let time_left = (reported_at + REPORT_TTL).since(now);
     (time_left > Micros::ZERO).then_some(time_left)
 }
@@ -143,7 +143,11 @@
     front: &FrontContext,
     address: SocketAddr,
 ) -> Option<u64> {
-    front.state().store_directory.view_mut(address)?.next_change
+    front
+        .state()
+        .kv_store_directory
+        .view_mut(address)?
+        .next_change
 }
 
 fn set_next_change(
@@ -156,13 +160,13 @@
 
 /// Applies another process's read of a KV store, delayed by at most `max_delay`. If there is a gap
 /// before it, the store is polled instead.
-pub(super) fn apply_store_update(
+pub(super) fn apply_kv_store_update(
     state: &mut FrontState,
-    update: &StoreUpdate,
+    update: &KvStoreUpdate,
     max_delay: Micros,
     now: Micros,
 ) {
-    let Some(view) = state.store_directory.view_mut(update.store) else {
+    let Some(view) = state.kv_store_directory.view_mut(update.store) else {
         return;
     };
     let next_change = view
@@ -190,7 +194,7 @@
 ) -> Option<PollPlan> {
     let mut state = front.state();
     let fronts = state.fronts;
-    let view = state.store_directory.view_mut(address)?;
+    let view = state.kv_store_directory.view_mut(address)?;
     Some(view.store.poll_plan(fronts))
 }
 
@@ -199,7 +203,7 @@
     front: &FrontContext,
     address: SocketAddr,
 ) -> bool {
-    front.state().store_directory.view_mut(address).is_some()
+    front.state().kv_store_directory.view_mut(address).is_some()
 }
 
 /// Whether the response is already outdated on arrival, because it was buffered on the connection
@@ -210,16 +214,16 @@
 ) -> bool {
     let now = front.now();
     let mut state = front.state();
-    let view = state.store_directory.view_mut(address);
+    let view = state.kv_store_directory.view_mut(address);
     view.is_some_and(|view| view.is_stale(now))
 }
 
 fn with_view(
     front: &FrontContext,
     address: SocketAddr,
-    change: impl FnOnce(&mut StoreView),
+    change: impl FnOnce(&mut KvStoreView),
 ) {
-    if let Some(view) = front.state().store_directory.view_mut(address) {
+    if let Some(view) = front.state().kv_store_directory.view_mut(address) {
         change(view);
     }
 }
@@ -238,7 +242,7 @@
         Err(KvError::Unavailable) => return PollOutcome::Unreachable,
     };
     let mut state = front.state();
-    let Some(view) = state.store_directory.view_mut(address) else {
+    let Some(view) = state.kv_store_directory.view_mut(address) else {
         return PollOutcome::Unreachable;
     };
     if view.epoch() != Some(changes.epoch) || changes.has_gap {
@@ -246,7 +250,7 @@
         view.mark_unreachable();
         return PollOutcome::Reset;
     }
-    view.record_answer(changes.epoch, changes.clock_ms, sent_at, front.now());
+    view.record_response(changes.epoch, changes.clock_ms, sent_at, front.now());
     drop(state);
     apply_parts(front, address, &changes.changes);
     PollOutcome::Changes(changes.next)
@@ -263,7 +267,7 @@
     };
     let now = front.now();
     with_view(front, address, |view| {
-        view.record_answer(full_list.epoch, None, sent_at, now);
+        view.record_response(full_list.epoch, None, sent_at, now);
         view.parts.clear();
     });
     log::info!(
@@ -286,7 +290,7 @@
     let mut state = front.state();
     for change in changes {
         let tag = state.namespace_tag(&change.salt);
-        if let Some(view) = state.store_directory.view_mut(address) {
+        if let Some(view) = state.kv_store_directory.view_mut(address) {
             view.set_part(tag, change.id, change.tokens);
         }
     }
--- a/entry/src/front/list_watch.rs
+++ b/entry/src/front/list_watch.rs
@@ -22,7 +22,7 @@
 /// Interval at which returned endpoints are probed and outdated state is removed.
 const MAINTENANCE_INTERVAL: Micros = Micros::from_millis(400);
 /// Duration from which on a read indicates a slow store.
-const SLOW_READ: Micros = Micros::from_millis(400);
+const SLOW_READ_THRESHOLD: Micros = Micros::from_millis(400);
 
 /// Keeps the endpoint list up to date.
 pub(crate) async fn watch_endpoint_list(front: Rc<FrontContext>) {
@@ -59,7 +59,7 @@
         };
         timeout.record(&read);
         let now = front.now();
-        if read.is_err() || now.since(sent_at) > SLOW_READ {
+        if read.is_err() || now.since(sent_at) > SLOW_READ_THRESHOLD {
             last_problem_at = Some(now);
         }
         let observed = match &read {
@@ -246,7 +246,7 @@
         let born = entry.and_then(|entry| entry.incarnation.born).unwrap_or(0);
         let address = entry.map(|entry| entry.address);
         log::info!(event = "endpoint", endpoint = id.as_str(), standing = status, born = born; "");
-        front.metrics.count("endpoint_changes", status);
+        front.metrics.increment("endpoint_changes", status);
         if let Some(address) = address.filter(|_| status == "restarted") {
             state.fetch_completion.record_restart(address, front.now());
         }
@@ -254,7 +254,7 @@
             begin_slow_start(&mut state, key, None, front.now());
         }
         if let Some(address) = address.filter(|_| status == "leaves") {
-            let to = SocketAddr::new(address.ip(), front.settings.beside_port);
+            let to = SocketAddr::new(address.ip(), front.settings.agent_port);
             state.greetings.request(to);
             front.greeting_due.wake();
         }
--- a/entry/src/front/lost_run.rs
+++ b/entry/src/front/lost_run.rs
@@ -75,7 +75,7 @@
             (true, false) => "ended",
         };
         self.log_lost_run(choice, outcome, lost_at);
-        front.metrics.count("runs_lost", outcome);
+        front.metrics.increment("runs_lost", outcome);
         if outcome == "ended" {
             self.record_crash(choice, fingerprint, lost_at);
         }
--- a/entry/src/front/operator_watch.rs
+++ b/entry/src/front/operator_watch.rs
@@ -54,7 +54,7 @@
                 // The response of a long poll proves which configuration was in force when the
                 // store answered.
                 let proven_at =
-                    store_clock.earliest_answer_time(sent_at, page.store_ms, front.now());
+                    store_clock.earliest_response_time(sent_at, page.store_ms, front.now());
                 apply_rows(&front, page, proven_at, &mut foreign_rows, &mut checksum);
             }),
             Err(error) => {
@@ -233,7 +233,7 @@
         ""
     );
     if is_newer {
-        state.store_directory.set_stores(&config.stores);
+        state.kv_store_directory.set_stores(&config.stores);
         state.config = Some(Rc::new(config));
         state.config_text = text;
     }
--- a/entry/src/front/orphan_engine.rs
+++ b/entry/src/front/orphan_engine.rs
@@ -138,7 +138,7 @@
             target: REPORT_PATH,
             ..HttpRequest::default()
         };
-        front.metrics.count("links", "reports");
+        front.metrics.increment("links", "reports");
         let body = self.client.ok_body(call).await;
         let now = front.now();
         let Some(report) = body.and_then(|body| decode_report(&body, now).ok()) else {
--- a/entry/src/front/part_reclaim.rs
+++ b/entry/src/front/part_reclaim.rs
@@ -66,7 +66,7 @@
             let mut state = front.state();
             for (salt, id) in &parts {
                 let namespace = state.namespace_tag(salt);
-                if let Some(view) = state.store_directory.view_mut(address) {
+                if let Some(view) = state.kv_store_directory.view_mut(address) {
                     view.set_part(namespace, *id, 0);
                 }
             }
@@ -155,7 +155,7 @@
 ) -> Option<u64> {
     let now = front.now();
     let mut state = front.state();
-    state.store_directory.view_mut(address)?.clock_ms(now)
+    state.kv_store_directory.view_mut(address)?.clock_ms(now)
 }
 
 /// Parts at a store whose weights have been replaced.
@@ -181,7 +181,7 @@
     let namespaces = guard.namespaces();
     let state = &mut *guard;
     let (planner, reads) = (&state.planner, &state.fetch_completion);
-    let view = state.store_directory.view_mut(address)?;
+    let view = state.kv_store_directory.view_mut(address)?;
     let epoch = view.epoch()?;
     let clock_ms = view.latest_clock_ms(now);
     let mut parts = Vec::new();
--- a/entry/src/front/peer_state.rs
+++ b/entry/src/front/peer_state.rs
@@ -58,7 +58,7 @@
         weights: state.planner.recent_publications(now),
         endpoints: state.registry.notices(),
         evacuated: state.evacuations.domains().map(str::to_string).collect(),
-        store_uptimes: state.store_directory.store_uptimes(now),
+        store_uptimes: state.kv_store_directory.store_uptimes(now),
     })
 }
 
@@ -169,7 +169,7 @@
         };
         let entries = state.registry.iter().map(|(_, entry)| entry);
         let engines = entries.filter(|entry| is_nearby(entry));
-        let port = front.settings.beside_port;
+        let port = front.settings.agent_port;
         engines
             .map(|entry| SocketAddr::new(entry.address.ip(), port))
             .collect()
@@ -213,7 +213,7 @@
         let entries = state.registry.iter().map(|(_, entry)| entry);
         entries.filter(|entry| is_engine(config, entry))
     });
-    let port = front.settings.beside_port;
+    let port = front.settings.agent_port;
     let listed = engines.map(|entry| SocketAddr::new(entry.address.ip(), port));
     let agents: BTreeSet<SocketAddr> = known.chain(listed).collect();
     agents.into_iter().collect()
@@ -248,7 +248,7 @@
         config_age_ms = age_ms.map_or(-1, |age| age.as_millis() as i64);
         ""
     );
-    front.metrics.count("peer_states", outcome_name);
+    front.metrics.increment("peer_states", outcome_name);
     outcome.is_ok()
 }
 
@@ -297,7 +297,7 @@
     // Recorded together with the publications known to the peer, since parts of replaced weights
     // are not saved.
     for uptime in &received.store_uptimes {
-        state.store_directory.record_uptime(uptime, now);
+        state.kv_store_directory.record_uptime(uptime, now);
     }
     let proven_at = requested_at.since(received.age);
     if state
--- a/entry/src/front/rejoin_probe.rs
+++ b/entry/src/front/rejoin_probe.rs
@@ -37,7 +37,7 @@
         serves = serves;
         ""
     );
-    front.metrics.count("links", "health");
+    front.metrics.increment("links", "health");
     let now = front.now();
     let mut state = front.state();
     let change = state.registry.record_probe(probe.key, serves, now);
--- a/entry/src/front/request_admit.rs
+++ b/entry/src/front/request_admit.rs
@@ -99,7 +99,7 @@
         back_ms = response.retry_after.map_or(-1, |back| back.as_millis() as i64);
         ""
     );
-    front.metrics.count("refused", response.code);
+    front.metrics.increment("refused", response.code);
     let bytes = encode_refusal(refusal.kind, &response, &info.request_id, closes);
     let is_written = with_timeout(REFUSAL_TIMEOUT, caller.write_all(&bytes)).await;
     match (closes, is_written) {
--- a/entry/src/front/request_attempt.rs
+++ b/entry/src/front/request_attempt.rs
@@ -49,7 +49,7 @@
             Some(connection) => connection,
             None => {
                 let address = front.state().registry.get(choice.key)?.address;
-                front.metrics.count("links", "opened");
+                front.metrics.increment("links", "opened");
                 match TcpConnection::connect(address, to_duration(CONNECT_TIMEOUT)).await {
                     Ok(connection) => connection,
                     Err(error) => {
@@ -215,7 +215,7 @@
             AttemptOutcome::Delivered(status) => {
                 self.record_outcome(choice, true);
                 if (200..300).contains(status) {
-                    self.record_answered();
+                    self.record_completed();
                 }
             }
             AttemptOutcome::CallerGone => {}
--- a/entry/src/front/request_choice.rs
+++ b/entry/src/front/request_choice.rs
@@ -221,7 +221,7 @@
         let mut availability = Vec::new();
         for version in versions {
             let namespace = state.namespace_tag(&self.cache_namespace(version).salt());
-            let parts = state.store_directory.locate_parts(
+            let parts = state.kv_store_directory.locate_parts(
                 &state.registry,
                 group,
                 namespace,
--- a/entry/src/front/request_feedback.rs
+++ b/entry/src/front/request_feedback.rs
@@ -37,7 +37,7 @@
                 .get(choice.key)
                 .map_or("", |entry| entry.id.as_str());
             log::warn!(event = "endpoint-out", endpoint = id, cause = "failures"; "");
-            front.metrics.count("endpoints", "out");
+            front.metrics.increment("endpoints", "out");
         }
     }
 
--- a/entry/src/front/request_log.rs
+++ b/entry/src/front/request_log.rs
@@ -83,7 +83,7 @@
             load_age_ms = load.map_or(-1, |load| now.since(load.at).as_millis() as i64);
             ""
         );
-        front.metrics.count("tries", outcome);
+        front.metrics.increment("tries", outcome);
     }
 
     fn published_version(
@@ -127,7 +127,7 @@
             config = self.config.version;
             ""
         );
-        front.metrics.count("requests", outcome);
+        front.metrics.increment("requests", outcome);
         front.metrics.record_time("took", now.since(arrived_at).0);
         if let Some(first) = first {
             front.metrics.record_time("first", first.0);
--- a/entry/src/front/request_transfers.rs
+++ b/entry/src/front/request_transfers.rs
@@ -91,7 +91,7 @@
             let is_store = matches!(source.location, PartLocation::Store(_));
             let mut until = None;
             if let PartLocation::Store(store_index) = source.location {
-                let view = state.store_directory.view_at(store_index);
+                let view = state.kv_store_directory.view_at(store_index);
                 until = view.and_then(|view| view.fetch_until_ms(now));
                 if until.is_none() {
                     // Without a deadline, the engine could start the fetch at any later time.
@@ -109,16 +109,17 @@
             };
         }
         transfers.fetch.resize(prompt.parts.len(), None);
-        state.store_directory.record_fetches(&choice.plan, now);
+        state.kv_store_directory.record_fetches(&choice.plan, now);
         let is_newest = state
             .planner
             .published_version(&prompt.model)
             .is_none_or(|published| version >= published);
         if is_newest {
             let may_store = |store: &KvStore| self.is_region_allowed(&store.domain);
-            let saves = state
-                .store_directory
-                .plan_saves(namespace, &prompt.parts, &may_store, now);
+            let saves =
+                state
+                    .kv_store_directory
+                    .plan_saves(namespace, &prompt.parts, &may_store, now);
             let address = |address| PartAddress {
                 address,
                 tokens: None,
--- a/entry/src/front/request_trial.rs
+++ b/entry/src/front/request_trial.rs
@@ -96,12 +96,12 @@
             left_ms = remaining.as_millis();
             ""
         );
-        self.front.metrics.count("suspects", label);
+        self.front.metrics.increment("suspects", label);
     }
 
     /// Records that the request was answered completely, which shows that it did not crash its
     /// endpoint.
-    pub(super) fn record_answered(&mut self) {
+    pub(super) fn record_completed(&mut self) {
         let front = self.front;
         if front.state().suspects.is_empty() {
             return;
@@ -110,9 +110,9 @@
         let is_cleared = front
             .state()
             .suspects
-            .record_answer(fingerprint, front.now());
+            .record_response(fingerprint, front.now());
         if is_cleared {
-            front.metrics.count("suspects", "cleared");
+            front.metrics.increment("suspects", "cleared");
         }
     }
 }
--- a/entry/src/front/store_contact.rs
+++ b/entry/src/front/store_contact.rs
@@ -13,8 +13,8 @@
 /// Time over which fronts spread their rewrites after the platform store was restored from a
 /// snapshot, and the time added per front: the store accepts some hundred writes a second from all
 /// of them.
-const REWRITE_SPREAD: Micros = Micros::from_millis(2_000);
-const REWRITE_SPREAD_PER_FRONT: Micros = Micros::from_millis(10);
+const REWRITE_JITTER: Micros = Micros::from_millis(2_000);
+const REWRITE_JITTER_PER_FRONT: Micros = Micros::from_millis(10);
 
 /// Logs once when the store becomes unreachable, and once when it is back.
 pub(crate) fn log_store_contact(
@@ -31,7 +31,7 @@
         // The store is reachable and is read again immediately.
         Err(StoreError::EraChanged) | Ok(()) => {}
         Err(error) => {
-            front.metrics.count("store_failures", watch);
+            front.metrics.increment("store_failures", watch);
             if !*is_unreachable {
                 *is_unreachable = true;
                 let error = error.to_string();
@@ -67,7 +67,7 @@
                 writes_again = "held";
                 ""
             );
-            front.metrics.count("store_eras", watch);
+            front.metrics.increment("store_eras", watch);
             // A pending long poll belongs to the previous era.
             front.era_changed.wake();
             front.spawn(schedule_rewrite(front.clone()));
@@ -79,7 +79,7 @@
 /// Has this front's held-back requests written again, after a delay that differs between fronts.
 async fn schedule_rewrite(front: Rc<FrontContext>) {
     let fronts = u64::from(front.state().fronts);
-    let spread = REWRITE_SPREAD.max(Micros(REWRITE_SPREAD_PER_FRONT.0 * fronts));
+    let spread = REWRITE_JITTER.max(Micros(REWRITE_JITTER_PER_FRONT.0 * fronts));
     let fraction = stable_fraction(&front.settings.box_id);
     Timer::after(to_duration(Micros((spread.0 as f64 * fraction) as u64))).await;
     front.state().rewrites_held_row = true;
--- a/entry/src/front/watcher_assignment.rs
+++ b/entry/src/front/watcher_assignment.rs
@@ -30,7 +30,7 @@
         let engines = state.registry.present(|entry| is_engine(config, entry));
         let engines: Vec<EngineCandidate> = engines.into_keys().map(EngineCandidate::new).collect();
         let mut stores_by_engine: BTreeMap<SocketAddr, Vec<SocketAddr>> = BTreeMap::new();
-        for view in state.store_directory.views() {
+        for view in state.kv_store_directory.views() {
             for engine in pick_watchers(view.store.address, &engines) {
                 stores_by_engine
                     .entry(engine)
--- a/testbed/src/load_model/model_front.rs
+++ b/testbed/src/load_model/model_front.rs
@@ -4,8 +4,8 @@
         serving::{
             pick_endpoint, AdmissionController, AdmissionDecision, AdmissionRequest,
             EndpointChoice, EndpointKey, EndpointNotice, EndpointRegistry, EngineGroup,
-            LatencyEstimator, MechanismSet, NamespaceTag, PendingPrefill, PickRequest, PromptInfo,
-            StoreDirectory, VersionAvailability, WeightBounds,
+            KvStoreDirectory, LatencyEstimator, MechanismSet, NamespaceTag, PendingPrefill,
+            PickRequest, PromptInfo, VersionAvailability, WeightBounds,
         },
         time::Micros,
     },
@@ -27,7 +27,7 @@
     /// Engines, as this front knows them.
     pub book: EndpointRegistry,
     /// Stores, as this front knows them.
-    pub memory: StoreDirectory,
+    pub memory: KvStoreDirectory,
     /// What it has learned of engines.
     pub pace: LatencyEstimator,
     admission: AdmissionController,
@@ -53,7 +53,7 @@
             book.apply(&notice);
             keys.extend(book.key(&notice.id));
         }
-        let mut memory = StoreDirectory::without(left_out);
+        let mut memory = KvStoreDirectory::without(left_out);
         let notices: Vec<_> = stores.iter().map(ModelStore::notice).collect();
         memory.set_stores(&notices);
         ModelFront {
--- a/testbed/src/load_model/world_moves.rs
+++ b/testbed/src/load_model/world_moves.rs
@@ -159,7 +159,7 @@
         for front in &mut self.fronts {
             for place in 0..self.stores.len() {
                 if let Some(view) = front.memory.view_at(place) {
-                    view.record_answer(STORE_LIFE, clock_ms, self.now, self.now);
+                    view.record_response(STORE_LIFE, clock_ms, self.now, self.now);
                 }
             }
         }
--- a/wire/src/engine_agent/engine_digest.rs
+++ b/wire/src/engine_agent/engine_digest.rs
@@ -1,5 +1,5 @@
 use {
-    super::{grouped_parts, StoreUpdate},
+    super::{grouped_parts, KvStoreUpdate},
     pitchhitch_core::serving::{
         EndpointNotice, EngineLoad, NamespaceTag, PartId, StoreProof, SuspectReport,
     },
@@ -61,5 +61,5 @@
     /// Results of fronts' reads of the platform store.
     pub proofs: Vec<StoreProof>,
     /// What the sender has polled from KV stores.
-    pub stores: Vec<StoreUpdate>,
+    pub stores: Vec<KvStoreUpdate>,
 }
--- a/wire/src/engine_agent/state_snapshot.rs
+++ b/wire/src/engine_agent/state_snapshot.rs
@@ -4,7 +4,7 @@
         codec::{decode_body, encode_body},
     },
     pitchhitch_core::{
-        serving::{stable_hash, EndpointNotice, StoreEra, StoreUptime, WeightPublication},
+        serving::{stable_hash, EndpointNotice, KvStoreUptime, StoreEra, WeightPublication},
         time::Micros,
     },
     serde::{Deserialize, Serialize},
@@ -39,7 +39,7 @@
     pub evacuated: Vec<String>,
     /// Uptimes of the KV stores.
     #[serde(rename = "lives")]
-    pub store_uptimes: Vec<StoreUptime>,
+    pub store_uptimes: Vec<KvStoreUptime>,
 }
 
 /// Reason why received bytes are not accepted as a snapshot.
--- a/wire/src/engine_agent/store_update.rs
+++ b/wire/src/engine_agent/store_update.rs
@@ -9,7 +9,7 @@
 
 /// Prompt part that a KV store has stored or deleted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct StorePart {
+pub struct KvStorePart {
     /// Sequence number of the change at the store.
     pub number: u64,
     /// Cache namespace in which the part is shared.
@@ -23,7 +23,7 @@
 
 /// What the agent of an engine has polled from a KV store on behalf of all fronts.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct StoreUpdate {
+pub struct KvStoreUpdate {
     /// Address of the store.
     pub store: SocketAddr,
     /// Epoch, which identifies the store's incarnation.
@@ -39,5 +39,5 @@
     /// Sequence number from which to continue.
     pub next: u64,
     /// Changes, in order; earlier updates contained some of them.
-    pub parts: Vec<StorePart>,
+    pub parts: Vec<KvStorePart>,
 }
--- a/wire/tests/state_snapshot.rs
+++ b/wire/tests/state_snapshot.rs
@@ -2,7 +2,7 @@
 
 use {
     pitchhitch_core::{
-        serving::{StoreUptime, WeightPublication},
+        serving::{KvStoreUptime, WeightPublication},
         time::Micros,
     },
     pitchhitch_wire::engine_agent::StateSnapshot,
@@ -76,7 +76,7 @@
 /// fetched again because of them.
 #[test]
 fn lives_last_on() {
-    let uptime = |uptime_ms| StoreUptime {
+    let uptime = |uptime_ms| KvStoreUptime {
         address: ([10, 9, 0, 1], 1).into(),
         epoch: 7,
         lasted: Micros::from_millis(uptime_ms),
