--- a/testbed/src/load_model/sim_front.rs
+++ b/testbed/src/load_model/sim_front.rs
@@ -5,7 +5,7 @@
             pick_endpoint, AdmissionController, AdmissionDecision, AdmissionRequest,
             EndpointChoice, EndpointKey, EndpointNotice, EndpointRegistry, EngineGroup,
             LatencyEstimator, MechanismSet, NamespaceTag, PendingPrefill, PickRequest, PromptInfo,
-            StoreDirectory, VersionAvailability, WeightBounds,
+            KvStoreDirectory, VersionAvailability, WeightBounds,
         },
         time::Micros,
     },
@@ -27,7 +27,7 @@
     /// Engines, as this front knows them.
     pub registry: EndpointRegistry,
     /// Stores, as this front knows them.
-    pub store_directory: StoreDirectory,
+    pub store_directory: KvStoreDirectory,
     /// Latencies that it has learned.
     pub estimator: LatencyEstimator,
     admission: AdmissionController,
@@ -53,7 +53,7 @@
             registry.apply(&notice);
             keys.extend(registry.key(&notice.id));
         }
-        let mut store_directory = StoreDirectory::without(disabled);
+        let mut store_directory = KvStoreDirectory::without(disabled);
         let notices: Vec<_> = stores.iter().map(SimStore::notice).collect();
         store_directory.set_stores(&notices);
         SimFront {
--- a/testbed/src/load_model/transfer_events.rs
+++ b/testbed/src/load_model/transfer_events.rs
@@ -164,7 +164,7 @@
         for front in &mut self.fronts {
             for store_index in 0..self.stores.len() {
                 if let Some(view) = front.store_directory.view_at(store_index) {
-                    view.record_answer(STORE_EPOCH, clock_ms, self.now, self.now);
+                    view.record_response(STORE_EPOCH, clock_ms, self.now, self.now);
                 }
             }
         }
