--- a/core/src/serving/mod.rs
+++ b/core/src/serving/mod.rs
@@ -22,6 +22,9 @@
 mod key_policy;
 mod known_weights;
 mod kv_store;
+mod kv_store_directory;
+mod kv_store_uptime;
+mod kv_store_view;
 mod latency_estimator;
 mod listed_incarnation;
 mod mechanism_set;
@@ -47,11 +50,8 @@
 mod slow_start;
 mod stable_hash;
 mod store_clock;
-mod store_directory;
 mod store_position;
 mod store_proof;
-mod store_uptime;
-mod store_view;
 mod suspect_record;
 mod suspect_tracker;
 mod swap_planner;
@@ -66,12 +66,12 @@
     cache_namespace::*, caller_limits::*, endpoint_entry::*, endpoint_incarnation::*,
     endpoint_pick::*, endpoint_registry::*, endpoint_rejoin::*, era_tracker::*, evacuation_set::*,
     fetch_completion::*, grant_allocator::*, incarnation_tracker::*, key_freshness::*,
-    key_policy::*, known_weights::*, kv_store::*, latency_estimator::*, listed_incarnation::*,
-    mechanism_set::*, message_intervals::*, order_right::*, part_index::*, path_index::*,
-    pause_detector::*, priority_shares::*, prompt_info::*, prompt_part::*, publication_records::*,
-    reader_tier::*, reclaim_state::*, refusal_kind::*, request_fingerprint::*, retry_window::*,
-    route_stats::*, served_route::*, serving_config::*, serving_mechanism::*, slow_start::*,
-    stable_hash::*, store_clock::*, store_directory::*, store_position::*, store_proof::*,
-    store_uptime::*, store_view::*, suspect_record::*, suspect_tracker::*, swap_planner::*,
-    table_checksum::*, trial_table::*, weight_bounds::*, weight_publication::*,
+    key_policy::*, known_weights::*, kv_store::*, kv_store_directory::*, kv_store_uptime::*,
+    kv_store_view::*, latency_estimator::*, listed_incarnation::*, mechanism_set::*,
+    message_intervals::*, order_right::*, part_index::*, path_index::*, pause_detector::*,
+    priority_shares::*, prompt_info::*, prompt_part::*, publication_records::*, reader_tier::*,
+    reclaim_state::*, refusal_kind::*, request_fingerprint::*, retry_window::*, route_stats::*,
+    served_route::*, serving_config::*, serving_mechanism::*, slow_start::*, stable_hash::*,
+    store_clock::*, store_position::*, store_proof::*, suspect_record::*, suspect_tracker::*,
+    swap_planner::*, table_checksum::*, trial_table::*, weight_bounds::*, weight_publication::*,
 };
--- a/wire/src/engine_agent/mod.rs
+++ b/wire/src/engine_agent/mod.rs
@@ -6,11 +6,11 @@
 mod engine_digest;
 mod front_greeting;
 mod grouped_parts;
+mod kv_store_update;
 mod snapshot_client;
 mod state_snapshot;
-mod store_update;
 
 pub use {
-    datagram_socket::*, digest_message::*, engine_digest::*, front_greeting::*, snapshot_client::*,
-    state_snapshot::*, store_update::*,
+    datagram_socket::*, digest_message::*, engine_digest::*, front_greeting::*, kv_store_update::*,
+    snapshot_client::*, state_snapshot::*,
 };
