--- a/core/src/role/entry_core.rs
+++ b/core/src/role/entry_core.rs
@@ -159,12 +159,12 @@
                 shard,
                 row,
                 version,
-                asked_at,
+                requested_at,
             } => {
                 let outcome = LeaseOutcome::Read {
                     row,
                     version,
-                    asked_at,
+                    requested_at,
                 };
                 self.shard_leases.apply_outcome(&shard, outcome, now);
             }
--- a/core/src/role/entry_event.rs
+++ b/core/src/role/entry_event.rs
@@ -110,7 +110,7 @@
         /// Its table version; zero when the row does not exist.
         version: u64,
         /// Time when the read was sent.
-        asked_at: Micros,
+        requested_at: Micros,
     },
     /// A lease row was written.
     LeaseWritten {
--- a/core/src/role/shard_leases.rs
+++ b/core/src/role/shard_leases.rs
@@ -29,7 +29,7 @@
         /// Its table version.
         version: u64,
         /// Time when the read was sent.
-        asked_at: Micros,
+        requested_at: Micros,
     },
     /// The row was written.
     Written {
@@ -90,8 +90,8 @@
             LeaseOutcome::Read {
                 row,
                 version,
-                asked_at,
-            } => lease.machine.on_row_read(row, version, asked_at, now),
+                requested_at,
+            } => lease.machine.on_row_read(row, version, requested_at, now),
             LeaseOutcome::Written { version } => lease.machine.on_row_written(version, now),
             LeaseOutcome::Conflict => lease.machine.on_write_conflict(),
             LeaseOutcome::Unknown => lease.machine.on_write_unknown(),
--- a/core/src/serving/kv_store_directory.rs
+++ b/core/src/serving/kv_store_directory.rs
@@ -1,7 +1,7 @@
 use {
     super::{
         mix_bits, transfer_ms, unit_fraction, EndpointEntry, EndpointKey, EndpointRegistry,
-        EndpointStatus, EngineGroup, KvStore, KvStoreView, MechanismSet, NamespaceTag, PromptPart,
+        EndpointStatus, EngineConfig, KvStore, KvStoreView, MechanismSet, NamespaceTag, PromptPart,
         ServingMechanism,
     },
     crate::time::Micros,
@@ -157,7 +157,7 @@
     pub fn locate_parts(
         &self,
         registry: &EndpointRegistry,
-        group: &EngineGroup,
+        engine_config: &EngineConfig,
         namespace: NamespaceTag,
         parts: &[PromptPart],
         now: Micros,
@@ -165,7 +165,7 @@
         let shared = &parts[..parts.len().saturating_sub(1)];
         let availability = shared.iter().map(|part| PartAvailability {
             part: *part,
-            sources: self.sources(registry, group, namespace, part, now),
+            sources: self.sources(registry, engine_config, namespace, part, now),
         });
         availability.collect()
     }
@@ -173,12 +173,12 @@
     fn sources(
         &self,
         registry: &EndpointRegistry,
-        group: &EngineGroup,
+        engine_config: &EngineConfig,
         namespace: NamespaceTag,
         part: &PromptPart,
         now: Micros,
     ) -> Vec<PartSource> {
-        let bytes = u64::from(part.tokens) * group.token_bytes;
+        let bytes = u64::from(part.tokens) * engine_config.token_bytes;
         let mut sources = Vec::new();
         if self.disabled.contains(ServingMechanism::Fetches) {
             return sources;
@@ -195,7 +195,7 @@
             }
         }
         let risk_ms = f64::from(part.tokens) * ENGINE_RISK_MS;
-        let engine_ms = ENGINE_LATENCY_MS + transfer_ms(bytes, group.link_mbps) + risk_ms;
+        let engine_ms = ENGINE_LATENCY_MS + transfer_ms(bytes, engine_config.link_mbps) + risk_ms;
         for (key, entry) in registry.iter() {
             let is_cached = entry.parts.cached_tokens(namespace, part.id) >= part.tokens;
             if is_cached && is_source(entry, now) {
--- a/core/src/serving/order_right.rs
+++ b/core/src/serving/order_right.rs
@@ -49,11 +49,11 @@
         }
     }
 
-    /// Records the row as returned by a request sent at `asked_at`.
+    /// Records the row as returned by a request sent at `requested_at`.
     pub fn on_row_read(
         &mut self,
         row: Option<OrderRow>,
-        asked_at: Micros,
+        requested_at: Micros,
         now: Micros,
     ) {
         let is_own = row.as_ref().is_some_and(|row| row.holder == self.own_box);
@@ -64,7 +64,7 @@
             self.start_wait(now);
         }
         self.held = position;
-        self.checked_at = Some(asked_at);
+        self.checked_at = Some(requested_at);
         self.seen = Some(row);
     }
 
--- a/core/src/serving/refusal_kind.rs
+++ b/core/src/serving/refusal_kind.rs
@@ -40,7 +40,7 @@
     /// Endpoints have recently crashed under this request; it is not tried for now.
     Suspected,
     /// Endpoints have crashed under this request repeatedly; it is blocked.
-    HeldBack,
+    Blocked,
 }
 
 /// Response for a refusal kind.
@@ -88,7 +88,7 @@
             RefusalKind::BudgetSpent => retryable("budget-spent", "come back", RETRY_SOON),
             RefusalKind::NeverSent => retryable("never-sent", "come back", RETRY_SOON),
             RefusalKind::Suspected => retryable("suspected", "come back later", RETRY_LATER),
-            RefusalKind::HeldBack => {
+            RefusalKind::Blocked => {
                 response(429, "held-back", "servers end under it; do not repeat")
             }
             RefusalKind::Stopping => retryable("stopping", "try another box", RETRY_SOON),
--- a/core/src/serving/serving_config.rs
+++ b/core/src/serving/serving_config.rs
@@ -7,7 +7,7 @@
 
 /// Configuration of the engines of a service.
 #[derive(Debug, Clone, PartialEq)]
-pub struct EngineGroup {
+pub struct EngineConfig {
     /// Maximum number of requests that one engine runs at once.
     pub slots: u32,
     /// KV cache capacity of one engine, in tokens.
@@ -28,7 +28,7 @@
     /// Path of the health check, which an endpoint passes if it is well and not leaving.
     pub health_path: Option<String>,
     /// Engine configuration, if the endpoints are model engines.
-    pub engine: Option<EngineGroup>,
+    pub engine: Option<EngineConfig>,
     /// Slow start rule, if endpoints are slow after their start.
     pub slow_start: Option<SlowStartRule>,
 }
--- a/core/src/serving/suspect_tracker.rs
+++ b/core/src/serving/suspect_tracker.rs
@@ -7,14 +7,14 @@
 /// Successive crashes after which a request is held back: one that may be a coincidence, and two
 /// while the request ran apart from other suspects. Each crash takes down the endpoint and
 /// everything that runs there for seconds.
-const HELD_AFTER: u32 = 3;
+const CRASHES_TO_BLOCK: u32 = 3;
 /// Delay after the second crash before the request is tried again; endpoints are back by then. Each
 /// front waits for its own share of up to twice this delay, so that the others learn of the first
 /// front's attempt.
 const RETRY_DELAY: Micros = Micros::from_millis(1_000);
 /// Time for which a request is held back after its last crash, and for which crashes are
 /// remembered: otherwise a caller that retries rarely would crash an endpoint each time.
-const HELD_FOR: Micros = Micros::from_secs(600);
+const BLOCK_DURATION: Micros = Micros::from_secs(600);
 /// Time for which a complete answer proves that a request is harmless: crashes in that time have
 /// another cause.
 const CLEARED_FOR: Micros = Micros::from_secs(20);
@@ -32,9 +32,9 @@
     /// This many endpoints crashed while they had it: it runs apart from other suspects.
     Suspect(u32),
     /// It is not tried again for this long.
-    Resting(Micros),
+    BackingOff(Micros),
     /// It is held back for this long.
-    Held(Micros),
+    Blocked(Micros),
 }
 
 /// Requests during which endpoints crashed.
@@ -132,14 +132,16 @@
             .answered
             .is_some_and(|at| now.since(at) < CLEARED_FOR);
         let since = record.last_crash().map(|at| now.since(at));
-        let Some(since) = since.filter(|since| !is_cleared && *since < HELD_FOR) else {
+        let Some(since) = since.filter(|since| !is_cleared && *since < BLOCK_DURATION) else {
             return SuspectStatus::Clear;
         };
         let delay = RETRY_DELAY + Micros((RETRY_DELAY.0 as f64 * jitter) as u64);
         match record.count {
             0 => SuspectStatus::Clear,
-            count if count >= HELD_AFTER => SuspectStatus::Held(HELD_FOR.since(since)),
-            2 if since < delay => SuspectStatus::Resting(delay.since(since)),
+            count if count >= CRASHES_TO_BLOCK => {
+                SuspectStatus::Blocked(BLOCK_DURATION.since(since))
+            }
+            2 if since < delay => SuspectStatus::BackingOff(delay.since(since)),
             count => SuspectStatus::Suspect(count),
         }
     }
@@ -152,7 +154,7 @@
     ) -> bool {
         let mut is_new = false;
         for crash in &report.crashes {
-            if crash.ended >= HELD_FOR {
+            if crash.ended >= BLOCK_DURATION {
                 continue;
             }
             let crash = SuspectCrash {
@@ -220,21 +222,24 @@
     }
 
     /// Requests that are held back.
-    pub fn held(
+    pub fn blocked(
         &self,
         now: Micros,
     ) -> BTreeSet<RequestFingerprint> {
         let known = self.records.keys().copied();
-        known.filter(|known| self.is_held(*known, now)).collect()
+        known.filter(|known| self.is_blocked(*known, now)).collect()
     }
 
     /// Whether a request is held back.
-    pub fn is_held(
+    pub fn is_blocked(
         &self,
         fingerprint: RequestFingerprint,
         now: Micros,
     ) -> bool {
-        matches!(self.status(fingerprint, 0.0, now), SuspectStatus::Held(_))
+        matches!(
+            self.status(fingerprint, 0.0, now),
+            SuspectStatus::Blocked(_)
+        )
     }
 
     /// Clears a request, whatever is known about it; true if it was suspected.
@@ -255,7 +260,7 @@
             let age = now.since(record.last_update());
             let limit = match record.count {
                 0 => CLEARED_FOR,
-                _ => HELD_FOR,
+                _ => BLOCK_DURATION,
             };
             age < limit
         });
--- a/core/src/serving/swap_planner.rs
+++ b/core/src/serving/swap_planner.rs
@@ -119,7 +119,7 @@
         limit: Micros,
         now: Micros,
     ) -> usize {
-        let loads = group_load_limit(registry, &entry.service, now);
+        let loads = service_load_limit(registry, &entry.service, now);
         let bounds = self.bounds(model, limit, now);
         match bounds.allows(entry.weights.version(model)) {
             true => loads,
@@ -238,14 +238,14 @@
             let Some((model, version)) = self.outdated_model(entry) else {
                 continue;
             };
-            let in_group = |other: &&EndpointKey| {
+            let in_service = |other: &&EndpointKey| {
                 registry
                     .get(**other)
                     .is_some_and(|other| other.service == entry.service)
             };
             let loads = self.load_limit(registry, entry, &model, limit, now);
             let max_turns = loads + MIN_CONCURRENT_DRAINS.max(loads / LOADS_PER_DRAIN);
-            if self.turns.keys().filter(in_group).count() >= max_turns {
+            if self.turns.keys().filter(in_service).count() >= max_turns {
                 continue;
             }
             let turn = SwapTurn {
@@ -263,7 +263,7 @@
     }
 }
 
-fn group_load_limit(
+fn service_load_limit(
     registry: &EndpointRegistry,
     service: &str,
     now: Micros,
--- a/core/tests/disabled_mechanisms.rs
+++ b/core/tests/disabled_mechanisms.rs
@@ -5,7 +5,7 @@
     pitchhitch_core::{
         serving::{
             pick_endpoint, EndpointChoice, EndpointKey, EndpointNotice, EndpointRegistry,
-            EngineGroup, EngineLoad, KvStore, KvStoreDirectory, LatencyEstimator, MechanismSet,
+            EngineConfig, EngineLoad, KvStore, KvStoreDirectory, LatencyEstimator, MechanismSet,
             NamespaceTag, PartId, PickRequest, PromptInfo, PromptPart, ServingMechanism,
             VersionAvailability, WeightBounds, SAVE_DELAY,
         },
@@ -75,7 +75,7 @@
         disabled: MechanismSet,
     ) -> EndpointChoice {
         let stores = KvStoreDirectory::without(disabled);
-        let group = EngineGroup {
+        let group = EngineConfig {
             slots: 128,
             capacity_tokens: MEMORY,
             token_bytes: 35_136,
--- a/core/tests/entry_control.rs
+++ b/core/tests/entry_control.rs
@@ -250,7 +250,7 @@
         shard: shard.clone(),
         row: None::<LeaseRow>,
         version: 0,
-        asked_at: now,
+        requested_at: now,
     };
     core.step(now, read);
     let actions = run_ticks(core, now);
--- a/core/tests/fleet_fixture/mod.rs
+++ b/core/tests/fleet_fixture/mod.rs
@@ -4,7 +4,7 @@
     pitchhitch_core::{
         serving::{
             pick_endpoint, EndpointChoice, EndpointKey, EndpointNotice, EndpointRegistry,
-            EngineGroup, EngineLoad, KvStore, KvStoreDirectory, LatencyEstimator, MechanismSet,
+            EngineConfig, EngineLoad, KvStore, KvStoreDirectory, LatencyEstimator, MechanismSet,
             NamespaceTag, PartId, PickRequest, PromptInfo, PromptPart, VersionAvailability,
             WeightBounds,
         },
@@ -41,8 +41,8 @@
     }
 }
 
-fn group() -> EngineGroup {
-    EngineGroup {
+fn group() -> EngineConfig {
+    EngineConfig {
         slots: 128,
         capacity_tokens: 179_000,
         token_bytes: 35_136,
--- a/core/tests/suspect_tracker.rs
+++ b/core/tests/suspect_tracker.rs
@@ -76,13 +76,13 @@
     let second = crashed(&[one, two]);
     assert_eq!(
         status_at(&second, at(300)),
-        SuspectStatus::Resting(at(1_000))
+        SuspectStatus::BackingOff(at(1_000))
     );
     assert_eq!(status_at(&second, at(1_300)), SuspectStatus::Suspect(2));
     let third = crashed(&[one, two, three]);
     assert_eq!(
         status_at(&third, at(1_500)),
-        SuspectStatus::Held(at(600_000))
+        SuspectStatus::Blocked(at(600_000))
     );
     assert_eq!(status_at(&third, at(601_500)), SuspectStatus::Clear);
     assert_eq!(
@@ -98,7 +98,7 @@
     let at = Micros::from_millis(300);
     assert_eq!(
         tracker.status(named("a"), 0.5, at),
-        SuspectStatus::Resting(Micros::from_millis(1_500))
+        SuspectStatus::BackingOff(Micros::from_millis(1_500))
     );
 }
 
@@ -134,7 +134,7 @@
     let mut knowing = unknowing.to_vec();
     knowing.push(crash_knowing(2, 4, 1_300, 1_400));
     let status = status_at(&crashed(&knowing), at(1_500));
-    assert!(matches!(status, SuspectStatus::Held(_)), "{status:?}");
+    assert!(matches!(status, SuspectStatus::Blocked(_)), "{status:?}");
 }
 
 /// However many endpoints crash together, the crashes that count are kept.
@@ -145,7 +145,7 @@
     crashes.push(crash(50, 2_000, 2_100));
     let tracker = crashed(&crashes);
     let status = status_at(&tracker, Micros::from_millis(2_200));
-    assert!(matches!(status, SuspectStatus::Held(_)), "{status:?}");
+    assert!(matches!(status, SuspectStatus::Blocked(_)), "{status:?}");
 }
 
 #[test]
@@ -189,7 +189,7 @@
     }
     assert_eq!(tracker.len(), 1_024);
     let status = status_at(&tracker, Micros::from_secs(11));
-    assert!(matches!(status, SuspectStatus::Held(_)), "{status:?}");
+    assert!(matches!(status, SuspectStatus::Blocked(_)), "{status:?}");
 }
 
 /// Callers, paths and bodies are distinguished, and no field runs into the next.
@@ -266,10 +266,10 @@
         for crash in seen.iter().rev() {
             tracker.merge(&report(crash), NOW);
         }
-        let is_held = |tracker: &SuspectTracker| {
-            matches!(status_at(tracker, NOW), SuspectStatus::Held(_))
+        let is_blocked = |tracker: &SuspectTracker| {
+            matches!(status_at(tracker, NOW), SuspectStatus::Blocked(_))
         };
-        prop_assert_eq!(is_held(&tracker), is_held(&whole));
+        prop_assert_eq!(is_blocked(&tracker), is_blocked(&whole));
         // Merging all of it again changes nothing, so it is not forwarded.
         let again = whole.reports(NOW);
         prop_assert!(again.iter().all(|report| !tracker.merge(report, NOW)));
--- a/entry/src/control/lease_controller.rs
+++ b/entry/src/control/lease_controller.rs
@@ -28,7 +28,7 @@
         self,
         shards: Vec<String>,
     ) {
-        let asked_at = self.clock.now();
+        let requested_at = self.clock.now();
         let keys: Vec<String> = shards
             .iter()
             .map(|s| format!("{LEASE_PREFIX}{s}"))
@@ -39,7 +39,7 @@
         for shard in shards {
             let key = format!("{LEASE_PREFIX}{shard}");
             let row = rows.iter().find(|row| row.key == key);
-            self.report_row(shard, row, asked_at);
+            self.report_row(shard, row, requested_at);
         }
     }
 
@@ -47,7 +47,7 @@
         &self,
         shard: String,
         row: Option<&TableRow>,
-        asked_at: Micros,
+        requested_at: Micros,
     ) {
         let lease = match row.map(|row| serde_json::from_str::<LeaseRow>(&row.value)) {
             None => None,
@@ -62,7 +62,7 @@
             shard,
             row: lease,
             version: row.map_or(0, |row| row.version),
-            asked_at,
+            requested_at,
         });
     }
 
--- a/entry/src/front/control_handler.rs
+++ b/entry/src/front/control_handler.rs
@@ -60,8 +60,8 @@
         let (label, remaining) = match status {
             SuspectStatus::Clear => ("clear", None),
             SuspectStatus::Suspect(_) => ("suspect", None),
-            SuspectStatus::Resting(remaining) => ("resting", Some(remaining)),
-            SuspectStatus::Held(remaining) => ("held", Some(remaining)),
+            SuspectStatus::BackingOff(remaining) => ("resting", Some(remaining)),
+            SuspectStatus::Blocked(remaining) => ("held", Some(remaining)),
         };
         let last = report.crashes.iter().map(|crash| crash.ended).min();
         SuspectRow {
@@ -100,6 +100,6 @@
         return (404, b"no suspect request has this fingerprint\n".to_vec());
     }
     front.greeting_due.wake();
-    front.held_row_due.wake();
+    front.blocked_row_due.wake();
     (200, b"let go\n".to_vec())
 }
--- a/entry/src/front/digest_receiver.rs
+++ b/entry/src/front/digest_receiver.rs
@@ -244,22 +244,22 @@
     now: Micros,
 ) {
     for report in &digest.suspects {
-        let was_held = state.suspects.is_held(report.fingerprint, now);
+        let was_blocked = state.suspects.is_blocked(report.fingerprint, now);
         if !state.suspects.merge(report, now) {
             continue;
         }
         front.metrics.increment("suspects", "told");
-        let is_held = state.suspects.is_held(report.fingerprint, now);
-        if is_held != was_held {
-            if was_held {
+        let is_blocked = state.suspects.is_blocked(report.fingerprint, now);
+        if is_blocked != was_blocked {
+            if was_blocked {
                 // The row of this front may still contain the request.
-                front.held_row_due.wake();
+                front.blocked_row_due.wake();
             }
             let fingerprint = report.fingerprint.to_string();
             log::info!(
                 event = "suspect-told",
                 fingerprint = fingerprint.as_str(),
-                held = is_held,
+                held = is_blocked,
                 crashes = report.crashes.len();
                 ""
             );
--- a/entry/src/front/front_context.rs
+++ b/entry/src/front/front_context.rs
@@ -25,7 +25,7 @@
     /// announced to other fronts, even if this front fails.
     pub greeting_due: WakeSignal,
     /// Wakes the task that writes the held-back requests of this front to the platform store.
-    pub held_row_due: WakeSignal,
+    pub blocked_row_due: WakeSignal,
     /// Cancels the long poll at the platform store after the store has been restored from a
     /// snapshot.
     pub era_changed: WakeSignal,
@@ -42,7 +42,7 @@
             clock: ProcessClock::start(),
             metrics: FrontMetrics::default(),
             greeting_due: WakeSignal::default(),
-            held_row_due: WakeSignal::default(),
+            blocked_row_due: WakeSignal::default(),
             era_changed: WakeSignal::default(),
             executor: LocalExecutor::new(),
         })
--- a/entry/src/front/front_state.rs
+++ b/entry/src/front/front_state.rs
@@ -73,9 +73,9 @@
     /// Whether to request all suspects: after the start and after a missed digest or a pause.
     pub wants_suspects: bool,
     /// Whether the held-back requests have been read from the platform store in this incarnation.
-    pub has_held_rows: bool,
+    pub has_blocked_rows: bool,
     /// Whether the platform store has lost the rows with held-back requests.
-    pub rewrites_held_row: bool,
+    pub rewrites_blocked_row: bool,
     /// Detects pauses of the process itself.
     pub pause_detector: PauseDetector,
     /// When the process was asked to stop.
@@ -120,8 +120,8 @@
             trials: TrialTable::default(),
             has_suspect_reports: false,
             wants_suspects: true,
-            has_held_rows: false,
-            rewrites_held_row: false,
+            has_blocked_rows: false,
+            rewrites_blocked_row: false,
             pause_detector: PauseDetector::default(),
             stopping_since: None,
             closes_idle: false,
@@ -206,7 +206,7 @@
             return false;
         };
         // Time counts from the start of the process.
-        let has_reports = self.has_suspect_reports && self.has_held_rows;
+        let has_reports = self.has_suspect_reports && self.has_blocked_rows;
         let is_waiting = !has_reports && now < SUSPECT_REPORT_TIMEOUT;
         is_waiting
             && self
--- a/entry/src/front/held_rows.rs
+++ b/entry/src/front/held_rows.rs
@@ -20,7 +20,7 @@
 
 /// Requests that a front holds back, stored in case all boxes lose power at once.
 #[derive(Debug, Serialize, Deserialize)]
-struct HeldRow {
+struct BlockedRow {
     /// Time of the write, in seconds since 1970.
     wall_secs: u64,
     /// Requests, with their ages at the time of the write.
@@ -29,7 +29,7 @@
 
 /// Reads the held-back requests of all fronts, then writes every change of those that this front
 /// holds back.
-pub(super) async fn sync_held_rows(front: Rc<FrontContext>) {
+pub(super) async fn sync_blocked_rows(front: Rc<FrontContext>) {
     let mut timeout = CallTimeout::default();
     let mut client = StoreClient::new(front.settings.store, timeout.timeout());
     let mut is_unreachable = false;
@@ -44,13 +44,13 @@
         }
         Timer::after(to_duration(RETRY_DELAY)).await;
     };
-    front.state().has_held_rows = true;
+    front.state().has_blocked_rows = true;
     loop {
-        if !front.held_row_due.wait(WRITE_WAIT).await {
+        if !front.blocked_row_due.wait(WRITE_WAIT).await {
             continue;
         }
-        let was_lost_in_store = std::mem::take(&mut front.state().rewrites_held_row);
-        if was_lost_in_store && !has_row && !has_held_requests(&front) {
+        let was_lost_in_store = std::mem::take(&mut front.state().rewrites_blocked_row);
+        if was_lost_in_store && !has_row && !has_blocked_requests(&front) {
             continue;
         }
         has_row = true;
@@ -81,23 +81,23 @@
             continue;
         };
         // A row of another program contains no request.
-        let Ok(held) = decode_body::<HeldRow>(bytes) else {
+        let Ok(blocked) = decode_body::<BlockedRow>(bytes) else {
             front.metrics.increment("foreign_rows", "held");
             continue;
         };
-        let age = Micros::from_secs(unix_seconds().saturating_sub(held.wall_secs));
-        for report in &held.suspects {
+        let age = Micros::from_secs(unix_seconds().saturating_sub(blocked.wall_secs));
+        for report in &blocked.suspects {
             state.suspects.merge(&add_age(report, age), now);
         }
     }
-    let held = state.suspects.held(now).len();
-    log::info!(event = "held-read", held = held; "");
+    let blocked = state.suspects.blocked(now).len();
+    log::info!(event = "held-read", held = blocked; "");
     let own = own_key(front);
     page.rows.iter().any(|row| row.key == own)
 }
 
-fn has_held_requests(front: &FrontContext) -> bool {
-    !front.state().suspects.held(front.now()).is_empty()
+fn has_blocked_requests(front: &FrontContext) -> bool {
+    !front.state().suspects.blocked(front.now()).is_empty()
 }
 
 fn own_key(front: &FrontContext) -> String {
@@ -126,13 +126,13 @@
     let now = front.now();
     let suspects = {
         let state = front.state();
-        let mut held = state.suspects.reports(now);
-        held.retain(|report| state.suspects.is_held(report.fingerprint, now));
-        held.truncate(MAX_ROW_SUSPECTS);
-        held
+        let mut blocked = state.suspects.reports(now);
+        blocked.retain(|report| state.suspects.is_blocked(report.fingerprint, now));
+        blocked.truncate(MAX_ROW_SUSPECTS);
+        blocked
     };
     let count = suspects.len();
-    let row = HeldRow {
+    let row = BlockedRow {
         wall_secs: unix_seconds(),
         suspects,
     };
--- a/entry/src/front/lost_run.rs
+++ b/entry/src/front/lost_run.rs
@@ -133,8 +133,8 @@
         if !had_updates {
             front.greeting_due.wake();
         }
-        if state.suspects.is_held(fingerprint, lost_at) {
-            front.held_row_due.wake();
+        if state.suspects.is_blocked(fingerprint, lost_at) {
+            front.blocked_row_due.wake();
         }
     }
 }
--- a/entry/src/front/request_choice.rs
+++ b/entry/src/front/request_choice.rs
@@ -3,7 +3,7 @@
     pitchhitch_core::{
         serving::{
             pick_endpoint, unit_fraction, AdmissionDecision, AdmissionRequest, AllowedRegions,
-            CacheNamespace, EndpointChoice, EndpointEntry, EndpointStatus, EngineGroup,
+            CacheNamespace, EndpointChoice, EndpointEntry, EndpointStatus, EngineConfig,
             PartAvailability, PartLocation, PickRequest, TrialRequest, VersionAvailability,
             WeightBounds,
         },
@@ -94,7 +94,7 @@
         }
     }
 
-    pub(super) fn group(&self) -> Option<&EngineGroup> {
+    pub(super) fn engine_config(&self) -> Option<&EngineConfig> {
         self.config.services.get(&self.service)?.engine.as_ref()
     }
 
@@ -208,7 +208,7 @@
         state: &mut FrontState,
         now: Micros,
     ) -> Vec<VersionAvailability> {
-        let (Some(prompt), Some(group)) = (&self.info.prompt, self.group()) else {
+        let (Some(prompt), Some(engine_config)) = (&self.info.prompt, self.engine_config()) else {
             return Vec::new();
         };
         let versions = state
@@ -223,7 +223,7 @@
             let namespace = state.namespace_tag(&self.cache_namespace(version).salt());
             let parts = state.kv_store_directory.locate_parts(
                 &state.registry,
-                group,
+                engine_config,
                 namespace,
                 &prompt.parts,
                 now,
--- a/entry/src/front/request_transfers.rs
+++ b/entry/src/front/request_transfers.rs
@@ -128,7 +128,9 @@
             transfers.save.resize(prompt.parts.len(), None);
         }
         // Requests that arrive at this box meanwhile are sent to where these parts will be cached.
-        let capacity = self.group().map_or(0, |group| group.capacity_tokens);
+        let capacity = self
+            .engine_config()
+            .map_or(0, |config| config.capacity_tokens);
         if let Some(entry) = state.registry.get_mut(choice.key) {
             entry.parts.touch(namespace, &prompt.parts, capacity);
         }
--- a/entry/src/front/request_trial.rs
+++ b/entry/src/front/request_trial.rs
@@ -50,13 +50,13 @@
             self.suspect_crashes = match status {
                 SuspectStatus::Clear => return self.grant(),
                 SuspectStatus::Suspect(crashes) => Some(crashes),
-                SuspectStatus::Resting(remaining) => {
+                SuspectStatus::BackingOff(remaining) => {
                     self.log_status("resting", remaining);
                     return SendPermission::Refused(RefusalKind::Suspected, remaining);
                 }
-                SuspectStatus::Held(remaining) => {
+                SuspectStatus::Blocked(remaining) => {
                     self.log_status("held", remaining);
-                    return SendPermission::Refused(RefusalKind::HeldBack, remaining);
+                    return SendPermission::Refused(RefusalKind::Blocked, remaining);
                 }
             };
             let now = front.now();
--- a/entry/src/front/store_contact.rs
+++ b/entry/src/front/store_contact.rs
@@ -82,6 +82,6 @@
     let spread = REWRITE_JITTER.max(Micros(REWRITE_JITTER_PER_FRONT.0 * fronts));
     let fraction = stable_fraction(&front.settings.box_id);
     Timer::after(to_duration(Micros((spread.0 as f64 * fraction) as u64))).await;
-    front.state().rewrites_held_row = true;
-    front.held_row_due.wake();
+    front.state().rewrites_blocked_row = true;
+    front.blocked_row_due.wake();
 }
--- a/testbed/src/load_model/model_front.rs
+++ b/testbed/src/load_model/model_front.rs
@@ -3,7 +3,7 @@
     pitchhitch_core::{
         serving::{
             pick_endpoint, AdmissionController, AdmissionDecision, AdmissionRequest,
-            EndpointChoice, EndpointKey, EndpointNotice, EndpointRegistry, EngineGroup,
+            EndpointChoice, EndpointKey, EndpointNotice, EndpointRegistry, EngineConfig,
             KvStoreDirectory, LatencyEstimator, MechanismSet, NamespaceTag, PendingPrefill,
             PickRequest, PromptInfo, VersionAvailability, WeightBounds,
         },
@@ -32,7 +32,7 @@
     pub pace: LatencyEstimator,
     admission: AdmissionController,
     keys: Vec<EndpointKey>,
-    group: EngineGroup,
+    group: EngineConfig,
     tickets: u64,
     left_out: MechanismSet,
 }
@@ -63,7 +63,7 @@
             pace: LatencyEstimator::without(left_out),
             admission: AdmissionController::without(left_out),
             keys,
-            group: EngineGroup {
+            group: EngineConfig {
                 slots: spec.places,
                 capacity_tokens: spec.memory_tokens,
                 token_bytes: spec.token_bytes,
