--- a/testbed/src/load_model/sim_front.rs
+++ b/testbed/src/load_model/sim_front.rs
@@ -3,7 +3,7 @@
     pitchhitch_core::{
         serving::{
             pick_endpoint, AdmissionController, AdmissionDecision, AdmissionRequest,
-            EndpointChoice, EndpointKey, EndpointNotice, EndpointRegistry, EngineGroup,
+            EndpointChoice, EndpointKey, EndpointNotice, EndpointRegistry, EngineConfig,
             LatencyEstimator, MechanismSet, NamespaceTag, PendingPrefill, PickRequest, PromptInfo,
             KvStoreDirectory, VersionAvailability, WeightBounds,
         },
@@ -32,7 +32,7 @@
     pub estimator: LatencyEstimator,
     admission: AdmissionController,
     keys: Vec<EndpointKey>,
-    group: EngineGroup,
+    group: EngineConfig,
     tickets: u64,
     disabled: MechanismSet,
 }
@@ -63,7 +63,7 @@
             estimator: LatencyEstimator::without(disabled),
             admission: AdmissionController::without(disabled),
             keys,
-            group: EngineGroup {
+            group: EngineConfig {
                 slots: spec.places,
                 capacity_tokens: spec.memory_tokens,
                 token_bytes: spec.token_bytes,
