--- a/entry/src/front/mod.rs
+++ b/entry/src/front/mod.rs
@@ -4,6 +4,7 @@
 //! It is single-threaded, since a box grants it a fifth of a core: the request path and the
 //! controllers are tasks of one executor and share their state without locks.
 
+mod blocked_rows;
 mod call_timeout;
 mod caller_conn;
 mod connection_pool;
@@ -22,7 +23,6 @@
 mod front_state;
 mod greeting_schedule;
 mod greeting_sender;
-mod held_rows;
 mod kv_store_watch;
 mod list_watch;
 mod lost_run;
@@ -51,7 +51,7 @@
 mod weight_update;
 
 use {
-    call_timeout::*, evacuations::*, foreign_rows::*, greeting_schedule::*, held_rows::*,
+    blocked_rows::*, call_timeout::*, evacuations::*, foreign_rows::*, greeting_schedule::*,
     lost_run::*, order_lease::*, orphan_engine::*, part_reclaim::*, peer_state::*, rejoin_probe::*,
     request_admit::*, request_attempt::*, request_transfers::*, request_trial::*, slow_starts::*,
     watcher_assignment::*, weight_update::*,
