--- a/core/src/conf/change_history.rs
+++ b/core/src/conf/change_history.rs
@@ -4,7 +4,7 @@
     std::collections::VecDeque,
 };
 
-/// Maximum number of recent changes kept for peers that need to catch up.
+/// Maximum number of recent changes stored for peers that need to catch up.
 const MAX_HISTORY_CHANGES: usize = 256;
 
 /// The most recent changes, with consecutive revisions, so that a peer that lags
--- a/core/src/conf/config_head.rs
+++ b/core/src/conf/config_head.rs
@@ -6,7 +6,7 @@
 
 /// Log length from which a writer compacts the log into a new base document.
 pub const COMPACTION_THRESHOLD: usize = 64;
-/// Number of compacted change ids that are kept, so that late retries are recognised.
+/// Maximum number of compacted change ids that are stored, so that late retries are recognised.
 pub const MAX_COMPACTED_IDS: usize = 512;
 
 /// The table row that defines the current configuration.
@@ -16,7 +16,7 @@
 /// completely or not at all.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct ConfigHead {
-    /// Revision of the base document; zero stands for the empty configuration.
+    /// Revision of the base document; zero for the empty configuration.
     pub base_revision: u64,
     /// Name of the base document in the object store. Two writers that compact at the
     /// same time write different documents; only the one that wins the compare-and-set
--- a/core/src/drain/drain_state.rs
+++ b/core/src/drain/drain_state.rs
@@ -9,7 +9,7 @@
 /// Inputs for evaluating the drain of an endpoint.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct DrainInput {
-    /// Whether the configuration asks for the endpoint to be drained.
+    /// Whether the configuration requires the endpoint to be drained.
     pub requested: bool,
     /// Whether its agent has confirmed that it refuses new work.
     pub refusing: bool,
--- a/core/src/errors/error_kind.rs
+++ b/core/src/errors/error_kind.rs
@@ -44,7 +44,8 @@
     BadAnswer,
     /// The idempotency key was used before, and the first request with it may have run.
     AlreadyStarted,
-    /// The table service cannot tell whether the idempotency key was used before.
+    /// It is unknown whether the idempotency key was used before, as the table service gave no
+    /// conclusive response.
     CannotSettle,
     /// A message from another process could not be decoded.
     BadMessage,
--- a/core/src/lease/lease_machine.rs
+++ b/core/src/lease/lease_machine.rs
@@ -163,7 +163,7 @@
         {
             self.held = None;
         }
-        // A free row may be taken at once; a row held by another process has to lapse first.
+        // A free row may be acquired at once; a lease held by another process has to expire first.
         if row.holder.is_empty() || row.holder == self.own_id {
             self.next_step = requested_at;
         }
--- a/core/src/limit/fair_share.rs
+++ b/core/src/limit/fair_share.rs
@@ -1,4 +1,4 @@
-/// Share of a process's capacity that is handed out first come, first served.
+/// Share of a process's capacity that is allocated first come, first served.
 pub const UNRESERVED_SHARE: f64 = 0.7;
 
 /// Capacity of a process and its current use, as seen by one organisation.
--- a/core/src/place/retention_decision.rs
+++ b/core/src/place/retention_decision.rs
@@ -1,6 +1,6 @@
 use crate::{conf::CostWeights, kv_cache::StoreTier, time::Micros};
 
-/// State expected to be reused sooner than this goes to memory, other state to disk.
+/// State expected to be reused sooner than this is stored in memory, other state on disk.
 const MEMORY_HORIZON: Micros = Micros::from_secs(600);
 /// Cost of storing one kibibyte until it is reused, in units of the link weight.
 const STORAGE_COST: f64 = 0.05;
@@ -28,7 +28,7 @@
 /// What to do with the KV state of a prompt.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct RetentionDecision {
-    /// Tier to store it in; `None` if it is not worth storing.
+    /// Tier to store it in; `None` if it is not stored.
     pub tier: Option<StoreTier>,
     /// Expected gain; negative if storing costs more than it saves.
     pub expected_gain: f64,
--- a/core/src/place/weight_load_planner.rs
+++ b/core/src/place/weight_load_planner.rs
@@ -31,8 +31,8 @@
 
 /// Selects the engines of a group that load their wanted version next.
 ///
-/// At most [`MAX_CONCURRENT_LOADS`] engines load concurrently; those with the fewest
-/// running requests go first.
+/// At most [`MAX_CONCURRENT_LOADS`] engines load concurrently; those with the fewest running
+/// requests are selected first.
 pub fn plan_weight_loads(engines: &[EngineWeights]) -> Vec<WeightLoad> {
     let loading = engines.iter().filter(|e| e.loading.is_some()).count();
     let mut outdated: Vec<&EngineWeights> = engines
--- a/core/src/role/agent_action.rs
+++ b/core/src/role/agent_action.rs
@@ -8,7 +8,7 @@
 pub enum AgentAction {
     /// Start a request on the endpoint.
     Start(WorkTicket),
-    /// Tell the entry process that a request was refused and did not run.
+    /// Notify the entry process that a request was refused and did not run.
     Refuse(GateRefusal),
     /// Send events and the current pulse to all subscribed entry processes.
     Publish(Vec<EndpointEvent>),
@@ -16,7 +16,7 @@
     ListCache,
     /// Execute an order whose fencing stamp was accepted.
     RunOrder(StampedOrder),
-    /// Tell the sender that its order was refused.
+    /// Notify the sender that its order was refused.
     RefuseOrder(FenceRefusal),
     /// Read the lease epoch of this endpoint's shard from the table.
     ReadEpoch,
--- a/core/src/role/endpoint_roster.rs
+++ b/core/src/role/endpoint_roster.rs
@@ -14,7 +14,7 @@
     std::{collections::BTreeMap, sync::Arc},
 };
 
-/// Time without a beacon or link message after which a busy agent gets no new requests.
+/// Time without a beacon or link message after which a busy agent receives no new requests.
 pub const SUSPECT_AFTER: Micros = Micros::from_millis(2_000);
 /// Time without a message after which the open link of a busy agent counts as hung.
 pub const HUNG_AFTER: Micros = Micros::from_millis(4_000);
--- a/core/src/role/entry_action.rs
+++ b/core/src/role/entry_action.rs
@@ -112,7 +112,7 @@
     EndpointJoined,
     /// An endpoint was removed.
     EndpointLost,
-    /// An endpoint was ejected after failures and gets no requests for a while.
+    /// An endpoint was ejected after failures and receives no requests for a while.
     EndpointEjected,
     /// An engine was ordered to load a weight version.
     LoadOrdered,
--- a/core/src/role/mod.rs
+++ b/core/src/role/mod.rs
@@ -1,5 +1,5 @@
-//! Control state machines of agents and entry processes, free of I/O: the host feeds in events
-//! and executes the actions that come back.
+//! Control state machines of agents and entry processes, without I/O: the host passes in events and
+//! executes the returned actions.
 
 mod agent_action;
 mod agent_core;
--- a/core/src/role/service_meter.rs
+++ b/core/src/role/service_meter.rs
@@ -4,7 +4,7 @@
 const SMOOTHING: f32 = 0.1;
 /// Factor by which older prompts decay with each new one.
 const PREFILL_DECAY: f32 = 0.9;
-/// Minimum prompt size; shorter prompts say too little about the cost per token.
+/// Minimum prompt size; shorter prompts do not allow a reliable estimate of the cost per token.
 const MIN_PREFILL_TOKENS: u32 = 256;
 
 /// Estimates the cost per prompt token and the request duration of an endpoint.
--- a/core/src/role/store_roster.rs
+++ b/core/src/role/store_roster.rs
@@ -236,7 +236,7 @@
     /// Chooses the pieces to evict from a full store box: whole prompts, least likely reused
     /// first.
     ///
-    /// `controls` tells whether this process holds the lease of a group. Only the holder evicts,
+    /// `controls` returns whether this process holds the lease of a group. Only the holder evicts,
     /// so that several processes do not free space for the same shortage.
     pub fn evict(
         &mut self,
--- a/core/src/route/route_policy.rs
+++ b/core/src/route/route_policy.rs
@@ -7,7 +7,7 @@
     /// Lowest estimated cost.
     #[default]
     Estimate,
-    /// Endpoints in turn.
+    /// Endpoints in rotation (round robin).
     RoundRobin,
     /// Fewest running requests.
     LeastLoad,
--- a/core/src/serving/admission_controller.rs
+++ b/core/src/serving/admission_controller.rs
@@ -9,13 +9,13 @@
 
 /// Fraction of the target latency within which an answer must be expected to start, including the
 /// prefill of a typical prompt of its route. Estimates are off by some hundred milliseconds, and
-/// prompts that start late take time from those that would not.
+/// prompts that start late delay others.
 const MAX_START_FRACTION: f64 = 0.6;
 /// The same for a caller that was refused before. It takes precedence over new callers, as refusing
 /// it a second time costs more than refusing a new caller once.
 const RETRY_MAX_START_FRACTION: f64 = 1.0;
 /// Fraction of the target latency that a prompt may always queue before its prefill. Where the
-/// prefill alone takes most of the target, a refusal would help nobody.
+/// prefill alone takes most of the target, a refusal would not help any caller.
 const MIN_QUEUE_FRACTION: f64 = 0.25;
 /// Fraction of an engine's memory that prompts may wait for. If more wait, running prompts are
 /// preempted and prefilled again, and no answer is in time.
@@ -32,7 +32,7 @@
 /// best if memory is filled completely.
 const SHORTAGE_THRESHOLD: f64 = 0.35;
 /// Fraction of the memory that is reserved per unit of memory shortage above the threshold. Where
-/// most large prompts are refused anyway, engines with some free memory answer sooner, keep more
+/// most large prompts are refused anyway, engines with some free memory respond sooner, have more
 /// parts cached and serve more: with four times the large prompts, 625 instead of 534 were in time,
 /// and 1,040 thousand instead of 2,550 thousand tokens were prefilled again.
 const RESERVE_PER_SHORTAGE: f64 = 0.7;
--- a/core/src/serving/admission_request.rs
+++ b/core/src/serving/admission_request.rs
@@ -1,6 +1,6 @@
 use crate::time::Micros;
 
-/// A prompt that asks for admission.
+/// A prompt for which admission is requested.
 #[derive(Debug, Clone, Copy)]
 pub struct AdmissionRequest<'a> {
     /// Name of the route.
--- a/core/src/serving/endpoint_entry.rs
+++ b/core/src/serving/endpoint_entry.rs
@@ -8,7 +8,7 @@
     std::net::SocketAddr,
 };
 
-/// What the platform's endpoint list says about one endpoint.
+/// An endpoint as reported by the platform's endpoint list.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EndpointNotice {
     /// Id; where start times are reported, all incarnations of the endpoint share it.
@@ -40,7 +40,7 @@
 /// Load report of an engine, sent by its agent.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EngineLoad {
-    /// When the report was taken, on the local clock.
+    /// Time of the report, on the local clock.
     pub at: Micros,
     /// Time within which the next report arrives unless it is lost.
     pub again_within: Micros,
@@ -71,14 +71,14 @@
     }
 }
 
-/// Whether an endpoint may get requests.
+/// Whether an endpoint may receive requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum EndpointStatus {
     /// It accepts requests.
     Serving,
     /// Its entry disappeared while the store was failing: it may still serve.
     Lapsed,
-    /// It is leaving or gone.
+    /// It is leaving or has left.
     Leaving,
 }
 
@@ -110,10 +110,10 @@
     pub domain: String,
     /// Maximum concurrent requests; 0 if unknown.
     pub slots: u32,
-    /// Whether it may get requests.
+    /// Whether it may receive requests.
     pub status: EndpointStatus,
-    /// Whether another endpoint of its service was listed later at the same address, so that nobody
-    /// should answer there for this one.
+    /// Whether another endpoint of its service was listed later at the same address, so that this
+    /// one is no longer reachable there.
     pub is_superseded: bool,
     /// Whether it may rejoin after it was seen leaving.
     pub rejoin: EndpointRejoin,
@@ -140,13 +140,13 @@
     pub answered_at: Option<Micros>,
     /// Its stage in a weight swap.
     pub stage: SwapStage,
-    /// Requests of this front that it has.
+    /// Requests of this front that run or wait there.
     pub running: u32,
     /// Requests of this front that it has not begun to answer; included in `running`.
     pub pending_prefills: Vec<PendingPrefill>,
 }
 
-/// Age from which a report says nothing about the engine's queue.
+/// Age from which a report is too old to describe the engine's queue.
 const REPORT_MAX_AGE: Micros = Micros::from_millis(1_500);
 /// Time until a sent request shows up in a report.
 const REPORT_LAG: Micros = Micros::from_millis(40);
@@ -161,8 +161,8 @@
 
 /// Age from which a missing report makes an endpoint suspect.
 const SUSPECT_AFTER: Micros = Micros::from_millis(700);
-/// Age from which missing reports only mean that the agent is gone: the outcome of requests decides
-/// then.
+/// Age from which missing reports are attributed to a failed agent; the outcome of requests then
+/// shows whether the endpoint is healthy.
 const UNREPORTED_AFTER: Micros = Micros::from_secs(6);
 
 impl EndpointEntry {
@@ -206,9 +206,9 @@
     }
 
     /// Tokens that the endpoint still has to prefill for other fronts: an average prompt for each
-    /// waiting request and half of one for each in prefill. The older the report, the more weight
-    /// the average over all engines gets: without this, each of a hundred boxes sent its prompts to
-    /// the engine that had been idle half a second before.
+    /// waiting request and half of one for each in prefill. The older the report, the greater the
+    /// weight of the average over all engines: without this, each of a hundred boxes sent its
+    /// prompts to the engine that had been idle half a second before.
     pub fn other_prefill_tokens(
         &self,
         now: Micros,
@@ -239,7 +239,7 @@
     }
 
     /// Memory for prompts that the latest report does not include, in tokens: requests of this
-    /// front sent since, and waiting requests. Prompts in prefill already hold their memory.
+    /// front sent since, and waiting requests. Prompts in prefill already occupy their memory.
     pub fn unreported_tokens(
         &self,
         now: Micros,
@@ -255,8 +255,8 @@
     }
 
     /// Memory left for further prompts, in tokens, without the reserve for growing answers. `None`
-    /// without a fresh report, and if no memory is in use: then even the largest prompt delays
-    /// nobody.
+    /// without a fresh report, and if no memory is in use: then even the largest prompt delays no
+    /// other request.
     pub fn free_tokens(
         &self,
         now: Micros,
@@ -268,7 +268,7 @@
         (used > 0).then(|| usable.saturating_sub(used))
     }
 
-    /// Requests that it runs or queues, as far as is known.
+    /// Known number of requests that it runs or queues.
     pub fn occupied(
         &self,
         now: Micros,
--- a/core/src/serving/endpoint_incarnation.rs
+++ b/core/src/serving/endpoint_incarnation.rs
@@ -242,8 +242,9 @@
         order
     }
 
-    /// Marks endpoints as leaving for good if the list has a later-born endpoint of the same
-    /// service at their address: they no longer exist, whatever their entries say.
+    /// Marks endpoints as leaving permanently if the list has an endpoint of the same service at
+    /// their address that started later: they no longer exist, even if their entries are still
+    /// listed.
     pub fn retire_superseded(&mut self) -> Vec<EndpointChange> {
         let mut latest: BTreeMap<(SocketAddr, &str), u64> = BTreeMap::new();
         for entry in self.entries.values() {
@@ -303,9 +304,9 @@
 
     /// Key of the endpoint that is present at an address, among those that `is_eligible` accepts.
     ///
-    /// The entry of a crashed endpoint may still exist beside that of its successor: the one born
-    /// later counts as present, or the one listed last. An endpoint whose entry disappeared counts
-    /// only if there is no other.
+    /// The entry of a crashed endpoint may still be listed along with that of its successor: the
+    /// one that started later counts as present, or the one listed last. An endpoint whose entry
+    /// disappeared counts only if there is no other.
     pub fn present_at(
         &self,
         address: SocketAddr,
--- a/core/src/serving/endpoint_pick.rs
+++ b/core/src/serving/endpoint_pick.rs
@@ -62,8 +62,8 @@
     pub estimator: &'a LatencyEstimator,
     /// Set for a suspect request, one under which endpoints have crashed.
     pub trial: Option<TrialRequest<'a>>,
-    /// Whether an endpoint may get the request: its failure domain is not evacuated, its region is
-    /// allowed, and slow start permits another request.
+    /// Whether an endpoint may receive the request: its failure domain is not evacuated, its region
+    /// is allowed, and slow start permits another request.
     pub is_eligible: &'a dyn Fn(&EndpointEntry) -> bool,
     /// Whether there is an open, unused connection to an endpoint.
     pub is_connected: &'a dyn Fn(EndpointKey) -> bool,
@@ -78,16 +78,16 @@
 /// Constraints on the endpoint for a suspect request.
 #[derive(Debug, Clone, Copy)]
 pub struct TrialRequest<'a> {
-    /// Hash of the request, which selects among endpoints of about the same cost, so that
-    /// repetitions of a request go to the same endpoint. When cost alone decided, a harmless
-    /// request met two other suspects on one endpoint after the other, and was blocked.
+    /// Hash of the request, which selects among endpoints of about the same cost, so that retries
+    /// of a request are sent to the same endpoint. When cost alone decided, a harmless request ran
+    /// next to other suspects on two endpoints that crashed, and was blocked.
     pub request_hash: u64,
     /// Whether the hash alone decides, because two endpoints have crashed under the request. Before
     /// that, most suspects are harmless: when the hash alone decided for them too, requests that
     /// three waves of crashes interrupted prefilled 133,000 tokens of shared parts again in one
     /// replayed day.
     pub is_alone: bool,
-    /// Endpoints that cannot take a suspect request.
+    /// Endpoints that cannot accept a suspect request.
     pub excluded: &'a [EndpointKey],
     /// Minimum number of available endpoints, so that a suspect request cannot crash the last one.
     pub min_endpoints: u32,
@@ -104,8 +104,8 @@
     pub ahead_tokens: f64,
     /// Prefill time of these tokens, in milliseconds.
     pub ahead_ms: f64,
-    /// Time until the answer starts, beside the request's own prefill, according to recent prompts,
-    /// in milliseconds.
+    /// Expected time until the answer starts, without the request's own prefill, according to
+    /// recent prompts, in milliseconds.
     pub queue_ms: f64,
     /// Requests that wait at the endpoint for a slot or memory.
     pub waiting: u32,
@@ -159,7 +159,7 @@
     if healthy.is_some() || request.trial.is_some() {
         return healthy;
     }
-    // No endpoint is known to be healthy: one that may be is better than none.
+    // No endpoint is known to be healthy: falls back to any that may be.
     pick_best(registry, request, availabilities, &|_| true)
 }
 
--- a/core/src/serving/endpoint_registry.rs
+++ b/core/src/serving/endpoint_registry.rs
@@ -19,18 +19,18 @@
 pub enum EndpointChange {
     /// The endpoint accepts requests from now on.
     Serves(String),
-    /// The endpoint gets no new requests from now on.
+    /// The endpoint receives no new requests from now on.
     Leaves(String),
     /// The endpoint's entry disappeared while the list is unreliable.
     Lapses(String),
-    /// The endpoint is alive but not on the list: it gets no requests.
+    /// The endpoint is alive but not on the list: it receives no requests.
     Away(String),
     /// The endpoint has restarted and serves; connections to its previous incarnation are unusable.
     Restarts(String),
 }
 
-/// Time for which an endpoint that left is remembered, so that a delayed write does not bring it
-/// back: writes can arrive some seconds late.
+/// Time for which an endpoint that left is remembered, so that a delayed write does not restore it:
+/// writes can arrive some seconds late.
 const LEFT_RETENTION: Micros = Micros::from_secs(30);
 
 /// All known endpoints, indexed by id because an address can be reused.
@@ -134,8 +134,8 @@
             slots: notice.slots,
             status: listed_status,
             is_superseded: false,
-            // An endpoint that is away is probed once its entry is back. When it was treated as
-            // leaving for good, it got no requests until it was forgotten.
+            // An endpoint that is away is probed once its entry reappears. When it was treated as
+            // leaving permanently, it received no requests until its state was removed.
             rejoin: match notice.is_away {
                 true => EndpointRejoin::Away,
                 false => EndpointRejoin::of(listed_status),
--- a/core/src/serving/endpoint_rejoin.rs
+++ b/core/src/serving/endpoint_rejoin.rs
@@ -30,7 +30,7 @@
         /// Earlier probes that did not confirm that it serves.
         failed_probes: u32,
     },
-    /// It announced that it leaves, or another endpoint is at its address.
+    /// It announced that it is leaving, or another endpoint is at its address.
     Never,
 }
 
@@ -44,12 +44,12 @@
     }
 }
 
-/// An endpoint to ask whether it still serves.
+/// A health check of an endpoint that may have rejoined.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RejoinProbe {
     /// Its key.
     pub key: EndpointKey,
-    /// Its id; another endpoint at the address must not answer for it.
+    /// Its id; a response of another endpoint at the address does not count.
     pub id: String,
     /// Service of the endpoint.
     pub service: String,
@@ -87,7 +87,8 @@
         }
         let previous = self.status;
         if previous == EndpointStatus::Leaving {
-            // An endpoint whose entry had only disappeared may be alive: it is probed.
+            // An endpoint whose entry disappeared without an announced leave may be alive: it is
+            // probed.
             if listed_status == EndpointStatus::Serving && self.rejoin == EndpointRejoin::Away {
                 self.rejoin = EndpointRejoin::Listed {
                     failed_probes: 0,
@@ -104,7 +105,7 @@
 impl EndpointEntry {
     /// Records a list notice that an incarnation born before the one that left is serving. When
     /// such notices were always treated as delayed writes, an endpoint that restarted after its
-    /// clock was set back got no requests until it was forgotten 30 s later.
+    /// clock was set back received no requests until its state was removed 30 s later.
     pub(super) fn record_rollback(
         &mut self,
         notice: &EndpointNotice,
--- a/core/src/serving/era_tracker.rs
+++ b/core/src/serving/era_tracker.rs
@@ -14,7 +14,7 @@
         /// Era known until then.
         previous: StoreEra,
     },
-    /// A late answer from an era that has ended.
+    /// A late response from an era that has ended.
     Outdated,
 }
 
@@ -23,7 +23,7 @@
 #[derive(Debug, Clone, Copy, Default)]
 pub struct EraTracker {
     known: Option<StoreEra>,
-    /// When the first answer of the known era arrived.
+    /// When the first response of the known era arrived.
     seen_at: Option<Micros>,
     /// When the known era was first seen, if writes from before it may be missing.
     uncertain_since: Option<Micros>,
@@ -32,7 +32,7 @@
 }
 
 impl EraTracker {
-    /// Records the era of an answer.
+    /// Records the era of a response.
     pub fn observe(
         &mut self,
         era: StoreEra,
@@ -86,7 +86,8 @@
     }
 
     /// Whether a read sent at `sent_at` also proves the current content to other processes. A
-    /// process that has just started cannot tell a restored snapshot from the content before it.
+    /// process that has just started cannot distinguish a restored snapshot from the content before
+    /// it.
     pub fn can_confirm(
         &self,
         sent_at: Micros,
--- a/core/src/serving/evacuation_set.rs
+++ b/core/src/serving/evacuation_set.rs
@@ -1,9 +1,9 @@
 use std::collections::BTreeMap;
 
-/// Failure domains that operators have evacuated: their endpoints get no new requests.
+/// Failure domains that operators have evacuated: their endpoints receive no new requests.
 ///
-/// An evacuation that is missing from a restored snapshot of the platform's store may still be
-/// wanted. It stays in force until the operators have had time to write it again.
+/// An evacuation that is missing from a restored snapshot of the platform store may still be
+/// intended. It stays in force until the operators have had time to write it again.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct EvacuationSet {
     /// Whether the current era of the store has confirmed the evacuation, by failure domain.
@@ -13,14 +13,14 @@
 /// Change found by a read of the store.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum EvacuationChange {
-    /// The failure domain gets no new requests from now on.
+    /// The failure domain receives no new requests from now on.
     Begins(String),
     /// The failure domain serves again.
     Ends(String),
 }
 
 impl EvacuationSet {
-    /// Whether the endpoints of a failure domain get no new requests.
+    /// Whether the endpoints of a failure domain receive no new requests.
     pub fn contains(
         &self,
         domain: &str,
--- a/core/src/serving/fetch_completion.rs
+++ b/core/src/serving/fetch_completion.rs
@@ -8,18 +8,18 @@
 /// three times the report interval of an engine without changes.
 pub const MAX_REPORT_GAP: Micros = Micros::from_millis(800);
 
-/// Longest time for which a part is kept after boxes have stopped telling engines to fetch it, if
-/// some engine does not prove that its fetches are over. The engine may be paused or gone for
-/// good, and stores full of such parts accept nothing else. Several times the longest pause seen
-/// (9 s).
+/// Longest time for which a part is retained after boxes have stopped requesting fetches of it, if
+/// some engine does not prove that its fetches have ended. The engine may be paused or permanently
+/// lost, and stores full of such parts accept nothing else. Several times the longest pause seen (9
+/// s).
 pub const RECLAIM_TIMEOUT: Micros = Micros::from_secs(60);
 
 /// Time that an engine must have run without a pause: the longest fetch that was in progress when
 /// it resumed, plus a pause that reports do not show.
 const MIN_RUN_TIME: Micros = Micros(VIEW_TTL.0 + MAX_REPORT_GAP.0);
 
-/// Time after which an engine that is neither listed nor reporting is no longer waited for: no
-/// part is kept for longer for any engine.
+/// Time after which an engine that is neither listed nor reporting is no longer waited for: no part
+/// is retained for longer than this.
 const ENGINE_RETENTION: Micros = RECLAIM_TIMEOUT;
 
 /// Evidence that the fetches of one engine are over.
@@ -50,8 +50,8 @@
         }
     }
 
-    /// Whether the engine may have been told to fetch parts of a version: an engine with newer
-    /// weights refuses fetches that it had not begun.
+    /// Whether the engine may still fetch parts of a version: an engine with newer weights refuses
+    /// fetches that it had not begun.
     fn may_fetch(
         &self,
         model: &str,
@@ -67,7 +67,7 @@
 /// Tracks for each engine until when its fetches of parts are proven to be over.
 ///
 /// An engine discards a fetch that begins too late, but not one that was in progress when it was
-/// paused: that one ends at any time after the engine resumes. The deadline of a fetch therefore
+/// paused: that one can end at any time after the engine resumes. The deadline of a fetch therefore
 /// proves nothing; reports of an engine that has since run without a pause do.
 ///
 /// All times are on the engines' clock. Engines are identified by address, which only one engine
--- a/core/src/serving/grant_allocator.rs
+++ b/core/src/serving/grant_allocator.rs
@@ -4,8 +4,8 @@
     std::collections::BTreeMap,
 };
 
-/// Percentage of the limit that is divided among the known boxes. The rest is left for a box that
-/// joins.
+/// Percentage of the limit that is divided among the known boxes. The rest is reserved for a box
+/// that joins.
 const SHARED_PERCENT: u32 = 90;
 
 /// A grant that may still be in use.
--- a/core/src/serving/incarnation_tracker.rs
+++ b/core/src/serving/incarnation_tracker.rs
@@ -1,17 +1,16 @@
 use {super::IncarnationOrder, crate::time::Micros};
 
-/// Time for which reports of an earlier incarnation count as late. Reports of a process about
-/// itself arrive within milliseconds, and after a pause it may report its previous state once or
-/// twice.
+/// Time for which reports of an earlier incarnation count as late. A process's own reports arrive
+/// within milliseconds, and after a pause it may report its previous state once or twice.
 const LATE_REPORT_WINDOW: Micros = Micros::from_millis(1_500);
 
 /// Distinguishes incarnations of a process by their start times, although its clock can be set
 /// back.
 ///
 /// An engine that restarts after its box's clock was set back reports an earlier start time than
-/// the known incarnation. When such reports were always treated as late, the engine got only orders
-/// with the numbers of its earlier incarnation, which it refused, and no requests that need its
-/// weights, until its clock had caught up: an hour for a wrong time zone.
+/// the known incarnation. When such reports were always treated as late, until its clock had caught
+/// up (an hour for a wrong time zone) the engine received only orders with the numbers of its
+/// earlier incarnation, which it refused, and no requests that need its weights.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct IncarnationTracker {
     /// Earlier start time that is being reported, and since when without a report of the known
--- a/core/src/serving/key_freshness.rs
+++ b/core/src/serving/key_freshness.rs
@@ -9,8 +9,8 @@
 
 /// Tracks the age of the known key configuration against its limit.
 ///
-/// Age counts from when the store is proven to have answered, not from when the answer arrived:
-/// changes that the store accepted in between may be missing from it.
+/// Age counts from the earliest time at which the store can have sent its response, not from its
+/// arrival: changes that the store accepted in between may be missing from it.
 #[derive(Debug, Clone, Copy)]
 pub struct KeyFreshness {
     limit: Micros,
@@ -44,7 +44,7 @@
         self.read_at = self.read_at.max(Some(proven_at));
     }
 
-    /// Records that two other boxes found the configuration known here to be the newest, with
+    /// Records that two other boxes confirmed that the configuration known here is the newest, with
     /// requests sent at `sent_at` or later.
     pub fn record_confirmed_read(
         &mut self,
@@ -59,7 +59,7 @@
         self.confirmed_at = None;
     }
 
-    /// Records a configuration forwarded by another box; it keeps its age.
+    /// Records a configuration forwarded by another box, with the age that it has there.
     pub fn record_report(
         &mut self,
         age: Micros,
@@ -71,14 +71,14 @@
         }
     }
 
-    /// Send time of the newest request that showed the known configuration to be the newest, from
-    /// an own read or from two other boxes.
+    /// Send time of the newest request that showed the known configuration to be the newest, from a
+    /// read by this box or by two others.
     pub fn proven_at(&self) -> Option<Micros> {
         self.read_at.max(self.confirmed_at)
     }
 
-    /// Whether no read has proven anything for longer than two requests take that the store holds
-    /// for `held_for` each.
+    /// Whether the last successful read is older than the duration of two long polls that each take
+    /// `held_for`.
     pub fn is_overdue(
         &self,
         held_for: Micros,
@@ -96,8 +96,8 @@
         ReportedAge::min_age(self.proven_at(), self.reported, now)
     }
 
-    /// Whether a caller may be told that a key or a route does not exist. This needs an own read
-    /// or the reads of two other boxes, as a single box may have been out of date.
+    /// Whether a request may be refused because its key or route is unknown. This needs a read by
+    /// this box or reads by two others, as a single other box may have been out of date.
     pub fn may_deny(
         &self,
         now: Micros,
--- a/core/src/serving/key_policy.rs
+++ b/core/src/serving/key_policy.rs
@@ -4,7 +4,7 @@
     /// No caller is admitted past the age limit, so that revoked keys stop working.
     #[default]
     FailClosed,
-    /// Known keys are accepted at any age: an outage of the store rejects nobody, but a key
+    /// Known keys are accepted at any age: an outage of the store rejects no caller, but a key
     /// revoked during the outage still works.
     FailOpen,
 }
--- a/core/src/serving/kv_store.rs
+++ b/core/src/serving/kv_store.rs
@@ -1,20 +1,19 @@
 use {crate::time::Micros, std::net::SocketAddr};
 
-/// Time for which the store may hold a poll for changes while there are none, with few clients.
+/// Maximum duration of a long poll with few clients.
 const POLL_WAIT: Micros = Micros::from_millis(300);
-/// Pause between two polls. Each call has a price, and each answer proves for two seconds that the
+/// Pause between two polls. Each call has a cost, and each response proves for two seconds that the
 /// store has not restarted.
 const POLL_PAUSE: Micros = Micros::from_millis(400);
-/// The same as `POLL_WAIT` with many clients; the platform charges for calls that are held for a
-/// shorter time.
+/// Maximum duration of a long poll with many clients; the platform charges for shorter ones.
 const BUSY_POLL_WAIT: Micros = Micros::from_millis(200);
-/// Maximum pause: an answer is valid for two seconds, and one answer may be late.
+/// Maximum pause: a response is valid for two seconds, and one response may be late.
 const MAX_POLL_PAUSE: Micros = Micros::from_millis(800);
 
 /// How a client polls a store for changes (long polling).
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PollPlan {
-    /// Time for which the store may hold the call while there are no changes.
+    /// Time for which the store may delay its response while there are no changes.
     pub wait: Micros,
     /// Time until the next call.
     pub pause: Micros,
@@ -35,15 +34,15 @@
     pub link_mbps: f64,
     /// Latency until a transfer begins, in milliseconds.
     pub first_ms: f64,
-    /// Whether we have to delete parts from it.
+    /// Whether this product has to delete parts from it.
     pub is_managed: bool,
-    /// Maximum number of calls that it holds at once; it refuses further ones.
+    /// Maximum number of pending calls; it refuses further ones.
     pub max_pending_calls: u32,
 }
 
 impl KvStore {
-    /// Polling plan for each of `fronts` clients. Together they use at most half of the calls that
-    /// the store holds, as far as the maximum pause permits.
+    /// Polling plan for each of `fronts` clients. Together they use at most half of the pending
+    /// calls that the store accepts, as far as the maximum pause permits.
     pub fn poll_plan(
         &self,
         fronts: u32,
--- a/core/src/serving/kv_store_directory.rs
+++ b/core/src/serving/kv_store_directory.rs
@@ -16,9 +16,9 @@
 /// Latency of a transfer from an engine, in milliseconds.
 const ENGINE_LATENCY_MS: f64 = 1.7;
 /// Risk surcharge per token fetched from an engine, in milliseconds: engines can evict a part at
-/// any moment, and a part that is gone must be prefilled. Stores keep their parts, but their links
-/// are slower and have queues. It is a seventh of the prefill time of a token on engines that
-/// prefill a hundred tokens in a millisecond.
+/// any moment, and the part must then be prefilled. Stores do not evict parts, but their links are
+/// slower and have queues. It is a seventh of the prefill time of a token on engines that prefill a
+/// hundred tokens in a millisecond.
 const ENGINE_RISK_MS: f64 = 0.0015;
 
 /// Where a part can be fetched.
@@ -30,7 +30,7 @@
     Engine(EndpointKey),
 }
 
-/// A place that has a part, and the cost of fetching it.
+/// A store or engine that has a part, and the cost of fetching it.
 #[derive(Debug, Clone, PartialEq)]
 pub struct PartSource {
     /// Store or engine.
@@ -50,12 +50,12 @@
     }
 }
 
-/// A prompt part and the places that have it.
+/// A prompt part and its sources.
 #[derive(Debug, Clone, PartialEq)]
 pub struct PartAvailability {
     /// Part.
     pub part: PromptPart,
-    /// Places that have it.
+    /// Stores and engines that have it.
     pub sources: Vec<PartSource>,
 }
 
@@ -100,7 +100,7 @@
         }
     }
 
-    /// Applies the stores of a configuration; known content of unchanged stores is kept.
+    /// Applies the stores of a configuration; known content of unchanged stores is retained.
     pub fn set_stores(
         &mut self,
         stores: &[KvStore],
@@ -230,7 +230,7 @@
     }
 
     /// Store in which each shared part should be saved; `None` if a store has it or no store has
-    /// room.
+    /// space.
     pub fn plan_saves(
         &mut self,
         namespace: NamespaceTag,
--- a/core/src/serving/kv_store_view.rs
+++ b/core/src/serving/kv_store_view.rs
@@ -4,12 +4,12 @@
     std::collections::HashMap,
 };
 
-/// Age up to which a view of a store may be used, from when the request was sent until a fetch
-/// must have ended. A store that restarts is empty, and a part that is being rewritten must not be
-/// taken for complete.
+/// Age up to which a view of a store may be used, from when the request was sent until a fetch must
+/// have ended. A store that restarts is empty, and a part that is being rewritten must not be
+/// treated as complete.
 pub const VIEW_TTL: Micros = Micros::from_millis(2_000);
-/// Time that an incarnation of a store must have lasted before anything is saved there: by then no
-/// view of the previous incarnation is in use any more.
+/// Time that an incarnation of a store must have lasted before anything is saved there: by then all
+/// views of the previous incarnation have expired.
 pub const SAVE_DELAY: Micros = Micros::from_millis(2_400);
 /// Time within which a requested save appears in the store.
 const SAVE_TIMEOUT: Micros = Micros::from_secs(3);
@@ -65,8 +65,8 @@
         self.epoch
     }
 
-    /// Known incarnation and the least time it has lasted: since an answer showed it here, or as
-    /// reported by another box.
+    /// Known incarnation and the minimum time for which it has lasted: since a response showed it
+    /// here, or as reported by another box.
     pub fn uptime(
         &self,
         now: Micros,
@@ -87,10 +87,10 @@
     /// Records an incarnation reported by another box; the report arrived at `at`.
     ///
     /// A front that starts sees every incarnation for the first time and would save nothing for
-    /// [`SAVE_DELAY`]. With such a report it saves from its first request on, if a box that it
-    /// asked has observed the same incarnation for that long. A minimum age counts from when the
-    /// report arrived: counted from the request, as maximum ages are, it would be too high by any
-    /// pause of the other box before its answer.
+    /// [`SAVE_DELAY`]. With such a report it saves from its first request on, if the reporting box
+    /// has observed the same incarnation for that long. A minimum age counts from the arrival of
+    /// the report: counted from the request, as maximum ages are, it would be too high by any pause
+    /// of the other box before its response.
     pub fn record_uptime(
         &mut self,
         reported: &KvStoreUptime,
@@ -109,7 +109,7 @@
         }
     }
 
-    /// Records an answer to a request sent at `sent_at`. Returns true if it shows a new
+    /// Records a response to a request sent at `sent_at`. Returns true if it shows a new
     /// incarnation, whose content is unknown.
     pub fn record_response(
         &mut self,
@@ -152,12 +152,12 @@
         }
     }
 
-    /// Records that the store did not answer: the view may not be used.
+    /// Records that the store did not respond: the view may not be used.
     pub fn mark_unreachable(&mut self) {
         self.proven_at = None;
     }
 
-    /// Records that a part is complete, or gone if `tokens` is 0.
+    /// Records that a part is complete, or deleted if `tokens` is 0.
     pub fn set_part(
         &mut self,
         namespace: NamespaceTag,
@@ -170,7 +170,7 @@
         }
     }
 
-    /// Time on the engines' clock now or earlier, extrapolated from this store's last answer.
+    /// Time on the engines' clock now or earlier, extrapolated from this store's last response.
     pub fn clock_ms(
         &self,
         now: Micros,
@@ -179,8 +179,8 @@
         Some(clock + now.since(at).as_millis())
     }
 
-    /// Latest possible time on the engines' clock, which would be right if the store had answered
-    /// at once.
+    /// Latest possible time on the engines' clock, which is exact if the store responded
+    /// immediately.
     pub fn latest_clock_ms(
         &self,
         now: Micros,
@@ -199,8 +199,8 @@
         (left > Micros::ZERO).then(|| clock_ms + left.as_millis())
     }
 
-    /// Whether the store answered last time, but too long ago for the view to be used: the next
-    /// answer is due.
+    /// Whether the last request succeeded, but too long ago for the view to be used: the next
+    /// response is due.
     pub fn is_stale(
         &self,
         now: Micros,
--- a/core/src/serving/latency_estimator.rs
+++ b/core/src/serving/latency_estimator.rs
@@ -29,9 +29,9 @@
 const QUEUE_SMOOTHING: f64 = 0.02;
 /// Age up to which a report fully describes a queue, in milliseconds.
 const QUEUE_FRESH_MS: f64 = 100.0;
-/// Further age after which a report says little, in prefill times of a typical prompt.
+/// Further age over which the weight of a report decays, in prefill times of a typical prompt.
 const QUEUE_DECAY_PREFILLS: f64 = 20.0;
-/// Initial mean time for which a prompt holds its memory, in milliseconds.
+/// Initial mean time for which a prompt occupies its memory, in milliseconds.
 const INITIAL_HOLD_MS: f64 = 1_000.0;
 
 /// Learns the time to first token of the engines: a fixed overhead plus a time per token to
@@ -169,8 +169,8 @@
         self.add(1.0, tokens, millis);
     }
 
-    /// Records that a prompt of `tokens` held its memory for `millis`. Larger prompts have a larger
-    /// weight, as others wait for their memory.
+    /// Records that a prompt of `tokens` occupied its memory for `millis`. Larger prompts have a
+    /// larger weight, as others wait for their memory.
     pub fn record_ended(
         &mut self,
         tokens: u32,
@@ -190,7 +190,7 @@
         self.hold_ms / (used as f64).max(1.0)
     }
 
-    /// Prefill time per token, in milliseconds, beside the other work of an engine.
+    /// Prefill time per token, in milliseconds, while the engine also decodes other requests.
     pub fn token_ms(&self) -> f64 {
         let variance = self.weight * self.tokens_squared - self.tokens * self.tokens;
         let covariance = self.weight * self.tokens_millis - self.tokens * self.millis;
--- a/core/src/serving/message_intervals.rs
+++ b/core/src/serving/message_intervals.rs
@@ -35,7 +35,7 @@
 }
 
 /// Interval at which a front reads the received digests of this many engines; with few engines it
-/// reads each at once. A read costs about as much as handling one digest, and returns many.
+/// reads each immediately. A read costs about as much as handling one digest, and returns many.
 pub fn digest_read_interval(engines: usize) -> Micros {
     let interval = Micros(READ_INTERVAL_PER_ENGINE.0 * engines as u64).min(MAX_READ_INTERVAL);
     match interval < MIN_READ_INTERVAL {
@@ -44,8 +44,8 @@
     }
 }
 
-/// Interval between greetings to an engine that must hear from the front soon: it is to load
-/// weights, or its cache content is unknown.
+/// Interval between greetings to an engine that must be notified soon: it is to load weights, or
+/// its cached parts are unknown.
 pub fn urgent_greeting_interval() -> Micros {
     GREETING_INTERVAL_RANGE.0
 }
--- a/core/src/serving/mod.rs
+++ b/core/src/serving/mod.rs
@@ -1,6 +1,6 @@
-//! Decisions about requests on a platform that is described from outside: the route and
-//! organisation of a request, the endpoint that gets it, what may be sent again, and how fresh
-//! the state behind these decisions must be.
+//! Decisions of a front on the users' platform: the route and organisation of a request, the
+//! endpoint that receives it, whether it may be retried, and how fresh the state behind these
+//! decisions must be.
 
 mod admission_controller;
 mod admission_decision;
--- a/core/src/serving/order_right.rs
+++ b/core/src/serving/order_right.rs
@@ -1,14 +1,14 @@
 use {super::StorePosition, crate::time::Micros};
 
-/// Time for which a check of the row permits orders, from when the request was sent. A process
-/// that takes over waits for longer.
+/// Time for which a check of the row permits orders, from when the request was sent. A process that
+/// takes over waits longer than this.
 const CHECK_TTL: Micros = Micros::from_millis(400);
 /// Time that an order may be in transit after the check expires.
 const MAX_ORDER_TRANSIT_TIME: Micros = Micros::from_millis(300);
 /// Bits of a fencing token used for the version: ten years at 3,000 changes a second.
 const VERSION_BITS: u32 = 40;
 
-/// Row that names the box which gives orders to one engine.
+/// Row that names the box with the right to give orders to one engine.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct OrderRow {
     /// Position of the row's last change.
@@ -19,10 +19,10 @@
 
 /// State machine, without I/O, of one process's exclusive right to give orders to one engine.
 ///
-/// A process takes the right by replacing the row; the row's position is its fencing token, which
-/// increases with each holder. The previous holder notices at the check that precedes each order.
-/// The new holder first waits until such a check has expired and for the gap that engines require
-/// between orders of two boxes.
+/// A process acquires the right by replacing the row; the row's position is its fencing token,
+/// which increases with each holder. The previous holder detects the change when it checks the row
+/// before its next order. The new holder first waits until such a check has expired, and for the
+/// minimum gap that engines require between orders of two boxes.
 #[derive(Debug, Clone)]
 pub struct OrderRight {
     own_box: String,
@@ -59,8 +59,8 @@
         let is_own = row.as_ref().is_some_and(|row| row.holder == self.own_box);
         let position = row.as_ref().filter(|_| is_own).map(|row| row.position);
         if position.is_some() && position != self.held {
-            // An own write whose answer was lost, or a write that the store lost: another process
-            // may have held the right since.
+            // Either the response to this process's write was lost, or the store lost a write:
+            // another process may have had the right since.
             self.start_wait(now);
         }
         self.held = position;
@@ -98,12 +98,12 @@
         self.seen.as_ref().map(Option::as_ref)
     }
 
-    /// Whether this process holds the right as far as it knows.
+    /// Whether this process believes that it has the right.
     pub fn is_held(&self) -> bool {
         self.held.is_some()
     }
 
-    /// Whether orders are not allowed yet, whatever the row says.
+    /// Whether this process must still wait before its first order.
     pub fn is_waiting(
         &self,
         now: Micros,
--- a/core/src/serving/path_index.rs
+++ b/core/src/serving/path_index.rs
@@ -1,6 +1,6 @@
 use {super::ServedRoute, std::collections::HashMap};
 
-/// Finds the route with the longest matching prefix. A look-up takes one hash access per slash of
+/// Finds the route with the longest matching prefix. A lookup takes one hash access per slash of
 /// the path, independent of the number of routes.
 #[derive(Debug, Clone, Default)]
 pub struct PathIndex {
--- a/core/src/serving/publication_records.rs
+++ b/core/src/serving/publication_records.rs
@@ -12,10 +12,10 @@
 /// Time for which every part of a version is fetched from stores, counted from the last read that
 /// showed no newer version: by then the first engines have the newer one.
 const FETCH_ALL: Micros = Micros::from_secs(6);
-/// Time over which the fetches of its parts then end one after the other, while engines change
-/// over and stores need room for parts of the newer version. With [`FETCH_ALL`] it is slightly
-/// more than the platform's limit for older weights (10 to 15 s). A compromise: a longer time is
-/// better right after a publication, a shorter one some seconds later.
+/// Time over which the fetches of its parts then end one after the other, while engines load the
+/// newer version and stores need space for its parts. With [`FETCH_ALL`] it is slightly more than
+/// the platform's limit for older weights (10 to 15 s). A compromise: a longer time is better right
+/// after a publication, a shorter one some seconds later.
 const FETCH_FADE: Micros = Micros::from_secs(10);
 /// Time from the end of the fetches until another box frees a part: the longest fetch
 /// ([`VIEW_TTL`]) plus a pause that reports do not show.
@@ -24,19 +24,20 @@
 /// Time after which a read must show an earlier publication: several times the delay of the store.
 const ROW_READ_LAG: Micros = Micros::from_millis(500);
 
-/// Spreads numbers evenly (an odd number near 2^64 over the golden ratio).
+/// Multiplier that distributes numbers evenly (an odd number near 2^64 divided by the golden
+/// ratio).
 const SPREAD_FACTOR: u64 = 0x9e37_79b9_7f4a_7c15;
 
 /// Time within which other boxes report publications from before this box started. A version that
-/// nobody reports then counts as expired: if a front counted from its own start, requests could
-/// begin on replaced weights for a whole limit longer.
+/// no box has reported by then counts as expired: if a front counted from its own start, requests
+/// could begin on replaced weights for a whole limit longer.
 pub const REPORT_TIMEOUT: Micros = Micros::from_secs(2);
 
 /// Publications reported per model: versions are published at least some seconds apart, and an
-/// engine with weights older than these gets no requests.
+/// engine with weights older than these receives no requests.
 const MAX_REPORTED_PUBLICATIONS: usize = 6;
 
-/// What this box knows of a publication.
+/// A publication as known to this box.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) struct PublicationRecord {
     /// Newest version before it, if known; 0 if there was none.
@@ -247,8 +248,9 @@
         known.is_some_and(|at| now.since(at) < fetch_period(part))
     }
 
-    /// Reclaim state of a part made under a version. It may be freed once no box tells an engine to
-    /// fetch it, and the engines that were told have proven that their fetches are over.
+    /// Reclaim state of a part made under a version. It may be freed once no box requests fetches
+    /// of it any more, and the engines that may have fetched it have proven that their fetches have
+    /// ended.
     ///
     /// `reads_completed_ms` is the time for which they have proven it
     /// ([`super::FetchCompletion::completed_until_ms`]); `clock_ms` is an upper bound of the
@@ -270,8 +272,8 @@
             return ReclaimState::Fetchable;
         }
         let past = now.since(over_at);
-        // A box that does not know the time before the publication does not know which engines
-        // were told to fetch.
+        // A box that does not know the time before the publication does not know which engines may
+        // be fetching.
         let knows_fetchers = publication.last_absent_at.is_some();
         let over_ms = clock_ms.map(|clock| clock.saturating_sub(past.as_millis()));
         let is_proven = over_ms.is_some_and(|over| reads_completed_ms > over);
--- a/core/src/serving/reader_tier.rs
+++ b/core/src/serving/reader_tier.rs
@@ -45,8 +45,8 @@
     }
 }
 
-/// Number from which a front derives its tier for a table. It depends on the table, so that each
-/// table has its own readers.
+/// Number from which a front derives its tier for a table. It depends on the table, so that the
+/// reads of all tables are spread over the fronts.
 pub fn reader_draw(
     box_id: &str,
     table: ProvenTable,
--- a/core/src/serving/refusal_kind.rs
+++ b/core/src/serving/refusal_kind.rs
@@ -15,7 +15,7 @@
     NoEndpoint,
     /// The request would not be served in time.
     Overloaded,
-    /// The endpoint reported that it did not run the request, and no other one may try.
+    /// The endpoint reported that it did not run the request, and no retry is allowed.
     EndpointRefused,
     /// The retry budget is used up.
     BudgetSpent,
@@ -37,9 +37,9 @@
     NeverSent,
     /// The process is shutting down.
     Stopping,
-    /// Endpoints have recently crashed under this request; it is not tried for now.
+    /// Endpoints have recently crashed during this request; it may be retried later.
     Suspected,
-    /// Endpoints have crashed under this request repeatedly; it is blocked.
+    /// Endpoints have crashed during this request repeatedly; it is blocked.
     Blocked,
 }
 
--- a/core/src/serving/retry_window.rs
+++ b/core/src/serving/retry_window.rs
@@ -41,7 +41,7 @@
     /// Records a retry if it is within this box's share of the limit, one of `boxes`.
     ///
     /// A process with an uptime below the window may replace one that has used its share, so it
-    /// gets half of the share.
+    /// receives half of the share.
     pub fn try_acquire(
         &mut self,
         limit: &RetryLimit,
--- a/core/src/serving/served_route.rs
+++ b/core/src/serving/served_route.rs
@@ -18,7 +18,7 @@
     }
 }
 
-/// Service that a route leads to, and its share of the requests.
+/// Service that a route forwards to, and its share of the requests.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RouteTarget {
     /// Name of the service.
@@ -54,7 +54,7 @@
     pub is_public: bool,
     /// Regions in which requests may run; empty for all.
     pub allowed_regions: Vec<String>,
-    /// Services that the route leads to.
+    /// Services that the route forwards to.
     pub targets: Vec<RouteTarget>,
 }
 
--- a/core/src/serving/serving_config.rs
+++ b/core/src/serving/serving_config.rs
@@ -20,12 +20,12 @@
     pub models: Vec<String>,
 }
 
-/// A service that routes lead to.
+/// A service that routes forward to.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ServedService {
     /// Maximum number of connections that one endpoint accepts from all callers.
     pub max_connections: u32,
-    /// Path of the health check, which an endpoint passes if it is well and not leaving.
+    /// Path of the health check, which an endpoint passes if it is healthy and not leaving.
     pub health_path: Option<String>,
     /// Engine configuration, if the endpoints are model engines.
     pub engine: Option<EngineConfig>,
--- a/core/src/serving/store_clock.rs
+++ b/core/src/serving/store_clock.rs
@@ -7,10 +7,9 @@
 
 /// Maps the monotonic clock of the platform store to the local one.
 ///
-/// An answer proves the content at the time the store gave it, not only at the time the request
-/// was sent, which matters for requests that the store holds. Earlier answers give a lower bound
-/// for the local time of the answer: the store's clock showed their time only after they had been
-/// requested.
+/// A response proves the content at the time at which the store sent it, not only at the time of
+/// the request, which matters for long polls. Earlier responses give a lower bound for the local
+/// time of a response: the store's clock cannot have shown their time before they were requested.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct StoreClock {
     /// Greatest lower bound, in microseconds, of the local time at which the store's clock showed
@@ -21,9 +20,8 @@
 }
 
 impl StoreClock {
-    /// Earliest local time at which the store can have given an answer, and whose content it
-    /// therefore proves: no earlier than the request was sent and no later than the answer
-    /// arrived.
+    /// Earliest local time at which the store can have sent a response, which proves the content at
+    /// that time: no earlier than the request was sent and no later than the response arrived.
     pub fn earliest_response_time(
         &mut self,
         sent_at: Micros,
--- a/core/src/serving/store_proof.rs
+++ b/core/src/serving/store_proof.rs
@@ -37,9 +37,9 @@
     sent_at: Micros,
 }
 
-/// Maximum number of proofs kept for one table: two for each reading front, and some more.
+/// Maximum number of proofs stored for one table: two for each reading front, and some more.
 const MAX_PROOFS: usize = 16;
-/// Reporting processes kept for one front's proofs.
+/// Maximum number of reporting processes per front whose proofs are stored.
 const REPORTERS_PER_SOURCE: usize = 2;
 /// Fronts whose proofs are forwarded.
 const FORWARDED_SOURCES: usize = 2;
@@ -88,7 +88,7 @@
         true
     }
 
-    /// Keeps the latest proofs of two reporting processes for each front.
+    /// Drops all but the latest proofs of two reporting processes for each front.
     fn drop_excess(
         &mut self,
         source: u32,
--- a/core/src/serving/suspect_record.rs
+++ b/core/src/serving/suspect_record.rs
@@ -4,8 +4,8 @@
     serde::{Deserialize, Serialize},
 };
 
-/// Maximum number of crashes stored per request: one more than are needed to hold it back, as two
-/// that different fronts report may count as one.
+/// Maximum number of crashes stored per request: one more than are needed to block it, as two that
+/// different fronts report may count as one.
 const MAX_CRASHES: usize = 4;
 /// Context of the hash of a crash.
 const DOMAIN: &str = "pitchhitch endpoint crash 1";
@@ -61,9 +61,9 @@
     pub(super) answered: Option<Micros>,
     /// Number of crashes that count against the request. A crash counts if the request was sent
     /// after the previous counted one, by a front that knew of all counted ones: only then did it
-    /// run apart from other suspects. Endpoints that crash together or in quick succession count as
-    /// one crash, as a request that many callers send runs on all of them. Crashes up to the last
-    /// complete answer do not count.
+    /// run without other suspects on the endpoint. Endpoints that crash together or in quick
+    /// succession count as one crash, as a request that many callers send runs on all of them.
+    /// Crashes up to the last complete answer do not count.
     pub(super) count: u32,
 }
 
--- a/core/src/serving/suspect_tracker.rs
+++ b/core/src/serving/suspect_tracker.rs
@@ -4,16 +4,16 @@
     std::collections::{BTreeMap, BTreeSet},
 };
 
-/// Successive crashes after which a request is held back: one that may be a coincidence, and two
-/// while the request ran apart from other suspects. Each crash takes down the endpoint and
-/// everything that runs there for seconds.
+/// Successive crashes after which a request is blocked: one that may be a coincidence, and two
+/// while the request ran without other suspects on the endpoint. Each crash takes down the endpoint
+/// and everything that runs there for seconds.
 const CRASHES_TO_BLOCK: u32 = 3;
-/// Delay after the second crash before the request is tried again; endpoints are back by then. Each
-/// front waits for its own share of up to twice this delay, so that the others learn of the first
-/// front's attempt.
+/// Minimum delay after the second crash before the request is retried; endpoints have restarted by
+/// then. Each front waits for a different time of up to twice this delay, so that the others learn
+/// of the first front's attempt.
 const RETRY_DELAY: Micros = Micros::from_millis(1_000);
-/// Time for which a request is held back after its last crash, and for which crashes are
-/// remembered: otherwise a caller that retries rarely would crash an endpoint each time.
+/// Time for which a request is blocked after its last crash, and for which crashes are remembered:
+/// otherwise a caller that retries rarely would crash an endpoint each time.
 const BLOCK_DURATION: Micros = Micros::from_secs(600);
 /// Time for which a complete answer proves that a request is harmless: crashes in that time have
 /// another cause.
@@ -29,11 +29,11 @@
 pub enum SuspectStatus {
     /// It is not suspected.
     Clear,
-    /// This many endpoints crashed while they had it: it runs apart from other suspects.
+    /// This many endpoints crashed during it: it runs on an endpoint without other suspects.
     Suspect(u32),
-    /// It is not tried again for this long.
+    /// It is not retried for this long.
     BackingOff(Micros),
-    /// It is held back for this long.
+    /// It is blocked for this long.
     Blocked(Micros),
 }
 
@@ -118,7 +118,7 @@
         is_cleared
     }
 
-    /// Status of a request; `jitter`, from 0 to 1, is this front's own share of the retry delay.
+    /// Status of a request; `jitter`, from 0 to 1, lengthens the retry delay of this front.
     pub fn status(
         &self,
         fingerprint: RequestFingerprint,
@@ -221,7 +221,7 @@
             .collect()
     }
 
-    /// Requests that are held back.
+    /// Requests that are blocked.
     pub fn blocked(
         &self,
         now: Micros,
@@ -230,7 +230,7 @@
         known.filter(|known| self.is_blocked(*known, now)).collect()
     }
 
-    /// Whether a request is held back.
+    /// Whether a request is blocked.
     pub fn is_blocked(
         &self,
         fingerprint: RequestFingerprint,
--- a/core/src/serving/swap_planner.rs
+++ b/core/src/serving/swap_planner.rs
@@ -4,25 +4,25 @@
     std::collections::BTreeMap,
 };
 
-/// Minimum number of engines of a group that may load at once; more slow each other down (the site
-/// specifications give two of nine and ten of fifty-four).
+/// Minimum number of engines of a service that may load at once; more would slow each other down
+/// (the site specifications give two of nine and ten of fifty-four).
 const MIN_CONCURRENT_LOADS: usize = 2;
-/// Engines of a group per concurrent load.
+/// Engines of a service per concurrent load.
 const ENGINES_PER_LOAD: usize = 5;
-/// Factor on the concurrent loads once the old weights have expired: such engines serve nothing,
-/// so their loads only slow each other down, and none has to wait for the report that another has
+/// Factor on the concurrent loads once the old weights have expired: such engines serve nothing, so
+/// their loads delay no requests, and no engine has to wait for the report that another has
 /// finished. With it, 40 engines that resumed together with old weights all had newer ones after
 /// 5.5 s instead of 5.8 s.
 const OVERDUE_LOAD_FACTOR: usize = 2;
 /// Minimum number of engines that finish their long runs in the meantime, and the number of loads
-/// per such engine: an engine that is told to load accepts nothing until its runs have ended.
+/// per such engine: an engine that is ordered to load accepts nothing until its runs have ended.
 const MIN_CONCURRENT_DRAINS: usize = 2;
 const LOADS_PER_DRAIN: usize = 3;
-/// Time given to an engine to finish its long runs before it loads.
+/// Time after which an engine is ordered to load although its long runs have not ended.
 const DRAIN_TIMEOUT: Micros = Micros::from_millis(1_600);
-/// Requests that an engine may still run when it is told to load.
+/// Requests that an engine may still run when it is ordered to load.
 const MAX_RUNNING_AT_LOAD: u32 = 2;
-/// Time after which an engine that was told to load and did not loses its turn.
+/// Time after the order to load after which an engine that has not loaded loses its turn.
 const TURN_TIMEOUT: Micros = Micros::from_secs(7);
 
 /// Published weights, and the engines whose turn it is to load them.
@@ -43,24 +43,24 @@
     pub model: String,
     /// Version to load.
     pub version: u64,
-    /// Start of the turn, or of the load once the engine has been told to load.
+    /// Start of the turn or, once the engine has been ordered to load, of the load.
     pub since: Micros,
-    /// Whether the engine is told to load now.
+    /// Whether the engine is ordered to load now.
     pub is_loading: bool,
 }
 
-/// Turns missed, whether it is unlisted, version, id.
+/// Sort key of a turn: turns missed, whether the engine is unlisted, its version, its id.
 type TurnRank = (u32, bool, u64, String);
 
 /// Stage of an engine on its way to the published weights.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub enum SwapStage {
-    /// It has them, or its turn has not come.
+    /// It has the published weights, or it is not its turn yet.
     #[default]
     Idle,
-    /// It gets no more long requests.
+    /// It receives no more long requests.
     Draining,
-    /// It loads, and accepts nothing.
+    /// It is loading and accepts nothing.
     Loading,
 }
 
@@ -85,7 +85,7 @@
         }
     }
 
-    /// Updates the turns and returns those of engines that are told to load now. `limit` is the
+    /// Updates the turns and returns those of engines that are ordered to load now. `limit` is the
     /// time for which requests may begin on weights after newer ones are published.
     pub fn plan(
         &mut self,
@@ -110,7 +110,7 @@
         started
     }
 
-    /// Number of engines of the group of `entry` that may load at the same time as it.
+    /// Number of engines of the service of `entry` that may load concurrently.
     fn load_limit(
         &self,
         registry: &EndpointRegistry,
@@ -127,7 +127,8 @@
         }
     }
 
-    /// Tells engines to load that run few requests or have had [`DRAIN_TIMEOUT`] to finish them.
+    /// Starts the loads of engines that run few requests or have had [`DRAIN_TIMEOUT`] to finish
+    /// them.
     fn start_loads(
         &mut self,
         registry: &EndpointRegistry,
@@ -221,15 +222,15 @@
         missed_turns.retain(|key, _| registry.get(*key).is_some());
     }
 
-    /// Next engine that gets a turn.
+    /// The engine that is next in turn.
     fn next_turn(
         &self,
         registry: &EndpointRegistry,
         limit: Micros,
         now: Micros,
     ) -> Option<(EndpointKey, SwapTurn)> {
-        // An engine that reports may also load if only its entry is gone: an engine whose box had
-        // been paused otherwise kept replaced weights until it was listed again.
+        // An engine that reports may also load if its entry has disappeared: otherwise an engine
+        // whose box had been paused used outdated weights until it was listed again.
         let waits = |(key, entry): &(EndpointKey, &EndpointEntry)| {
             has_fresh_report(entry, now) && entry.may_be_present() && !self.turns.contains_key(key)
         };
@@ -277,8 +278,8 @@
     MIN_CONCURRENT_LOADS.max(engines / ENGINES_PER_LOAD)
 }
 
-/// Whether an endpoint counts. An unlisted one counts only if it reports: it may have ended, and
-/// its turn would then keep other engines from theirs.
+/// Whether an endpoint takes part in the swap. An unlisted one does only if it reports: otherwise
+/// it may have exited, and its turn would block other engines.
 fn counts_for_swap(
     entry: &EndpointEntry,
     now: Micros,
--- a/core/src/serving/trial_table.rs
+++ b/core/src/serving/trial_table.rs
@@ -20,8 +20,8 @@
     first_event_at: Option<Micros>,
 }
 
-/// Runs of suspects that may crash their endpoints. They are kept apart, so that one that crashes
-/// its endpoint does not incriminate another.
+/// Runs of suspects that may crash their endpoints. They run on different endpoints, so that a
+/// crash is not attributed to the wrong one.
 #[derive(Debug, Clone, Default)]
 pub struct TrialTable {
     runs: Vec<TrialRun>,
@@ -37,7 +37,7 @@
         self.active(now).any(|run| run.fingerprint == fingerprint)
     }
 
-    /// Endpoints that cannot take one more suspect.
+    /// Endpoints that cannot accept one more suspect.
     pub fn full_endpoints(
         &self,
         is_exclusive: bool,
--- a/core/src/serving/version_expiry.rs
+++ b/core/src/serving/version_expiry.rs
@@ -40,7 +40,7 @@
             if naming.is_expired(limit, now) {
                 return Some(*version);
             }
-            // Nothing is known of versions older than those it replaced, unless their own
+            // The age of versions older than the one it replaced is unknown, unless their own
             // publication is known too.
             let after = naming.previous.unwrap_or(*version);
             let is_published = self.publications.contains_key(&(model.to_string(), after));
