--- a/agent/src/endpoint/endpoint_client.rs
+++ b/agent/src/endpoint/endpoint_client.rs
@@ -83,7 +83,7 @@
     /// Requests the health of an engine.
     ///
     /// # Errors
-    /// [`CallError`] if it does not answer in time.
+    /// [`CallError`] if it does not respond in time.
     pub async fn engine_health(&self) -> Result<EngineHealth, CallError> {
         self.shared.short.get_json("/engine/health").await
     }
@@ -91,7 +91,7 @@
     /// Checks the health of a plain service.
     ///
     /// # Errors
-    /// [`CallError`] if it is unhealthy or does not answer in time.
+    /// [`CallError`] if it is unhealthy or does not respond in time.
     pub async fn service_health(&self) -> Result<(), CallError> {
         let conn = self.shared.short.request("GET", &self.shared.health_path);
         self.shared.short.send(conn).await.map(|_| ())
@@ -100,7 +100,7 @@
     /// Lists the whole cache of an engine.
     ///
     /// # Errors
-    /// [`CallError`] if it does not answer in time.
+    /// [`CallError`] if it does not respond in time.
     pub async fn list_cache(&self) -> Result<EngineCache, CallError> {
         self.shared.short.get_json("/engine/cache").await
     }
@@ -108,7 +108,7 @@
     /// Requests the changes of an engine's cache, starting at sequence number `from`.
     ///
     /// # Errors
-    /// [`CallError`] if it does not answer in time.
+    /// [`CallError`] if it does not respond in time.
     pub async fn cache_changes(
         &self,
         from: u64,
@@ -122,7 +122,7 @@
     /// Exports a piece; none if the engine no longer has it.
     ///
     /// # Errors
-    /// [`CallError`] if it does not answer in time.
+    /// [`CallError`] if it does not respond in time.
     pub async fn export_piece(
         &self,
         key: PieceKey,
--- a/agent/src/engine_agent/cache_poller.rs
+++ b/agent/src/engine_agent/cache_poller.rs
@@ -8,11 +8,11 @@
     std::{rc::Rc, time::Duration},
 };
 
-/// Time for which the engine holds a poll while nothing changes.
+/// Maximum duration of a long poll.
 const POLL_WAIT: Duration = Duration::from_secs(1);
 /// Delay after a failed poll.
 const RETRY_DELAY: Duration = Duration::from_millis(400);
-/// Timeout of a poll, in addition to the time for which it is held.
+/// Timeout of a poll, in addition to its maximum duration.
 const EXTRA_TIMEOUT: Duration = Duration::from_millis(600);
 
 /// Polls the changes of the engine's cache.
--- a/agent/src/engine_agent/digest_sender.rs
+++ b/agent/src/engine_agent/digest_sender.rs
@@ -142,7 +142,7 @@
             wanted.version = weights.version;
             wanted.turn_at = None;
         }
-        // A turn that was assigned long ago may by now be another engine's.
+        // A turn that was assigned too long ago may have passed to another engine.
         if let Some(age) = age.filter(|_| weights.is_turn) {
             wanted.turn_at = wanted.turn_at.max(Some(now.since(age)));
         }
--- a/agent/src/engine_agent/engine_agent_context.rs
+++ b/agent/src/engine_agent/engine_agent_context.rs
@@ -103,7 +103,7 @@
 }
 
 impl EngineAgentState {
-    /// Load of the engine as sent to fronts: the report's local timestamp means nothing to others.
+    /// Load of the engine as sent to fronts: the report's local timestamp is meaningless to others.
     pub fn reported_load(&self) -> EngineLoad {
         EngineLoad {
             at: Micros::ZERO,
@@ -185,9 +185,9 @@
         true
     }
 
-    /// Records the engine id in a front's greeting; returns true if it is new. Fronts that lag
-    /// behind still send the id of the previous engine at the address: the id of the engine that
-    /// was born later is used or, with equal start times, of the one whose row was written last.
+    /// Records the engine id in a front's greeting; returns true if it is new. Fronts with outdated
+    /// state still send the id of the previous engine at the address: the id of the engine that was
+    /// born later is used or, with equal start times, of the one whose row was written last.
     pub fn record_engine_id(
         &mut self,
         id: &str,
@@ -207,8 +207,8 @@
         is_new
     }
 
-    /// Records whether an engine is leaving, as a front reports it. Fronts that lag behind still
-    /// report it as serving; only a later row or incarnation revokes the leaving.
+    /// Records whether an engine is leaving, as a front reports it. Fronts with outdated state
+    /// still report it as serving; only a later row or incarnation revokes the leave.
     pub fn record_leaving(
         &mut self,
         id: &str,
@@ -326,7 +326,7 @@
         self.state.borrow_mut()
     }
 
-    /// Spawns a task that runs until it ends by itself.
+    /// Spawns a task that runs until it completes.
     pub fn spawn(
         &self,
         task: impl Future<Output = ()> + 'static,
--- a/agent/src/engine_agent/engine_agent_process.rs
+++ b/agent/src/engine_agent/engine_agent_process.rs
@@ -18,7 +18,7 @@
 /// Runs the agent of an engine until a stop signal; `reload` reads the settings again.
 ///
 /// # Errors
-/// If an address cannot be bound or signals cannot be watched.
+/// If an address cannot be bound or the signal handlers cannot be installed.
 pub async fn run_engine_agent(
     settings: EngineAgentSettings,
     reload: &dyn Fn() -> Result<EngineAgentSettings, String>,
--- a/agent/src/engine_agent/front_contacts.rs
+++ b/agent/src/engine_agent/front_contacts.rs
@@ -7,16 +7,16 @@
     std::{collections::HashMap, net::SocketAddr},
 };
 
-/// Minimum time after the last greeting for which a front still gets digests.
+/// Minimum time after the last greeting for which a front still receives digests.
 const MIN_FRONT_TTL: Micros = Micros::from_secs(5);
 /// Minimum time without greetings after which the engine is announced to a front; some greetings
 /// may get lost.
 const MIN_SILENCE: Micros = Micros::from_millis(1_500);
-/// Announced greeting intervals that may pass before either happens, if that takes longer.
+/// The same two times as multiples of the announced greeting interval, if that is longer.
 const MAX_MISSED_GREETINGS: u64 = 3;
-/// Time after the last greeting for which a front is remembered, and the number of fronts above
-/// which inactive ones are removed earlier. After a longer pause of this box, fronts find the
-/// engine only by the platform's list.
+/// Time after the last greeting for which a front is tracked, and the number of fronts above which
+/// inactive ones are removed earlier. After a longer pause of this box, fronts find the engine only
+/// by the platform's list.
 const FRONT_RETENTION: Micros = Micros::from_secs(60);
 const MAX_FRONTS: usize = 256;
 
@@ -66,7 +66,8 @@
     ) {
         let is_new = !self.fronts.contains_key(&front);
         if is_new && self.fronts.len() >= MAX_FRONTS {
-            // Active fronts all get digests, however many there are; inactive ones are removed.
+            // All active fronts receive digests, regardless of their number; inactive ones are
+            // removed.
             self.fronts
                 .retain(|_, contact| now.since(contact.received_at) < contact.ttl());
         }
@@ -85,7 +86,7 @@
         self.fronts.insert(front, contact);
     }
 
-    /// Active fronts, which get digests.
+    /// Active fronts, which receive digests.
     pub fn active(
         &mut self,
         now: Micros,
--- a/agent/src/engine_agent/order_sender.rs
+++ b/agent/src/engine_agent/order_sender.rs
@@ -14,8 +14,7 @@
 
 /// Interval of checks whether an order is due while the engine lacks a wanted version.
 const CHECK_INTERVAL: Micros = Micros::from_millis(60);
-/// Maximum wait for a wake-up while the engine lacks no wanted version; its end only causes another
-/// check.
+/// Interval of checks while the engine has all wanted versions.
 const MAX_ORDER_WAIT: Duration = Duration::from_secs(60);
 /// Time for which a front's report that it is the engine's turn is valid.
 const TURN_TTL: Micros = Micros::from_millis(1_300);
@@ -29,8 +28,8 @@
 /// doubles with each attempt.
 const RETRY_DELAY_RANGE: (Micros, Micros) = (Micros::from_millis(300), Micros::from_secs(4));
 
-/// Gives the engine its orders. A front may take over the right to do so if it receives no digests
-/// from this process for long, so the holder of the right is checked before each order.
+/// Gives the engine its orders. A front may take over this right after it has received no digests
+/// from this process for some time, so the holder of the right is checked before each order.
 pub(crate) async fn send_orders(agent: Rc<EngineAgentContext>) {
     let settings = &agent.settings;
     let mut store = StoreClient::new(settings.store, STORE_TIMEOUT);
@@ -129,8 +128,8 @@
     Ok(position)
 }
 
-/// Fencing token for an order that may be given now, after a check of who holds the right. While
-/// the store is unreachable, no other process can take over the right, so the token is used
+/// Fencing token for an order that may be given now, after a check of the holder of the right.
+/// While the store is unreachable, no other process can take over the right, so the token is used
 /// unchecked.
 async fn confirmed_token(
     agent: &EngineAgentContext,
--- a/agent/src/engine_agent/sent_digests.rs
+++ b/agent/src/engine_agent/sent_digests.rs
@@ -3,7 +3,7 @@
     std::collections::VecDeque,
 };
 
-/// Number of digests whose send times are remembered, which covers some seconds. A greeting that
+/// Number of digests whose send times are recorded, which covers some seconds. A greeting that
 /// echoes an earlier digest is too old to prove anything.
 const MAX_SENT_DIGESTS: usize = 64;
 
@@ -28,7 +28,7 @@
 
     /// Upper bound of the time since a greeting was sent, given the latest digest that its sender
     /// had received. If the age were counted from the receipt, a greeting that waited while this
-    /// process was paused would look new.
+    /// process was paused would appear to be new.
     pub fn greeting_age(
         &self,
         echo: Option<DigestEcho>,
--- a/agent/src/engine_agent/snapshot_cache.rs
+++ b/agent/src/engine_agent/snapshot_cache.rs
@@ -14,8 +14,8 @@
 const FETCH_TIMEOUT: Duration = Duration::from_millis(400);
 /// Time for which a front's offer of its snapshot is valid.
 const OFFER_TTL: Micros = Micros::from_millis(2_000);
-/// By how much the store read behind an offer from the own failure domain may be older than that of
-/// another offer: traffic between domains costs more.
+/// Maximum age difference at which an offer from the same failure domain is preferred to one with a
+/// newer store read: traffic between domains costs more.
 const SAME_DOMAIN_BONUS: Micros = Micros::from_millis(300);
 
 /// A front's offer to serve its state snapshot.
@@ -32,7 +32,7 @@
 
 impl SnapshotOffer {
     /// Whether this offer replaces another one: it is from the same front, or based on a store read
-    /// that is not older. A front that the store rejects knows only the snapshots of others.
+    /// that is not older. A front that cannot read the store only has snapshots of others.
     fn replaces(
         &self,
         current: &SnapshotOffer,
@@ -54,7 +54,7 @@
 pub(crate) struct SnapshotCache {
     offer: Option<SnapshotOffer>,
     cached: Option<CachedSnapshot>,
-    /// Entry of the own engine in the latest snapshot that contained it.
+    /// List entry of this agent's engine in the latest snapshot that contained it.
     own_endpoint: Option<EndpointNotice>,
 }
 
@@ -158,8 +158,9 @@
         is_newer
     }
 
-    /// Entry of the own engine in the latest snapshot that contained it, unless the engine left.
-    /// Snapshots of a front that started while this box was paused don't contain the engine.
+    /// List entry of this agent's engine in the latest snapshot that contained it, unless the
+    /// engine left. Snapshots of a front that started while this box was paused don't contain the
+    /// engine.
     pub fn own_endpoint(
         &self,
         id: &str,
@@ -182,7 +183,7 @@
     }
 }
 
-/// Keeps the copy up to date with the fronts' snapshots.
+/// Refreshes the copy from the fronts' snapshots.
 pub(crate) async fn refresh_snapshot(agent: Rc<EngineAgentContext>) {
     loop {
         Timer::after(to_duration(REFRESH_INTERVAL)).await;
--- a/agent/src/engine_agent/store_poller.rs
+++ b/agent/src/engine_agent/store_poller.rs
@@ -19,13 +19,13 @@
 const MAX_STORES: usize = 16;
 /// Interval of checks for newly requested stores.
 const REQUEST_CHECK_INTERVAL: Micros = Micros::from_millis(200);
-/// Time for which a store holds a poll while nothing changes.
+/// Maximum duration of a long poll.
 const POLL_WAIT: Duration = Duration::from_millis(500);
 /// Delay between two polls.
 const POLL_DELAY: Micros = Micros::from_millis(200);
 /// Delay after a failed poll.
 const RETRY_DELAY: Micros = Micros::from_millis(400);
-/// Timeout of a poll, in addition to the time for which it is held.
+/// Timeout of a poll, in addition to its maximum duration.
 const EXTRA_TIMEOUT: Duration = Duration::from_millis(500);
 /// Number of digests that contain a change: some may get lost.
 const DIGESTS_PER_CHANGE: u64 = 3;
@@ -35,7 +35,7 @@
 const MAX_CHANGES: usize = 400;
 
 /// KV stores that are polled on behalf of all fronts. When each front polled each store itself, a
-/// hundred fronts used most of the polls that the stores could hold at once.
+/// hundred fronts used most of the long polls that the stores accept at once.
 #[derive(Debug, Default)]
 pub(crate) struct PolledKvStores {
     requested: BTreeMap<SocketAddr, Micros>,
--- a/entry/src/command/config_access.rs
+++ b/entry/src/command/config_access.rs
@@ -34,7 +34,7 @@
     );
 }
 
-/// Returns the configuration store that the settings name.
+/// Returns the configuration store at the addresses in the settings.
 pub fn config_store(settings: &OperatorSettings) -> ConfigStore {
     ConfigStore::new(
         TableClient::new(settings.table, PLATFORM_TIMEOUT),
--- a/entry/src/control/agent_calls.rs
+++ b/entry/src/control/agent_calls.rs
@@ -75,8 +75,8 @@
     }
 }
 
-/// Asks an agent to drop pieces. A failure is ignored: the store box stays full and
-/// reports that again.
+/// Requests an agent to drop pieces. A failure is ignored: the store box remains full and reports
+/// that again.
 pub async fn send_drop(
     link: Arc<EndpointLink>,
     plan: DropPlan,
--- a/entry/src/control/box_controller.rs
+++ b/entry/src/control/box_controller.rs
@@ -15,7 +15,7 @@
 /// Most peers that beacons are sent to.
 const MAX_PEERS: usize = 16;
 
-/// The box of this process and its failure domain; peers are chosen by them.
+/// The box of this process and its failure domain, which determine its peers.
 #[derive(Debug, Clone)]
 pub struct BoxLocation {
     /// Id of the box.
--- a/entry/src/filter/send.rs
+++ b/entry/src/filter/send.rs
@@ -117,7 +117,7 @@
 /// Fifth filter: sends the request to the agent and waits until the response begins.
 ///
 /// # Errors
-/// The kind of failure, which says whether the request may have run.
+/// The kind of failure, which shows whether the request may have run.
 pub async fn send(
     app: &EntryApp,
     view: &TrafficView,
--- a/entry/src/front/blocked_rows.rs
+++ b/entry/src/front/blocked_rows.rs
@@ -18,7 +18,7 @@
 /// Maximum number of requests in a row, at some 100 bytes each; a row holds 64 kB.
 const MAX_ROW_SUSPECTS: usize = 200;
 
-/// Requests that a front holds back, stored in case all boxes lose power at once.
+/// Requests that a front blocks, stored in case all boxes lose power at once.
 #[derive(Debug, Serialize, Deserialize)]
 struct BlockedRow {
     /// Time of the write, in seconds since 1970.
@@ -27,8 +27,8 @@
     suspects: Vec<SuspectReport>,
 }
 
-/// Reads the held-back requests of all fronts, then writes every change of those that this front
-/// holds back.
+/// Reads the blocked requests of all fronts, then writes every change of those that this front
+/// blocks.
 pub(super) async fn sync_blocked_rows(front: Rc<FrontContext>) {
     let mut timeout = CallTimeout::default();
     let mut client = StoreClient::new(front.settings.store, timeout.timeout());
--- a/entry/src/front/call_timeout.rs
+++ b/entry/src/front/call_timeout.rs
@@ -3,17 +3,17 @@
     pitchhitch_process::to_duration, std::time::Duration,
 };
 
-/// Timeout of a call while the store responds. A slow store took up to 1 s for a response, and
-/// stays slow for many seconds.
+/// Timeout of a call while the store responds. A slow store was seen to take up to 1 s per response
+/// for many seconds.
 const DEFAULT_TIMEOUT: Micros = Micros::from_millis(1_500);
 /// Timeout of the call after the first failure. It doubles with each failure up to the default,
 /// so that a slow store can still be read. It starts short because a call sent just before the
 /// store recovers is lost and uses up its whole timeout.
 const INITIAL_RETRY_TIMEOUT: Micros = Micros::from_millis(400);
-/// Limit of the doublings, which keeps the shift from overflowing.
+/// Maximum number of doublings, which prevents an overflow of the shift.
 const MAX_DOUBLINGS: u32 = 4;
 
-/// Timeout of the calls of one watcher to the platform's store, adapted to recent failures.
+/// Timeout of the calls of one watcher to the platform store, adapted to recent failures.
 #[derive(Debug, Clone, Copy, Default)]
 pub(super) struct CallTimeout {
     failures: u32,
@@ -43,9 +43,9 @@
         to_duration(timeout)
     }
 
-    /// How long the store may hold the next long poll open. After a failure it must respond at
-    /// once: the response proves how fresh the keys are, and a long poll sent just before the
-    /// store recovered hung for three seconds more.
+    /// Duration of the next long poll. After a failure the store must respond immediately: the
+    /// response proves how fresh the keys are, and a long poll sent just before the store recovered
+    /// hung for three seconds more.
     pub fn poll_wait(
         &self,
         default_wait: Duration,
--- a/entry/src/front/caller_conn.rs
+++ b/entry/src/front/caller_conn.rs
@@ -215,7 +215,7 @@
     log::info!(event = "refused", kind = response.code, status = response.status; "");
     front.metrics.increment("refused", response.code);
     let bytes = encode_refusal(kind, &response, "", true);
-    // A caller that does not read its refusal in time does not get it.
+    // The refusal is lost if the caller does not read it in time.
     let _ = with_timeout(REFUSAL_WRITE_TIMEOUT, connection.write_all(&bytes)).await;
 }
 
--- a/entry/src/front/control_handler.rs
+++ b/entry/src/front/control_handler.rs
@@ -5,13 +5,13 @@
     serde::{Deserialize, Serialize},
 };
 
-/// Path at which a front lists requests under which endpoints crashed.
+/// Path at which a front lists requests during which endpoints crashed.
 pub(crate) const SUSPECTS_PATH: &str = "/suspects";
 /// Prefix of the path that releases one of them. Its fingerprint follows and, if a secret is set,
 /// a slash and the keyed hash of the path up to there.
 const RELEASE_PREFIX: &str = "/suspects/release/";
 
-/// One request under which endpoints crashed, as shown to operators.
+/// A request during which endpoints crashed, as shown to operators.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct SuspectRow {
     pub fingerprint: String,
@@ -19,7 +19,7 @@
     pub standing: String,
     /// Remaining time in this status in milliseconds, if known.
     pub left_ms: Option<u64>,
-    /// Number of known crashes of endpoints under it.
+    /// Number of known crashes of endpoints during it.
     pub crashes: usize,
     /// Time since the last crash in milliseconds.
     pub last_crash_ms: Option<u64>,
--- a/entry/src/front/digest_receiver.rs
+++ b/entry/src/front/digest_receiver.rs
@@ -27,7 +27,7 @@
 /// Registry size from which on announced engines that are not listed are refused: twice the number
 /// of endpoints that the design supports.
 const MAX_ENDPOINTS: usize = 20_000;
-/// Maximum number of remembered engine agents.
+/// Maximum number of known engine agents.
 const MAX_KNOWN_AGENTS: usize = 64;
 
 /// Receives digests from engine agents: each on arrival, or in batches if there are many endpoints.
@@ -86,7 +86,7 @@
 }
 
 /// Updates what this front may send to an engine during its slow start. The grant counts from the
-/// start of the round of greetings that it answers.
+/// start of the round of greetings that the digest echoes.
 fn apply_grant(
     state: &mut FrontState,
     key: EndpointKey,
@@ -100,7 +100,7 @@
     }
 }
 
-/// Remembers the sender of a digest; the state may have to be requested from it.
+/// Adds the sender of a digest to the known agents; the state may have to be requested from it.
 fn record_agent(
     front: &FrontContext,
     from: SocketAddr,
@@ -114,8 +114,9 @@
 }
 
 /// Applies what the sender of a digest reports on behalf of others: reads of the platform store by
-/// other fronts, and its own reads of KV stores. The greeting that the digest answers bounds the
-/// delay of these reports, including time that the digest spent here while this process was paused.
+/// other fronts, and its own reads of KV stores. The greeting that the digest echoes bounds the
+/// delay of these reports, including the time for which the digest waited while this process was
+/// paused.
 fn apply_relayed_reports(
     front: &FrontContext,
     digest: &EngineDigest,
@@ -155,8 +156,8 @@
     hasher.finish() as u32
 }
 
-/// Registers an engine that announces itself but is not listed. It gets no requests, but is greeted
-/// and told to load weights.
+/// Registers an engine that announces itself but is not listed. It receives no requests, but is
+/// greeted and ordered to load weights.
 fn apply_announcement(
     front: &FrontContext,
     digest: &EngineDigest,
@@ -193,8 +194,8 @@
     let mut guard = front.state();
     let state = &mut *guard;
     if digest.endpoint.is_none() {
-        // An agent that announces its engine to this front does not count it among the fronts that
-        // greet it.
+        // An agent that announces its engine to this front does not include this front in its
+        // number of fronts.
         state.fronts = digest.fronts.max(1);
     }
     let config = state.config.as_deref();
--- a/entry/src/front/endpoint_exchange.rs
+++ b/entry/src/front/endpoint_exchange.rs
@@ -154,7 +154,7 @@
 ///
 /// # Errors
 /// If the body is incomplete or malformed, exceeds `limit` bytes, or the deadline passes or the
-/// caller leaves meanwhile.
+/// caller disconnects meanwhile.
 pub(crate) async fn read_response_body(
     exchange: &mut EndpointExchange,
     framing: BodyFraming,
--- a/entry/src/front/evacuations.rs
+++ b/entry/src/front/evacuations.rs
@@ -3,7 +3,7 @@
     pitchhitch_core::serving::{EndpointKey, EvacuationChange},
 };
 
-/// Logs the begin or end of the evacuation of failure domains. Endpoints of a domain that serves
+/// Logs the start or end of the evacuation of failure domains. Endpoints of a domain that serves
 /// again have been idle, so they start slowly.
 pub(super) fn apply_evacuations(
     front: &FrontContext,
--- a/entry/src/front/event_splitter.rs
+++ b/entry/src/front/event_splitter.rs
@@ -1,8 +1,8 @@
-/// Longest event that is buffered until it is complete, in bytes. A longer one is passed on in
-/// pieces.
+/// Longest event that is buffered until it is complete, in bytes. A longer one is forwarded in
+/// fragments.
 const MAX_EVENT_BYTES: usize = 1 << 20;
 
-/// Splits a stream of server-sent events, so that only complete events are passed on.
+/// Splits a stream of server-sent events, so that only complete events are forwarded.
 #[derive(Debug, Default)]
 pub(crate) struct EventSplitter {
     buffer: Vec<u8>,
--- a/entry/src/front/exit_probe.rs
+++ b/entry/src/front/exit_probe.rs
@@ -17,7 +17,7 @@
 const POLL_INTERVAL: Micros = Micros::from_millis(4);
 /// How long an exit is assumed for further requests to the same incarnation.
 const EXITED_TTL: Micros = Micros::from_secs(2);
-/// How long an endpoint is assumed to be running. It covers only requests that are broken off at
+/// How long an endpoint is assumed to be running. It covers only requests that are interrupted at
 /// the same moment, since the endpoint may exit a moment later.
 const RUNNING_TTL: Micros = Micros::from_millis(60);
 
@@ -30,7 +30,7 @@
 }
 
 impl ExitProbe {
-    /// Whether the outcome holds for a run of this incarnation that is broken off now.
+    /// Whether the outcome is valid for a run of this incarnation that is interrupted now.
     fn applies_to(
         &self,
         incarnation: u32,
@@ -44,9 +44,9 @@
     }
 }
 
-/// Whether an endpoint that has just broken off a connection has exited, i.e. refuses connections.
-/// A broken connection alone proves nothing: connections are reset and responses break off at
-/// endpoints that keep running. Requests that are broken off together share one probe.
+/// Whether an endpoint that has just closed a connection during a request has exited, i.e. refuses
+/// connections. A lost connection alone proves nothing: running endpoints also reset connections
+/// and truncate responses. Requests that are interrupted together share one probe.
 pub(super) async fn has_exited(
     front: &FrontContext,
     key: EndpointKey,
--- a/entry/src/front/fallback_controller.rs
+++ b/entry/src/front/fallback_controller.rs
@@ -9,9 +9,9 @@
     std::{collections::BTreeMap, net::SocketAddr, rc::Rc, time::Duration},
 };
 
-/// Interval at which engines without orders are looked for.
+/// Interval of checks for engines without a working agent.
 const POLL_INTERVAL: Micros = Micros::from_millis(300);
-/// Time for which the agent of an engine with outdated weights must have been silent.
+/// Time without digests after which the agent of an engine with outdated weights counts as failed.
 const AGENT_TIMEOUT: Micros = Micros::from_millis(4_000);
 /// Maximum number of engines whose reports are read concurrently: those that may load, and some
 /// more.
@@ -21,9 +21,9 @@
 /// Minimum time between two warnings about engines that serve nothing because they get no orders.
 const WARNING_INTERVAL: Micros = Micros::from_secs(5);
 
-/// Gives orders to engines without a working agent: it is missing, has failed with its box or is
-/// cut off. Without these orders such engines kept replaced weights for good and, once the weights
-/// were too old, served nothing.
+/// Gives orders to engines without a working agent: it is not running, or its box has failed or is
+/// unreachable. Without these orders such engines never loaded new weights and, once theirs had
+/// expired, served nothing.
 struct FallbackController {
     front: Rc<FrontContext>,
     store: StoreClient,
@@ -83,7 +83,8 @@
             .values_mut()
             .filter(|o| o.is_responsive(front.now()));
         for orphan in responsive {
-            // Acquired before the engine's turn, since a new holder of the right has to wait.
+            // Acquired before the engine's turn, since a new holder of the right has to wait before
+            // its first order.
             orphan.acquire_right(&front, &mut self.store).await?;
             orphan.send_due_order(&front, &mut self.store).await?;
         }
@@ -95,8 +96,8 @@
     async fn read_reports(&mut self) {
         let front = self.front.clone();
         let executor = LocalExecutor::new();
-        // The longest waiting engines come first, so that many unreachable engines do not starve
-        // the others.
+        // The engines that have waited longest are polled first, so that many unreachable engines
+        // do not starve the others.
         let mut orphans: Vec<&mut OrphanEngine> = self.orphans.values_mut().collect();
         orphans.sort_by_key(|orphan| orphan.reported_at());
         let polled = orphans.into_iter().take(MAX_CONCURRENT_REPORTS);
@@ -111,7 +112,7 @@
         executor.run(all).await;
     }
 
-    /// Engines with outdated weights whose agents have been silent for [`AGENT_TIMEOUT`].
+    /// Engines with outdated weights whose agents have sent no digest for [`AGENT_TIMEOUT`].
     fn engines_behind(
         &mut self,
         now: Micros,
@@ -141,7 +142,7 @@
         behind
     }
 
-    /// Warns that requests are refused because nobody orders engines to load the weights.
+    /// Warns that requests are refused because no process orders engines to load the weights.
     fn warn_unordered(
         &mut self,
         engines: usize,
--- a/entry/src/front/foreign_rows.rs
+++ b/entry/src/front/foreign_rows.rs
@@ -1,6 +1,6 @@
 use {super::FrontContext, pitchhitch_platform::RowError, std::collections::BTreeSet};
 
-/// Maximum number of remembered keys. Rows with further keys are not logged.
+/// Maximum number of tracked keys. Rows with further keys are not logged.
 const MAX_KEYS: usize = 500;
 
 /// Invalid rows of one table, which another program has written. Each is logged once, because its
--- a/entry/src/front/front_context.rs
+++ b/entry/src/front/front_context.rs
@@ -21,10 +21,10 @@
     pub clock: ProcessClock,
     /// Counters and histograms.
     pub metrics: FrontMetrics,
-    /// Wakes the sender of greetings. Once its agent knows, an engine that is leaving is no longer
-    /// announced to other fronts, even if this front fails.
+    /// Wakes the greeting sender. Once a greeting has notified the agent of an engine that is
+    /// leaving, the engine is no longer announced to other fronts, even if this front fails.
     pub greeting_due: WakeSignal,
-    /// Wakes the task that writes the held-back requests of this front to the platform store.
+    /// Wakes the task that writes the requests blocked by this front to the platform store.
     pub blocked_row_due: WakeSignal,
     /// Cancels the long poll at the platform store after the store has been restored from a
     /// snapshot.
--- a/entry/src/front/front_process.rs
+++ b/entry/src/front/front_process.rs
@@ -17,8 +17,8 @@
     std::{net::TcpListener, rc::Rc, time::Duration},
 };
 
-/// Time in which the load balancer notices that the process is not ready: it probes once a second
-/// and acts on two probes.
+/// Time until the load balancer stops sending requests to a process that is not ready: it probes
+/// once a second and acts on two probes.
 const BALANCER_NOTICE_TIME: Duration = Duration::from_millis(2_600);
 /// Time reserved for closing connections before the stop limit.
 const CLOSE_MARGIN: Duration = Duration::from_millis(300);
@@ -27,10 +27,10 @@
 /// Delay after a connection could not be accepted.
 const ACCEPT_RETRY_DELAY: Micros = Micros::from_millis(20);
 
-/// Runs a front until it is asked to stop; `reload` reads the settings again.
+/// Runs a front until a stop signal; `reload` reads the settings again.
 ///
 /// # Errors
-/// When an address cannot be bound or signals cannot be watched.
+/// When an address cannot be bound or the signal handlers cannot be installed.
 pub fn run_front(
     settings: FrontSettings,
     reload: &dyn Fn() -> Result<FrontSettings, String>,
@@ -169,7 +169,7 @@
     log::info!(event = "stopping", running = front.state().running; "");
     Timer::after(BALANCER_NOTICE_TIME).await;
     front.state().closes_idle = true;
-    // Idle connections get time to see that they are to be closed.
+    // Idle connections have time to detect that they are to be closed.
     Timer::after(Duration::from_millis(700)).await;
     let limit = front.settings.stop_limit.saturating_sub(CLOSE_MARGIN);
     while front.state().running > 0 && elapsed_since(front, now) < limit {
--- a/entry/src/front/front_settings.rs
+++ b/entry/src/front/front_settings.rs
@@ -36,16 +36,16 @@
     pub agent_port: u16,
     /// Address of the platform store.
     pub store: SocketAddr,
-    /// Age up to which the known keys count as fresh.
+    /// Maximum age at which the known keys count as fresh.
     pub key_limit: Micros,
     /// How callers with keys are treated beyond that age.
     pub key_policy: KeyPolicy,
-    /// Time after which an endpoint known to be leaving must not get new requests.
+    /// Time after which an endpoint known to be leaving must not receive new requests.
     pub drain_limit: Micros,
-    /// Time after the publication of newer weights from which on no request is sent to an engine
-    /// with older ones.
+    /// Time after the publication of newer weights after which no request is sent to an engine with
+    /// older ones.
     pub weights_limit: Micros,
-    /// Time after the publication of newer weights from which on no request begins to run on older
+    /// Time after the publication of newer weights after which no request begins to run on older
     /// ones: requests that wait at an engine are cancelled.
     pub execution_limit: Micros,
     /// Limit on retries.
@@ -73,7 +73,8 @@
 
 /// Time that a request may wait at an engine before it begins to run.
 const ENGINE_QUEUE_MARGIN: Micros = Micros::from_millis(2_500);
-/// Time in which an engine notices a cancelled request and a request that began before is reported.
+/// Time in which an engine detects a cancelled request, and in which a request that began before is
+/// reported.
 const CANCEL_MARGIN: Micros = Micros::from_millis(400);
 
 /// Interval between two reads of the endpoint list, in percent of the drain limit. Each read has a
@@ -87,8 +88,8 @@
 /// Maximum interval between two reads of the endpoint list, even if endpoints may take longer to
 /// leave: the list also shows new endpoints.
 const MAX_LIST_POLL_INTERVAL: Micros = Micros::from_millis(2_000);
-/// Maximum duration of a long poll, even if keys may be older: a dead connection is only noticed at
-/// its end, and delays new configurations until then.
+/// Maximum duration of a long poll, even if keys may be older: a dead connection is only detected
+/// at its end, and delays new configurations until then.
 const MAX_CONFIG_POLL_WAIT: Micros = Micros::from_millis(1_400);
 
 impl FrontSettings {
--- a/entry/src/front/front_state.rs
+++ b/entry/src/front/front_state.rs
@@ -21,7 +21,7 @@
 /// Time after the start within which the reports of suspects arrive, if any agent can send them. It
 /// allows for some lost greetings.
 const SUSPECT_REPORT_TIMEOUT: Micros = Micros::from_millis(500);
-/// Maximum number of salts with a remembered tag.
+/// Maximum number of salts with a cached tag.
 const MAX_NAMESPACES: usize = 1_000;
 
 /// State that the tasks of a front share.
@@ -48,7 +48,7 @@
     pub greetings: GreetingSchedule,
     /// Era in which a read of this process last proved the configuration.
     pub proven_era: Option<StoreEra>,
-    /// Failure domains that get no new requests.
+    /// Failure domains that receive no new requests.
     pub evacuations: EvacuationSet,
     /// Decides which requests are refused under overload.
     pub admission: AdmissionController,
@@ -72,13 +72,13 @@
     pub has_suspect_reports: bool,
     /// Whether to request all suspects: after the start and after a missed digest or a pause.
     pub wants_suspects: bool,
-    /// Whether the held-back requests have been read from the platform store in this incarnation.
+    /// Whether the blocked requests have been read from the platform store in this incarnation.
     pub has_blocked_rows: bool,
-    /// Whether the platform store has lost the rows with held-back requests.
+    /// Whether the platform store has lost the rows with blocked requests.
     pub rewrites_blocked_row: bool,
     /// Detects pauses of the process itself.
     pub pause_detector: PauseDetector,
-    /// When the process was asked to stop.
+    /// When the stop signal was received.
     pub stopping_since: Option<Micros>,
     /// Whether idle connections of callers are closed.
     pub closes_idle: bool,
@@ -197,7 +197,7 @@
 
     /// Whether the process has just started and still expects reports of requests during which
     /// endpoints crashed. Engine agents report them in response to the first greeting; the platform
-    /// store has the held-back ones.
+    /// store has the blocked ones.
     pub fn awaits_suspects(
         &self,
         now: Micros,
@@ -215,8 +215,8 @@
                 .any(|(_, entry)| is_engine(config, entry))
     }
 
-    /// Whether an endpoint of a service may get requests now: its failure domain is not evacuated
-    /// and, if `starts_slowly`, its slow start admits one more.
+    /// Whether an endpoint of a service may receive requests now: its failure domain is not
+    /// evacuated and, if `starts_slowly`, its slow start admits one more.
     pub fn is_available(
         &self,
         entry: &EndpointEntry,
@@ -227,7 +227,7 @@
         !is_evacuated && (!starts_slowly || entry.slow_start.admits(now))
     }
 
-    /// Allocates a number that no other request has.
+    /// Allocates a unique number for a request.
     pub fn allocate_ticket(&mut self) -> u64 {
         self.next_ticket += 1;
         self.next_ticket
--- a/entry/src/front/greeting_schedule.rs
+++ b/entry/src/front/greeting_schedule.rs
@@ -9,8 +9,8 @@
     },
 };
 
-/// Maximum number of rounds with a remembered start. A digest that answers an earlier round is too
-/// old to prove anything.
+/// Maximum number of rounds with a recorded start time. A digest that echoes an earlier round is
+/// too old to prove anything.
 const MAX_ROUNDS: usize = 128;
 
 /// Tracks when each engine agent was last greeted.
@@ -86,7 +86,7 @@
         self.sent_at.retain(|to, _| is_known(to));
     }
 
-    /// When a round began, if it is remembered.
+    /// Start time of a round, if it is still recorded.
     pub fn started_at(
         &self,
         round: u64,
--- a/entry/src/front/greeting_sender.rs
+++ b/entry/src/front/greeting_sender.rs
@@ -24,7 +24,7 @@
 const MAX_SUSPECTS: usize = 100;
 /// Maximum age of this front's own reads of the platform store that are still reported.
 const MAX_PROOF_AGE: Micros = Micros::from_millis(2_500);
-/// Time for which the hash of the own state and the assignment of KV stores are reused.
+/// Time for which the hash of this front's state and the assignment of KV stores are reused.
 const CACHE_TTL: Micros = Micros::from_millis(400);
 
 /// Parts that all greetings have in common for some time.
@@ -35,8 +35,8 @@
     watchers: WatcherAssignment,
 }
 
-/// Sends greetings to the engine agents. A greeting carries what an agent needs to know and
-/// requests its digests.
+/// Sends greetings to the engine agents. A greeting notifies an agent of state that it needs and
+/// subscribes this front to its digests.
 pub(crate) async fn send_greetings(
     front: Rc<FrontContext>,
     socket: DatagramSocket,
--- a/entry/src/front/kv_store_watch.rs
+++ b/entry/src/front/kv_store_watch.rs
@@ -13,18 +13,18 @@
 
 /// Timeout of a request, in addition to the duration of the long poll.
 pub(super) const CALL_TIMEOUT: Duration = Duration::from_millis(500);
-/// Delay after a store has refused a request because it has too many.
+/// Delay after a store has refused a request because too many are pending.
 const BUSY_RETRY_DELAY: Micros = Micros::from_millis(120);
 /// Time for which a store is not polled after a report of another process's read: two digests.
 const REPORT_TTL: Micros = Micros::from_millis(1_300);
-/// Interval at which new stores are looked for.
+/// Interval of checks for new stores.
 const DISCOVERY_INTERVAL: Micros = Micros::from_millis(60);
 
 /// Outcome of a request to a store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum PollOutcome {
-    /// Complete list, and the position from which to read changes. These are requested immediately:
-    /// they come with the time on the engines' clock, which fetches need.
+    /// Complete list, and the position from which to read changes. These are requested immediately,
+    /// as the response contains the time on the engines' clock, which fetches need.
     Listed(u64),
     /// Changes, and the next position.
     Changes(u64),
@@ -126,7 +126,7 @@
     }
 }
 
-/// Remaining time for which reports of another process replace own polls of a store, if there are
+/// Remaining time for which reports of another process replace polls by this front, if there are
 /// any.
 fn reported_for(
     front: &FrontContext,
@@ -158,8 +158,8 @@
     with_view(front, address, |view| view.next_change = next_change);
 }
 
-/// Applies another process's read of a KV store, delayed by at most `max_delay`. If there is a gap
-/// before it, the store is polled instead.
+/// Applies another process's read of a KV store, delayed by at most `max_delay`. If changes before
+/// it are missing, the store is polled instead.
 pub(super) fn apply_kv_store_update(
     state: &mut FrontState,
     update: &KvStoreUpdate,
--- a/entry/src/front/list_watch.rs
+++ b/entry/src/front/list_watch.rs
@@ -19,9 +19,9 @@
 /// Delay before the whole list is read. It is short, since nothing can be served without a list and
 /// its changes since are unknown.
 const FULL_READ_DELAY: Micros = Micros::from_millis(150);
-/// Interval at which returned endpoints are probed and outdated state is removed.
+/// Interval at which rejoining endpoints are probed and outdated state is removed.
 const MAINTENANCE_INTERVAL: Micros = Micros::from_millis(400);
-/// Duration from which on a read indicates a slow store.
+/// Duration above which a read indicates a slow store.
 const SLOW_READ_THRESHOLD: Micros = Micros::from_millis(400);
 
 /// Keeps the endpoint list up to date.
@@ -103,7 +103,7 @@
     }
 }
 
-/// Probes returned endpoints and removes outdated state.
+/// Probes rejoining endpoints and removes outdated state.
 pub(crate) async fn maintain_endpoints(front: Rc<FrontContext>) {
     loop {
         probe_rejoined(&front);
@@ -127,7 +127,7 @@
     }
 }
 
-/// Serialises the fields that decide whether and where an endpoint gets requests.
+/// Serialises the fields that decide whether and where an endpoint receives requests.
 fn routing_bytes(notice: &EndpointNotice) -> Vec<u8> {
     let address = notice.address.map_or(String::new(), |a| a.to_string());
     let text = format!(
@@ -258,7 +258,7 @@
             state.greetings.request(to);
             front.greeting_due.wake();
         }
-        // Connections to an earlier incarnation are dead.
+        // Connections to an earlier incarnation are no longer usable.
         let is_closed = matches!(status, "leaves" | "restarted");
         if let Some(key) = key.filter(|_| is_closed) {
             state.pool.close_all(key);
--- a/entry/src/front/lost_run.rs
+++ b/entry/src/front/lost_run.rs
@@ -9,12 +9,12 @@
     },
 };
 
-/// A run is not blamed for a crash of its endpoint this long after its first event: a request that
-/// crashes an endpoint does so when it starts to run.
+/// Time after its first event from which a crash of the endpoint is no longer attributed to a run:
+/// a request that crashes an endpoint does so when it starts to run.
 const CRASH_WINDOW: Micros = Micros::from_millis(1_000);
 
-/// A run is blamed for a crash only if it was sent at least this long before: the endpoint has
-/// hardly read a request that it received later.
+/// Minimum time between sending a run and a crash that is attributed to it: the endpoint has hardly
+/// parsed a request that it received later.
 const MIN_RUN_TIME: Micros = Micros::from_millis(15);
 
 /// The latest run of a request.
@@ -47,7 +47,7 @@
         *self.cached_fingerprint.insert(fingerprint)
     }
 
-    /// Records that an endpoint broke off the request, and whether it exited then.
+    /// Records that an endpoint interrupted the request, and whether it exited then.
     pub(super) async fn record_lost_run(
         &mut self,
         choice: &EndpointChoice,
--- a/entry/src/front/order_lease.rs
+++ b/entry/src/front/order_lease.rs
@@ -9,7 +9,7 @@
     pitchhitch_wire::codec::{decode_body, encode_body},
 };
 
-/// Key of the row with the front that runs the fallback controller.
+/// Key of the row that names the front whose fallback controller gives orders.
 const LEASE_KEY: &str = "lease/orders";
 /// Times of the lease.
 const LEASE_TIMES: LeaseTimes = LeaseTimes {
@@ -19,7 +19,7 @@
 };
 
 /// Lease of the front that gives orders in place of missing engine agents. It only avoids duplicate
-/// work; permission comes from the order right of each engine.
+/// work; each order requires the order right of its engine.
 #[derive(Debug)]
 pub(super) struct OrderLease {
     machine: LeaseMachine,
--- a/entry/src/front/orphan_engine.rs
+++ b/entry/src/front/orphan_engine.rs
@@ -12,7 +12,7 @@
     std::{net::SocketAddr, time::Duration},
 };
 
-/// Interval between two reports of an engine; each has a cost.
+/// Interval between two polls of an engine's report; each has a cost.
 const REPORT_INTERVAL: Micros = Micros::from_millis(900);
 /// Interval while it is the engine's turn to load.
 const TURN_REPORT_INTERVAL: Micros = Micros::from_millis(250);
@@ -25,7 +25,7 @@
 /// Timeout of a call to the engine.
 const CALL_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// An engine without a working agent, which gets its orders from this front.
+/// An engine without a working agent, which receives its orders from this front.
 #[derive(Debug)]
 pub(super) struct OrphanEngine {
     key: EndpointKey,
@@ -155,7 +155,7 @@
     /// Sends an order if it is the engine's turn to load.
     ///
     /// # Errors
-    /// Errors of the platform store while it does not show who holds the right.
+    /// Errors of the platform store when reading the holder of the right.
     pub async fn send_due_order(
         &mut self,
         front: &FrontContext,
@@ -230,7 +230,7 @@
     }
 }
 
-/// Applies an engine's own report as its load, so that the engine gets its turn to load.
+/// Applies a polled report as the engine's load, so that its turn to load is planned.
 fn apply_report(
     front: &FrontContext,
     key: EndpointKey,
--- a/entry/src/front/part_reclaim.rs
+++ b/entry/src/front/part_reclaim.rs
@@ -14,11 +14,11 @@
 const RECLAIM_INTERVAL: Micros = Micros::from_millis(300);
 /// Interval while no weights have been replaced.
 const IDLE_INTERVAL: Micros = Micros::from_millis(900);
-/// Consecutive polls that find draining parts before this is logged: each proof that a fetch has
-/// ended arrives with some delay.
+/// Consecutive polls with draining parts before these are logged: each proof that a fetch has ended
+/// arrives with some delay.
 const MIN_DRAINING_POLLS: u32 = 5;
 
-/// Keeps track of the engines; outdated parts stay until the fetches of all engines have ended.
+/// Tracks the engines; outdated parts are freed only after the fetches of all engines have ended.
 pub(crate) async fn track_engines(front: Rc<FrontContext>) {
     loop {
         front.sleep_coalesced(RECLAIM_INTERVAL).await;
@@ -26,7 +26,7 @@
     }
 }
 
-/// Frees the parts at a store that belong to replaced weights and that no engine fetches any more.
+/// Frees the parts at a store that belong to replaced weights and that no engine is fetching.
 pub(super) async fn reclaim_outdated_parts(
     front: Rc<FrontContext>,
     address: SocketAddr,
@@ -164,7 +164,7 @@
     parts: Vec<(String, PartId)>,
     /// Epoch of the store that this applies to.
     epoch: u64,
-    /// Namespace of parts that stay until the engines prove that their fetches have ended.
+    /// Namespace of parts that are retained until the engines prove that their fetches have ended.
     draining: Option<CacheNamespace>,
 }
 
@@ -175,7 +175,7 @@
     let now = front.now();
     let mut guard = front.state();
     if !guard.has_list {
-        // It is not known yet which engines may have been sent a fetch.
+        // It is not known yet which engines may be fetching.
         return None;
     }
     let namespaces = guard.namespaces();
--- a/entry/src/front/peer_state.rs
+++ b/entry/src/front/peer_state.rs
@@ -19,7 +19,7 @@
 const CALL_TIMEOUT: Duration = Duration::from_millis(250);
 /// Interval between two requests.
 const POLL_INTERVAL: Micros = Micros::from_millis(100);
-/// Time after the start for which peers are asked in any case: the store may have been restored
+/// Time after the start for which peers are polled in any case: the store may have been restored
 /// from a snapshot, or may briefly return an older configuration.
 const MIN_BOOTSTRAP_TIME: Micros = Micros::from_millis(1_500);
 /// Interval between two requests during [`STARTUP_PERIOD`]: peers may know that the store has been
@@ -31,8 +31,8 @@
 
 /// Interval between two requests while other fronts reach the store and this one does not.
 const REFRESH_INTERVAL: Micros = Micros::from_millis(500);
-/// Share of the limit on the age of keys from which on peers are asked, in percent. This keeps the
-/// front ready.
+/// Share of the limit on the age of keys above which peers are polled, in percent, so that the
+/// front remains ready.
 const REFRESH_PERCENT: u64 = 35;
 
 /// Hash and age of this front's state snapshot, for greetings. `None` until the state is complete.
@@ -139,8 +139,8 @@
     }
 }
 
-/// Whether the known keys are getting old here although another front has read the platform store
-/// since.
+/// Whether the keys known here are nearing their age limit although another front has read the
+/// platform store since.
 fn lags_behind_peers(front: &FrontContext) -> bool {
     let now = front.now();
     let state = front.state();
@@ -178,8 +178,8 @@
     nth.or_else(|| pick_peer(front, attempt))
 }
 
-/// The next peer to ask, alternating between seeds and engine agents: seeds that started together
-/// with this front know nothing yet.
+/// The next peer to poll, alternating between seeds and engine agents: seeds that started together
+/// with this front have no state yet.
 fn pick_peer(
     front: &FrontContext,
     attempt: usize,
--- a/entry/src/front/plain_response.rs
+++ b/entry/src/front/plain_response.rs
@@ -17,7 +17,8 @@
     pub bytes: Vec<u8>,
 }
 
-/// Reads a response to its end, so that the caller never takes a truncated one for complete.
+/// Reads a response to its end, so that the caller never receives a truncated one as if it were
+/// complete.
 pub(crate) async fn read_plain_response(
     exchange: &mut EndpointExchange,
     response: &EndpointResponse,
--- a/entry/src/front/request_attempt.rs
+++ b/entry/src/front/request_attempt.rs
@@ -37,8 +37,8 @@
 }
 
 impl RequestHandler<'_> {
-    /// Opens an exchange with the endpoint, unless it has begun to leave by the time that it is
-    /// connected.
+    /// Opens an exchange with the endpoint, unless the endpoint has started to leave before the
+    /// connection is open.
     pub(super) async fn open_exchange(
         &mut self,
         choice: &EndpointChoice,
@@ -66,8 +66,8 @@
     }
 
     /// Reserves a slot at the endpoint before it is connected, so that requests that arrive
-    /// meanwhile see it. Without this, thirty prompts that arrived at once were each sent to an
-    /// engine believed idle; with it, those that would start too late are refused.
+    /// meanwhile take it into account. Without this, thirty prompts that arrived at once were each
+    /// sent to an engine believed idle; with it, those that would start too late are refused.
     pub(super) fn reserve(
         &mut self,
         choice: &EndpointChoice,
@@ -101,7 +101,7 @@
         ReservedSlot { ticket, transfers }
     }
 
-    /// Releases the slot of a request that was not sent, and forgets the parts that the endpoint
+    /// Releases the slot of a request that was not sent, and removes the parts that the endpoint
     /// would have cached.
     pub(super) fn release(
         &self,
--- a/entry/src/front/request_choice.rs
+++ b/entry/src/front/request_choice.rs
@@ -13,8 +13,8 @@
 
 /// The least urgent priority that engines accept.
 const LOWEST_PRIORITY: u8 = 9;
-/// Delay of retries after an endpoint in slow start admits requests again, and the time over which
-/// the retries are spread.
+/// Delay of retries after an endpoint in slow start admits requests again, and the range of their
+/// random additional delay.
 const SLOW_START_RETRY_DELAY: Micros = Micros::from_millis(50);
 const SLOW_START_RETRY_JITTER: Micros = Micros::from_millis(600);
 
@@ -45,9 +45,9 @@
             .min(LOWEST_PRIORITY)
     }
 
-    /// Decides whether a prompt may be sent to the endpoint that suits it best. There is no
-    /// fallback to the second best: it would have to prefill what the best one has cached, and fall
-    /// behind too.
+    /// Decides whether a prompt may be sent to the best endpoint. There is no fallback to the
+    /// second best: it would have to prefill what the best one has cached, and would be overloaded
+    /// too.
     pub(super) fn decide_admission(
         &self,
         choice: &EndpointChoice,
@@ -63,8 +63,8 @@
         admission.decide(&request, &state.latency_estimator, choice)
     }
 
-    /// Whether the request may be refused because of load. One that was already sent holds a slot,
-    /// and a suspect request runs at the endpoint that its trial selects.
+    /// Whether the request may be refused because of load. One that was already sent occupies a
+    /// slot, and a suspect request runs at the endpoint that its trial selects.
     fn can_be_refused(&self) -> bool {
         self.sends == 0 && self.suspect_crashes.is_none()
     }
--- a/entry/src/front/request_feedback.rs
+++ b/entry/src/front/request_feedback.rs
@@ -8,7 +8,7 @@
 
 impl RequestHandler<'_> {
     /// Whether the endpoint is still the incarnation that was chosen. Without this check, requests
-    /// broken off by a crash ejected the restarted engine for seconds.
+    /// interrupted by a crash ejected the restarted engine for seconds.
     pub(super) fn is_same_incarnation(
         &self,
         state: &FrontState,
--- a/entry/src/front/request_response.rs
+++ b/entry/src/front/request_response.rs
@@ -157,7 +157,7 @@
         AttemptOutcome::NotRun
     }
 
-    /// Marks the connection as reusable if the exchange has left nothing on it.
+    /// Marks the connection as reusable if no unread bytes are left on it.
     pub(super) fn mark_reusable(
         &self,
         exchange: &mut EndpointExchange,
--- a/entry/src/front/request_transfers.rs
+++ b/entry/src/front/request_transfers.rs
@@ -7,7 +7,7 @@
     pitchhitch_platform::{encode_request, ForwardHeaders, PartAddress},
 };
 
-/// Network round trip, subtracted from the time that an endpoint is given.
+/// Network round trip, subtracted from the time limit that is sent to an endpoint.
 const TRANSIT_TIME: Micros = Micros::from_millis(4);
 
 /// Parts that an engine fetches before, and saves after, the prefill of a request.
--- a/entry/src/front/request_trial.rs
+++ b/entry/src/front/request_trial.rs
@@ -40,7 +40,7 @@
         state.suspects.status(fingerprint, jitter, front.now())
     }
 
-    /// Waits until the request may be sent. Only a suspect request, under which endpoints have
+    /// Waits until the request may be sent. Only a suspect request, during which endpoints have
     /// crashed, has to wait: it runs at an endpoint without other suspects.
     pub(super) async fn wait_for_permission(&mut self) -> SendPermission {
         let front = self.front;
--- a/entry/src/front/store_contact.rs
+++ b/entry/src/front/store_contact.rs
@@ -16,7 +16,7 @@
 const REWRITE_JITTER: Micros = Micros::from_millis(2_000);
 const REWRITE_JITTER_PER_FRONT: Micros = Micros::from_millis(10);
 
-/// Logs once when the store becomes unreachable, and once when it is back.
+/// Logs once when the store becomes unreachable, and once when it is reachable again.
 pub(crate) fn log_store_contact(
     front: &FrontContext,
     watch: &'static str,
@@ -76,7 +76,8 @@
     }
 }
 
-/// Has this front's held-back requests written again, after a delay that differs between fronts.
+/// Schedules another write of the requests that this front blocks, after a delay that differs
+/// between fronts.
 async fn schedule_rewrite(front: Rc<FrontContext>) {
     let fronts = u64::from(front.state().fronts);
     let spread = REWRITE_JITTER.max(Micros(REWRITE_JITTER_PER_FRONT.0 * fronts));
--- a/entry/src/front/store_readers.rs
+++ b/entry/src/front/store_readers.rs
@@ -19,10 +19,10 @@
 const MAX_READ_JITTER: Micros = Micros::from_millis(120);
 /// Time for which reported content that the store did not show is ignored.
 const REFUTED_TTL: Micros = Micros::from_secs(2);
-/// Time without digests after which a front reads by itself.
+/// Time without digests after which a front reads the table itself.
 const DIGEST_TIMEOUT: Micros = Micros::from_millis(1_500);
 /// Interval between two requests to an unreachable store for fronts that others notify when it is
-/// back.
+/// reachable again.
 const UNREACHABLE_INTERVAL: Micros = Micros::from_millis(3_000);
 
 /// Known reads of one table, by this front and others.
@@ -187,7 +187,7 @@
     pub last_sent_at: Micros,
     /// Whether the last request failed.
     pub is_unreachable: bool,
-    /// Whether the table must become reliable again, which only own reads prove.
+    /// Whether the table must become reliable again, which only reads by this front prove.
     pub needs_own_reads: bool,
 }
 
--- a/entry/src/front/stream_relay.rs
+++ b/entry/src/front/stream_relay.rs
@@ -9,7 +9,7 @@
     std::time::Duration,
 };
 
-/// The caller's side of one stream, over all endpoints that contribute to it.
+/// The caller's side of one stream, across all endpoints that send parts of it.
 #[derive(Debug, Default)]
 pub(crate) struct StreamProgress {
     /// Splits the stream into events.
--- a/entry/src/front/watcher_assignment.rs
+++ b/entry/src/front/watcher_assignment.rs
@@ -4,7 +4,7 @@
     std::{collections::BTreeMap, net::SocketAddr},
 };
 
-/// Engine agents that poll each KV store for all fronts, so that one may fail.
+/// Number of engine agents that poll each KV store for all fronts, so that one may fail.
 const WATCHERS: usize = 2;
 /// Number of fronts up to which each polls all stores itself, which costs as many requests.
 pub(super) const MAX_DIRECT_READERS: u32 = 2 * WATCHERS as u32;
--- a/entry/src/openai/sse_splitter.rs
+++ b/entry/src/openai/sse_splitter.rs
@@ -1,6 +1,6 @@
 /// Splits a stream of server-sent events at event boundaries.
 ///
-/// Only complete events are passed on, so that an interrupted stream can be resumed after the last
+/// Only complete events are forwarded, so that an interrupted stream can be resumed after the last
 /// event that the caller has received.
 #[derive(Debug, Default)]
 pub struct SseSplitter {
--- a/http1/src/http_client.rs
+++ b/http1/src/http_client.rs
@@ -22,7 +22,7 @@
     pub fields: Vec<(String, String)>,
     /// JSON body; empty for none.
     pub body: Vec<u8>,
-    /// Time added to the client's timeout, for requests on which the server is asked to wait.
+    /// Time added to the client's timeout, for long polls.
     pub extra_timeout: Duration,
 }
 
@@ -37,7 +37,7 @@
     pub body: Vec<u8>,
 }
 
-/// Why a request got no response.
+/// Why a request received no response.
 #[derive(Debug, Error)]
 pub enum HttpFailure {
     /// The connection could not be established; the request was not sent.
@@ -83,8 +83,8 @@
         self.timeout = timeout;
     }
 
-    /// Sends a request and reads the whole response. After a failure the next request opens
-    /// a new connection, so that a late response is never taken for its own.
+    /// Sends a request and reads the whole response. After a failure the next request opens a new
+    /// connection, so that a late response is never mistaken for its own.
     ///
     /// # Errors
     /// [`HttpFailure`] if no complete response was received.
--- a/process/src/metric_set.rs
+++ b/process/src/metric_set.rs
@@ -14,8 +14,8 @@
 /// Prefix of all metrics.
 const PREFIX: &str = "pitchhitch";
 
-/// Metrics of one process: sent to statsd by `cadence`; counters are also kept for
-/// `pitchhitch status`.
+/// Metrics of one process: sent to statsd by `cadence`; counters are also stored for `pitchhitch
+/// status`.
 #[derive(Debug)]
 pub struct MetricSet {
     client: StatsdClient,
--- a/process/src/stop_signal.rs
+++ b/process/src/stop_signal.rs
@@ -4,7 +4,7 @@
     std::io,
 };
 
-/// Waits until the process is asked to stop by SIGTERM or SIGINT.
+/// Waits for SIGTERM or SIGINT.
 ///
 /// # Errors
 /// If the signal handlers cannot be installed.
--- a/services/src/http/call_error.rs
+++ b/services/src/http/call_error.rs
@@ -11,7 +11,7 @@
         /// Description of the failure.
         reason: String,
     },
-    /// The service answered with an error status.
+    /// The service responded with an error status.
     #[error("{url}: status {status}: {text}")]
     Status {
         /// URL of the call.
--- a/services/src/http/service_client.rs
+++ b/services/src/http/service_client.rs
@@ -8,7 +8,7 @@
     trillium_smol::ClientConfig,
 };
 
-/// Number of characters of an error response that are kept.
+/// Maximum number of characters of an error response that are reported.
 const MAX_ERROR_TEXT_CHARS: usize = 300;
 /// Maximum length of a response body, in bytes.
 pub const MAX_RESPONSE_BYTES: u64 = 64 * 1024 * 1024;
--- a/wire/src/engine_agent/engine_digest.rs
+++ b/wire/src/engine_agent/engine_digest.rs
@@ -35,7 +35,7 @@
     pub is_change: bool,
     /// Start of the engine's incarnation, in milliseconds since 1970, if the engine reports it.
     pub born: Option<u64>,
-    /// Load of the engine; its timestamp is zero, as the sender's clock means nothing to others.
+    /// Load of the engine; its timestamp is zero, as the sender's clock is meaningless to others.
     pub load: EngineLoad,
     /// Models and their weight versions.
     pub weights: Vec<(String, u64)>,
--- a/wire/src/engine_agent/grouped_parts.rs
+++ b/wire/src/engine_agent/grouped_parts.rs
@@ -7,7 +7,7 @@
     serde::{Deserialize, Deserializer, Serialize, Serializer},
 };
 
-/// Serializes parts; the order within a namespace is kept.
+/// Serializes parts; the order within a namespace is preserved.
 pub(super) fn serialize<S: Serializer>(
     parts: &[DigestPart],
     serializer: S,
--- a/wire/src/engine_agent/state_snapshot.rs
+++ b/wire/src/engine_agent/state_snapshot.rs
@@ -16,10 +16,10 @@
 /// Bytes of the keyed hash appended to a snapshot.
 const HASH_BYTES: usize = 32;
 
-/// What a front knows from the platform store, for a process that cannot reach the store.
+/// State that a front has read from the platform store, for a process that cannot reach the store.
 ///
-/// A snapshot is a copy with an age. Its receiver keeps adding to the age, accepts nothing older
-/// than its own knowledge, and relies on the store as soon as that answers.
+/// A snapshot has an age, to which its receiver adds the time since. The receiver ignores content
+/// older than its own, and relies on the store as soon as that responds.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StateSnapshot {
     /// Configuration, as stored.
@@ -28,8 +28,8 @@
     pub version: u64,
     /// Time since the read request was sent that showed the configuration to be the newest.
     pub age: Micros,
-    /// Era of the platform store at that read; unset by a front that has its knowledge from another
-    /// snapshot only.
+    /// Era of the platform store at that read; unset by a front that has only read another
+    /// snapshot.
     pub era: Option<StoreEra>,
     /// Published weight versions, including the newest of each model.
     pub weights: Vec<WeightPublication>,
--- a/wire/src/messages/hand_over.rs
+++ b/wire/src/messages/hand_over.rs
@@ -34,7 +34,7 @@
     pub pieces: Vec<PieceKey>,
     /// Pieces to import before the request is sent to the endpoint.
     pub import: Option<ImportPlan>,
-    /// Pieces to export after the request has been answered.
+    /// Pieces to export after the response.
     pub export: Option<ExportPlan>,
     /// Number of the last event that the caller has received, if a stream is resumed.
     pub resume_after: Option<u64>,
