--- a/core/tests/config_log.rs
+++ b/core/tests/config_log.rs
@@ -103,27 +103,27 @@
     #[test]
     fn reader_follows_writer(steps in proptest::collection::vec(step(), 1..80)) {
         let mut head = ConfigHead::default();
-        let mut truth = FleetConfig::default();
+        let mut expected = FleetConfig::default();
         let mut base = FleetConfig::default();
         let mut reader = FleetConfig::default();
         for (number, step) in steps.into_iter().enumerate() {
             match step {
                 Step::Change(change) => {
-                    let mut next = truth.clone();
+                    let mut next = expected.clone();
                     if next.apply(&change).is_ok() {
-                        truth = next;
+                        expected = next;
                         head = head.with_change(&format!("id-{number}"), "ann", 0, change);
                     }
                 }
                 Step::Fold => {
-                    base = truth.clone();
+                    base = expected.clone();
                     head = head.compacted(format!("base-{number}"));
                 }
                 Step::Refresh => {
                     let before = reader.revision;
                     let from = if reader.revision >= head.base_revision { &reader } else { &base };
                     reader = head.apply_to(from).expect("whole log");
-                    prop_assert_eq!(&reader, &truth);
+                    prop_assert_eq!(&reader, &expected);
                     prop_assert!(reader.revision >= before);
                 }
             }
--- a/core/tests/early_saves.rs
+++ b/core/tests/early_saves.rs
@@ -86,19 +86,22 @@
 }
 
 struct SimFront {
-    map: KvStoreDirectory,
+    directory: KvStoreDirectory,
     incarnation: u64,
 }
 
 impl SimFront {
     fn start(incarnation: u64) -> Self {
-        let mut map = KvStoreDirectory::default();
-        map.set_stores(&[store()]);
-        SimFront { map, incarnation }
+        let mut directory = KvStoreDirectory::default();
+        directory.set_stores(&[store()]);
+        SimFront {
+            directory,
+            incarnation,
+        }
     }
 
     fn view(&mut self) -> &mut KvStoreView {
-        self.map.view_mut(address()).expect("view")
+        self.directory.view_mut(address()).expect("view")
     }
 }
 
@@ -203,7 +206,7 @@
                 incarnation,
                 delay_steps,
             } => {
-                let reports = self.fronts[peer].map.store_uptimes(now);
+                let reports = self.fronts[peer].directory.store_uptimes(now);
                 let message = Message::PeerReply {
                     to,
                     incarnation,
@@ -220,7 +223,7 @@
                 if front.incarnation == incarnation {
                     reports
                         .iter()
-                        .for_each(|report| front.map.record_uptime(report, now));
+                        .for_each(|report| front.directory.record_uptime(report, now));
                 }
             }
         }
--- a/core/tests/fleet_sim/mod.rs
+++ b/core/tests/fleet_sim/mod.rs
@@ -324,8 +324,8 @@
         for (index, part) in PARTS.iter().enumerate() {
             let id = PartId::parse(part).expect("hex");
             let planner = &front.planner;
-            let fate = planner.reclaim_state("m", version, id, over_ms, clock_ms, at(now));
-            if fate == ReclaimState::Reclaimable {
+            let reclaim_state = planner.reclaim_state("m", version, id, over_ms, clock_ms, at(now));
+            if reclaim_state == ReclaimState::Reclaimable {
                 freed.push((version, index));
             }
         }
--- a/core/tests/kv_store_view.rs
+++ b/core/tests/kv_store_view.rs
@@ -110,24 +110,26 @@
 
 #[test]
 fn saved_once() {
-    let mut map = KvStoreDirectory::default();
-    map.set_stores(&[store(1, 100_000), store(2, 100_000)]);
+    let mut directory = KvStoreDirectory::default();
+    directory.set_stores(&[store(1, 100_000), store(2, 100_000)]);
     for address in [store(1, 0).address, store(2, 0).address] {
-        map.view_mut(address)
+        directory
+            .view_mut(address)
             .expect("view")
             .record_response(1, Some(1), START, START);
     }
     let later = START + SAVE_DELAY + Micros(1);
     for address in [store(1, 0).address, store(2, 0).address] {
-        map.view_mut(address)
+        directory
+            .view_mut(address)
             .expect("view")
             .record_response(1, Some(1), later, later);
     }
     let parts = [part("aa", 500), part("bb", 8_000), part("cc", 900)];
-    let saves = map.plan_saves(NAMESPACE, &parts, &|_| true, later);
+    let saves = directory.plan_saves(NAMESPACE, &parts, &|_| true, later);
     assert_eq!(saves.len(), 2, "the last part is never reused");
     assert!(saves.iter().all(Option::is_some));
-    let again = map.plan_saves(NAMESPACE, &parts, &|_| true, later);
+    let again = directory.plan_saves(NAMESPACE, &parts, &|_| true, later);
     assert!(again.iter().all(Option::is_none), "the save is pending");
 }
 
@@ -144,12 +146,12 @@
         link_mbps: 28_000.0,
         ..store(2, 7_000_000)
     };
-    let mut map = KvStoreDirectory::default();
-    map.set_stores(&[quick.clone(), slow.clone()]);
+    let mut directory = KvStoreDirectory::default();
+    directory.set_stores(&[quick.clone(), slow.clone()]);
     let later = START + SAVE_DELAY + Micros(1);
     for at in [START, later] {
         for store in [&quick, &slow] {
-            let view = map.view_mut(store.address).expect("view");
+            let view = directory.view_mut(store.address).expect("view");
             view.record_response(1, Some(1), at, at);
         }
     }
@@ -157,7 +159,7 @@
     let mut saved_fast = 0;
     for number in 0..90 {
         let parts = [part(&format!("{number:x}"), 9_000), part("ffff", 100)];
-        let saves = map.plan_saves(NAMESPACE, &parts, &|_| true, later);
+        let saves = directory.plan_saves(NAMESPACE, &parts, &|_| true, later);
         let address = saves[0].expect("there is space");
         let index = usize::from(address == slow.address);
         saved_fast += 1 - index;
@@ -169,30 +171,31 @@
 
 #[test]
 fn known_content_kept() {
-    let mut map = KvStoreDirectory::default();
-    map.set_stores(&[store(1, 1_000)]);
+    let mut directory = KvStoreDirectory::default();
+    directory.set_stores(&[store(1, 1_000)]);
     let id = part("aa", 1).id;
-    map.view_mut(store(1, 0).address)
+    directory
+        .view_mut(store(1, 0).address)
         .expect("view")
         .set_part(NAMESPACE, id, 9);
-    map.set_stores(&[store(2, 1_000), store(1, 2_000)]);
-    let view = map.view_mut(store(1, 0).address).expect("view");
+    directory.set_stores(&[store(2, 1_000), store(1, 2_000)]);
+    let view = directory.view_mut(store(1, 0).address).expect("view");
     assert_eq!(view.parts.cached_tokens(NAMESPACE, id), 9);
     assert_eq!(view.store.capacity_tokens, 2_000);
 }
 
 #[test]
 fn namespaces_apart() {
-    let wall = |version, organisation: Option<&str>| CacheNamespace {
+    let namespace = |version, organisation: Option<&str>| CacheNamespace {
         version,
         model: "m/1".to_string(),
         organisation: organisation.map(str::to_string),
     };
     let names = [
-        wall(1, None),
-        wall(2, None),
-        wall(1, Some("farm")),
-        wall(1, Some("shop")),
+        namespace(1, None),
+        namespace(2, None),
+        namespace(1, Some("farm")),
+        namespace(1, Some("shop")),
     ];
     for (index, name) in names.iter().enumerate() {
         for other in &names[index + 1..] {
@@ -201,7 +204,7 @@
     }
     let plain = CacheNamespace {
         model: "m".to_string(),
-        ..wall(7, Some("farm"))
+        ..namespace(7, Some("farm"))
     };
     assert_eq!(CacheNamespace::parse(&plain.salt()), Some(plain));
     assert_eq!(CacheNamespace::parse("9c41d07be2a35f68"), None);
--- a/core/tests/part_reclaim.rs
+++ b/core/tests/part_reclaim.rs
@@ -43,15 +43,15 @@
         let mut events = events;
         events.push((first_named, SimEvent::PublishWeights));
         events.sort_by_key(|(time, _)| *time);
-        let mut world = FleetSim::new();
+        let mut sim = FleetSim::new();
         let mut next = events.iter().peekable();
-        while world.now < SIM_MS {
-            while let Some((_, event)) = next.next_if(|(time, _)| *time <= world.now) {
-                world.apply_event(event);
-                prop_assert!(world.unsafe_fetch().is_none(), "{:?}", world.unsafe_fetch());
+        while sim.now < SIM_MS {
+            while let Some((_, event)) = next.next_if(|(time, _)| *time <= sim.now) {
+                sim.apply_event(event);
+                prop_assert!(sim.unsafe_fetch().is_none(), "{:?}", sim.unsafe_fetch());
             }
-            world.step();
-            prop_assert!(world.unsafe_fetch().is_none(), "{} {:?}", world.now, world.unsafe_fetch());
+            sim.step();
+            prop_assert!(sim.unsafe_fetch().is_none(), "{} {:?}", sim.now, sim.unsafe_fetch());
         }
     }
 }
--- a/core/tests/serving_limits.rs
+++ b/core/tests/serving_limits.rs
@@ -22,16 +22,16 @@
 /// In any window the retries of all boxes stay within the configured limit.
 #[test]
 fn retries_bounded() {
-    let mut meters = [RetryWindow::default(), RetryWindow::default()];
+    let mut windows = [RetryWindow::default(), RetryWindow::default()];
     let mut taken: Vec<u64> = Vec::new();
-    let mut asked: Vec<u64> = Vec::new();
+    let mut retries: Vec<u64> = Vec::new();
     for millis in 0..60_000u64 {
-        let meter = &mut meters[(millis % 2) as usize];
+        let window = &mut windows[(millis % 2) as usize];
         if millis % 20 == 0 {
-            meter.record_request(at(millis));
-            asked.push(millis);
+            window.record_request(at(millis));
+            retries.push(millis);
         }
-        if meter.try_acquire(&BOUND, 2, BOUND.window, at(millis)) {
+        if window.try_acquire(&BOUND, 2, BOUND.window, at(millis)) {
             taken.push(millis);
         }
     }
@@ -42,7 +42,7 @@
                 .filter(|t| (start..start + 10_000).contains(*t))
                 .count() as f64
         };
-        let bound = BOUND.ratio * within(&asked) + BOUND.slack;
+        let bound = BOUND.ratio * within(&retries) + BOUND.slack;
         assert!(within(&taken) <= bound, "{} over {bound}", within(&taken));
     }
     assert!(
@@ -58,10 +58,10 @@
 fn restart_within_share() {
     let mut taken = 0;
     for process in 0..2 {
-        let mut meter = RetryWindow::default();
+        let mut window = RetryWindow::default();
         let uptime = |millis: u64| at(millis) + Micros(BOUND.window.0 * (1 - process));
         for millis in 0..2_000 {
-            taken += u32::from(meter.try_acquire(&BOUND, 2, uptime(millis), at(millis)));
+            taken += u32::from(window.try_acquire(&BOUND, 2, uptime(millis), at(millis)));
         }
     }
     assert!(f64::from(taken) <= BOUND.slack / 2.0 * 1.05, "{taken}");
@@ -69,44 +69,44 @@
 
 #[test]
 fn old_keys_closed() {
-    let mut trust = KeyFreshness::new(at(4_000), KeyPolicy::FailClosed);
-    assert!(!trust.admits_keys(at(0)));
-    trust.record_read(at(1_000));
-    assert!(trust.admits_keys(at(4_999)) && !trust.admits_keys(at(5_000)));
-    assert!(trust.is_ready(at(3_000)) && !trust.is_ready(at(3_300)));
+    let mut freshness = KeyFreshness::new(at(4_000), KeyPolicy::FailClosed);
+    assert!(!freshness.admits_keys(at(0)));
+    freshness.record_read(at(1_000));
+    assert!(freshness.admits_keys(at(4_999)) && !freshness.admits_keys(at(5_000)));
+    assert!(freshness.is_ready(at(3_000)) && !freshness.is_ready(at(3_300)));
     // An answer to an earlier request proves nothing newer.
-    trust.record_read(at(500));
-    assert_eq!(trust.proven_at(), Some(at(1_000)));
+    freshness.record_read(at(500));
+    assert_eq!(freshness.proven_at(), Some(at(1_000)));
 }
 
 /// With the fail-open policy, old keys still let callers in, but no caller is told that its key is
 /// wrong on the basis of old keys. Without any keys nobody is let in.
 #[test]
 fn old_keys_open() {
-    let mut trust = KeyFreshness::new(at(4_000), KeyPolicy::FailOpen);
-    assert!(!trust.admits_keys(at(0)) && !trust.is_ready(at(0)));
-    trust.record_read(at(1_000));
-    assert!(trust.admits_keys(at(90_000)) && trust.is_ready(at(90_000)));
-    assert!(trust.may_deny(at(4_999)) && !trust.may_deny(at(5_000)));
+    let mut freshness = KeyFreshness::new(at(4_000), KeyPolicy::FailOpen);
+    assert!(!freshness.admits_keys(at(0)) && !freshness.is_ready(at(0)));
+    freshness.record_read(at(1_000));
+    assert!(freshness.admits_keys(at(90_000)) && freshness.is_ready(at(90_000)));
+    assert!(freshness.may_deny(at(4_999)) && !freshness.may_deny(at(5_000)));
 }
 
 /// Keys forwarded by another box keep their age, even if they are older than this process. They let
 /// callers in, but no caller is told that its key is wrong.
 #[test]
 fn handed_keys_aged() {
-    let mut trust = KeyFreshness::new(at(4_000), KeyPolicy::FailClosed);
-    trust.record_report(at(3_000), at(100));
-    assert_eq!(trust.age(at(600)), Some(at(3_500)));
-    assert!(trust.admits_keys(at(1_000)) && !trust.admits_keys(at(1_100)));
-    assert!(!trust.may_deny(at(200)) && trust.proven_at().is_none());
+    let mut freshness = KeyFreshness::new(at(4_000), KeyPolicy::FailClosed);
+    freshness.record_report(at(3_000), at(100));
+    assert_eq!(freshness.age(at(600)), Some(at(3_500)));
+    assert!(freshness.admits_keys(at(1_000)) && !freshness.admits_keys(at(1_100)));
+    assert!(!freshness.may_deny(at(200)) && freshness.proven_at().is_none());
     // Older keys change nothing, newer ones do.
-    trust.record_report(at(9_000), at(200));
-    assert_eq!(trust.age(at(600)), Some(at(3_500)));
-    trust.record_report(at(500), at(200));
-    assert_eq!(trust.age(at(600)), Some(at(900)));
-    trust.record_read(at(600));
-    assert_eq!(trust.age(at(700)), Some(at(100)));
-    assert!(trust.may_deny(at(700)));
+    freshness.record_report(at(9_000), at(200));
+    assert_eq!(freshness.age(at(600)), Some(at(3_500)));
+    freshness.record_report(at(500), at(200));
+    assert_eq!(freshness.age(at(600)), Some(at(900)));
+    freshness.record_read(at(600));
+    assert_eq!(freshness.age(at(700)), Some(at(100)));
+    assert!(freshness.may_deny(at(700)));
 }
 
 fn choice(
--- a/core/tests/store_eras.rs
+++ b/core/tests/store_eras.rs
@@ -86,10 +86,10 @@
         };
         let is_gone = after.is_some_and(|after| after.version > self.version);
         let is_other = after.is_some_and(|after| after.era != position.era);
-        let is_news = after.is_none_or(|after| self.config.1 > after.version);
+        let is_update = after.is_none_or(|after| self.config.1 > after.version);
         Answer {
             position,
-            config: is_news.then_some(self.config.0),
+            config: is_update.then_some(self.config.0),
             is_refused: is_gone || (is_other && variant != Variant::EraIgnored),
             is_incomplete: false,
             sent_at,
