--- a/agent/src/engine_agent/front_contacts.rs
+++ b/agent/src/engine_agent/front_contacts.rs
@@ -16,7 +16,7 @@
 const MAX_MISSED_GREETINGS: u64 = 3;
 /// Time after the last greeting for which a front is tracked, and the number of fronts above which
 /// inactive ones are removed earlier. After a longer pause of this box, fronts find the engine only
-/// by the platform's list.
+/// in the platform's endpoint list.
 const FRONT_RETENTION: Micros = Micros::from_secs(60);
 const MAX_FRONTS: usize = 256;
 
--- a/core/src/role/agent_core.rs
+++ b/core/src/role/agent_core.rs
@@ -30,8 +30,8 @@
 }
 
 impl AgentCore {
-    /// Creates the state of a newly started agent. Its endpoint counts as unhealthy until it
-    /// answers a health check.
+    /// Creates the state of a newly started agent. Its endpoint counts as unhealthy until it passes
+    /// a health check.
     pub fn new(identity: AgentIdentity) -> Self {
         AgentCore {
             identity,
--- a/core/src/role/agent_event.rs
+++ b/core/src/role/agent_event.rs
@@ -36,16 +36,16 @@
         /// Prompt tokens that the endpoint computed for it; none when it does not report them.
         computed: Option<u32>,
     },
-    /// A request ended: it was answered, it failed or its caller disconnected.
+    /// A request ended: it was completed, it failed or its caller disconnected.
     Ended {
         /// Ticket of the request.
         ticket: WorkTicket,
     },
     /// Result of a health check of the endpoint.
     HealthChecked {
-        /// Whether the endpoint answered.
+        /// Whether the endpoint responded.
         healthy: bool,
-        /// Loaded weight version; none for a service or without an answer.
+        /// Loaded weight version; none for a service or without a response.
         version: Option<String>,
     },
     /// The engine published changes of its cache.
--- a/core/src/role/cache_mirror.rs
+++ b/core/src/role/cache_mirror.rs
@@ -4,7 +4,7 @@
     std::collections::{BTreeMap, BTreeSet},
 };
 
-/// Maximum number of stored pieces that an agent keeps for new subscribers.
+/// Maximum number of stored pieces that an agent tracks for new subscribers.
 const MAX_STORED_PIECES: usize = 65_536;
 
 /// Copy of the index of the engine's cache, and the pieces that this agent stored.
--- a/core/src/role/endpoint_roster.rs
+++ b/core/src/role/endpoint_roster.rs
@@ -18,8 +18,8 @@
 pub const SUSPECT_AFTER: Micros = Micros::from_millis(2_000);
 /// Time without a message after which the open link of a busy agent counts as hung.
 pub const HUNG_AFTER: Micros = Micros::from_millis(4_000);
-/// Factor on both limits for an idle agent, which reports less often. A request that it
-/// does not report on is detected by the unscaled limits.
+/// Factor on both limits for an idle agent, which reports less often. For a request without a
+/// report the unscaled limits apply.
 pub const IDLE_FACTOR: u64 = 8;
 /// Time without a message after which the endpoint is removed.
 pub const ENDPOINT_RETENTION: Micros = Micros::from_secs(60);
--- a/core/src/role/entry_core.rs
+++ b/core/src/role/entry_core.rs
@@ -269,8 +269,8 @@
         self.history.for_peer(since, &self.config)
     }
 
-    /// Whether this process is one of those of its failure domain that poll the table at the short
-    /// interval. The others learn of a newer revision from peer beacons.
+    /// Whether this process is among those of its failure domain that poll the table at the short
+    /// interval. The others detect newer revisions in peer beacons.
     pub fn polls_table(&self) -> bool {
         let own = rendezvous_weight(POLL_SUBJECT, &self.setup.box_id);
         let ahead = self.domain_entries.iter();
--- a/core/src/role/entry_event.rs
+++ b/core/src/role/entry_event.rs
@@ -17,7 +17,7 @@
 pub enum EntryEvent {
     /// Periodic timer.
     Tick,
-    /// The table answered a read of the configuration.
+    /// A read of the configuration from the table succeeded.
     TableReached,
     /// A configuration was read from the table or a peer.
     ConfigRead(Arc<FleetConfig>),
@@ -98,7 +98,7 @@
     AttemptEnded {
         /// Id of the endpoint.
         endpoint_id: String,
-        /// Kind of failure; none when the endpoint answered.
+        /// Kind of failure; none when the endpoint responded.
         failure: Option<ErrorKind>,
     },
     /// A lease row was read.
--- a/core/src/role/prompt_history.rs
+++ b/core/src/role/prompt_history.rs
@@ -12,8 +12,8 @@
 
 /// Maximum number of prompts in the history.
 const MAX_PROMPTS: usize = 32_768;
-/// Zero-based index of the piece whose key identifies a prompt: late enough to distinguish
-/// documents, early enough for most prompts to have it.
+/// Zero-based index of the piece whose key identifies a prompt: high enough to distinguish
+/// documents, low enough for most prompts to have it.
 const IDENTITY_PIECE_INDEX: usize = 3;
 
 #[derive(Debug, Clone)]
--- a/core/src/role/store_roster.rs
+++ b/core/src/role/store_roster.rs
@@ -14,7 +14,7 @@
 pub const DEFAULT_LINK_BYTES_PER_S: f64 = 1.0e9;
 /// Disk rate of a store box, in bytes per second.
 pub const DEFAULT_DISK_BYTES_PER_S: f64 = 4.0e8;
-/// Maximum number of stored pieces, over all store boxes, kept until the next listing.
+/// Maximum number of stored pieces, over all store boxes, that are tracked until the next listing.
 const MAX_UNLISTED_PIECES: usize = 20_000;
 /// Minimum time between two evictions on a store box.
 const MIN_EVICT_INTERVAL: Micros = Micros::from_millis(200);
--- a/core/tests/away_endpoints.rs
+++ b/core/tests/away_endpoints.rs
@@ -1,5 +1,5 @@
 //! Endpoints whose entries disappeared without an announced leave: they may be alive, so they may
-//! load new weights, but get no requests.
+//! load new weights, but receive no requests.
 
 use pitchhitch_core::{
     serving::{
@@ -103,8 +103,8 @@
     assert_eq!(planner.plan(&registry, LIMIT, at(1_700)).len(), 1);
 }
 
-/// The size of a group limits how many engines load at once; engines whose entries disappeared
-/// belong to the group as long as they report.
+/// The size of a service limits how many engines load at once; engines whose entries disappeared
+/// count as long as they report.
 #[test]
 fn away_group_size() {
     for (heard, at_once) in [(15, 3), (10, 2)] {
@@ -122,8 +122,7 @@
     }
 }
 
-/// A report from another box that an endpoint is away changes nothing if this box has it on the
-/// list.
+/// A report from another box that an endpoint is away has no effect if this box has it on the list.
 #[test]
 fn away_report_ignored() {
     let mut registry = registry(1, 0);
@@ -138,9 +137,9 @@
     assert!(entry.may_be_present());
 }
 
-/// Both of two turns to load went to engines that get no requests, whose entries had disappeared
-/// because they were leaving; the serving ones waited, and got no prompts once their weights had
-/// expired.
+/// Both of two turns to load were given to engines that receive no requests, whose entries had
+/// disappeared because they were leaving; the serving ones waited, and received no prompts once
+/// their weights had expired.
 #[test]
 fn listed_go_first() {
     let mut registry = registry(4, 0);
@@ -154,7 +153,7 @@
 }
 
 /// A report of a later incarnation shows that an engine that had left is alive, before the list
-/// does. Reports of the incarnation that left change nothing.
+/// does. Reports of the incarnation that left have no effect.
 #[test]
 fn later_incarnation_reported() {
     let mut registry = EndpointRegistry::default();
@@ -181,7 +180,7 @@
     assert!(entry.may_be_present() && !entry.is_listed());
 }
 
-/// An endpoint whose entry disappeared is forgotten after a while, but not while it reports.
+/// An endpoint whose entry disappeared is removed after some time, but not while it reports.
 #[test]
 fn reporting_not_forgotten() {
     let mut registry = registry(2, 0);
--- a/core/tests/change_history.rs
+++ b/core/tests/change_history.rs
@@ -63,7 +63,7 @@
 fn history_behind_config() {
     let mut history = ChangeHistory::default();
     history.append([record(1), record(2)]);
-    // The configuration was fetched as a whole, so the history does not reach its revision.
+    // The complete configuration was fetched, so the history does not reach its revision.
     assert_eq!(
         history.for_peer(1, &config(5)),
         PeerConfig::Whole(Box::new(config(5)))
--- a/core/tests/config_log.rs
+++ b/core/tests/config_log.rs
@@ -1,4 +1,4 @@
-//! The change log: revisions never go back, and changes apply completely or not at all.
+//! The change log: revisions never decrease, and changes apply completely or not at all.
 
 use {
     pitchhitch_core::conf::{
--- a/core/tests/disabled_admission.rs
+++ b/core/tests/disabled_admission.rs
@@ -1,5 +1,4 @@
-//! Each disabled mechanism of the admission changes the decision that it is named for, and no
-//! other.
+//! Each disabled mechanism of the admission changes its own decision, and no other.
 
 use pitchhitch_core::{
     serving::{
--- a/core/tests/early_saves.rs
+++ b/core/tests/early_saves.rs
@@ -2,8 +2,8 @@
 //! other, with restarts and process pauses.
 //!
 //! A restarted store is empty. A front that saves there while another front still relies on its
-//! view of the previous incarnation could have a part taken for complete that is only being
-//! written, so no save may happen until those views have expired.
+//! view of the previous incarnation could cause a part to be treated as complete that is still
+//! being written, so no save may happen until those views have expired.
 
 mod store_fixture;
 
@@ -71,7 +71,7 @@
         sent_at: Micros,
         epoch: u64,
     },
-    /// Query that a front answers on delivery.
+    /// Query that a front replies to on delivery.
     PeerQuery {
         peer: usize,
         to: usize,
@@ -110,7 +110,7 @@
     messages: Vec<(usize, Message)>,
     epoch: u64,
     store_started_at: Micros,
-    /// Steps in which a front could save within [`SAVE_DELAY`] of its own start.
+    /// Steps in which a front could save within [`SAVE_DELAY`] of its start.
     early_saves: usize,
 }
 
--- a/core/tests/endpoint_incarnations.rs
+++ b/core/tests/endpoint_incarnations.rs
@@ -115,7 +115,7 @@
     }
 }
 
-/// A late write of the earlier incarnation changes nothing, whatever it says.
+/// A late write of the earlier incarnation has no effect, regardless of its content.
 #[test]
 fn earlier_incarnation_ignored() {
     let (mut registry, key) = known(Some(5));
@@ -148,7 +148,7 @@
         (EndpointStatus::Serving, None)
     );
     assert!(registry.due_probes(Micros::ZERO).is_empty());
-    // Nor does it return by itself after the later incarnation leaves, too.
+    // Nor is it restored when the later incarnation leaves, too.
     registry.apply(&notice("e", Some(7), true));
     assert_eq!(registry.apply(&notice("e", Some(7), false)), None);
     assert!(registry.due_probes(Micros::ZERO).is_empty());
@@ -225,7 +225,7 @@
     assert_eq!(registry.apply(&notice("b-old", Some(5), false)), None);
     assert!(registry.due_probes(Micros::ZERO).is_empty());
     assert_eq!(registry.retire_superseded(), []);
-    // It may take the address again in a later incarnation of its own.
+    // It may use the address again in a later incarnation of its own.
     assert_eq!(
         registry.apply(&notice("b-old", Some(8), false)),
         restarts("b-old")
@@ -355,7 +355,7 @@
         incarnation.record_digest(position(2, 2, 0), false),
         DigestOrder::Next
     );
-    // Its clock was set back: it is not ignored for good.
+    // Its clock was set back: it is not ignored permanently.
     let back = DigestPosition {
         at: Micros::from_secs(2),
         ..position(1, 1, 0)
@@ -364,7 +364,7 @@
 }
 
 proptest! {
-    /// With lost and reordered digests, a receiver that has missed changes knows so as soon as a
+    /// With lost and reordered digests, a receiver that has missed changes detects it as soon as a
     /// later digest arrives.
     #[test]
     fn no_silent_gap(
@@ -394,8 +394,8 @@
     }
 }
 
-/// If two endpoints of a service are listed at one address, requests go to the one that was listed
-/// later, and to the other one if that turns out to be gone.
+/// If two endpoints of a service are listed at one address, requests are sent to the one that was
+/// listed later, and to the other one if the later one disappears.
 #[test]
 fn later_listed_present() {
     let mut registry = EndpointRegistry::default();
--- a/core/tests/endpoint_registry.rs
+++ b/core/tests/endpoint_registry.rs
@@ -1,4 +1,4 @@
-//! Which endpoints may get requests when entries lapse, return, or reuse an address.
+//! Which endpoints may receive requests when entries lapse, reappear, or reuse an address.
 
 use pitchhitch_core::{
     serving::{
@@ -39,13 +39,13 @@
         registry.apply(&notice("e", 1, true)),
         Some(EndpointChange::Leaves("e".to_string()))
     );
-    // A late read that still shows it serving changes nothing.
+    // A late read that still shows it serving has no effect.
     assert_eq!(registry.apply(&notice("e", 1, false)), None);
     assert_eq!(status(&registry, "e"), Some(EndpointStatus::Leaving));
 }
 
-/// Lost heartbeats look like an endpoint that left: it is probed once its entry is back, and serves
-/// when it confirms that.
+/// Lost heartbeats look like an endpoint that left: it is probed once its entry reappears, and
+/// serves if the probe succeeds.
 #[test]
 fn returned_is_probed() {
     let mut registry = EndpointRegistry::default();
@@ -88,8 +88,8 @@
     assert_eq!(status(&registry, "e"), Some(EndpointStatus::Leaving));
 }
 
-/// An endpoint that announced its leave is not probed; a late write does not bring it back, even if
-/// none of our requests run there any more.
+/// An endpoint that announced its leave is not probed; a late write does not restore it, even if
+/// none of this front's requests run there any more.
 #[test]
 fn late_write_no_return() {
     let mut registry = EndpointRegistry::default();
@@ -131,9 +131,9 @@
     assert_eq!(status(&registry, "e"), Some(EndpointStatus::Leaving));
 }
 
-/// A front that starts while the store is down takes the endpoints of a peer. An endpoint whose
-/// entry had only disappeared was forwarded as leaving for good, so the new front sent it nothing
-/// for 30 seconds after its entry returned, while all others did so after one probe.
+/// A front that starts while the store is down takes over the endpoints of a peer. An endpoint
+/// whose entry had only disappeared was forwarded as leaving permanently, so the new front sent it
+/// nothing for 30 seconds after its entry reappeared, while all others did so after one probe.
 #[test]
 fn away_forwarded() {
     let mut peer = EndpointRegistry::default();
--- a/core/tests/engine_sim/mod.rs
+++ b/core/tests/engine_sim/mod.rs
@@ -1,5 +1,5 @@
-//! A small model of one engine: it prefills prompts in order, holds their memory while they are
-//! answered, and answers more slowly while it prefills.
+//! A small model of one engine: it prefills prompts in order, occupies memory for each until its
+//! answer is complete, and decodes more slowly while it prefills.
 
 use {
     pitchhitch_core::{
--- a/core/tests/fetch_completion.rs
+++ b/core/tests/fetch_completion.rs
@@ -1,4 +1,4 @@
-//! Parts are freed only once no engine that was told to fetch them can still read them.
+//! Parts are freed only once no engine can still be fetching them.
 
 use {
     pitchhitch_core::{
@@ -123,7 +123,7 @@
     assert_eq!(
         update(std::slice::from_ref(&unknown), 1),
         0,
-        "it may have been told to fetch"
+        "it may be fetching"
     );
     assert_eq!(update(&[weights(2)], 1), u64::MAX);
     assert_eq!(update(&[weights(2)], 2), 0);
@@ -145,8 +145,8 @@
     assert_eq!(completion.completed_until_ms("m", 1), u64::MAX);
 }
 
-/// An engine that never reports again must not keep the stores full for good; a box that does not
-/// know what engines were told before it started waits for as long.
+/// An engine that never reports again must not block space in the stores permanently; a box that
+/// does not know which fetches were requested before it started waits for the same time.
 #[test]
 fn held_a_minute() {
     let part = PartId::parse("aa").expect("hex");
--- a/core/tests/fleet_sim/mod.rs
+++ b/core/tests/fleet_sim/mod.rs
@@ -44,8 +44,8 @@
 pub enum SimEvent {
     /// A newer weight version is published.
     PublishWeights,
-    /// A front tells an engine to fetch a part; the fetch starts after `estimate_ms` and reads for
-    /// `need_ms`.
+    /// A front requests an engine to fetch a part; the fetch starts after `estimate_ms` and reads
+    /// for `need_ms`.
     Fetch {
         front: usize,
         engine: usize,
@@ -53,7 +53,7 @@
         wait_ms: u64,
         need_ms: u64,
     },
-    /// A front closes its connections; paused engines do not notice.
+    /// A front closes its connections; paused engines do not detect this.
     Cancel { front: usize },
     /// An engine and its reports are paused.
     PauseEngine { engine: usize, for_ms: u64 },
@@ -61,7 +61,7 @@
     PauseReports { engine: usize, for_ms: u64 },
     /// An engine restarts with the published weights.
     RestartEngine { engine: usize },
-    /// An engine is told to load the published weights.
+    /// An engine is ordered to load the published weights.
     Load { engine: usize },
     /// A front is paused.
     PauseFront { front: usize, for_ms: u64 },
--- a/core/tests/incarnation_tracker.rs
+++ b/core/tests/incarnation_tracker.rs
@@ -12,7 +12,7 @@
     Micros::from_millis(millis)
 }
 
-/// The incarnation that alone keeps reporting is the later one, however early it was born.
+/// The incarnation that alone keeps reporting is the later one, regardless of its start time.
 #[test]
 fn clock_set_back_accepted() {
     let mut tracker = IncarnationTracker::default();
--- a/core/tests/kv_store_view.rs
+++ b/core/tests/kv_store_view.rs
@@ -1,4 +1,4 @@
-//! Views of the stores of cached parts, and how long they may be used.
+//! Views of KV stores, and how long they may be used.
 
 use pitchhitch_core::{
     serving::{
@@ -45,7 +45,7 @@
     assert_eq!(view.fetch_until_ms(START + VIEW_TTL), None);
 }
 
-/// A view is stale if the last answer is too old, not if the store has reported no clock: a box
+/// A view is stale if the last response is too old, not if the store has reported no clock: a box
 /// that polls at once for a missing clock would never stop.
 #[test]
 fn age_makes_stale() {
@@ -80,7 +80,7 @@
 }
 
 /// Nothing is saved between a restart and the expiry of every older view: a part that is being
-/// written must not be fetched by a box that takes it for complete.
+/// written must not be fetched by a box that assumes that it is complete.
 #[test]
 fn saves_wait_out_views() {
     assert!(SAVE_DELAY > VIEW_TTL);
@@ -210,8 +210,8 @@
     assert_eq!(CacheNamespace::parse("9c41d07be2a35f68"), None);
 }
 
-/// A few fronts learn of changes at once. Many use half of the calls that a store holds, and still
-/// poll often enough for their views to stay valid.
+/// With few fronts, each learns of changes immediately. Many use half of the pending calls that a
+/// store accepts, and still poll often enough for their views to stay valid.
 #[test]
 fn held_calls_suffice() {
     for fronts in 1..400 {
--- a/core/tests/order_rights.rs
+++ b/core/tests/order_rights.rs
@@ -1,9 +1,9 @@
 //! Exclusive right to give orders to one engine, held by its agent process or, if there is none,
 //! by a front.
 //!
-//! Generated sequences of checks, writes with lost answers, delayed writes, pauses, restarts and
-//! restores of the store are run against the production state machine; the simulated engine
-//! records the orders that it receives.
+//! Generated sequences of checks, writes with lost responses, delayed writes, pauses, restarts and
+//! restores of the store are run against the production state machine; the simulated engine records
+//! the orders that it receives.
 
 use {
     pitchhitch_core::{
@@ -25,9 +25,9 @@
 enum Action {
     /// Reads the row, and gives an order if allowed.
     Order,
-    /// Reads the row, and takes the right if another process holds it.
+    /// Reads the row, and acquires the right if another process holds it.
     Take,
-    /// Like `Take`, but the answer to the write is lost.
+    /// Like `Take`, but the response to the write is lost.
     TakeUnanswered,
     /// Like `Take`, but the write is carried out later.
     TakeLate,
--- a/core/tests/overload.rs
+++ b/core/tests/overload.rs
@@ -116,8 +116,8 @@
     );
 }
 
-/// After an overload the engine takes prompts again at once, whatever the estimator has learned
-/// during it.
+/// After an overload the engine accepts prompts again immediately, regardless of what the estimator
+/// has learned during it.
 #[test]
 fn idle_engine_takes_any() {
     let mut estimator = LatencyEstimator::default();
@@ -133,7 +133,7 @@
 }
 
 /// If most large prompts find no memory, some of it is reserved. A caller that was refused before
-/// may use it, and so goes before new callers.
+/// may use it, and so takes precedence over new callers.
 #[test]
 fn memory_kept_back() {
     let estimator = LatencyEstimator::default();
@@ -195,7 +195,8 @@
     assert_eq!((cached, new), (20, 0));
 }
 
-/// Refused callers should retry when the backlog will be gone, not earlier and not all at once.
+/// Refused callers should retry when the backlog has been processed, not earlier and not all at
+/// once.
 #[test]
 fn return_by_backlog() {
     let mut estimator = LatencyEstimator::with_token_ms(0.02);
--- a/core/tests/part_reclaim.rs
+++ b/core/tests/part_reclaim.rs
@@ -33,8 +33,8 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 600, ..ProptestConfig::default() })]
 
-    /// Under any order of publications, fetches, pauses, restarts and cancellations, nobody fetches
-    /// a freed part or is told to.
+    /// Under any order of publications, fetches, pauses, restarts and cancellations, no engine
+    /// fetches a freed part, and no front requests it.
     #[test]
     fn freed_is_unread(
         first_named in 500u64..3_000,
--- a/core/tests/priority_shares.rs
+++ b/core/tests/priority_shares.rs
@@ -13,7 +13,8 @@
     assert_eq!(after([3].into_iter()).least_urgent(), 3);
 }
 
-/// A single caller with a priority that nobody else uses does not shield the others from refusals.
+/// A single caller with a priority that no other caller uses does not protect the others from
+/// refusals.
 #[test]
 fn rare_priority_ignored() {
     let shares = after((0..2_000).map(|number| if number % 100 == 0 { 9 } else { 2 }));
@@ -26,7 +27,7 @@
     assert_eq!(shares.least_urgent(), 7);
 }
 
-/// A priority that is no longer used is forgotten.
+/// A priority that is no longer used is dropped.
 #[test]
 fn old_priority_forgotten() {
     let shares = after((0..2_000).map(|number| if number < 1_000 { 5 } else { 1 }));
--- a/core/tests/reuse_model.rs
+++ b/core/tests/reuse_model.rs
@@ -100,7 +100,7 @@
     inventory.add(PieceKey(1), piece(11));
     inventory.reconcile(vec![piece(11), piece(12)]);
     assert_eq!(inventory.len(), 2);
-    // A listed piece of an unknown prompt is a prompt of its own.
+    // A listed piece of an unknown prompt counts as a separate prompt.
     let evicted = inventory.evict(|identity| if identity == PieceKey(12) { 0.0 } else { 1.0 });
     assert_eq!(evicted[0], piece(12));
 }
--- a/core/tests/serving_limits.rs
+++ b/core/tests/serving_limits.rs
@@ -74,13 +74,13 @@
     freshness.record_read(at(1_000));
     assert!(freshness.admits_keys(at(4_999)) && !freshness.admits_keys(at(5_000)));
     assert!(freshness.is_ready(at(3_000)) && !freshness.is_ready(at(3_300)));
-    // An answer to an earlier request proves nothing newer.
+    // A response to an earlier request proves nothing newer.
     freshness.record_read(at(500));
     assert_eq!(freshness.proven_at(), Some(at(1_000)));
 }
 
-/// With the fail-open policy, old keys still let callers in, but no caller is told that its key is
-/// wrong on the basis of old keys. Without any keys nobody is let in.
+/// With the fail-open policy, callers are still admitted by old keys, but none is refused as
+/// unknown on the basis of old keys. Without any keys no caller is admitted.
 #[test]
 fn old_keys_open() {
     let mut freshness = KeyFreshness::new(at(4_000), KeyPolicy::FailOpen);
@@ -90,8 +90,8 @@
     assert!(freshness.may_deny(at(4_999)) && !freshness.may_deny(at(5_000)));
 }
 
-/// Keys forwarded by another box keep their age, even if they are older than this process. They let
-/// callers in, but no caller is told that its key is wrong.
+/// Keys forwarded by another box retain their age, even if they are older than this process.
+/// Callers are admitted by them, but none is refused as unknown.
 #[test]
 fn handed_keys_aged() {
     let mut freshness = KeyFreshness::new(at(4_000), KeyPolicy::FailClosed);
@@ -99,7 +99,7 @@
     assert_eq!(freshness.age(at(600)), Some(at(3_500)));
     assert!(freshness.admits_keys(at(1_000)) && !freshness.admits_keys(at(1_100)));
     assert!(!freshness.may_deny(at(200)) && freshness.proven_at().is_none());
-    // Older keys change nothing, newer ones do.
+    // Older keys have no effect, newer ones do.
     freshness.record_report(at(9_000), at(200));
     assert_eq!(freshness.age(at(600)), Some(at(3_500)));
     freshness.record_report(at(500), at(200));
@@ -208,7 +208,7 @@
 }
 
 /// Recent prompts started far too late. An engine with free memory and nothing to prefill still
-/// takes prompts; one with a queue does not.
+/// accepts prompts; one with a queue does not.
 #[test]
 fn free_engines_taken() {
     let mut estimator = LatencyEstimator::with_token_ms(1.0 / 97.0);
@@ -276,8 +276,8 @@
     }
 }
 
-/// Only kinds that are used before anything is sent, or if the endpoint itself says so, promise
-/// that a request has not run.
+/// Only kinds that are used before anything is sent, or if the endpoint itself reports it,
+/// guarantee that a request has not run.
 #[test]
 fn promises_by_kind() {
     let unknown = [
--- a/core/tests/slow_start.rs
+++ b/core/tests/slow_start.rs
@@ -77,8 +77,8 @@
     );
 }
 
-/// Once all boxes have repeatedly got grants, each has its share, and a new box gets a grant at
-/// once.
+/// Once all boxes have repeatedly received grants, each has its share, and a new box receives a
+/// grant immediately.
 #[test]
 fn shares_settle() {
     for boxes in [1u32, 3, 25, 34, 35, 103] {
@@ -104,7 +104,7 @@
     }
 }
 
-/// An event at the process beside the endpoint or at a box.
+/// An event at the agent of the endpoint or at a box.
 #[derive(Debug, Clone)]
 enum Step {
     /// Time passes, in milliseconds.
@@ -113,7 +113,7 @@
     Grant { to: usize, delay: Option<u64> },
     /// A box sends up to this many requests while it may.
     Send { by: usize, max: usize },
-    /// The process beside the endpoint restarts.
+    /// The agent of the endpoint restarts.
     Restart,
     /// It assumes this number of boxes.
     SetBoxes(usize),
@@ -131,8 +131,8 @@
 }
 
 proptest! {
-    /// Whatever is lost, late, out of order or out of date, and whatever number of boxes is
-    /// assumed: the endpoint never gets more than its limit within a second.
+    /// With lost, late, reordered or outdated messages and any assumed number of boxes, the
+    /// endpoint never receives more than its limit within a second.
     #[test]
     fn never_above_limit(steps in proptest::collection::vec(step(), 1..200)) {
         let mut now = 0u64;
--- a/core/tests/store_clock.rs
+++ b/core/tests/store_clock.rs
@@ -1,4 +1,4 @@
-//! Earliest time for which an answer of the platform store proves the content.
+//! Earliest time for which a response of the platform store proves the content.
 
 use {
     pitchhitch_core::{serving::StoreClock, time::Micros},
@@ -16,7 +16,7 @@
         clock.earliest_response_time(ms(100), Some(7_002), ms(104)),
         ms(100)
     );
-    // Held for a second: the answer proves the content a moment before it arrived.
+    // A long poll of a second: the response proves the content a moment before it arrived.
     let proven = clock.earliest_response_time(ms(105), Some(8_007), ms(1_109));
     assert!(proven >= ms(1_100) && proven <= ms(1_107), "{proven:?}");
 }
@@ -45,13 +45,14 @@
     );
 }
 
-/// One request, in milliseconds: pause before it, time to the store, hold there, time back.
+/// One request, in milliseconds: pause before it, transit time, wait at the store, transit time
+/// back.
 fn question() -> impl Strategy<Value = (u64, u64, u64, u64)> {
     (0..40_000u64, 0..400u64, 0..2_000u64, 0..3_000u64)
 }
 
 proptest! {
-    /// For any transit times, holds and pauses: the result is never later than the answer by more
+    /// For any transit times, waits and pauses: the result is never later than the response by more
     /// than the drift of the store's clock, and never before the request.
     #[test]
     fn never_too_late(
--- a/core/tests/store_eras.rs
+++ b/core/tests/store_eras.rs
@@ -1,8 +1,8 @@
-//! What fronts know of a configuration while the platform store is restored from snapshots.
+//! The configuration known to fronts while the platform store is restored from snapshots.
 //!
-//! Generated sequences of reads, late answers, changes, snapshots, restores, restarts and requests
-//! between fronts are run against the production state machines. Three rules are checked: a
-//! configuration never goes back within one incarnation of a front; no caller is admitted by keys
+//! Generated sequences of reads, late responses, changes, snapshots, restores, restarts and
+//! requests between fronts are run against the production state machines. Three rules are checked:
+//! a configuration never goes back within one incarnation of a front; no caller is admitted by keys
 //! that were revoked longer ago than the limit; and all fronts know the newest configuration soon
 //! after the last disturbance.
 
@@ -24,11 +24,11 @@
 /// Event of a step.
 #[derive(Debug, Clone, Copy)]
 enum Event {
-    /// A front sends a request; the store answers with its current content.
+    /// A front sends a request; the store responds with its current content.
     Ask(usize),
-    /// The answer arrives.
+    /// The response arrives.
     Receive(usize),
-    /// A front asks another one for its configuration.
+    /// A front requests the configuration of another one.
     Peer(usize, usize),
     Restart(usize),
     /// The operator revokes a key.
@@ -50,7 +50,7 @@
     AlwaysCertain,
     /// A front that has just started confirms what it read.
     AllConfirm,
-    /// A front that has just started refreshes what others know.
+    /// A front that has just started renews the freshness of other fronts.
     AllRefresh,
 }
 
@@ -62,7 +62,7 @@
     config: (u64, u64),
 }
 
-/// Answer of the store: its position, and the configuration if it is included.
+/// Response of the store: its position, and the configuration if it is included.
 #[derive(Debug, Clone, Copy)]
 struct Answer {
     position: StorePosition,
@@ -104,8 +104,8 @@
     config: Option<u64>,
     proven_era: Option<StoreEra>,
     pending: Option<Answer>,
-    /// Whether the known configuration comes from a restored snapshot that the operator had not
-    /// yet rewritten, and that no front could tell from the content before it.
+    /// Whether the known configuration comes from a restored snapshot that the operator had not yet
+    /// rewritten, and that no front could distinguish from the content before it.
     is_unaware: bool,
 }
 
--- a/core/tests/store_proofs.rs
+++ b/core/tests/store_proofs.rs
@@ -75,7 +75,7 @@
     assert_eq!(tracker.newer_checksum(CHECKSUM, at(700)), None);
 }
 
-/// Proofs of other fronts are kept however often one front or one process reports.
+/// Frequent reports of one front or one process do not evict the proofs of other fronts.
 #[test]
 fn frequent_reports_evict_nothing() {
     let mut tracker = ProofTracker::default();
@@ -92,8 +92,8 @@
 }
 
 proptest! {
-    /// For any reports in any order: two different fronts and two different reporting processes
-    /// stand behind a confirmed read.
+    /// For any reports in any order: a confirmed read is based on two different fronts and two
+    /// different reporting processes.
     #[test]
     fn confirming_fronts_differ(
         reports in proptest::collection::vec((0u32..4, 0u32..4, 0u32..2, 0u64..1_000), 0..30),
@@ -113,7 +113,7 @@
     }
 }
 
-/// All fronts of a small fleet read; in a large one a few do, whichever they are.
+/// All fronts of a small fleet read; in a large one only a few do.
 #[test]
 fn readers_drawn() {
     for fronts in 1..=3 {
@@ -200,8 +200,8 @@
     assert!(eras.proves(at(1_300)));
 }
 
-/// A process that starts accepts the first answer, unless another process knew an earlier era,
-/// reported before the answer or after it.
+/// A process that starts accepts the first response, unless another process reports an earlier era
+/// before or after it.
 #[test]
 fn start_on_restored_store() {
     let mut eras = EraTracker::default();
@@ -215,7 +215,7 @@
     assert!(!eras.proves(at(600)));
 }
 
-/// The reads of two other boxes count for keys as an own read does.
+/// For keys, the reads of two other boxes count as much as a read by this box.
 #[test]
 fn confirmed_read_counts() {
     let mut freshness = KeyFreshness::new(at(4_000), KeyPolicy::FailClosed);
--- a/core/tests/suspect_tracker.rs
+++ b/core/tests/suspect_tracker.rs
@@ -114,9 +114,9 @@
 }
 
 /// Three endpoints crash within a tenth of a second during a request that many callers send. The
-/// senders of the later two did not know of the crash before, so these runs were not apart from
-/// other suspects and count no more than the first. A harmless request was held back after three
-/// such crashes.
+/// senders of the later two did not know of the crash before, so these runs may have shared an
+/// endpoint with other suspects, and only the first crash counts. A harmless request was blocked
+/// after three such crashes.
 #[test]
 fn unknowing_counts_once() {
     let at = Micros::from_millis;
@@ -127,17 +127,17 @@
     ];
     let tracker = crashed(&unknowing[..2]);
     assert_eq!(status_at(&tracker, at(60)), SuspectStatus::Suspect(1));
-    // The last one was sent apart from all but one other suspect, and proves no more.
+    // The sender of the last one did not know of all crashes, so it does not count either.
     let tracker = crashed(&unknowing);
     assert_eq!(status_at(&tracker, at(1_200)), SuspectStatus::Suspect(2));
-    // Without reports from others, each front finds out by itself.
+    // Without reports from others, each front has to observe the crashes itself.
     let mut knowing = unknowing.to_vec();
     knowing.push(crash_knowing(2, 4, 1_300, 1_400));
     let status = status_at(&crashed(&knowing), at(1_500));
     assert!(matches!(status, SuspectStatus::Blocked(_)), "{status:?}");
 }
 
-/// However many endpoints crash together, the crashes that count are kept.
+/// Regardless of how many endpoints crash together, the crashes that count are retained.
 #[test]
 fn counted_are_kept() {
     let mut crashes = vec![crash(1, 0, 100), crash(2, 200, 300)];
@@ -159,7 +159,7 @@
     let answered = Micros::from_millis(2_500);
     assert!(tracker.record_response(named("a"), answered));
     assert_eq!(status_at(&tracker, answered), SuspectStatus::Clear);
-    // For a while, crashes of engines have another cause.
+    // For some time, crashes of engines are attributed to another cause.
     tracker.record_crash(named("a"), crash(4, 3_000, 3_100));
     assert_eq!(
         status_at(&tracker, Micros::from_millis(3_200)),
@@ -179,7 +179,7 @@
     assert!(tracker.is_empty() && !tracker.has_updates());
 }
 
-/// Ten thousand different requests evict each other, not the one that is held back.
+/// Ten thousand different requests evict each other, not the one that is blocked.
 #[test]
 fn bounded() {
     let mut tracker = crashed(&[crash(1, 100, 200), crash(2, 200, 300), crash(3, 400, 500)]);
--- a/core/tests/swap_planner.rs
+++ b/core/tests/swap_planner.rs
@@ -107,8 +107,8 @@
     assert_eq!(loading(&registry, &planner), expected);
 }
 
-/// Engines that may serve nothing until they have newer weights load twice as many at once;
-/// engines that still serve change over a few at a time.
+/// Engines that may serve nothing until they have newer weights load twice as many at once; engines
+/// that still serve load a few at a time.
 #[test]
 fn overdue_load_together() {
     let mut registry = registry(40, 0, at(0));
@@ -153,8 +153,8 @@
     assert_eq!(rounds, 5);
 }
 
-/// With two loads at once in a group of 54 engines, half of the engines still had expired weights
-/// after 12 s.
+/// With two concurrent loads among 54 engines, half of the engines still had expired weights after
+/// 12 s.
 #[test]
 fn loads_grow_with_group() {
     for (engines, at_once) in [(3, 2), (9, 2), (15, 3), (54, 10)] {
@@ -271,8 +271,8 @@
     planner.reclaim_state("m", 1, part, u64::MAX, Some(time), at(time))
 }
 
-/// While engines change over to newer weights, fewer and fewer parts of the older ones are
-/// fetched, and parts are freed as space is needed.
+/// While engines load newer weights, fewer and fewer parts of the older ones are fetched, and parts
+/// are freed as space is needed.
 #[test]
 fn old_parts_fetched_on() {
     let mut planner = SwapPlanner::default();
@@ -289,8 +289,8 @@
     assert_eq!((fetched(16_000), freed(19_400)), (0, 300));
 }
 
-/// Engines have weights that the store's row no longer names, as an older publication was carried
-/// out after the newer one; a box that starts sees only the older version.
+/// Engines have weights that the store's row no longer contains, as an older publication was
+/// carried out after the newer one; a box that starts sees only the older version.
 #[test]
 fn engines_outlive_row() {
     let mut planner = SwapPlanner::default();
@@ -306,7 +306,7 @@
     assert!(!planner.may_fetch("m", 3, part, Some(at(1_900)), at(2_000)));
 }
 
-/// An engine that loads new weights before this box reads the row changes nothing.
+/// An engine that loads new weights before this box reads the row has no effect on the publication.
 #[test]
 fn row_is_waited_for() {
     let mut planner = SwapPlanner::default();
@@ -321,8 +321,8 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 2_000, ..ProptestConfig::default() })]
 
-    /// Whatever two boxes know of a publication and when, one does not free a part before a fetch
-    /// by the other is over.
+    /// Regardless of what two boxes know of a publication and when, one does not free a part before
+    /// a fetch requested by the other has ended.
     #[test]
     fn fetch_and_free_apart(
         published_at in 1_000u64..20_000,
--- a/core/tests/trial_table.rs
+++ b/core/tests/trial_table.rs
@@ -1,4 +1,4 @@
-//! Suspects are kept apart from each other.
+//! Suspects run on different endpoints.
 
 use {
     pitchhitch_core::{
--- a/core/tests/weight_bounds.rs
+++ b/core/tests/weight_bounds.rs
@@ -10,7 +10,7 @@
 };
 
 const LIMIT: Micros = Micros::from_secs(9);
-/// Time in milliseconds that a box without knowledge takes to ask others.
+/// Time in milliseconds after which a box without knowledge has received the reports of others.
 const REPORT_TIMEOUT_MS: u64 = REPORT_TIMEOUT.0 / 1_000;
 
 fn at(millis: u64) -> Micros {
@@ -53,7 +53,7 @@
     assert_eq!(oldest(&planner, 5_201), Some(2));
 }
 
-/// Every reported age is an upper bound, so the smallest one holds.
+/// Every reported age is an upper bound, so the smallest one applies.
 #[test]
 fn least_age_holds() {
     let mut planner = SwapPlanner::default();
@@ -84,7 +84,7 @@
     assert_eq!(recent[1], publication(2, Some(1), Some(at(3_000))));
 }
 
-/// A box that does not know the version before the newest knows an age for the last step only.
+/// A box that does not know the version before the newest knows only the age of the newest.
 #[test]
 fn gap_keeps_age() {
     let mut planner = SwapPlanner::default();
@@ -151,8 +151,8 @@
 
     /// Versions are published one after the other. One box reads the rows from the beginning;
     /// another starts later, reads them too, and receives reports of the first one, some of which
-    /// are processed late. Once it has had time to ask, no request may begin on a version that its
-    /// reads show to have been replaced for longer than the limit.
+    /// are processed late. Once it has had time to receive reports, no request may begin on a
+    /// version that its reads show to have been replaced for longer than the limit.
     #[test]
     fn never_too_old(
         gaps in proptest::collection::vec(1u64..12_000, 1..5),
--- a/entry/src/cli/command_line.rs
+++ b/entry/src/cli/command_line.rs
@@ -62,7 +62,7 @@
     },
     CommandSpec {
         name: "suspects",
-        summary: "list suspect requests, under which endpoints crashed, or release one",
+        summary: "list suspect requests, during which endpoints crashed, or release one",
         run: run_suspects,
     },
     CommandSpec {
--- a/entry/src/cli/entry_process.rs
+++ b/entry/src/cli/entry_process.rs
@@ -67,7 +67,8 @@
     let (message_sender, inbox) = async_channel::unbounded();
     let control = ControlHandle::new(message_sender);
     let table = TableClient::new(settings.table, PLATFORM_TIMEOUT);
-    let metrics = Arc::new(MetricSet::new(settings.metrics).context("cannot open metrics")?);
+    let metrics =
+        Arc::new(MetricSet::new(settings.metrics).context("cannot open the metrics socket")?);
     let idempotency = IdempotencyGuard::start(table.clone(), clock.incarnation());
     let app = Arc::new(EntryApp::new(
         settings.clone(),
--- a/entry/src/command/suspects.rs
+++ b/entry/src/command/suspects.rs
@@ -15,8 +15,8 @@
 
 const HELP: CommandHelp = CommandHelp {
     usage: "suspects --settings FILE [--release FINGERPRINT]",
-    about: "Lists the suspect requests that a front knows, under which endpoints crashed, or releases\n\
-            one: it may run again, at all fronts. FILE is the settings file of the front.",
+    about: "Lists the suspect requests that a front knows, during which endpoints crashed, or releases\n\
+            one, so that all fronts accept it again. FILE is the settings file of the front.",
 };
 
 /// Runs `pitchhitch suspects`.
@@ -58,7 +58,7 @@
             .left_ms
             .map_or(String::new(), |left| format!("  for {left} ms more"));
         println!(
-            "{}  {}{left}  {} ends, the last {} ms ago",
+            "{}  {}{left}  {} crashes, the last {} ms ago",
             row.fingerprint,
             row.standing,
             row.crashes,
--- a/entry/src/conf/entry_settings.rs
+++ b/entry/src/conf/entry_settings.rs
@@ -42,7 +42,7 @@
     pub table_poll: Duration,
     /// Time for which the process reports that it is not ready before it stops accepting requests.
     pub stop_notice: Duration,
-    /// Number of recent routing decisions held for `pitchhitch explain`.
+    /// Maximum number of recent routing decisions that are stored for `pitchhitch explain`.
     pub explain_ring: usize,
     /// Address to which metrics are sent.
     pub metrics: Option<SocketAddr>,
--- a/entry/src/explain/prefill_summary.rs
+++ b/entry/src/explain/prefill_summary.rs
@@ -7,7 +7,7 @@
     },
 };
 
-/// Time after a prefill within which a part is expected to be still cached, in seconds.
+/// Time for which a part is expected to remain cached after a prefill, in seconds.
 const EXPECTED_CACHE_LIFETIME_S: f64 = 20.0;
 /// Time to first token of a prompt whose log lines do not give it, in seconds.
 const DEFAULT_FIRST_TOKEN_S: f64 = 1.0;
@@ -23,7 +23,7 @@
     InProgressOtherFront,
     /// It was prefilled recently enough to be cached, but no engine or store offered it.
     NotCached,
-    /// It was prefilled longer ago than it can be expected to stay cached.
+    /// It was prefilled longer ago than parts can be expected to remain cached.
     Expired,
 }
 
@@ -149,7 +149,7 @@
     }
 }
 
-/// Returns the last word before the pairs: log collectors put timestamps of their own before it.
+/// Returns the last word before the pairs, which is the box: log collectors prepend timestamps.
 fn front_name(line: &LogLine) -> String {
     let name = line.origin.split_whitespace().last();
     name.unwrap_or_default().to_string()
--- a/entry/src/filter/authenticate.rs
+++ b/entry/src/filter/authenticate.rs
@@ -25,7 +25,7 @@
         Some(organisation) => Ok(organisation.to_string()),
         None => Err(Refusal::new(
             ErrorKind::BadKey,
-            "the bearer key belongs to nobody",
+            "no organisation has this bearer key",
         )),
     }
 }
--- a/entry/src/filter/caller_request.rs
+++ b/entry/src/filter/caller_request.rs
@@ -34,7 +34,7 @@
 /// Options that the caller set by request headers.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct RequestOptions {
-    /// Whether the request may run more than once; `None` if the caller did not say.
+    /// Whether the request may run more than once; `None` if the caller did not specify it.
     pub repeatable: Option<bool>,
     /// Idempotency key; requests with the same key run at most once.
     pub idempotency_key: Option<String>,
--- a/entry/src/filter/dispatch.rs
+++ b/entry/src/filter/dispatch.rs
@@ -47,7 +47,7 @@
     /// `resume_after` is the id of the last event that the caller has received.
     ///
     /// # Errors
-    /// [`Refusal`] when no endpoint responds; it says whether the request may have run.
+    /// [`Refusal`] when no endpoint responds; it states whether the request may have run.
     pub async fn start(
         &mut self,
         resume_after: Option<u64>,
@@ -143,8 +143,8 @@
         step == RetryStep::RetryElsewhere && self.app.budget().spend()
     }
 
-    /// Restarts the deadline, which only covers the beginning of a response: the caller
-    /// got that in time, and a resumed response gets the default time to begin again.
+    /// Restarts the deadline, which only covers the beginning of a response: the caller received
+    /// that in time, and a resumed response has the default time to begin again.
     pub fn renew_deadline(&mut self) {
         self.parsed.deadline = self.app.clock.now() + self.app.settings.default_deadline;
     }
--- a/entry/src/filter/response.rs
+++ b/entry/src/filter/response.rs
@@ -8,8 +8,8 @@
     trillium::{Body, Conn, HeaderName, Status},
 };
 
-/// Responses up to this length are buffered completely before anything goes to
-/// the caller, so that an interrupted response can still be retried.
+/// Responses up to this length are buffered completely before anything is sent to the caller, so
+/// that an interrupted response can still be retried.
 const MAX_BUFFERED_BYTES: usize = 1024 * 1024;
 const EVENT_STREAM: &str = "text/event-stream";
 
@@ -64,7 +64,7 @@
                 drop(started);
                 dispatch.record_interrupted(kind);
                 if !dispatch.may_retry(kind) {
-                    return Err(Refusal::new(kind, "the answer broke off"));
+                    return Err(Refusal::new(kind, "the response was interrupted"));
                 }
                 dispatch.app.metrics.count("request.retried", 1);
                 started = dispatch.start(None).await?;
--- a/entry/src/filter/response_body.rs
+++ b/entry/src/filter/response_body.rs
@@ -13,9 +13,8 @@
     },
 };
 
-/// Length of the comment that pads the start of an event stream. The HTTP library
-/// holds back the first bytes of a body until its buffer is full, which would
-/// delay the first token.
+/// Length of the comment that pads the start of an event stream. The HTTP library buffers the first
+/// bytes of a body until its buffer is full, which would delay the first token.
 const PADDING_COMMENT_BYTES: usize = 512;
 
 type ResumeFuture = Pin<Box<dyn Future<Output = ResumeOutcome> + Send>>;
@@ -254,7 +253,7 @@
         }
         if (last_event_id.is_none() && !nothing_sent) || !dispatch.may_retry(kind) {
             dispatch.app.metrics.count("request.broken", 1);
-            let error = Refusal::new(kind, "the stream broke off");
+            let error = Refusal::new(kind, "the stream was interrupted");
             self.pending.extend_from_slice(&error_event(&error));
             self.awaits_first_event = false;
             return;
--- a/entry/src/filter/retention_plan.rs
+++ b/entry/src/filter/retention_plan.rs
@@ -35,7 +35,7 @@
 pub struct RetentionPlan {
     /// The decision.
     pub decision: RetentionDecision,
-    /// The export that the agent does after the request, if any.
+    /// The export that the agent performs after the request, if any.
     pub export: Option<ExportPlan>,
 }
 
--- a/entry/src/filter/route.rs
+++ b/entry/src/filter/route.rs
@@ -144,7 +144,8 @@
         token_bytes: token_bytes(view, parsed),
         excluded: previous.tried,
         now: app.clock.now(),
-        // Request numbers start alike in all processes; the incarnation makes the seeds differ.
+        // Request numbers start at the same value in all processes; the incarnation makes the seeds
+        // differ.
         seed: parsed.request.number.wrapping_add(app.clock.incarnation()),
     };
     view.table
--- a/entry/src/traffic/traffic_view.rs
+++ b/entry/src/traffic/traffic_view.rs
@@ -8,7 +8,7 @@
     std::sync::Arc,
 };
 
-/// State that requests are routed by; the control thread replaces it as a whole.
+/// State on which routing is based; the control thread replaces it atomically.
 #[derive(Debug, Clone, Default)]
 pub struct TrafficView {
     /// Routing table.
--- a/wire/tests/datagram_socket.rs
+++ b/wire/tests/datagram_socket.rs
@@ -117,7 +117,7 @@
 }
 
 /// A digest that is encoded once for all fronts decodes like one encoded for a single front, and
-/// parts keep their order within each cache namespace.
+/// parts remain in order within each cache namespace.
 #[test]
 fn digest_written_once() {
     let part = |namespace, id: &str, tokens| DigestPart {
