--- a/core/src/kv_cache/piece_directory.rs
+++ b/core/src/kv_cache/piece_directory.rs
@@ -165,38 +165,38 @@
         }
     }
 
-    /// Removes the holders for which `is_gone` is true from `buckets` buckets, starting at
+    /// Removes the holders for which `is_stale` is true from `buckets` buckets, starting at
     /// `cursor`, and returns the cursor for the next call. Repeated calls cover the whole
     /// directory.
     pub fn sweep(
         &mut self,
         cursor: usize,
         buckets: usize,
-        is_gone: impl Fn(&PieceHolder) -> bool,
+        is_stale: impl Fn(&PieceHolder) -> bool,
     ) -> usize {
         for step in 0..buckets {
             let index = (cursor + step) % BUCKET_COUNT;
             let stale: Vec<ShortKey> = self.buckets[index]
                 .iter()
-                .filter(|entry| entry.holders.iter().any(|holder| is_gone(&holder)))
+                .filter(|entry| entry.holders.iter().any(|holder| is_stale(&holder)))
                 .map(|entry| entry.key)
                 .collect();
             for key in stale {
-                self.remove_gone_holders(key, &is_gone);
+                self.remove_stale_holders(key, &is_stale);
             }
         }
         (cursor + buckets) % BUCKET_COUNT
     }
 
-    fn remove_gone_holders(
+    fn remove_stale_holders(
         &mut self,
         key: ShortKey,
-        is_gone: &impl Fn(&PieceHolder) -> bool,
+        is_stale: &impl Fn(&PieceHolder) -> bool,
     ) {
         let bucket = &self.buckets[key.bucket()];
         if let Ok(index) = bucket.binary_search_by_key(&key, |entry| entry.key) {
             let holders = bucket[index].holders.iter();
-            let remaining: Vec<PieceHolder> = holders.filter(|holder| !is_gone(holder)).collect();
+            let remaining: Vec<PieceHolder> = holders.filter(|holder| !is_stale(holder)).collect();
             self.replace(key, remaining);
         }
     }
--- a/core/src/role/store_roster.rs
+++ b/core/src/role/store_roster.rs
@@ -221,14 +221,14 @@
         let Some(entry) = self.entries.get(&notice.store) else {
             return;
         };
-        let is_gone = |holder: &PieceHolder| match holder {
+        let is_missing = |holder: &PieceHolder| match holder {
             PieceHolder::Store(copy) => {
                 copy.store == entry.key && copy.generation == notice.generation
             }
             PieceHolder::Endpoint(_) => false,
         };
-        let gone = directory.holders(notice.key).find(is_gone);
-        if let Some(holder) = gone {
+        let missing = directory.holders(notice.key).find(is_missing);
+        if let Some(holder) = missing {
             directory.remove(notice.key, &holder);
         }
     }
--- a/core/src/serving/endpoint_pick.rs
+++ b/core/src/serving/endpoint_pick.rs
@@ -329,7 +329,7 @@
     choice.estimate_ms += f64::from(choice.plan.fetched_tokens) * token_ms * FETCH_COST_FACTOR;
     let running_ms = estimator.prefill_tokens() * token_ms * RUNNING_REQUEST_FACTOR;
     choice.estimate_ms += f64::from(entry.occupied(now)) * running_ms;
-    if request.weights.is_behind(version) {
+    if request.weights.is_outdated(version) {
         choice.estimate_ms += OLD_WEIGHTS_COST_MS;
     }
     choice.free_tokens = entry.free_tokens(now, estimator);
--- a/core/src/serving/kv_store_directory.rs
+++ b/core/src/serving/kv_store_directory.rs
@@ -184,8 +184,8 @@
             return sources;
         }
         for (index, view) in self.views.iter().enumerate() {
-            let is_whole = view.parts.cached_tokens(namespace, part.id) >= part.tokens;
-            if is_whole && view.fetch_until_ms(now).is_some() {
+            let is_complete = view.parts.cached_tokens(namespace, part.id) >= part.tokens;
+            if is_complete && view.fetch_until_ms(now).is_some() {
                 sources.push(PartSource {
                     location: PartLocation::Store(index),
                     address: view.store.address,
--- a/core/src/serving/suspect_record.rs
+++ b/core/src/serving/suspect_record.rs
@@ -85,11 +85,11 @@
         if self.crashes.len() > MAX_CRASHES {
             let counted_crashes = self.counted_crashes();
             // Crashes that do not count are dropped first, then the oldest.
-            let spare = self
+            let uncounted = self
                 .crashes
                 .iter()
                 .position(|c| !counted_crashes.contains(&c.mark));
-            self.crashes.remove(spare.unwrap_or(0));
+            self.crashes.remove(uncounted.unwrap_or(0));
         }
         self.count = self.counted_crashes().len() as u32;
         true
--- a/core/src/serving/weight_bounds.rs
+++ b/core/src/serving/weight_bounds.rs
@@ -22,7 +22,7 @@
     }
 
     /// Whether weights newer than `version` are published.
-    pub fn is_behind(
+    pub fn is_outdated(
         &self,
         version: Option<u64>,
     ) -> bool {
--- a/core/src/settings/settings_reader.rs
+++ b/core/src/settings/settings_reader.rs
@@ -32,7 +32,7 @@
         file: &str,
         text: &str,
     ) -> Result<Self, SettingsErrors> {
-        let whole = |found: String| SettingsErrors {
+        let file_problem = |found: String| SettingsErrors {
             file: file.to_string(),
             problems: vec![SettingsProblem {
                 field: "(whole file)".to_string(),
@@ -47,8 +47,8 @@
                 known: BTreeSet::new(),
                 problems: Vec::new(),
             }),
-            Ok(other) => Err(whole(abbreviate(&other))),
-            Err(error) => Err(whole(error.to_string())),
+            Ok(other) => Err(file_problem(abbreviate(&other))),
+            Err(error) => Err(file_problem(error.to_string())),
         }
     }
 
--- a/core/tests/weight_bounds.rs
+++ b/core/tests/weight_bounds.rs
@@ -143,7 +143,7 @@
     };
     assert_eq!(bound.expected(None), Some(3));
     assert!(bound.allows(None) && bound.allows(Some(2)) && !bound.allows(Some(1)));
-    assert!(bound.is_behind(Some(2)) && !bound.is_behind(Some(3)) && !bound.is_behind(None));
+    assert!(bound.is_outdated(Some(2)) && !bound.is_outdated(Some(3)) && !bound.is_outdated(None));
 }
 
 proptest! {
--- a/entry/src/front/fallback_controller.rs
+++ b/entry/src/front/fallback_controller.rs
@@ -58,20 +58,20 @@
     async fn poll(&mut self) -> Result<(), StoreError> {
         let front = self.front.clone();
         let now = front.now();
-        let behind = self.engines_behind(now);
-        self.orphans.retain(|key, _| behind.contains_key(key));
-        if behind.is_empty() {
+        let outdated = self.outdated_engines(now);
+        self.orphans.retain(|key, _| outdated.contains_key(key));
+        if outdated.is_empty() {
             return self.release_lease().await;
         }
         let lease_result = self.lease.step(&front, &mut self.store).await;
         let is_held = self.lease.is_held(front.now());
-        self.log_lease_change(is_held, behind.len());
-        self.warn_unordered(behind.len(), is_held, now);
+        self.log_lease_change(is_held, outdated.len());
+        self.warn_unordered(outdated.len(), is_held, now);
         lease_result?;
         if !is_held {
             return Ok(());
         }
-        for (key, address) in behind {
+        for (key, address) in outdated {
             let orphan = self.orphans.entry(key);
             orphan.or_insert_with(|| OrphanEngine::new(&front, key, address));
         }
@@ -113,7 +113,7 @@
     }
 
     /// Engines with outdated weights whose agents have sent no digest for [`AGENT_TIMEOUT`].
-    fn engines_behind(
+    fn outdated_engines(
         &mut self,
         now: Micros,
     ) -> BTreeMap<EndpointKey, SocketAddr> {
@@ -128,18 +128,18 @@
         let silent: BTreeMap<EndpointKey, SocketAddr> =
             silent.map(|(key, entry)| (key, entry.address)).collect();
         self.silent_since.retain(|key, _| silent.contains_key(key));
-        let mut behind = BTreeMap::new();
+        let mut outdated = BTreeMap::new();
         for (key, address) in silent {
             let since = *self.silent_since.entry(key).or_insert(now);
-            let is_behind = state
+            let is_outdated = state
                 .registry
                 .get(key)
                 .is_some_and(|e| has_outdated_weights(&state, e));
-            if is_behind && now.since(since) >= AGENT_TIMEOUT {
-                behind.insert(key, address);
+            if is_outdated && now.since(since) >= AGENT_TIMEOUT {
+                outdated.insert(key, address);
             }
         }
-        behind
+        outdated
     }
 
     /// Warns that requests are refused because no process orders engines to load the weights.
--- a/entry/src/front/list_watch.rs
+++ b/entry/src/front/list_watch.rs
@@ -72,12 +72,12 @@
         let is_reliable = last_problem_at.is_none_or(|at| now.since(at) > REWRITE_DELAY);
         let outcome = match observed.and(read) {
             Ok(page) => {
-                let is_whole = position.replace(page.position).is_none();
-                if is_whole {
+                let is_full_read = position.replace(page.position).is_none();
+                if is_full_read {
                     checksum.clear();
                 }
                 update_checksum(&mut checksum, &page);
-                apply_page(&front, page, is_whole, is_reliable, &mut foreign_rows);
+                apply_page(&front, page, is_full_read, is_reliable, &mut foreign_rows);
                 let table = ProvenTable::Endpoints;
                 let readers = &mut front.state().readers;
                 readers.record_read(table, checksum.value(), sent_at, now);
@@ -140,7 +140,7 @@
 fn apply_page(
     front: &FrontContext,
     page: RowPage,
-    is_whole: bool,
+    is_full_read: bool,
     is_reliable: bool,
     foreign_rows: &mut ForeignRows,
 ) {
@@ -162,7 +162,7 @@
         };
         foreign_rows.remove(&key);
         match update {
-            RowUpdate::Endpoint(notice) if is_whole => listed.push(notice),
+            RowUpdate::Endpoint(notice) if is_full_read => listed.push(notice),
             RowUpdate::Endpoint(notice) => {
                 let change = front.state().registry.apply(&notice);
                 let is_new = matches!(
@@ -178,7 +178,7 @@
             _ => {}
         }
     }
-    if is_whole {
+    if is_full_read {
         log::info!(
             event = "list-read",
             endpoints = listed.len(),
