--- a/agent/src/engine_agent/digest_sender.rs
+++ b/agent/src/engine_agent/digest_sender.rs
@@ -276,8 +276,8 @@
 }
 
 /// Announces the engine to fronts that no longer greet. Fronts that started while this box was
-/// paused don't know the engine until it appears on the platform's list: with the platform store
-/// unreachable, the engine kept outdated weights for 27 s.
+/// paused don't know the engine until it appears on the platform's endpoint list: with the platform
+/// store unreachable, the engine kept outdated weights for 27 s.
 async fn announce_engine(
     agent: &EngineAgentContext,
     count: &mut DigestCount,
--- a/core/src/serving/endpoint_incarnation.rs
+++ b/core/src/serving/endpoint_incarnation.rs
@@ -17,7 +17,7 @@
 pub enum IncarnationOrder {
     /// It has ended: reports about it are obsolete.
     Earlier,
-    /// It is the same, as far as is known.
+    /// It is the same, or no difference is known.
     Same,
     /// It replaces the known one, and all state of that is obsolete.
     Later,
--- a/core/src/serving/endpoint_pick.rs
+++ b/core/src/serving/endpoint_pick.rs
@@ -60,7 +60,7 @@
     pub tried: &'a [EndpointKey],
     /// Latency estimates of the engines.
     pub estimator: &'a LatencyEstimator,
-    /// Set for a suspect request, one under which endpoints have crashed.
+    /// Set for a suspect request, during which endpoints have crashed.
     pub trial: Option<TrialRequest<'a>>,
     /// Whether an endpoint may receive the request: its failure domain is not evacuated, its region
     /// is allowed, and slow start permits another request.
@@ -82,10 +82,10 @@
     /// of a request are sent to the same endpoint. When cost alone decided, a harmless request ran
     /// next to other suspects on two endpoints that crashed, and was blocked.
     pub request_hash: u64,
-    /// Whether the hash alone decides, because two endpoints have crashed under the request. Before
-    /// that, most suspects are harmless: when the hash alone decided for them too, requests that
-    /// three waves of crashes interrupted prefilled 133,000 tokens of shared parts again in one
-    /// replayed day.
+    /// Whether the hash alone decides, because two endpoints have crashed during the request.
+    /// Before that, most suspects are harmless: when the hash alone decided for them too, requests
+    /// that three waves of crashes interrupted prefilled 133,000 tokens of shared parts again in
+    /// one replayed day.
     pub is_alone: bool,
     /// Endpoints that cannot accept a suspect request.
     pub excluded: &'a [EndpointKey],
@@ -127,7 +127,7 @@
     pub version: Option<u64>,
     /// Number of endpoints that were compared.
     pub candidates: u32,
-    /// Whether it has a free slot, as far as known.
+    /// Whether it is believed to have a free slot.
     pub has_free_slot: bool,
 }
 
--- a/core/src/serving/suspect_record.rs
+++ b/core/src/serving/suspect_record.rs
@@ -39,7 +39,7 @@
     pub sent: Micros,
     /// When it crashed.
     pub ended: Micros,
-    /// Crashes already counted against the request, as far as the front that sent it knew.
+    /// Number of counted crashes that the front knew of when it sent the request.
     pub known: u32,
 }
 
@@ -50,11 +50,11 @@
     pub fingerprint: RequestFingerprint,
     /// Crashes during it.
     pub crashes: Vec<SuspectCrash>,
-    /// Time since it was last answered completely.
+    /// Time since the last complete response.
     pub answered: Option<Micros>,
 }
 
-/// Crashes and answers of one request.
+/// Crashes and complete responses of one request.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub(super) struct SuspectRecord {
     crashes: Vec<SuspectCrash>,
@@ -63,7 +63,7 @@
     /// after the previous counted one, by a front that knew of all counted ones: only then did it
     /// run without other suspects on the endpoint. Endpoints that crash together or in quick
     /// succession count as one crash, as a request that many callers send runs on all of them.
-    /// Crashes up to the last complete answer do not count.
+    /// Crashes up to the last complete response do not count.
     pub(super) count: u32,
 }
 
@@ -95,7 +95,7 @@
         true
     }
 
-    /// Merges the time of a complete answer; true if this clears at least one crash.
+    /// Merges the time of a complete response; true if this clears at least one crash.
     pub(super) fn merge_response(
         &mut self,
         answered: Micros,
@@ -125,7 +125,7 @@
         self.crashes.last().map(|crash| crash.ended)
     }
 
-    /// When the last crash or answer was recorded.
+    /// When the last crash or complete response was recorded.
     pub(super) fn last_update(&self) -> Micros {
         let crashed = self.last_crash();
         crashed.max(self.answered).unwrap_or_default()
--- a/core/src/serving/suspect_tracker.rs
+++ b/core/src/serving/suspect_tracker.rs
@@ -15,11 +15,11 @@
 /// Time for which a request is blocked after its last crash, and for which crashes are remembered:
 /// otherwise a caller that retries rarely would crash an endpoint each time.
 const BLOCK_DURATION: Micros = Micros::from_secs(600);
-/// Time for which a complete answer proves that a request is harmless: crashes in that time have
+/// Time for which a complete response proves that a request is harmless: crashes in that time have
 /// another cause.
 const CLEARED_FOR: Micros = Micros::from_secs(20);
 /// Maximum number of tracked requests. Up to a hundred run on an endpoint when it crashes; those
-/// that are answered are removed soon.
+/// with a complete response are removed soon.
 const MAX_RECORDS: usize = 1_024;
 /// Times that an update is sent, to different receivers each time: datagrams may get lost.
 const SEND_ROUNDS: u8 = 2;
@@ -39,8 +39,8 @@
 
 /// Requests during which endpoints crashed.
 ///
-/// Only requests that had begun to run on a crashed endpoint are tracked, until they are answered
-/// completely. Reports of several fronts can be merged in any order and any number of times.
+/// Only requests that had begun to run on a crashed endpoint are tracked, until a response to them
+/// is complete. Reports of several fronts can be merged in any order and any number of times.
 #[derive(Debug, Clone, Default)]
 pub struct SuspectTracker {
     records: BTreeMap<RequestFingerprint, SuspectRecord>,
@@ -102,7 +102,7 @@
         }
     }
 
-    /// Records that a request was answered completely; true if this clears it.
+    /// Records a complete response to a request; true if this clears it.
     pub fn record_response(
         &mut self,
         fingerprint: RequestFingerprint,
--- a/entry/src/front/front_state.rs
+++ b/entry/src/front/front_state.rs
@@ -86,7 +86,7 @@
     pub body_bytes: u64,
     /// Requests being served.
     pub running: u32,
-    /// Number of running fronts, as far as known.
+    /// Known number of running fronts.
     pub fronts: u32,
     retry_windows: HashMap<String, RetryWindow>,
     namespace_tags: HashMap<String, NamespaceTag>,
--- a/entry/src/front/request_handler.rs
+++ b/entry/src/front/request_handler.rs
@@ -56,7 +56,7 @@
     pub(super) latest_run: LatestRun,
     /// Fingerprint, once it has been computed.
     pub(super) cached_fingerprint: Option<RequestFingerprint>,
-    /// Number of endpoints that crashed under the request, if that makes it a suspect.
+    /// Number of endpoints that crashed during the request, if that makes it a suspect.
     pub(super) suspect_crashes: Option<u32>,
     /// How often the request was sent to endpoints.
     pub(super) sends: u32,
--- a/entry/src/front/request_trial.rs
+++ b/entry/src/front/request_trial.rs
@@ -99,7 +99,7 @@
         self.front.metrics.increment("suspects", label);
     }
 
-    /// Records that the request was answered completely, which shows that it did not crash its
+    /// Records that the response was complete, which shows that the request did not crash its
     /// endpoint.
     pub(super) fn record_completed(&mut self) {
         let front = self.front;
--- a/entry/src/front/store_readers.rs
+++ b/entry/src/front/store_readers.rs
@@ -29,9 +29,9 @@
 #[derive(Debug, Clone, Default)]
 pub(crate) struct TableProofs {
     tracker: ProofTracker,
-    /// Checksum of the content known here.
+    /// Checksum of the content known to this front.
     checksum: Option<u32>,
-    /// When the request of the last own read was sent.
+    /// When the request of this front's last read was sent.
     read_at: Option<Micros>,
     /// Checksum reported by others that the store did not show, and when it was found missing.
     refuted: Option<(u32, Micros)>,
