--- a/entry/src/front/control_handler.rs
+++ b/entry/src/front/control_handler.rs
@@ -85,10 +85,7 @@
 ) -> (u16, Vec<u8>) {
     let text = suffix.split('/').next().unwrap_or_default();
     let Some(fingerprint) = RequestFingerprint::parse(text) else {
-        return (
-            400,
-            b"that is no fingerprint\n".to_vec(),
-        );
+        return (400, b"that is no fingerprint\n".to_vec());
     };
     if target != release_path(text, front.settings.peer_key.as_ref()) {
         return (403, b"the keyed hash is missing or wrong\n".to_vec());
--- a/testbed/src/load_model/sim_front.rs
+++ b/testbed/src/load_model/sim_front.rs
@@ -4,8 +4,8 @@
         serving::{
             pick_endpoint, AdmissionController, AdmissionDecision, AdmissionRequest,
             EndpointChoice, EndpointKey, EndpointNotice, EndpointRegistry, EngineConfig,
-            LatencyEstimator, MechanismSet, NamespaceTag, PendingPrefill, PickRequest, PromptInfo,
-            KvStoreDirectory, VersionAvailability, WeightBounds,
+            KvStoreDirectory, LatencyEstimator, MechanismSet, NamespaceTag, PendingPrefill,
+            PickRequest, PromptInfo, VersionAvailability, WeightBounds,
         },
         time::Micros,
     },
