--- a/entry/src/command/explain.rs
+++ b/entry/src/command/explain.rs
@@ -182,7 +182,7 @@
         reason,
         ..
     } = record;
-    println!("{request_id} attempt {attempt}: {chosen} ({reason})");
+    println!("{request_id} try {attempt}: {chosen} ({reason})");
     println!(
         "  {} for {}, revision {}, {} candidates, runner-up {} at {} us",
         record.target,
--- a/entry/src/command/suspects.rs
+++ b/entry/src/command/suspects.rs
@@ -58,7 +58,7 @@
             .left_ms
             .map_or(String::new(), |left| format!("  for {left} ms more"));
         println!(
-            "{}  {}{left}  {} crashes, the last {} ms ago",
+            "{}  {}{left}  {} ends, the last {} ms ago",
             row.fingerprint,
             row.standing,
             row.crashes,
--- a/entry/src/filter/authenticate.rs
+++ b/entry/src/filter/authenticate.rs
@@ -25,7 +25,7 @@
         Some(organisation) => Ok(organisation.to_string()),
         None => Err(Refusal::new(
             ErrorKind::BadKey,
-            "no organisation has this bearer key",
+            "the bearer key belongs to nobody",
         )),
     }
 }
--- a/entry/src/filter/parsed_request.rs
+++ b/entry/src/filter/parsed_request.rs
@@ -64,7 +64,7 @@
         Some((name, _)) => Ok(PathKind::Service(name.clone())),
         None => Err(Refusal::new(
             ErrorKind::UnknownPath,
-            format!("no model or service is served at {method} {path}"),
+            format!("nothing answers {method} {path}"),
         )),
     }
 }
--- a/entry/src/filter/request_chain.rs
+++ b/entry/src/filter/request_chain.rs
@@ -25,7 +25,7 @@
         Ok(None) => {
             // The caller has disconnected, so this response is never delivered.
             app.metrics.count("request.caller_gone", 1);
-            Refusal::new(ErrorKind::CallerGone, "the caller has disconnected").write(conn, &id)
+            Refusal::new(ErrorKind::CallerGone, "the caller has gone").write(conn, &id)
         }
         Err(refusal) => {
             app.metrics.count("request.refused", 1);
@@ -91,7 +91,7 @@
         trillium::Error::Io(e) if e.kind() == std::io::ErrorKind::Unsupported => too_large(),
         other => Refusal::new(
             ErrorKind::MalformedBody,
-            format!("the request body is incomplete: {other}"),
+            format!("the body broke off: {other}"),
         ),
     })?;
     if bytes.len() as u64 > limit {
--- a/entry/src/filter/response.rs
+++ b/entry/src/filter/response.rs
@@ -64,7 +64,7 @@
                 drop(started);
                 dispatch.record_interrupted(kind);
                 if !dispatch.may_retry(kind) {
-                    return Err(Refusal::new(kind, "the response was interrupted"));
+                    return Err(Refusal::new(kind, "the answer broke off"));
                 }
                 dispatch.app.metrics.count("request.retried", 1);
                 started = dispatch.start(None).await?;
--- a/entry/src/filter/response_body.rs
+++ b/entry/src/filter/response_body.rs
@@ -253,7 +253,7 @@
         }
         if (last_event_id.is_none() && !nothing_sent) || !dispatch.may_retry(kind) {
             dispatch.app.metrics.count("request.broken", 1);
-            let error = Refusal::new(kind, "the stream was interrupted");
+            let error = Refusal::new(kind, "the stream broke off");
             self.pending.extend_from_slice(&error_event(&error));
             self.awaits_first_event = false;
             return;
