--- a/core/src/serving/endpoint_pick.rs
+++ b/core/src/serving/endpoint_pick.rs
@@ -351,7 +351,8 @@
 }
 
 /// Fraction of the tokens of other boxes' requests that are prefilled before a request of this
-/// priority. At the sites, a fifth of the tokens has the highest priority, and most have the third.
+/// priority. In known deployments, a fifth of the tokens has the highest priority, and most have
+/// the third.
 fn share_ahead(priority: u8) -> f64 {
     match priority {
         0 => 0.25,
