--- a/entry/src/front/blocked_rows.rs
+++ b/entry/src/front/blocked_rows.rs
@@ -33,7 +33,7 @@
     let mut timeout = CallTimeout::default();
     let mut client = StoreClient::new(front.settings.store, timeout.timeout());
     let mut is_unreachable = false;
-    let mut has_row = loop {
+    let mut has_own_row = loop {
         client.set_timeout(timeout.timeout());
         let read = client.read_all(RowTable::Product).await;
         timeout.record(&read);
@@ -49,11 +49,11 @@
         if !front.blocked_row_due.wait(WRITE_WAIT).await {
             continue;
         }
-        let was_lost_in_store = std::mem::take(&mut front.state().rewrites_blocked_row);
-        if was_lost_in_store && !has_row && !has_blocked_requests(&front) {
+        let is_rewrite = std::mem::take(&mut front.state().needs_blocked_row_rewrite);
+        if is_rewrite && !has_own_row && !has_blocked_requests(&front) {
             continue;
         }
-        has_row = true;
+        has_own_row = true;
         loop {
             let written = write_row(&front, &mut client, &mut timeout).await;
             log_store_contact(&front, "held", &mut is_unreachable, &written);
--- a/entry/src/front/digest_receiver.rs
+++ b/entry/src/front/digest_receiver.rs
@@ -129,9 +129,9 @@
     let now = front.now();
     let mut guard = front.state();
     let state = &mut *guard;
-    let greeted_at =
+    let earliest_sent_at =
         echo.and_then(|echo| Some(state.greetings.started_at(echo.number)? + echo.age));
-    let Some(max_delay) = greeted_at.map(|at| now.since(at)) else {
+    let Some(max_delay) = earliest_sent_at.map(|at| now.since(at)) else {
         return;
     };
     let reporter = reporter_id(from);
--- a/entry/src/front/fallback_controller.rs
+++ b/entry/src/front/fallback_controller.rs
@@ -99,7 +99,7 @@
         // The engines that have waited longest are polled first, so that many unreachable engines
         // do not starve the others.
         let mut orphans: Vec<&mut OrphanEngine> = self.orphans.values_mut().collect();
-        orphans.sort_by_key(|orphan| orphan.reported_at());
+        orphans.sort_by_key(|orphan| orphan.polled_at());
         let polled = orphans.into_iter().take(MAX_CONCURRENT_REPORTS);
         let reports: Vec<_> = polled
             .map(|orphan| executor.spawn(orphan.poll_report(&front)))
--- a/entry/src/front/front_state.rs
+++ b/entry/src/front/front_state.rs
@@ -75,7 +75,7 @@
     /// Whether the blocked requests have been read from the platform store in this incarnation.
     pub has_blocked_rows: bool,
     /// Whether the platform store has lost the rows with blocked requests.
-    pub rewrites_blocked_row: bool,
+    pub needs_blocked_row_rewrite: bool,
     /// Detects pauses of the process itself.
     pub pause_detector: PauseDetector,
     /// When the stop signal was received.
@@ -121,7 +121,7 @@
             has_suspect_reports: false,
             wants_suspects: true,
             has_blocked_rows: false,
-            rewrites_blocked_row: false,
+            needs_blocked_row_rewrite: false,
             pause_detector: PauseDetector::default(),
             stopping_since: None,
             closes_idle: false,
@@ -279,7 +279,7 @@
         };
         let has_keys = !config.organisations.is_empty();
         let are_keys_ready = !has_keys || self.key_freshness.is_ready(now);
-        let has_suspects = !self.awaits_suspects(now);
-        self.stopping_since.is_none() && self.has_list && are_keys_ready && has_suspects
+        let are_suspects_ready = !self.awaits_suspects(now);
+        self.stopping_since.is_none() && self.has_list && are_keys_ready && are_suspects_ready
     }
 }
--- a/entry/src/front/greeting_sender.rs
+++ b/entry/src/front/greeting_sender.rs
@@ -19,7 +19,7 @@
 /// Interval at which turns to load weights are planned and due greetings are sent.
 const ROUND_INTERVAL: Micros = Micros::from_millis(100);
 /// Engine agents that receive suspects in one round.
-const SUSPECT_RECEIVERS: usize = 3;
+const RECEIVERS_PER_ROUND: usize = 3;
 /// Suspects in one greeting, at some 100 bytes each.
 const MAX_SUSPECTS: usize = 100;
 /// Maximum age of this front's own reads of the platform store that are still reported.
@@ -185,8 +185,8 @@
     count: usize,
     round: usize,
 ) -> impl Iterator<Item = usize> {
-    let step = (count / SUSPECT_RECEIVERS).max(1);
-    (0..SUSPECT_RECEIVERS.min(count)).map(move |turn| (round + turn * step) % count)
+    let step = (count / RECEIVERS_PER_ROUND).max(1);
+    (0..RECEIVERS_PER_ROUND.min(count)).map(move |receiver| (round + receiver * step) % count)
 }
 
 /// Whether an endpoint is an engine. Endpoints of unknown services are not.
--- a/entry/src/front/kv_store_watch.rs
+++ b/entry/src/front/kv_store_watch.rs
@@ -66,16 +66,16 @@
     address: SocketAddr,
 ) {
     let mut client = KvClient::new(address, CALL_TIMEOUT);
-    let mut polls_at_once = false;
+    let mut skips_wait = false;
     let mut is_unreachable = false;
     while let Some(plan) = poll_plan(&front, address) {
-        if let Some(reported_for) = reported_for(&front, address) {
-            front.sleep_coalesced(reported_for).await;
+        if let Some(time_left) = report_time_left(&front, address) {
+            front.sleep_coalesced(time_left).await;
             continue;
         }
         let next = next_change(&front, address);
         // After a list or a pause, the clock is needed immediately, not with the next change.
-        let wait = match polls_at_once {
+        let wait = match skips_wait {
             true => Micros::ZERO,
             false => plan.wait,
         };
@@ -83,7 +83,7 @@
             Some(since) => read_changes(&front, &mut client, address, since, wait).await,
             None => read_full_list(&front, &mut client, address).await,
         };
-        let is_outdated = is_stale(&front, address);
+        let is_response_stale = is_stale(&front, address);
         let pause = match outcome {
             PollOutcome::Listed(from) => {
                 set_next_change(&front, address, Some(from));
@@ -91,7 +91,7 @@
             }
             PollOutcome::Changes(from) => {
                 set_next_change(&front, address, Some(from));
-                if is_outdated {
+                if is_response_stale {
                     Micros::ZERO
                 } else {
                     plan.pause
@@ -110,10 +110,10 @@
                 plan.pause
             }
         };
-        polls_at_once = match outcome {
+        skips_wait = match outcome {
             PollOutcome::Listed(_) => true,
-            PollOutcome::Changes(_) => is_outdated,
-            PollOutcome::Busy => polls_at_once,
+            PollOutcome::Changes(_) => is_response_stale,
+            PollOutcome::Busy => skips_wait,
             PollOutcome::Reset | PollOutcome::Unreachable => false,
         };
         let is_unreachable_now = outcome == PollOutcome::Unreachable;
@@ -128,7 +128,7 @@
 
 /// Remaining time for which reports of another process replace polls by this front, if there are
 /// any.
-fn reported_for(
+fn report_time_left(
     front: &FrontContext,
     address: SocketAddr,
 ) -> Option<Micros> {
--- a/entry/src/front/operator_watch.rs
+++ b/entry/src/front/operator_watch.rs
@@ -81,10 +81,10 @@
     is_unreachable: bool,
 ) -> ReadSchedule {
     let max_interval = front.settings.config_poll_wait();
-    let is_long_polling = is_unreachable || uses_long_polls(&front.state());
+    let reads_continuously = is_unreachable || uses_long_polls(&front.state());
     ReadSchedule {
         table: ProvenTable::Operator,
-        interval: (!is_long_polling).then_some(max_interval),
+        interval: (!reads_continuously).then_some(max_interval),
         max_interval,
         last_sent_at,
         is_unreachable,
--- a/entry/src/front/orphan_engine.rs
+++ b/entry/src/front/orphan_engine.rs
@@ -32,7 +32,7 @@
     address: SocketAddr,
     right: OrderRight,
     client: HttpClient,
-    reported_at: Option<Micros>,
+    polled_at: Option<Micros>,
     /// Since when the engine has responded without a failure, and its last response.
     responsive_span: Option<(Micros, Micros)>,
     ordered_at: Option<Micros>,
@@ -52,7 +52,7 @@
             address,
             right: OrderRight::new(front.settings.box_id.as_str(), front.settings.order_gap),
             client: HttpClient::new(address, CALL_TIMEOUT),
-            reported_at: None,
+            polled_at: None,
             responsive_span: None,
             ordered_at: None,
             is_swapping: false,
@@ -61,8 +61,8 @@
     }
 
     /// When the report was last requested.
-    pub fn reported_at(&self) -> Option<Micros> {
-        self.reported_at
+    pub fn polled_at(&self) -> Option<Micros> {
+        self.polled_at
     }
 
     /// Whether the engine has been responding for some time. On a box that has just resumed, the
@@ -129,10 +129,10 @@
         } else {
             REPORT_INTERVAL
         };
-        if self.reported_at.is_some_and(|at| now.since(at) < interval) {
+        if self.polled_at.is_some_and(|at| now.since(at) < interval) {
             return;
         }
-        self.reported_at = Some(now);
+        self.polled_at = Some(now);
         let call = HttpRequest {
             method: "GET",
             target: REPORT_PATH,
@@ -225,7 +225,7 @@
             ""
         );
         // The next report is read at once to see the effect of the order.
-        self.reported_at = None;
+        self.polled_at = None;
         self.ordered_at = Some(front.now());
     }
 }
--- a/entry/src/front/part_reclaim.rs
+++ b/entry/src/front/part_reclaim.rs
@@ -180,7 +180,7 @@
     }
     let namespaces = guard.namespaces();
     let state = &mut *guard;
-    let (planner, reads) = (&state.planner, &state.fetch_completion);
+    let (planner, fetches) = (&state.planner, &state.fetch_completion);
     let view = state.kv_store_directory.view_mut(address)?;
     let epoch = view.epoch()?;
     let clock_ms = view.latest_clock_ms(now);
@@ -191,7 +191,7 @@
             continue;
         }
         let salt = namespace.salt();
-        let completed_until_ms = reads.completed_until_ms(&namespace.model, namespace.version);
+        let completed_until_ms = fetches.completed_until_ms(&namespace.model, namespace.version);
         for id in view.parts.parts_in(tag) {
             match planner.reclaim_state(
                 &namespace.model,
--- a/entry/src/front/peer_state.rs
+++ b/entry/src/front/peer_state.rs
@@ -238,14 +238,14 @@
         Err(error) => ("refused", error.as_str()),
     };
     let address = peer.to_string();
-    let age_ms = front.state().key_freshness.age(front.now());
+    let config_age = front.state().key_freshness.age(front.now());
     log::info!(
         event = "peer-state",
         peer = address.as_str(),
         outcome = outcome_name,
         error = error,
         bytes = response.bytes,
-        config_age_ms = age_ms.map_or(-1, |age| age.as_millis() as i64);
+        config_age_ms = config_age.map_or(-1, |age| age.as_millis() as i64);
         ""
     );
     front.metrics.increment("peer_states", outcome_name);
--- a/entry/src/front/store_contact.rs
+++ b/entry/src/front/store_contact.rs
@@ -83,6 +83,6 @@
     let spread = REWRITE_JITTER.max(Micros(REWRITE_JITTER_PER_FRONT.0 * fronts));
     let fraction = stable_fraction(&front.settings.box_id);
     Timer::after(to_duration(Micros((spread.0 as f64 * fraction) as u64))).await;
-    front.state().rewrites_blocked_row = true;
+    front.state().needs_blocked_row_rewrite = true;
     front.blocked_row_due.wake();
 }
--- a/entry/tests/store_poll_rate.rs
+++ b/entry/tests/store_poll_rate.rs
@@ -24,10 +24,10 @@
 fn keys_outlast_outages() {
     for key_limit in [1_000, 5_000, 60_000] {
         let settings = settings(2_000, key_limit);
-        let known = settings.key_limit.since(settings.config_poll_wait());
+        let time_left = settings.key_limit.since(settings.config_poll_wait());
         assert!(
-            known.as_millis() * 10 >= key_limit * 6,
-            "{known:?} of {key_limit}"
+            time_left.as_millis() * 10 >= key_limit * 6,
+            "{time_left:?} of {key_limit}"
         );
     }
 }
@@ -35,7 +35,7 @@
 /// Two reads of the list, one of which fails, fit into the time after which a leaving endpoint must
 /// not get requests; three polls fit into the limit on the age of keys.
 #[test]
-fn bounds_are_kept() {
+fn polls_fit_into_limits() {
     for (drain_limit, key_limit) in [(500, 1_000), (2_000, 5_000), (4_000, 60_000)] {
         let settings = settings(drain_limit, key_limit);
         assert!(settings.list_poll_interval().as_millis() * 2 < drain_limit);
@@ -45,17 +45,20 @@
 
 /// With long limits, new endpoints and configurations are still found soon.
 #[test]
-fn long_bounds_asked_on() {
+fn long_limits_poll_often() {
     let settings = settings(600_000, 600_000);
-    for pause in [settings.list_poll_interval(), settings.config_poll_wait()] {
-        assert!(pause.as_millis() <= 2_000, "{pause:?}");
+    for interval in [settings.list_poll_interval(), settings.config_poll_wait()] {
+        assert!(interval.as_millis() <= 2_000, "{interval:?}");
     }
 }
 
 #[test]
-fn usual_bounds_few_calls() {
+fn default_limits_poll_rarely() {
     let settings = settings(2_000, 5_000);
     let intervals = [settings.list_poll_interval(), settings.config_poll_wait()];
-    let calls: f64 = intervals.iter().map(|pause| 1e6 / pause.0 as f64).sum();
+    let calls: f64 = intervals
+        .iter()
+        .map(|interval| 1e6 / interval.0 as f64)
+        .sum();
     assert!(calls <= MAX_CALLS_PER_SECOND, "{calls} a second");
 }
