--- a/entry/src/front/blocked_rows.rs
+++ b/entry/src/front/blocked_rows.rs
@@ -50,6 +50,7 @@
             continue;
         }
         let is_rewrite = std::mem::take(&mut front.state().needs_blocked_row_rewrite);
+        // There is nothing to rewrite if this front has no row and blocks no requests.
         if is_rewrite && !has_own_row && !has_blocked_requests(&front) {
             continue;
         }
--- a/entry/src/front/digest_receiver.rs
+++ b/entry/src/front/digest_receiver.rs
@@ -86,7 +86,8 @@
 }
 
 /// Updates what this front may send to an engine during its slow start. The grant counts from the
-/// start of the round of greetings that the digest echoes.
+/// earliest time at which the digest may have been sent: the start of the round of greetings that
+/// it echoes, plus the time for which the agent had the greeting.
 fn apply_grant(
     state: &mut FrontState,
     key: EndpointKey,
@@ -100,7 +101,7 @@
     }
 }
 
-/// Adds the sender of a digest to the known agents; the state may have to be requested from it.
+/// Records the arrival of a digest, and its sender as an agent that may provide a state snapshot.
 fn record_agent(
     front: &FrontContext,
     from: SocketAddr,
--- a/entry/src/front/fallback_controller.rs
+++ b/entry/src/front/fallback_controller.rs
@@ -11,19 +11,20 @@
 
 /// Interval of checks for engines without a working agent.
 const POLL_INTERVAL: Micros = Micros::from_millis(300);
-/// Time without digests after which the agent of an engine with outdated weights counts as failed.
+/// Time after which the agent of an engine with outdated weights counts as failed, from when it no
+/// longer reports in time (see [`is_reporting`]).
 const AGENT_TIMEOUT: Micros = Micros::from_millis(4_000);
-/// Maximum number of engines whose reports are read concurrently: those that may load, and some
-/// more.
+/// Maximum number of engines whose reports are read concurrently: enough for those that may load
+/// weights at the same time, and some more.
 const MAX_CONCURRENT_REPORTS: usize = 48;
 /// Timeout of a call to the platform store.
 const STORE_TIMEOUT: Duration = Duration::from_millis(1_000);
-/// Minimum time between two warnings about engines that serve nothing because they get no orders.
+/// Minimum time between two warnings about engines that get no orders from their agents.
 const WARNING_INTERVAL: Micros = Micros::from_secs(5);
 
 /// Gives orders to engines without a working agent: it is not running, or its box has failed or is
-/// unreachable. Without these orders such engines never loaded new weights and, once theirs had
-/// expired, served nothing.
+/// unreachable. Without these orders such engines would never load new weights, and would serve
+/// nothing once theirs had expired.
 struct FallbackController {
     front: Rc<FrontContext>,
     store: StoreClient,
@@ -76,8 +77,9 @@
             orphan.or_insert_with(|| OrphanEngine::new(&front, key, address));
         }
         self.read_reports().await;
-        // A paused box pauses its engine and the agent together. If this front acquired the right
-        // meanwhile, the agent would have to reacquire it and wait.
+        // A paused box pauses its engine and the agent together, so engines that do not respond are
+        // skipped: if this front acquired the right meanwhile, the agent would have to reacquire it
+        // and wait.
         let responsive = self
             .orphans
             .values_mut()
@@ -112,7 +114,7 @@
         executor.run(all).await;
     }
 
-    /// Engines with outdated weights whose agents have sent no digest for [`AGENT_TIMEOUT`].
+    /// Engines with outdated weights whose agents have not been reporting for [`AGENT_TIMEOUT`].
     fn outdated_engines(
         &mut self,
         now: Micros,
@@ -142,7 +144,8 @@
         outdated
     }
 
-    /// Warns that requests are refused because no process orders engines to load the weights.
+    /// Warns that engines with outdated weights get no orders from their agents, and logs whether
+    /// this front gives orders instead.
     fn warn_unordered(
         &mut self,
         engines: usize,
--- a/entry/src/front/foreign_rows.rs
+++ b/entry/src/front/foreign_rows.rs
@@ -20,7 +20,7 @@
         }
     }
 
-    /// Records a row that is invalid under its key.
+    /// Counts an invalid row, and logs it unless the row under its key was already invalid.
     pub fn record(
         &mut self,
         front: &FrontContext,
--- a/entry/src/front/front_context.rs
+++ b/entry/src/front/front_context.rs
@@ -21,8 +21,9 @@
     pub clock: ProcessClock,
     /// Counters and histograms.
     pub metrics: FrontMetrics,
-    /// Wakes the greeting sender. Once a greeting has notified the agent of an engine that is
-    /// leaving, the engine is no longer announced to other fronts, even if this front fails.
+    /// Wakes the greeting sender before its next round. The agent of an engine that is leaving must
+    /// be notified soon: from then on the engine is no longer announced to other fronts, even if
+    /// this front fails.
     pub greeting_due: WakeSignal,
     /// Wakes the task that writes the requests blocked by this front to the platform store.
     pub blocked_row_due: WakeSignal,
--- a/entry/src/front/front_state.rs
+++ b/entry/src/front/front_state.rs
@@ -74,7 +74,8 @@
     pub wants_suspects: bool,
     /// Whether the blocked requests have been read from the platform store in this incarnation.
     pub has_blocked_rows: bool,
-    /// Whether the platform store has lost the rows with blocked requests.
+    /// Whether this front's row of blocked requests must be written again, because the platform
+    /// store was restored from a snapshot that may lack it.
     pub needs_blocked_row_rewrite: bool,
     /// Detects pauses of the process itself.
     pub pause_detector: PauseDetector,
--- a/entry/src/front/greeting_sender.rs
+++ b/entry/src/front/greeting_sender.rs
@@ -18,16 +18,17 @@
 
 /// Interval at which turns to load weights are planned and due greetings are sent.
 const ROUND_INTERVAL: Micros = Micros::from_millis(100);
-/// Engine agents that receive suspects in one round.
+/// Number of engine agents that are greeted in a round, due or not, to forward suspects or new
+/// reads of the platform store.
 const RECEIVERS_PER_ROUND: usize = 3;
-/// Suspects in one greeting, at some 100 bytes each.
+/// Maximum number of suspects in one greeting, at some 100 bytes each.
 const MAX_SUSPECTS: usize = 100;
 /// Maximum age of this front's own reads of the platform store that are still reported.
 const MAX_PROOF_AGE: Micros = Micros::from_millis(2_500);
 /// Time for which the hash of this front's state and the assignment of KV stores are reused.
 const CACHE_TTL: Micros = Micros::from_millis(400);
 
-/// Parts that all greetings have in common for some time.
+/// Content of greetings that is reused for [`CACHE_TTL`].
 #[derive(Debug, Default)]
 struct GreetingCache {
     computed_at: Option<Micros>,
@@ -179,8 +180,9 @@
     has_turn || entry.is_some_and(|entry| !entry.is_mirrored && entry.is_listed())
 }
 
-/// Indexes of the agents that receive suspects in a round. Each agent forwards them to all fronts,
-/// so a few are enough; they are spread over the order of addresses and differ from round to round.
+/// Indexes of the agents that forward suspects or new reads in a round. Each forwards them to all
+/// fronts, so a few are enough; they are spread over the order of addresses and differ from round
+/// to round.
 fn receiver_indexes(
     count: usize,
     round: usize,
--- a/entry/src/front/kv_store_watch.rs
+++ b/entry/src/front/kv_store_watch.rs
@@ -15,7 +15,8 @@
 pub(super) const CALL_TIMEOUT: Duration = Duration::from_millis(500);
 /// Delay after a store has refused a request because too many are pending.
 const BUSY_RETRY_DELAY: Micros = Micros::from_millis(120);
-/// Time for which a store is not polled after a report of another process's read: two digests.
+/// Time for which a store is not polled after a report of another process's read: long
+/// enough for two digests.
 const REPORT_TTL: Micros = Micros::from_millis(1_300);
 /// Interval of checks for new stores.
 const DISCOVERY_INTERVAL: Micros = Micros::from_millis(60);
@@ -206,8 +207,8 @@
     front.state().kv_store_directory.view_mut(address).is_some()
 }
 
-/// Whether the response is already outdated on arrival, because it was buffered on the connection
-/// while the process was paused.
+/// Whether the known content is too old to be used, such as after a response that was buffered on
+/// the connection while the process was paused.
 fn is_stale(
     front: &FrontContext,
     address: SocketAddr,
@@ -246,7 +247,7 @@
         return PollOutcome::Unreachable;
     };
     if view.epoch() != Some(changes.epoch) || changes.has_gap {
-        // Not used until the complete list has been read.
+        // The known content is not used until the complete list has been read.
         view.mark_unreachable();
         return PollOutcome::Reset;
     }
--- a/entry/src/front/list_watch.rs
+++ b/entry/src/front/list_watch.rs
@@ -16,8 +16,8 @@
     std::{collections::HashSet, net::SocketAddr, rc::Rc, time::Duration},
 };
 
-/// Delay before the whole list is read. It is short, since nothing can be served without a list and
-/// its changes since are unknown.
+/// Delay before the whole list is read again after a failure. It is short, since this front either
+/// has no list, without which it serves nothing, or may have missed changes of it.
 const FULL_READ_DELAY: Micros = Micros::from_millis(150);
 /// Interval at which rejoining endpoints are probed and outdated state is removed.
 const MAINTENANCE_INTERVAL: Micros = Micros::from_millis(400);
@@ -59,6 +59,9 @@
         };
         timeout.record(&read);
         let now = front.now();
+        // While the store is failing or has just been restored, entries may be missing from the
+        // list although their endpoints still serve. They lapse, and only leave after
+        // `REWRITE_DELAY` without such a problem.
         if read.is_err() || now.since(sent_at) > SLOW_READ_THRESHOLD {
             last_problem_at = Some(now);
         }
--- a/entry/src/front/order_lease.rs
+++ b/entry/src/front/order_lease.rs
@@ -11,7 +11,6 @@
 
 /// Key of the row that names the front whose fallback controller gives orders.
 const LEASE_KEY: &str = "lease/orders";
-/// Times of the lease.
 const LEASE_TIMES: LeaseTimes = LeaseTimes {
     duration: Micros::from_secs(6),
     interval: Micros::from_secs(2),
--- a/entry/src/front/orphan_engine.rs
+++ b/entry/src/front/orphan_engine.rs
@@ -224,13 +224,14 @@
             outcome = outcome.as_str();
             ""
         );
-        // The next report is read at once to see the effect of the order.
+        // The next poll reads a report without waiting, to see the effect of the order.
         self.polled_at = None;
         self.ordered_at = Some(front.now());
     }
 }
 
-/// Applies a polled report as the engine's load, so that its turn to load is planned.
+/// Applies the load and the weights of a polled report, so that the engine's turn to load weights
+/// is planned.
 fn apply_report(
     front: &FrontContext,
     key: EndpointKey,
--- a/entry/src/front/peer_state.rs
+++ b/entry/src/front/peer_state.rs
@@ -123,8 +123,8 @@
 }
 
 /// Requests state snapshots from peers while others can read the platform store and this front
-/// cannot, so that callers with keys are still served although the configuration has changed
-/// meanwhile.
+/// cannot. Their reported reads keep the keys known here valid only as long as the configuration
+/// does not change; after a change, callers with keys are served with that of a peer.
 pub(super) async fn refresh_from_peers(front: Rc<FrontContext>) {
     let mut attempt = 2 * (stable_fraction(&front.settings.box_id) * 1e6) as usize;
     loop {
@@ -294,8 +294,8 @@
             .planner
             .record_publication(publication, requested_at, now);
     }
-    // Recorded together with the publications known to the peer, since parts of replaced weights
-    // are not saved.
+    // Recorded after the publications known to the peer: with the uptime of a store this front may
+    // save parts there, but not those of replaced weights.
     for uptime in &received.store_uptimes {
         state.kv_store_directory.record_uptime(uptime, now);
     }
--- a/entry/src/front/store_contact.rs
+++ b/entry/src/front/store_contact.rs
@@ -10,9 +10,9 @@
     std::rc::Rc,
 };
 
-/// Time over which fronts spread their rewrites after the platform store was restored from a
-/// snapshot, and the time added per front: the store accepts some hundred writes a second from all
-/// of them.
+/// Minimum time over which fronts spread their rewrites after the platform store was restored from
+/// a snapshot, and the time per front, which applies if there are many: the store accepts some
+/// hundred writes a second from all of them.
 const REWRITE_JITTER: Micros = Micros::from_millis(2_000);
 const REWRITE_JITTER_PER_FRONT: Micros = Micros::from_millis(10);
 
--- a/entry/src/front/store_readers.rs
+++ b/entry/src/front/store_readers.rs
@@ -179,7 +179,7 @@
 pub(super) struct ReadSchedule {
     /// Table to read.
     pub table: ProvenTable,
-    /// Interval of a front in the first tier. `None` if it uses long polls.
+    /// Interval of a front in the first tier. `None` if it reads continuously, as with long polls.
     pub interval: Option<Micros>,
     /// Base interval of the other tiers: known content stays valid for a multiple of it.
     pub max_interval: Micros,
--- a/entry/src/front/watcher_assignment.rs
+++ b/entry/src/front/watcher_assignment.rs
@@ -6,7 +6,7 @@
 
 /// Number of engine agents that poll each KV store for all fronts, so that one may fail.
 const WATCHERS: usize = 2;
-/// Number of fronts up to which each polls all stores itself, which costs as many requests.
+/// Number of fronts up to which each polls all KV stores itself, which costs as many requests.
 pub(super) const MAX_DIRECT_READERS: u32 = 2 * WATCHERS as u32;
 
 /// Assigns KV stores to the engine agents that poll them for all fronts. All fronts that know the
--- a/entry/tests/store_poll_rate.rs
+++ b/entry/tests/store_poll_rate.rs
@@ -18,8 +18,8 @@
     FrontSettings::parse("front.json", &text).expect("settings")
 }
 
-/// A box that loses the store just before a response can still rely on its keys for three fifths of
-/// the limit, which callers with keys rely on.
+/// A front that loses the store just before a response can still serve callers with keys for three
+/// fifths of the limit.
 #[test]
 fn keys_outlast_outages() {
     for key_limit in [1_000, 5_000, 60_000] {
