--- a/entry/src/front/kv_store_watch.rs
+++ b/entry/src/front/kv_store_watch.rs
@@ -15,7 +15,8 @@
 pub(super) const CALL_TIMEOUT: Duration = Duration::from_millis(500);
 /// Delay after a store has refused a request because too many are pending.
 const BUSY_RETRY_DELAY: Micros = Micros::from_millis(120);
-/// Time for which a store is not polled after a report of another process's read: two digests.
+/// Time for which a store is not polled after a report of another process's read: long
+/// enough for two digests.
 const REPORT_TTL: Micros = Micros::from_millis(1_300);
 /// Interval of checks for new stores.
 const DISCOVERY_INTERVAL: Micros = Micros::from_millis(60);
@@ -66,16 +67,16 @@
     address: SocketAddr,
 ) {
     let mut client = KvClient::new(address, CALL_TIMEOUT);
-    let mut polls_at_once = false;
+    let mut skips_wait = false;
     let mut is_unreachable = false;
     while let Some(plan) = poll_plan(&front, address) {
-        if let Some(reported_for) = reported_for(&front, address) {
-            front.sleep_coalesced(reported_for).await;
+        if let Some(time_left) = report_time_left(&front, address) {
+            front.sleep_coalesced(time_left).await;
             continue;
         }
         let next = next_change(&front, address);
         // After a list or a pause, the clock is needed immediately, not with the next change.
-        let wait = match polls_at_once {
+        let wait = match skips_wait {
             true => Micros::ZERO,
             false => plan.wait,
         };
@@ -83,7 +84,7 @@
             Some(since) => read_changes(&front, &mut client, address, since, wait).await,
             None => read_full_list(&front, &mut client, address).await,
         };
-        let is_outdated = is_stale(&front, address);
+        let is_response_stale = is_stale(&front, address);
         let pause = match outcome {
             PollOutcome::Listed(from) => {
                 set_next_change(&front, address, Some(from));
@@ -91,7 +92,7 @@
             }
             PollOutcome::Changes(from) => {
                 set_next_change(&front, address, Some(from));
-                if is_outdated {
+                if is_response_stale {
                     Micros::ZERO
                 } else {
                     plan.pause
@@ -110,10 +111,10 @@
                 plan.pause
             }
         };
-        polls_at_once = match outcome {
+        skips_wait = match outcome {
             PollOutcome::Listed(_) => true,
-            PollOutcome::Changes(_) => is_outdated,
-            PollOutcome::Busy => polls_at_once,
+            PollOutcome::Changes(_) => is_response_stale,
+            PollOutcome::Busy => skips_wait,
             PollOutcome::Reset | PollOutcome::Unreachable => false,
         };
         let is_unreachable_now = outcome == PollOutcome::Unreachable;
@@ -128,7 +129,7 @@
 
 /// Remaining time for which reports of another process replace polls by this front, if there are
 /// any.
-fn reported_for(
+fn report_time_left(
     front: &FrontContext,
     address: SocketAddr,
 ) -> Option<Micros> {
@@ -206,8 +207,8 @@
     front.state().kv_store_directory.view_mut(address).is_some()
 }
 
-/// Whether the response is already outdated on arrival, because it was buffered on the connection
-/// while the process was paused.
+/// Whether the known content is too old to be used, such as after a response that was buffered on
+/// the connection while the process was paused.
 fn is_stale(
     front: &FrontContext,
     address: SocketAddr,
@@ -246,7 +247,7 @@
         return PollOutcome::Unreachable;
     };
     if view.epoch() != Some(changes.epoch) || changes.has_gap {
-        // Not used until the complete list has been read.
+        // The known content is not used until the complete list has been read.
         view.mark_unreachable();
         return PollOutcome::Reset;
     }
--- a/entry/src/front/store_contact.rs
+++ b/entry/src/front/store_contact.rs
@@ -10,9 +10,9 @@
     std::rc::Rc,
 };
 
-/// Time over which fronts spread their rewrites after the platform store was restored from a
-/// snapshot, and the time added per front: the store accepts some hundred writes a second from all
-/// of them.
+/// Minimum time over which fronts spread their rewrites after the platform store was restored from
+/// a snapshot, and the time per front, which applies if there are many: the store accepts some
+/// hundred writes a second from all of them.
 const REWRITE_JITTER: Micros = Micros::from_millis(2_000);
 const REWRITE_JITTER_PER_FRONT: Micros = Micros::from_millis(10);
 
@@ -83,6 +83,6 @@
     let spread = REWRITE_JITTER.max(Micros(REWRITE_JITTER_PER_FRONT.0 * fronts));
     let fraction = stable_fraction(&front.settings.box_id);
     Timer::after(to_duration(Micros((spread.0 as f64 * fraction) as u64))).await;
-    front.state().rewrites_blocked_row = true;
+    front.state().needs_blocked_row_rewrite = true;
     front.blocked_row_due.wake();
 }
