--- a/entry/src/front/exit_probe.rs
+++ b/entry/src/front/exit_probe.rs
@@ -53,7 +53,7 @@
     incarnation: u32,
 ) -> bool {
     let now = front.now();
-    let (is_replaced, is_probed) = {
+    let (has_restarted, is_probed) = {
         let state = front.state();
         let entry = state.registry.get(key);
         let probe = state.exit_probes.get(&key);
@@ -62,7 +62,7 @@
             probe.is_some_and(|probe| probe.applies_to(incarnation, now)),
         )
     };
-    match (is_replaced, is_probed) {
+    match (has_restarted, is_probed) {
         // The endpoint list, or the agent of the endpoint, has already reported a restart.
         (true, _) => true,
         (false, true) => await_outcome(front, key).await,
--- a/entry/src/front/front_process.rs
+++ b/entry/src/front/front_process.rs
@@ -45,8 +45,8 @@
 ) -> anyhow::Result<()> {
     let settings = front.settings.clone();
     let mut signals = SignalListener::start().context("cannot install signal handlers")?;
-    let callers = TcpListener::bind(settings.callers);
-    let callers = callers.with_context(|| format!("cannot listen on {}", settings.callers))?;
+    let listener = TcpListener::bind(settings.callers);
+    let listener = listener.with_context(|| format!("cannot listen on {}", settings.callers))?;
     front.spawn(serve_paths(settings.ready, front.clone(), serve_readiness).await?);
     if let Some(metrics) = settings.metrics {
         front.spawn(serve_paths(metrics, front.clone(), serve_metrics).await?);
@@ -70,7 +70,7 @@
     front.spawn(sync_blocked_rows(front.clone()));
     front.spawn(watch_kv_stores(front.clone()));
     front.spawn(run_fallback_controller(front.clone()));
-    front.spawn(accept(front.clone(), Async::new(callers)?));
+    front.spawn(accept(front.clone(), Async::new(listener)?));
     log::info!(
         event = "started",
         front = settings.box_id.as_str(),
@@ -128,7 +128,7 @@
     loop {
         match listener.accept().await {
             Ok((stream, _)) => match TcpConnection::new(stream, &TcpKeepalive::INBOUND) {
-                Ok(link) => front.spawn(serve_caller(front.clone(), link)),
+                Ok(connection) => front.spawn(serve_caller(front.clone(), connection)),
                 Err(error) => log_accept(&error),
             },
             Err(error) => {
@@ -164,19 +164,19 @@
 /// Stops gracefully: reports not ready to the load balancer, then serves open requests to their
 /// end.
 async fn shut_down(front: &FrontContext) {
-    let now = front.now();
-    front.state().stopping_since = Some(now);
+    let requested_at = front.now();
+    front.state().stopping_since = Some(requested_at);
     log::info!(event = "stopping", running = front.state().running; "");
     Timer::after(BALANCER_NOTICE_TIME).await;
     front.state().closes_idle = true;
     // Idle connections have time to detect that they are to be closed.
     Timer::after(Duration::from_millis(700)).await;
     let limit = front.settings.stop_limit.saturating_sub(CLOSE_MARGIN);
-    while front.state().running > 0 && elapsed_since(front, now) < limit {
+    while front.state().running > 0 && elapsed_since(front, requested_at) < limit {
         Timer::after(to_duration(IDLE_CHECK_INTERVAL)).await;
     }
     let cut_off = front.state().running;
-    let waited_ms = elapsed_since(front, now).as_millis() as u64;
+    let waited_ms = elapsed_since(front, requested_at).as_millis() as u64;
     log::info!(event = "stopped", cut_off = cut_off, waited_ms = waited_ms; "");
 }
 
--- a/entry/src/front/request_admit.rs
+++ b/entry/src/front/request_admit.rs
@@ -15,7 +15,7 @@
 /// Time before the forced exit during which plain requests are no longer accepted.
 const PLAIN_STOP_MARGIN: Micros = Micros::from_millis(2_000);
 /// Timeout of writing a refusal to the caller.
-const REFUSAL_TIMEOUT: Micros = Micros::from_millis(250);
+const REFUSAL_WRITE_TIMEOUT: Micros = Micros::from_millis(250);
 
 /// Resolves route and organisation of a request, if the configuration is fresh enough to decide.
 pub(super) fn admit(
@@ -96,12 +96,12 @@
         config_age_ms = key_age.map_or(-1, |age| age.as_millis() as i64),
         sends = refusal.sends,
         held_ms = front.now().since(refusal.arrived_at).as_millis(),
-        back_ms = response.retry_after.map_or(-1, |back| back.as_millis() as i64);
+        back_ms = response.retry_after.map_or(-1, |delay| delay.as_millis() as i64);
         ""
     );
     front.metrics.increment("refused", response.code);
     let bytes = encode_refusal(refusal.kind, &response, &info.request_id, closes);
-    let is_written = with_timeout(REFUSAL_TIMEOUT, caller.write_all(&bytes)).await;
+    let is_written = with_timeout(REFUSAL_WRITE_TIMEOUT, caller.write_all(&bytes)).await;
     match (closes, is_written) {
         (false, Some(Ok(()))) => ConnectionReuse::KeepAlive,
         _ => ConnectionReuse::Close,
--- a/entry/src/front/request_attempt.rs
+++ b/entry/src/front/request_attempt.rs
@@ -117,8 +117,12 @@
             return;
         };
         let namespace = state.namespace_tag(&self.cache_namespace(version).salt());
-        let planned = &choice.plan.parts;
-        let is_cached = |index: usize| planned.get(index).is_some_and(|fetch| fetch.is_cached);
+        let part_plans = &choice.plan.parts;
+        let is_cached = |index: usize| {
+            part_plans
+                .get(index)
+                .is_some_and(|part_plan| part_plan.is_cached)
+        };
         if let Some(entry) = state.registry.get_mut(choice.key) {
             for (index, part) in prompt.parts.iter().enumerate() {
                 if !is_cached(index) {
--- a/entry/src/front/request_choice.rs
+++ b/entry/src/front/request_choice.rs
@@ -251,10 +251,11 @@
             .as_ref()
             .map_or("", |prompt| prompt.model.as_str());
         let proven_at = state.key_freshness.proven_at();
-        for part in &mut parts {
-            let id = part.part.id;
+        for availability in &mut parts {
+            let id = availability.part.id;
             if !state.planner.may_fetch(model, version, id, proven_at, now) {
-                part.sources
+                availability
+                    .sources
                     .retain(|source| !matches!(source.location, PartLocation::Store(_)));
             }
         }
--- a/entry/src/front/request_feedback.rs
+++ b/entry/src/front/request_feedback.rs
@@ -76,7 +76,7 @@
         }
     }
 
-    pub(super) fn record_refusal(
+    pub(super) fn detect_replacement(
         &self,
         choice: &EndpointChoice,
         response: &EndpointResponse,
--- a/entry/src/front/request_log.rs
+++ b/entry/src/front/request_log.rs
@@ -17,16 +17,16 @@
             .map_or(&[][..], |prompt| &prompt.parts);
         let mut text = String::new();
         for (index, part) in parts[..parts.len().saturating_sub(1)].iter().enumerate() {
-            let sign = match choice.plan.parts.get(index) {
+            let letter = match choice.plan.parts.get(index) {
                 None => 'r',
-                Some(fetch) if fetch.is_cached => 'k',
-                Some(fetch) => match &fetch.source {
+                Some(part_plan) if part_plan.is_cached => 'k',
+                Some(part_plan) => match &part_plan.source {
                     Some((source, _)) if source.is_engine() => 'e',
                     _ => 'f',
                 },
             };
             let comma = if index == 0 { "" } else { "," };
-            text.push_str(&format!("{comma}{}:{sign}", part.id));
+            text.push_str(&format!("{comma}{}:{letter}", part.id));
         }
         text
     }
@@ -113,7 +113,7 @@
         let front = self.front;
         let now = front.now();
         let arrived_at = self.request.arrived_at;
-        let first = self.response_started_at.map(|at| at.since(arrived_at));
+        let time_to_response = self.response_started_at.map(|at| at.since(arrived_at));
         log::info!(
             event = "end",
             request = self.info.request_id.as_str(),
@@ -121,7 +121,7 @@
             outcome = outcome,
             status = status,
             sends = self.sends,
-            first_ms = first.map_or(-1, |first| first.as_millis() as i64),
+            first_ms = time_to_response.map_or(-1, |time| time.as_millis() as i64),
             took_ms = now.since(arrived_at).as_millis(),
             writes = self.progress.writes,
             config = self.config.version;
@@ -129,8 +129,8 @@
         );
         front.metrics.increment("requests", outcome);
         front.metrics.record_time("took", now.since(arrived_at).0);
-        if let Some(first) = first {
-            front.metrics.record_time("first", first.0);
+        if let Some(time) = time_to_response {
+            front.metrics.record_time("first", time.0);
         }
     }
 }
--- a/entry/src/front/request_response.rs
+++ b/entry/src/front/request_response.rs
@@ -23,7 +23,7 @@
         }
         if response.info.is_not_run {
             self.possible_runs -= 1;
-            self.record_refusal(choice, &response);
+            self.detect_replacement(choice, &response);
             return self.discard_response(exchange, &response).await;
         }
         let is_success = (200..300).contains(&response.head.status);
@@ -78,9 +78,9 @@
         response: &EndpointResponse,
     ) -> AttemptOutcome {
         let front = self.front;
-        let is_prompt = self.info.prompt.is_some() && !self.progress.is_head_sent;
-        let prefill_tokens = choice.ahead_tokens + f64::from(choice.prefill_tokens);
-        let is_first_send = is_prompt && self.sends == 1;
+        let is_unanswered_prompt = self.info.prompt.is_some() && !self.progress.is_head_sent;
+        let tokens_until_start = choice.ahead_tokens + f64::from(choice.prefill_tokens);
+        let is_first_send = is_unanswered_prompt && self.sends == 1;
         let mut first_event_at = None;
         let mut version = None;
         let mut on_event = |event| match event {
@@ -94,7 +94,7 @@
                     let latency_ms = now.since(sent_at).as_millis() as f64;
                     state
                         .latency_estimator
-                        .record_first_token(prefill_tokens, latency_ms - choice.plan.fetch_ms);
+                        .record_first_token(tokens_until_start, latency_ms - choice.plan.fetch_ms);
                 }
             }
             RelayEvent::VersionChanged(new) => version = Some(new),
@@ -164,8 +164,8 @@
         response: &EndpointResponse,
     ) {
         let is_drained = exchange.is_fully_sent && exchange.connection.buffer().is_empty();
-        let ends = response.info.closes || response.framing == BodyFraming::UntilClose;
-        if !is_drained || ends {
+        let is_closing = response.info.closes || response.framing == BodyFraming::UntilClose;
+        if !is_drained || is_closing {
             return;
         }
         exchange.is_reusable = true;
--- a/entry/src/front/request_transfers.rs
+++ b/entry/src/front/request_transfers.rs
@@ -8,7 +8,7 @@
 };
 
 /// Network round trip, subtracted from the time limit that is sent to an endpoint.
-const TRANSIT_TIME: Micros = Micros::from_millis(4);
+const ROUND_TRIP_TIME: Micros = Micros::from_millis(4);
 
 /// Parts that an engine fetches before, and saves after, the prefill of a request.
 #[derive(Debug, Default)]
@@ -38,9 +38,9 @@
             None => self.info.request_id.clone(),
         };
         let time_left = self.deadline.since(now);
-        let order = ForwardHeaders {
+        let headers = ForwardHeaders {
             endpoint_id: entry.map_or("", |entry| entry.id.as_str()),
-            time_left: time_left.since(TRANSIT_TIME).max(Micros::from_millis(1)),
+            time_left: time_left.since(ROUND_TRIP_TIME).max(Micros::from_millis(1)),
             organisation: organisation.map(|organisation| organisation.name.as_str()),
             priority: is_engine.then(|| self.priority()),
             version: choice.version.filter(|_| is_engine),
@@ -54,7 +54,7 @@
                 .last_id()
                 .filter(|_| self.progress.is_head_sent),
         };
-        encode_request(&self.request.head, &self.request.body, &order)
+        encode_request(&self.request.head, &self.request.body, &headers)
     }
 
     /// The parts that the engine fetches before the prefill and saves after it; none if the request
@@ -83,8 +83,8 @@
     ) -> PartTransfers {
         let namespace = state.namespace_tag(&self.cache_namespace(version).salt());
         let mut transfers = PartTransfers::default();
-        for fetch in &choice.plan.parts {
-            let Some((source, _)) = &fetch.source else {
+        for part_plan in &choice.plan.parts {
+            let Some((source, _)) = &part_plan.source else {
                 transfers.fetch.push(None);
                 continue;
             };
@@ -101,7 +101,7 @@
             }
             transfers.fetch.push(Some(PartAddress {
                 address: source.address,
-                tokens: is_store.then_some(fetch.part.tokens),
+                tokens: is_store.then_some(part_plan.part.tokens),
             }));
             transfers.fetch_until_ms = match (transfers.fetch_until_ms, until) {
                 (Some(before), Some(until)) => Some(before.min(until)),
--- a/entry/src/front/stream_relay.rs
+++ b/entry/src/front/stream_relay.rs
@@ -45,17 +45,21 @@
     on_event: &mut dyn FnMut(RelayEvent),
 ) -> Result<(), ExchangeFailure> {
     let mut decoder = BodyDecoder::new(response.framing);
-    let mut piece = Vec::new();
+    let mut decoded = Vec::new();
     let mut is_first = true;
     loop {
-        piece.clear();
-        let consumed = decoder.decode(exchange.connection.buffer(), &mut piece);
+        decoded.clear();
+        let consumed = decoder.decode(exchange.connection.buffer(), &mut decoded);
         exchange
             .connection
             .consume(consumed.map_err(|_| ExchangeFailure::Garbled)?);
-        let before = progress.splitter.version();
-        let mut events = progress.splitter.feed(&piece);
-        if let Some(version) = progress.splitter.version().filter(|v| Some(*v) != before) {
+        let previous_version = progress.splitter.version();
+        let mut events = progress.splitter.feed(&decoded);
+        if let Some(version) = progress
+            .splitter
+            .version()
+            .filter(|v| Some(*v) != previous_version)
+        {
             on_event(RelayEvent::VersionChanged(version));
         }
         if is_first && !events.is_empty() {
--- a/entry/tests/sse_splitter.rs
+++ b/entry/tests/sse_splitter.rs
@@ -5,8 +5,8 @@
 #[test]
 fn comment_is_no_data() {
     let mut splitter = SseSplitter::default();
-    let passed = splitter.feed(b": opening\n\nid: 0\nda").expect("short");
-    assert_eq!(passed, b": opening\n\n");
+    let events = splitter.feed(b": opening\n\nid: 0\nda").expect("short");
+    assert_eq!(events, b": opening\n\n");
     // A stream that is interrupted here can still be requested again from the start.
     assert!(!splitter.has_data());
     assert_eq!(splitter.last_id(), None);
