--- a/entry/src/front/connection_pool.rs
+++ b/entry/src/front/connection_pool.rs
@@ -41,7 +41,7 @@
         None
     }
 
-    /// Whether the pool has a usable connection to an endpoint.
+    /// Whether the pool has an unexpired connection to an endpoint. Only `take` checks the socket.
     pub fn has_open(
         &self,
         key: EndpointKey,
@@ -51,8 +51,8 @@
         idle.is_some_and(|idle| idle.iter().any(|candidate| now < candidate.usable_until))
     }
 
-    /// Adds a connection whose request has ended. It is closed if the pool is full or unread bytes
-    /// are left on it.
+    /// Adds an idle connection. It is closed if the pool has too many to this endpoint or unread
+    /// bytes are left on it.
     pub fn put(
         &mut self,
         key: EndpointKey,
--- a/entry/src/front/exit_probe.rs
+++ b/entry/src/front/exit_probe.rs
@@ -26,6 +26,7 @@
 pub(crate) struct ExitProbe {
     incarnation: u32,
     started_at: Micros,
+    /// `None` while the probe is running.
     has_exited: Option<bool>,
 }
 
--- a/entry/src/front/front_settings.rs
+++ b/entry/src/front/front_settings.rs
@@ -73,8 +73,8 @@
 
 /// Time that a request may wait at an engine before it begins to run.
 const ENGINE_QUEUE_MARGIN: Micros = Micros::from_millis(2_500);
-/// Time in which an engine detects a cancelled request, and in which a request that began before is
-/// reported.
+/// Time for an engine to detect that a request was cancelled, and for the first event of a request
+/// that it began before to arrive.
 const CANCEL_MARGIN: Micros = Micros::from_millis(400);
 
 /// Interval between two reads of the endpoint list, in percent of the drain limit. Each read has a
@@ -82,8 +82,8 @@
 const LIST_POLL_PERCENT: u64 = 40;
 /// Duration of a long poll for changes of the configuration, in percent of the limit on the age of
 /// keys. A response proves freshness as of the time of its request, so a box that loses the store
-/// serves callers with keys only for the rest of the limit. In a replayed outage of 6 s on two
-/// deployments whose keys fail closed, a third scored 0.74 and 0.75, a quarter 0.82 and 0.82.
+/// serves callers with keys only for the rest of the limit. In a replayed outage of 6 s with keys
+/// that fail closed, a quarter of the limit scored better than a third.
 const CONFIG_POLL_PERCENT: u64 = 25;
 /// Maximum interval between two reads of the endpoint list, even if endpoints may take longer to
 /// leave: the list also shows new endpoints.
--- a/entry/src/front/lost_run.rs
+++ b/entry/src/front/lost_run.rs
@@ -9,12 +9,12 @@
     },
 };
 
-/// Time after its first event from which a crash of the endpoint is no longer attributed to a run:
+/// A crash of the endpoint is attributed to a run only until this time after the run's first event:
 /// a request that crashes an endpoint does so when it starts to run.
 const CRASH_WINDOW: Micros = Micros::from_millis(1_000);
 
-/// Minimum time between sending a run and a crash that is attributed to it: the endpoint has hardly
-/// parsed a request that it received later.
+/// Minimum time between sending a run and a crash that is attributed to it: an endpoint that
+/// crashes earlier has hardly parsed the request.
 const MIN_RUN_TIME: Micros = Micros::from_millis(15);
 
 /// The latest run of a request.
--- a/entry/src/front/request_admit.rs
+++ b/entry/src/front/request_admit.rs
@@ -63,7 +63,7 @@
 pub(super) struct RequestRefusal {
     /// Reason.
     pub kind: RefusalKind,
-    /// When the caller should retry, if known better than from `kind`.
+    /// Delay after which the caller should retry; `None` for the default of `kind`.
     pub retry_after: Option<Micros>,
     /// Whether the caller's connection is closed.
     pub closes: bool,
--- a/entry/src/front/request_choice.rs
+++ b/entry/src/front/request_choice.rs
@@ -237,7 +237,7 @@
         availability
     }
 
-    /// Removes the stores that may be freeing a part from its sources.
+    /// Removes from the sources of each part the KV stores that may already be freeing it.
     pub(super) fn retain_fetchable_sources(
         &self,
         state: &FrontState,
--- a/entry/src/front/request_feedback.rs
+++ b/entry/src/front/request_feedback.rs
@@ -76,6 +76,7 @@
         }
     }
 
+    /// Marks the endpoint as leaving if another endpoint refused the request at its address.
     pub(super) fn detect_replacement(
         &self,
         choice: &EndpointChoice,
--- a/entry/src/front/request_handler.rs
+++ b/entry/src/front/request_handler.rs
@@ -23,8 +23,8 @@
 /// did not run the request.
 const MAX_UNEXECUTED_SENDS: u32 = 2;
 
-/// Longest wait for the stores to respond after a process pause, and the polling interval. A store
-/// responds within a few milliseconds unless the box is busy.
+/// Longest wait for the KV stores to respond after a process pause, and the polling interval. A KV
+/// store responds within a few milliseconds unless the box is busy.
 const STORE_WAIT_TIMEOUT: Micros = Micros::from_millis(150);
 const STORE_POLL_INTERVAL: Micros = Micros::from_millis(10);
 
@@ -149,9 +149,9 @@
     }
 
     /// Waits until the state needed to serve the request is current. After a process pause, all
-    /// requests of that time arrive at once; if the stores are about to respond, prompts wait
-    /// briefly rather than prefill parts that are cached there. A front that has just started waits
-    /// for the reports of suspect requests.
+    /// requests of that time arrive at once; until the view of the KV stores is current again,
+    /// prompts wait briefly rather than prefill parts that are cached there. A front that has just
+    /// started waits for the reports of suspect requests.
     async fn wait_for_state(&self) {
         let is_prompt = self.info.prompt.is_some();
         let started_at = self.front.now();
--- a/entry/src/front/request_response.rs
+++ b/entry/src/front/request_response.rs
@@ -157,7 +157,8 @@
         AttemptOutcome::NotRun
     }
 
-    /// Marks the connection as reusable if no unread bytes are left on it.
+    /// Marks the connection as reusable if the request was sent completely, no unread bytes are left
+    /// and the endpoint keeps it open.
     pub(super) fn mark_reusable(
         &self,
         exchange: &mut EndpointExchange,
--- a/entry/src/front/stream_relay.rs
+++ b/entry/src/front/stream_relay.rs
@@ -33,8 +33,8 @@
 
 /// Relays a stream to the caller, event by event, until it ends.
 ///
-/// Partial events are never sent, except at the regular end of a stream. Once the first events have
-/// arrived, the stream has the `time_left` of the request.
+/// Partial events are sent only at the regular end of a stream, and if an event is too long to be
+/// buffered. When the first events arrive, the timer is set to the `time_left` of the request.
 pub(crate) async fn relay_stream(
     exchange: &mut EndpointExchange,
     response: &EndpointResponse,
--- a/entry/tests/fractional_settings.rs
+++ b/entry/tests/fractional_settings.rs
@@ -30,8 +30,8 @@
     FrontSettings::parse("front.json", &settings.to_string()).map_err(|error| error.to_string())
 }
 
-/// A share of a number is a fraction. Fronts exited with `repeat_slack: found 36.17, wanted a whole
-/// number`.
+/// A value may be a share of a larger number, and thus a fraction. Fronts exited with
+/// `repeat_slack: found 36.17, wanted a whole number`.
 #[test]
 fn numeric_fields_accept_fractions() {
     for field in NUMERIC_FIELDS {
@@ -51,15 +51,15 @@
     settings["drain_limit_ms"] = json!(1_500.5);
     settings["stop_limit_s"] = json!(7.25);
     settings["repeat_window_s"] = json!(0.5);
-    let read = parse(&settings).expect("sound");
+    let read = parse(&settings).expect("valid settings");
     assert_eq!(read.retry_limit.slack, 36.176_470_588_235_3);
     assert_eq!(read.drain_limit, Micros(1_500_500));
     assert_eq!(read.stop_limit, Duration::from_millis(7_250));
     assert_eq!(read.retry_limit.window, Micros::from_millis(500));
 }
 
-/// An invalid or absurd number is refused with the file, the field, the found value and what was
-/// expected.
+/// The error for an invalid or out-of-range number states the file, the field, the value and what
+/// was expected.
 #[test]
 fn invalid_numbers_are_rejected() {
     for field in NUMERIC_FIELDS {
