--- a/entry/src/front/request_choice.rs
+++ b/entry/src/front/request_choice.rs
@@ -237,7 +237,7 @@
         availability
     }
 
-    /// Removes the stores that may be freeing a part from its sources.
+    /// Removes from the sources of each part the KV stores that may already be freeing it.
     pub(super) fn retain_fetchable_sources(
         &self,
         state: &FrontState,
@@ -251,10 +251,11 @@
             .as_ref()
             .map_or("", |prompt| prompt.model.as_str());
         let proven_at = state.key_freshness.proven_at();
-        for part in &mut parts {
-            let id = part.part.id;
+        for availability in &mut parts {
+            let id = availability.part.id;
             if !state.planner.may_fetch(model, version, id, proven_at, now) {
-                part.sources
+                availability
+                    .sources
                     .retain(|source| !matches!(source.location, PartLocation::Store(_)));
             }
         }
--- a/entry/src/front/request_feedback.rs
+++ b/entry/src/front/request_feedback.rs
@@ -76,7 +76,8 @@
         }
     }
 
-    pub(super) fn record_refusal(
+    /// Marks the endpoint as leaving if another endpoint refused the request at its address.
+    pub(super) fn detect_replacement(
         &self,
         choice: &EndpointChoice,
         response: &EndpointResponse,
--- a/entry/src/front/stream_relay.rs
+++ b/entry/src/front/stream_relay.rs
@@ -33,8 +33,8 @@
 
 /// Relays a stream to the caller, event by event, until it ends.
 ///
-/// Partial events are never sent, except at the regular end of a stream. Once the first events have
-/// arrived, the stream has the `time_left` of the request.
+/// Partial events are sent only at the regular end of a stream, and if an event is too long to be
+/// buffered. When the first events arrive, the timer is set to the `time_left` of the request.
 pub(crate) async fn relay_stream(
     exchange: &mut EndpointExchange,
     response: &EndpointResponse,
@@ -45,17 +45,21 @@
     on_event: &mut dyn FnMut(RelayEvent),
 ) -> Result<(), ExchangeFailure> {
     let mut decoder = BodyDecoder::new(response.framing);
-    let mut piece = Vec::new();
+    let mut decoded = Vec::new();
     let mut is_first = true;
     loop {
-        piece.clear();
-        let consumed = decoder.decode(exchange.connection.buffer(), &mut piece);
+        decoded.clear();
+        let consumed = decoder.decode(exchange.connection.buffer(), &mut decoded);
         exchange
             .connection
             .consume(consumed.map_err(|_| ExchangeFailure::Garbled)?);
-        let before = progress.splitter.version();
-        let mut events = progress.splitter.feed(&piece);
-        if let Some(version) = progress.splitter.version().filter(|v| Some(*v) != before) {
+        let previous_version = progress.splitter.version();
+        let mut events = progress.splitter.feed(&decoded);
+        if let Some(version) = progress
+            .splitter
+            .version()
+            .filter(|v| Some(*v) != previous_version)
+        {
             on_event(RelayEvent::VersionChanged(version));
         }
         if is_first && !events.is_empty() {
