--- a/core/src/serving/admission_controller.rs
+++ b/core/src/serving/admission_controller.rs
@@ -237,13 +237,13 @@
         if self.disabled.contains(ServingMechanism::ComeBack) {
             return FIXED_RETRY_AFTER;
         }
-        let queue_ms = choice.queue_ms - self.max_queue_ms(request, estimator);
+        let excess_queue_ms = choice.queue_ms - self.max_queue_ms(request, estimator);
         let free = self
             .free_tokens(choice)
             .map_or(f64::MAX, |free| free as f64);
         let missing_tokens = (self.mean_tokens(request) - free).max(0.0);
         let memory_wait_ms = missing_tokens * estimator.ms_per_freed_token(choice.used_tokens);
-        let millis = queue_ms.max(memory_wait_ms) * (1.0 + jitter);
+        let millis = excess_queue_ms.max(memory_wait_ms) * (1.0 + jitter);
         Micros((millis.clamp(MIN_RETRY_AFTER_MS, MAX_RETRY_AFTER_MS) * 1_000.0) as u64)
     }
 }
--- a/core/src/serving/endpoint_entry.rs
+++ b/core/src/serving/endpoint_entry.rs
@@ -160,7 +160,7 @@
 const PROMPT_MEMORY_PERCENT: u64 = 90;
 
 /// Age from which a missing report makes an endpoint suspect.
-const SUSPECT_AFTER: Micros = Micros::from_millis(700);
+const UNREACHABLE_AFTER: Micros = Micros::from_millis(700);
 /// Age from which missing reports are attributed to a failed agent; the outcome of requests then
 /// shows whether the endpoint is healthy.
 const UNREPORTED_AFTER: Micros = Micros::from_secs(6);
@@ -168,7 +168,7 @@
 impl EndpointEntry {
     /// Whether the endpoint's reports have stopped recently and it has not answered a request
     /// since: it may be unreachable.
-    pub fn is_suspect(
+    pub fn may_be_unreachable(
         &self,
         now: Micros,
     ) -> bool {
@@ -178,8 +178,8 @@
         let age = now.since(load.at);
         let answered = self
             .answered_at
-            .is_some_and(|at| now.since(at) < SUSPECT_AFTER);
-        age > SUSPECT_AFTER.max(load.report_timeout()) && age < UNREPORTED_AFTER && !answered
+            .is_some_and(|at| now.since(at) < UNREACHABLE_AFTER);
+        age > UNREACHABLE_AFTER.max(load.report_timeout()) && age < UNREPORTED_AFTER && !answered
     }
 
     /// Latest load report, unless it is too old.
@@ -217,9 +217,10 @@
         let Some(load) = self.fresh_load(now) else {
             return 0.0;
         };
-        let reading = f64::from(load.reading) / f64::from(load.unread.max(1));
+        let prefill_fraction = f64::from(load.reading) / f64::from(load.unread.max(1));
         let others = f64::from(self.other_pending_prefills(now));
-        let reported = others * (1.0 - reading * PREFILL_PROGRESS) * estimator.prefill_tokens();
+        let reported =
+            others * (1.0 - prefill_fraction * PREFILL_PROGRESS) * estimator.prefill_tokens();
         let average = estimator.mean_queued_tokens();
         // Unchanged values are not reported again.
         let age = now.since(load.at).min(load.changes_within);
--- a/core/src/serving/endpoint_pick.rs
+++ b/core/src/serving/endpoint_pick.rs
@@ -86,7 +86,7 @@
     /// Before that, most suspects are harmless: when the hash alone decided for them too, requests
     /// that three waves of crashes interrupted prefilled 133,000 tokens of shared parts again in
     /// one replayed day.
-    pub is_alone: bool,
+    pub is_exclusive: bool,
     /// Endpoints that cannot accept a suspect request.
     pub excluded: &'a [EndpointKey],
     /// Minimum number of available endpoints, so that a suspect request cannot crash the last one.
@@ -169,11 +169,14 @@
 ) -> bool {
     let now = request.now;
     let load = entry.fresh_load(now);
-    let is_away = load.is_some_and(|load| load.is_silent || load.is_swapping);
+    let is_unavailable = load.is_some_and(|load| load.is_silent || load.is_swapping);
     let is_loading = entry.stage == SwapStage::Loading;
-    let is_suspect =
-        !request.disabled.contains(ServingMechanism::Suspicion) && entry.is_suspect(now);
-    !is_away && !is_loading && !is_suspect && !outlier_guard(entry, request).is_ejected(now)
+    let may_be_unreachable =
+        !request.disabled.contains(ServingMechanism::Suspicion) && entry.may_be_unreachable(now);
+    !is_unavailable
+        && !is_loading
+        && !may_be_unreachable
+        && !outlier_guard(entry, request).is_ejected(now)
 }
 
 /// Outlier guard of the endpoint; one without failures if the mechanism is disabled.
@@ -203,8 +206,8 @@
             && entry.status != EndpointStatus::Leaving
             && !entry.is_superseded;
         let version = request.prompt.and_then(|p| entry.weights.version(&p.model));
-        let is_out = !request.weights.allows(version) || request.tried.contains(&key);
-        if !serves || is_out || !(request.is_eligible)(entry) || !is_allowed(entry) {
+        let is_excluded = !request.weights.allows(version) || request.tried.contains(&key);
+        if !serves || is_excluded || !(request.is_eligible)(entry) || !is_allowed(entry) {
             continue;
         }
         let score = hash_with_seed(home, &entry.id);
@@ -235,7 +238,7 @@
         if !(request.is_connected)(*key) {
             cost += NEW_CONNECTION_COST_MS;
         }
-        if best_home.is_some_and(|(_, at)| at == *key) {
+        if best_home.is_some_and(|(_, home_key)| home_key == *key) {
             cost -= f64::from(choice.shared_prefill_tokens) * token_ms * HOME_PREFILL_FACTOR;
             cost -= f64::from(choice.shared_tokens) * token_ms * HOME_SHARED_FACTOR;
         }
@@ -254,7 +257,7 @@
 ) -> Option<EndpointChoice> {
     let estimates = choices.iter().map(|choice| choice.estimate_ms);
     let lowest = estimates.fold(f64::INFINITY, f64::min);
-    if !trial.is_alone {
+    if !trial.is_exclusive {
         choices.retain(|choice| choice.estimate_ms <= lowest + TRIAL_COST_TOLERANCE_MS);
     }
     let score = |choice: &EndpointChoice| {
--- a/core/src/serving/kv_store_directory.rs
+++ b/core/src/serving/kv_store_directory.rs
@@ -285,7 +285,7 @@
 ) -> bool {
     let load = entry.fresh_load(now);
     let answers = load.is_some_and(|load| !load.is_silent && !load.is_swapping);
-    entry.status != EndpointStatus::Leaving && answers && !entry.is_suspect(now)
+    entry.status != EndpointStatus::Leaving && answers && !entry.may_be_unreachable(now)
 }
 
 /// Plans which parts of a prompt an engine has cached and which it fetches; it prefills the rest.
@@ -341,11 +341,11 @@
 
 /// An evenly distributed number between 0 and 1 for a part and a store.
 fn placement_fraction(
-    number: u64,
+    part_id: u64,
     address: SocketAddr,
 ) -> f64 {
     let text = address.to_string();
     let mix = |hash: u64, byte: u8| (hash ^ u64::from(byte)).wrapping_mul(0x0000_0100_0000_01b3);
-    let hash = text.bytes().fold(number ^ 0xcbf2_9ce4_8422_2325, mix);
+    let hash = text.bytes().fold(part_id ^ 0xcbf2_9ce4_8422_2325, mix);
     unit_fraction(mix_bits(hash)) + f64::MIN_POSITIVE
 }
--- a/core/src/serving/kv_store_view.rs
+++ b/core/src/serving/kv_store_view.rs
@@ -34,7 +34,7 @@
     uptime_report: Option<(KvStoreUptime, Micros)>,
     proven_at: Option<Micros>,
     clock: Option<(u64, Micros)>,
-    latest_clock: Option<(u64, Micros)>,
+    max_clock: Option<(u64, Micros)>,
     pending: HashMap<(NamespaceTag, PartId), (u32, Micros)>,
     pending_tokens: u64,
     busy_until: Micros,
@@ -53,7 +53,7 @@
             uptime_report: None,
             proven_at: None,
             clock: None,
-            latest_clock: None,
+            max_clock: None,
             pending: HashMap::new(),
             pending_tokens: 0,
             busy_until: Micros::ZERO,
@@ -119,8 +119,8 @@
         now: Micros,
     ) -> bool {
         self.clock = clock_ms.map(|clock| (clock, now));
-        let latest = clock_ms.map(|clock| (clock, sent_at));
-        self.latest_clock = latest.or(self.latest_clock);
+        let max_clock = clock_ms.map(|clock| (clock, sent_at));
+        self.max_clock = max_clock.or(self.max_clock);
         let is_new = self.epoch != Some(epoch);
         if is_new {
             self.epoch = Some(epoch);
@@ -148,7 +148,7 @@
         self.proven_at = Some(sent_at);
         if let Some(clock_ms) = clock_ms {
             self.clock = Some((clock_ms, now));
-            self.latest_clock = Some((clock_ms, sent_at));
+            self.max_clock = Some((clock_ms, sent_at));
         }
     }
 
@@ -181,11 +181,11 @@
 
     /// Latest possible time on the engines' clock, which is exact if the store responded
     /// immediately.
-    pub fn latest_clock_ms(
+    pub fn max_clock_ms(
         &self,
         now: Micros,
     ) -> Option<u64> {
-        let (clock, at) = self.latest_clock?;
+        let (clock, at) = self.max_clock?;
         Some(clock + now.since(at).as_millis() + 1)
     }
 
@@ -238,9 +238,9 @@
         let is_settled = self
             .uptime(now)
             .is_some_and(|uptime| uptime.lasted > SAVE_DELAY);
-        let is_known = self.proven_at.is_some_and(|at| now.since(at) < VIEW_TTL);
+        let is_current = self.proven_at.is_some_and(|at| now.since(at) < VIEW_TTL);
         let used = self.parts.tokens() + self.pending_tokens + u64::from(tokens);
-        is_settled && is_known && used * 100 <= self.store.capacity_tokens * FILL_PERCENT
+        is_settled && is_current && used * 100 <= self.store.capacity_tokens * FILL_PERCENT
     }
 
     /// Whether the store has a part, or a save of it is pending.
--- a/core/src/serving/latency_estimator.rs
+++ b/core/src/serving/latency_estimator.rs
@@ -42,11 +42,11 @@
 /// prompts were late instead of 65 with a constant of 97.
 #[derive(Debug, Clone)]
 pub struct LatencyEstimator {
-    weight: f64,
-    tokens: f64,
-    millis: f64,
-    tokens_squared: f64,
-    tokens_millis: f64,
+    sum_weight: f64,
+    sum_tokens: f64,
+    sum_millis: f64,
+    sum_tokens_squared: f64,
+    sum_tokens_millis: f64,
     prompt_tokens: f64,
     prefill_tokens: f64,
     answer_tokens: f64,
@@ -74,11 +74,11 @@
     /// per token.
     pub fn with_token_ms(token_ms: f64) -> Self {
         let mut estimator = LatencyEstimator {
-            weight: 0.0,
-            tokens: 0.0,
-            millis: 0.0,
-            tokens_squared: 0.0,
-            tokens_millis: 0.0,
+            sum_weight: 0.0,
+            sum_tokens: 0.0,
+            sum_millis: 0.0,
+            sum_tokens_squared: 0.0,
+            sum_tokens_millis: 0.0,
             prompt_tokens: INITIAL_PROMPT_TOKENS,
             prefill_tokens: INITIAL_PREFILL_TOKENS,
             answer_tokens: INITIAL_ANSWER_TOKENS,
@@ -99,11 +99,11 @@
         tokens: f64,
         millis: f64,
     ) {
-        self.weight += weight;
-        self.tokens += weight * tokens;
-        self.millis += weight * millis;
-        self.tokens_squared += weight * tokens * tokens;
-        self.tokens_millis += weight * tokens * millis;
+        self.sum_weight += weight;
+        self.sum_tokens += weight * tokens;
+        self.sum_millis += weight * millis;
+        self.sum_tokens_squared += weight * tokens * tokens;
+        self.sum_tokens_millis += weight * tokens * millis;
     }
 
     /// Records a report of an engine: the number of prompts that it has not started to answer.
@@ -158,11 +158,11 @@
         let expected = self.overhead_ms() + tokens * self.token_ms();
         let millis = millis.clamp(0.0, expected.max(1.0) * MAX_OUTLIER_RATIO);
         for sum in [
-            &mut self.weight,
-            &mut self.tokens,
-            &mut self.millis,
-            &mut self.tokens_squared,
-            &mut self.tokens_millis,
+            &mut self.sum_weight,
+            &mut self.sum_tokens,
+            &mut self.sum_millis,
+            &mut self.sum_tokens_squared,
+            &mut self.sum_tokens_millis,
         ] {
             *sum *= DECAY;
         }
@@ -192,8 +192,10 @@
 
     /// Prefill time per token, in milliseconds, while the engine also decodes other requests.
     pub fn token_ms(&self) -> f64 {
-        let variance = self.weight * self.tokens_squared - self.tokens * self.tokens;
-        let covariance = self.weight * self.tokens_millis - self.tokens * self.millis;
+        let variance =
+            self.sum_weight * self.sum_tokens_squared - self.sum_tokens * self.sum_tokens;
+        let covariance =
+            self.sum_weight * self.sum_tokens_millis - self.sum_tokens * self.sum_millis;
         let slope = if variance > 0.0 {
             covariance / variance
         } else {
@@ -205,8 +207,8 @@
 
     /// Time until the answer starts, without the prefill, in milliseconds.
     pub fn overhead_ms(&self) -> f64 {
-        let rest = self.millis - self.token_ms() * self.tokens;
-        (rest / self.weight).max(0.0)
+        let rest = self.sum_millis - self.token_ms() * self.sum_tokens;
+        (rest / self.sum_weight).max(0.0)
     }
 
     /// Mean size of a prompt, in tokens.
--- a/core/src/serving/part_index.rs
+++ b/core/src/serving/part_index.rs
@@ -107,7 +107,7 @@
         let mut ids: Vec<PartId> = self
             .parts
             .keys()
-            .filter(|(at, _)| *at == namespace)
+            .filter(|(tag, _)| *tag == namespace)
             .map(|(_, id)| *id)
             .collect();
         ids.sort_unstable();
--- a/core/src/serving/request_fingerprint.rs
+++ b/core/src/serving/request_fingerprint.rs
@@ -4,7 +4,7 @@
 };
 
 /// Context of the hash, so that it differs from all other hashes of the same bytes.
-const DOMAIN: &str = "pitchhitch request fingerprint 1";
+const HASH_CONTEXT: &str = "pitchhitch request fingerprint 1";
 
 /// Identifies requests that ask for the same work by method, host, target, caller and body,
 /// independent of request id, deadline and receiving box.
@@ -33,7 +33,7 @@
 impl RequestFingerprint {
     /// The fingerprint of a request.
     pub fn of(input: &FingerprintInput<'_>) -> Self {
-        let mut hasher = blake3::Hasher::new_derive_key(DOMAIN);
+        let mut hasher = blake3::Hasher::new_derive_key(HASH_CONTEXT);
         let fields = [input.method, input.host, input.target, input.caller];
         for field in fields {
             // The length prefix keeps adjacent fields from being confused.
@@ -48,13 +48,13 @@
 
     /// Parses the output of [`fmt::Display`].
     pub fn parse(text: &str) -> Option<Self> {
-        let is_sound = text.len() == 32 && text.is_ascii();
-        let number = is_sound.then(|| u128::from_str_radix(text, 16).ok())??;
+        let is_valid = text.len() == 32 && text.is_ascii();
+        let number = is_valid.then(|| u128::from_str_radix(text, 16).ok())??;
         Some(RequestFingerprint(number.to_be_bytes()))
     }
 
     /// The fingerprint as a number, to distribute by.
-    pub fn number(self) -> u64 {
+    pub fn low_bits(self) -> u64 {
         u128::from_be_bytes(self.0) as u64
     }
 }
--- a/core/src/serving/retry_window.rs
+++ b/core/src/serving/retry_window.rs
@@ -1,7 +1,7 @@
 use {crate::time::Micros, std::collections::VecDeque};
 
 /// Width of one counter; the window slides in steps of it.
-const COUNTER_WIDTH: Micros = Micros::from_millis(500);
+const STEP_LENGTH: Micros = Micros::from_millis(500);
 /// Fraction of the limit that is used, as requests in transit are not counted yet.
 const SAFETY_FACTOR: f64 = 0.7;
 
@@ -49,7 +49,7 @@
         uptime: Micros,
         now: Micros,
     ) -> bool {
-        let oldest = counter_index(now).saturating_sub(limit.window.0.div_ceil(COUNTER_WIDTH.0));
+        let oldest = step_index(now).saturating_sub(limit.window.0.div_ceil(STEP_LENGTH.0));
         while self.counts.front().is_some_and(|c| c.step < oldest) {
             self.counts.pop_front();
         }
@@ -72,7 +72,7 @@
         &mut self,
         now: Micros,
     ) -> &mut StepCount {
-        let step = counter_index(now);
+        let step = step_index(now);
         let is_new = self.counts.back().is_none_or(|c| c.step < step);
         if is_new {
             self.counts.push_back(StepCount {
@@ -86,6 +86,6 @@
     }
 }
 
-fn counter_index(now: Micros) -> u64 {
-    now.0 / COUNTER_WIDTH.0
+fn step_index(now: Micros) -> u64 {
+    now.0 / STEP_LENGTH.0
 }
--- a/core/src/serving/suspect_record.rs
+++ b/core/src/serving/suspect_record.rs
@@ -8,7 +8,7 @@
 /// different fronts report may count as one.
 const MAX_CRASHES: usize = 4;
 /// Context of the hash of a crash.
-const DOMAIN: &str = "pitchhitch endpoint crash 1";
+const HASH_CONTEXT: &str = "pitchhitch endpoint crash 1";
 
 /// Identifies the crash of one incarnation of an endpoint: the same for all observers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
@@ -20,7 +20,7 @@
         endpoint: &str,
         born: Option<u64>,
     ) -> Self {
-        let mut hasher = blake3::Hasher::new_derive_key(DOMAIN);
+        let mut hasher = blake3::Hasher::new_derive_key(HASH_CONTEXT);
         hasher.update(&born.unwrap_or(0).to_le_bytes());
         hasher.update(endpoint.as_bytes());
         let mut first = [0; 8];
@@ -73,10 +73,14 @@
         &mut self,
         crash: SuspectCrash,
     ) -> bool {
-        if let Some(known) = self.crashes.iter_mut().find(|k| k.mark == crash.mark) {
-            known.sent = known.sent.max(crash.sent);
-            known.ended = known.ended.min(crash.ended);
-            known.known = known.known.max(crash.known);
+        if let Some(stored) = self
+            .crashes
+            .iter_mut()
+            .find(|stored| stored.mark == crash.mark)
+        {
+            stored.sent = stored.sent.max(crash.sent);
+            stored.ended = stored.ended.min(crash.ended);
+            stored.known = stored.known.max(crash.known);
             self.count = self.counted_crashes().len() as u32;
             return false;
         }
--- a/core/src/serving/suspect_tracker.rs
+++ b/core/src/serving/suspect_tracker.rs
@@ -94,9 +94,9 @@
         &mut self,
         newest: RequestFingerprint,
     ) {
-        let others = self.records.iter().filter(|(known, _)| **known != newest);
+        let others = self.records.iter().filter(|(other, _)| **other != newest);
         let least = others.min_by_key(|(_, record)| (record.count, record.last_update()));
-        if let Some(least) = least.map(|(known, _)| *known) {
+        if let Some(least) = least.map(|(other, _)| *other) {
             self.records.remove(&least);
             self.updates.remove(&least);
         }
@@ -217,7 +217,7 @@
     ) -> Vec<SuspectReport> {
         let records = self.records.iter();
         records
-            .map(|(known, record)| record.report(*known, now))
+            .map(|(fingerprint, record)| record.report(*fingerprint, now))
             .collect()
     }
 
@@ -226,8 +226,10 @@
         &self,
         now: Micros,
     ) -> BTreeSet<RequestFingerprint> {
-        let known = self.records.keys().copied();
-        known.filter(|known| self.is_blocked(*known, now)).collect()
+        let tracked = self.records.keys().copied();
+        tracked
+            .filter(|fingerprint| self.is_blocked(*fingerprint, now))
+            .collect()
     }
 
     /// Whether a request is blocked.
@@ -265,6 +267,7 @@
             age < limit
         });
         let records = &self.records;
-        self.updates.retain(|known, _| records.contains_key(known));
+        self.updates
+            .retain(|fingerprint, _| records.contains_key(fingerprint));
     }
 }
--- a/core/src/serving/trial_table.rs
+++ b/core/src/serving/trial_table.rs
@@ -44,10 +44,10 @@
         now: Micros,
     ) -> Vec<EndpointKey> {
         let is_full = |run: &TrialRun| {
-            let others = self
+            let runs = self
                 .active(now)
                 .filter(|other| other.endpoint == run.endpoint);
-            is_exclusive || run.is_exclusive || others.count() >= MAX_TRIALS
+            is_exclusive || run.is_exclusive || runs.count() >= MAX_TRIALS
         };
         let full = self.active(now).filter(|run| is_full(run));
         full.map(|run| run.endpoint).collect()
--- a/core/tests/allowed_regions.rs
+++ b/core/tests/allowed_regions.rs
@@ -7,14 +7,14 @@
 }
 
 #[test]
-fn none_named() {
+fn unrestricted_by_default() {
     let regions = AllowedRegions::default();
     assert!(regions.is_unrestricted());
     assert!(regions.allows(Some("a")) && regions.allows(None));
 }
 
 #[test]
-fn each_binds() {
+fn both_lists_apply() {
     let (route, organisation) = (names(&["a", "b"]), names(&["b", "c"]));
     let regions = AllowedRegions {
         route: &route,
--- a/core/tests/disabled_admission.rs
+++ b/core/tests/disabled_admission.rs
@@ -87,7 +87,7 @@
 }
 
 #[test]
-fn short_memory() {
+fn memory_full() {
     let full = EndpointChoice {
         free_tokens: Some(11_000),
         ..idle()
@@ -100,7 +100,7 @@
 }
 
 #[test]
-fn kept_memory() {
+fn cached_tokens_reduce_needed_memory() {
     let mut holder = EndpointChoice {
         free_tokens: Some(8_000),
         ..idle()
@@ -128,7 +128,7 @@
 }
 
 #[test]
-fn memory_kept_back() {
+fn memory_reserved() {
     let large = request("large", 2);
     let decision = |disabled| {
         let mut controller = controller(disabled);
@@ -142,11 +142,11 @@
                 AdmissionDecision::NoMemory
             );
         }
-        let some = EndpointChoice {
+        let partly_free = EndpointChoice {
             free_tokens: Some(20_000),
             ..idle()
         };
-        controller.decide(&large, &estimator(), &some)
+        controller.decide(&large, &estimator(), &partly_free)
     };
     let with_all = decision(MechanismSet::default());
     assert_eq!(with_all, AdmissionDecision::NoMemory);
@@ -155,7 +155,7 @@
 }
 
 #[test]
-fn asked_back() {
+fn retry_after_computed() {
     let choice = |queue_ms| EndpointChoice {
         ahead_tokens: 1.0,
         queue_ms,
@@ -174,7 +174,7 @@
 }
 
 #[test]
-fn learned_pace() {
+fn prefill_speed_learned() {
     let start = LatencyEstimator::default().token_ms();
     let learn = |mut estimator: LatencyEstimator| {
         for tokens in (0..400).map(|number| f64::from(number * 100)) {
--- a/core/tests/disabled_mechanisms.rs
+++ b/core/tests/disabled_mechanisms.rs
@@ -75,7 +75,7 @@
         disabled: MechanismSet,
     ) -> EndpointChoice {
         let stores = KvStoreDirectory::without(disabled);
-        let group = EngineConfig {
+        let engine_config = EngineConfig {
             slots: 128,
             capacity_tokens: MEMORY,
             token_bytes: 35_136,
@@ -85,7 +85,13 @@
         let availabilities = [VersionAvailability {
             version: 1,
             namespace: NAMESPACE,
-            parts: stores.locate_parts(&self.registry, &group, NAMESPACE, &prompt.parts, NOW),
+            parts: stores.locate_parts(
+                &self.registry,
+                &engine_config,
+                NAMESPACE,
+                &prompt.parts,
+                NOW,
+            ),
         }];
         let request = PickRequest {
             trial: None,
@@ -131,11 +137,11 @@
 }
 
 #[test]
-fn kept_parts() {
+fn cached_parts_preferred() {
     let mut fleet = Fleet::new();
     let home = fleet.pick_with_all(3);
-    let other = IDS.iter().filter_map(|id| fleet.registry.key(id));
-    let holder = other
+    let keys = IDS.iter().filter_map(|id| fleet.registry.key(id));
+    let holder = keys
         .into_iter()
         .find(|key| *key != home)
         .expect("another engine");
@@ -219,7 +225,7 @@
 }
 
 #[test]
-fn names_apart() {
+fn names_distinct() {
     for mechanism in ServingMechanism::ALL {
         assert_eq!(ServingMechanism::from_name(mechanism.name()), Ok(mechanism));
         let set = without(mechanism);
--- a/core/tests/endpoint_pick.rs
+++ b/core/tests/endpoint_pick.rs
@@ -14,7 +14,7 @@
 };
 
 #[test]
-fn holder_preferred() {
+fn engine_with_cached_parts_preferred() {
     for id in ["e1", "e2", "e3"] {
         let mut fleet = Fleet::new();
         fleet.cache_parts(id);
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn busy_holder_left() {
+fn busy_engine_with_cached_parts_avoided() {
     let mut fleet = Fleet::new();
     fleet.cache_parts("e1");
     fleet.load("e1", |load| load.unread = 30);
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn dark_suspected() {
+fn engine_without_reports_avoided() {
     let mut fleet = Fleet::new();
     let first = fleet.picked();
     let entry = fleet.registry.get_mut(first).expect("entry");
@@ -64,7 +64,7 @@
 }
 
 #[test]
-fn everybody_suspect() {
+fn unhealthy_endpoints_used_as_fallback() {
     let mut fleet = Fleet::new();
     for id in ["e1", "e2", "e3"] {
         fleet.load(id, |load| load.is_silent = true);
@@ -76,7 +76,7 @@
 }
 
 #[test]
-fn expired_never() {
+fn outdated_weights_excluded() {
     let mut fleet = Fleet::new();
     fleet.bounds = WeightBounds {
         newest: Some(2),
@@ -93,7 +93,7 @@
 }
 
 #[test]
-fn long_answers_drain() {
+fn draining_engine_gets_short_answers_only() {
     let mut fleet = Fleet::new();
     let first = fleet.picked();
     fleet.registry.get_mut(first).expect("entry").stage = SwapStage::Draining;
@@ -114,7 +114,7 @@
 }
 
 #[test]
-fn tried_left_out() {
+fn tried_endpoints_excluded() {
     let fleet = Fleet::new();
     let all = [fleet.key("e1"), fleet.key("e2"), fleet.key("e3")];
     assert!(!all[..2].contains(
@@ -127,7 +127,7 @@
 }
 
 #[test]
-fn store_feeds() {
+fn parts_fetched_from_store() {
     let mut fleet = Fleet::new();
     fleet.fill_store();
     let choice = fleet.pick(&prompt(), &[]).expect("an endpoint");
@@ -136,7 +136,7 @@
 }
 
 #[test]
-fn home_agrees() {
+fn fronts_agree_on_home_engine() {
     // Fronts without knowledge of each other send the same uncached prompt to the same engine.
     let homes: Vec<EndpointKey> = (0..50u64)
         .map(|number| {
@@ -173,7 +173,7 @@
 /// Parts that an engine is believed to have cached may have been evicted. The plan names a place to
 /// fetch them from all the same, at no cost if nothing is missing.
 #[test]
-fn kept_parts_spared() {
+fn cached_parts_not_fetched() {
     let mut fleet = Fleet::new();
     fleet.fill_store();
     fleet.cache_parts("e1");
@@ -181,10 +181,10 @@
     assert_eq!(choice.key, fleet.key("e1"));
     assert_eq!(choice.plan.cached_tokens, 9_100);
     assert_eq!((choice.plan.fetched_tokens, choice.plan.fetch_ms), (0, 0.0));
-    for fetch in &choice.plan.parts {
-        assert!(fetch.is_cached);
-        let place = fetch.source.as_ref().map(|(source, _)| source.location);
-        assert_eq!(place, Some(PartLocation::Store(0)));
+    for plan in &choice.plan.parts {
+        assert!(plan.is_cached);
+        let location = plan.source.as_ref().map(|(source, _)| source.location);
+        assert_eq!(location, Some(PartLocation::Store(0)));
     }
     // Parts that are not expected to be fetched add nothing to the queue of the store.
     let wait = |stores: &KvStoreDirectory| stores.views()[0].fetch_ms(0, NOW);
@@ -196,7 +196,7 @@
 /// A report does not yet include prompts that were just sent. The memory they will use counts in
 /// full, even if few of their tokens need prefill.
 #[test]
-fn coming_prompts_take_memory() {
+fn sent_prompts_count_as_used_memory() {
     let mut fleet = Fleet::new();
     fleet.load("e1", |load| {
         load.total_tokens = 100_000;
--- a/core/tests/fleet_sim/mod.rs
+++ b/core/tests/fleet_sim/mod.rs
@@ -317,7 +317,7 @@
     published: u64,
     now: u64,
 ) -> Vec<(u64, usize)> {
-    let clock_ms = front.view.latest_clock_ms(at(now));
+    let clock_ms = front.view.max_clock_ms(at(now));
     let mut freed = Vec::new();
     for version in 1..published {
         let over_ms = front.reads.completed_until_ms("m", version);
--- a/core/tests/kv_store_view.rs
+++ b/core/tests/kv_store_view.rs
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn lost_store_unused() {
+fn unreachable_store_unused() {
     let mut view = KvStoreView::new(store(1, 1_000));
     view.record_response(1, Some(50_000), START, START);
     view.mark_unreachable();
@@ -68,7 +68,7 @@
 }
 
 #[test]
-fn restart_empties() {
+fn restart_clears_view() {
     let mut view = KvStoreView::new(store(1, 1_000));
     assert!(view.record_response(1, Some(1), START, START));
     let id = part("aa", 100).id;
@@ -82,7 +82,7 @@
 /// Nothing is saved between a restart and the expiry of every older view: a part that is being
 /// written must not be fetched by a box that assumes that it is complete.
 #[test]
-fn saves_wait_out_views() {
+fn saves_wait_for_view_expiry() {
     assert!(SAVE_DELAY > VIEW_TTL);
     let mut view = KvStoreView::new(store(1, 1_000));
     view.record_response(1, Some(1), START, START);
@@ -95,7 +95,7 @@
 }
 
 #[test]
-fn full_store_refuses() {
+fn capacity_limits_saves() {
     let mut view = KvStoreView::new(store(1, 1_000));
     view.record_response(1, Some(1), START, START);
     let later = START + SAVE_DELAY + Micros(1);
@@ -137,8 +137,8 @@
 /// most parts go to the fast store while it has space. Of the link time for one fetch of each
 /// part, the slow store takes less than two thirds.
 #[test]
-fn quick_links_first() {
-    let quick = KvStore {
+fn fast_links_preferred() {
+    let fast = KvStore {
         link_mbps: 71_000.0,
         ..store(1, 700_000)
     };
@@ -147,10 +147,10 @@
         ..store(2, 7_000_000)
     };
     let mut directory = KvStoreDirectory::default();
-    directory.set_stores(&[quick.clone(), slow.clone()]);
+    directory.set_stores(&[fast.clone(), slow.clone()]);
     let later = START + SAVE_DELAY + Micros(1);
     for at in [START, later] {
-        for store in [&quick, &slow] {
+        for store in [&fast, &slow] {
             let view = directory.view_mut(store.address).expect("view");
             view.record_response(1, Some(1), at, at);
         }
@@ -163,7 +163,7 @@
         let address = saves[0].expect("there is space");
         let index = usize::from(address == slow.address);
         saved_fast += 1 - index;
-        link_ms[index] += transfer_ms(9_000 * 18_432, [&quick, &slow][index].link_mbps);
+        link_ms[index] += transfer_ms(9_000 * 18_432, [&fast, &slow][index].link_mbps);
     }
     assert!(saved_fast > 50, "{saved_fast} of 90 at the fast store");
     assert!(link_ms[1] < 2.0 * link_ms[0], "{link_ms:?}");
@@ -185,21 +185,21 @@
 }
 
 #[test]
-fn namespaces_apart() {
+fn namespaces_distinct() {
     let namespace = |version, organisation: Option<&str>| CacheNamespace {
         version,
         model: "m/1".to_string(),
         organisation: organisation.map(str::to_string),
     };
-    let names = [
+    let namespaces = [
         namespace(1, None),
         namespace(2, None),
         namespace(1, Some("farm")),
         namespace(1, Some("shop")),
     ];
-    for (index, name) in names.iter().enumerate() {
-        for other in &names[index + 1..] {
-            assert_ne!(name.tag(), other.tag());
+    for (index, one) in namespaces.iter().enumerate() {
+        for other in &namespaces[index + 1..] {
+            assert_ne!(one.tag(), other.tag());
         }
     }
     let plain = CacheNamespace {
@@ -213,7 +213,7 @@
 /// With few fronts, each learns of changes immediately. Many use half of the pending calls that a
 /// store accepts, and still poll often enough for their views to stay valid.
 #[test]
-fn held_calls_suffice() {
+fn pending_calls_suffice() {
     for fronts in 1..400 {
         let store = store(1, 1_000);
         let plan = store.poll_plan(fronts);
@@ -226,7 +226,7 @@
 }
 
 #[test]
-fn few_fronts_ask_often() {
+fn few_fronts_poll_often() {
     let few = store(1, 1_000).poll_plan(8);
     let many = store(1, 1_000).poll_plan(30);
     assert!(few.pause < many.pause);
--- a/core/tests/latency_estimator.rs
+++ b/core/tests/latency_estimator.rs
@@ -12,11 +12,11 @@
 
 /// Estimator after prompts of an engine with this overhead and time per token.
 fn trained(
-    start_ms: f64,
+    initial_token_ms: f64,
     overhead_ms: f64,
     token_ms: f64,
 ) -> LatencyEstimator {
-    let mut estimator = LatencyEstimator::with_token_ms(start_ms);
+    let mut estimator = LatencyEstimator::with_token_ms(initial_token_ms);
     for tokens in sizes() {
         estimator.record_first_token(tokens, overhead_ms + tokens * token_ms);
     }
@@ -33,7 +33,7 @@
 /// Engines that prefill 24, 48, 97 or 190 tokens per millisecond, with an initial value that is
 /// wrong by a factor of four in either direction.
 #[test]
-fn wrong_start_mended() {
+fn wrong_initial_value_corrected() {
     for token_ms in [1.0 / 24.0, 1.0 / 48.0, 1.0 / 97.0, 1.0 / 190.0] {
         for start in [token_ms / 4.0, token_ms * 4.0] {
             let estimator = trained(start, 30.0, token_ms);
@@ -52,7 +52,7 @@
 /// The default initial value is right within a factor of three for these engines, except for the
 /// fastest one, where it is within four.
 #[test]
-fn start_within_bounds() {
+fn initial_value_within_bounds() {
     let start = LatencyEstimator::default().token_ms();
     for (rate, factor) in [(24.0, 3.0), (48.0, 3.0), (97.0, 3.0), (190.0, 4.0)] {
         let ratio = start * rate;
--- a/core/tests/overload.rs
+++ b/core/tests/overload.rs
@@ -50,7 +50,7 @@
 /// Four times what an engine can prefill: some prompts are admitted all the time, and a series of
 /// refusals is shorter than the time in which an engine prefills ten prompts.
 #[test]
-fn refused_in_short_runs() {
+fn refusals_in_short_series() {
     let size = (2_400.0, 2_400.0);
     let mut controller = AdmissionController::default();
     let (mut run, mut longest) = (0, 0);
@@ -76,7 +76,7 @@
 
 /// With varying free memory and queues, the urgent prompt is refused only if the other one is too.
 #[test]
-fn least_urgent_pay_first() {
+fn least_urgent_refused_first() {
     let estimator = LatencyEstimator::default();
     let urgent = AdmissionRequest {
         route: "urgent",
@@ -101,13 +101,13 @@
             let refuses = |controller: &mut AdmissionController, request: &AdmissionRequest<'_>| {
                 controller.decide(request, &estimator, &choice) != AdmissionDecision::Admitted
             };
-            let (other, first) = (
+            let (refuses_other, refuses_urgent) = (
                 refuses(&mut controller, &request()),
                 refuses(&mut controller, &urgent),
             );
-            assert!(other || !first, "{choice:?}");
-            refused_other += u32::from(other);
-            refused_urgent += u32::from(first);
+            assert!(refuses_other || !refuses_urgent, "{choice:?}");
+            refused_other += u32::from(refuses_other);
+            refused_urgent += u32::from(refuses_urgent);
         }
     }
     assert!(
@@ -135,7 +135,7 @@
 /// If most large prompts find no memory, some of it is reserved. A caller that was refused before
 /// may use it, and so takes precedence over new callers.
 #[test]
-fn memory_kept_back() {
+fn memory_reserved_for_retries() {
     let estimator = LatencyEstimator::default();
     let mut controller = AdmissionController::default();
     controller.record(&request(), 12_000, 4_000);
@@ -198,7 +198,7 @@
 /// Refused callers should retry when the backlog has been processed, not earlier and not all at
 /// once.
 #[test]
-fn return_by_backlog() {
+fn retry_after_follows_backlog() {
     let mut estimator = LatencyEstimator::with_token_ms(0.02);
     for _ in 0..200 {
         estimator.record_sent(12_000, 4_000, 60);
--- a/core/tests/path_lookup.rs
+++ b/core/tests/path_lookup.rs
@@ -75,7 +75,7 @@
 }
 
 #[test]
-fn longest_wins() {
+fn longest_prefix_wins() {
     let config = config();
     let name = |host, path| {
         config
@@ -94,7 +94,7 @@
 }
 
 #[test]
-fn keys_asked() {
+fn keys_required() {
     let config = config();
     let resolve = |host, path, key| config.resolve(&request(host, path, key));
     assert_eq!(
@@ -116,7 +116,7 @@
 }
 
 #[test]
-fn weights_spread() {
+fn targets_chosen_by_weight() {
     let route = route("any", "a.example", "/");
     let first = (0..1_000)
         .filter(|n| route.target(*n) == Some("first"))
--- a/core/tests/serving_limits.rs
+++ b/core/tests/serving_limits.rs
@@ -13,7 +13,7 @@
     Micros::from_millis(millis)
 }
 
-const BOUND: RetryLimit = RetryLimit {
+const LIMIT: RetryLimit = RetryLimit {
     window: Micros::from_secs(10),
     ratio: 0.2,
     slack: 50.0,
@@ -23,16 +23,16 @@
 #[test]
 fn retries_bounded() {
     let mut windows = [RetryWindow::default(), RetryWindow::default()];
-    let mut taken: Vec<u64> = Vec::new();
     let mut retries: Vec<u64> = Vec::new();
+    let mut requests: Vec<u64> = Vec::new();
     for millis in 0..60_000u64 {
         let window = &mut windows[(millis % 2) as usize];
         if millis % 20 == 0 {
             window.record_request(at(millis));
-            retries.push(millis);
+            requests.push(millis);
         }
-        if window.try_acquire(&BOUND, 2, BOUND.window, at(millis)) {
-            taken.push(millis);
+        if window.try_acquire(&LIMIT, 2, LIMIT.window, at(millis)) {
+            retries.push(millis);
         }
     }
     for start in (0..50_000).step_by(100) {
@@ -42,13 +42,17 @@
                 .filter(|t| (start..start + 10_000).contains(*t))
                 .count() as f64
         };
-        let bound = BOUND.ratio * within(&retries) + BOUND.slack;
-        assert!(within(&taken) <= bound, "{} over {bound}", within(&taken));
+        let bound = LIMIT.ratio * within(&requests) + LIMIT.slack;
+        assert!(
+            within(&retries) <= bound,
+            "{} over {bound}",
+            within(&retries)
+        );
     }
     assert!(
-        taken.len() > 200,
+        retries.len() > 200,
         "the budget is used: {} retries",
-        taken.len()
+        retries.len()
     );
 }
 
@@ -59,16 +63,16 @@
     let mut taken = 0;
     for process in 0..2 {
         let mut window = RetryWindow::default();
-        let uptime = |millis: u64| at(millis) + Micros(BOUND.window.0 * (1 - process));
+        let uptime = |millis: u64| at(millis) + Micros(LIMIT.window.0 * (1 - process));
         for millis in 0..2_000 {
-            taken += u32::from(window.try_acquire(&BOUND, 2, uptime(millis), at(millis)));
+            taken += u32::from(window.try_acquire(&LIMIT, 2, uptime(millis), at(millis)));
         }
     }
-    assert!(f64::from(taken) <= BOUND.slack / 2.0 * 1.05, "{taken}");
+    assert!(f64::from(taken) <= LIMIT.slack / 2.0 * 1.05, "{taken}");
 }
 
 #[test]
-fn old_keys_closed() {
+fn old_keys_fail_closed() {
     let mut freshness = KeyFreshness::new(at(4_000), KeyPolicy::FailClosed);
     assert!(!freshness.admits_keys(at(0)));
     freshness.record_read(at(1_000));
@@ -82,7 +86,7 @@
 /// With the fail-open policy, callers are still admitted by old keys, but none is refused as
 /// unknown on the basis of old keys. Without any keys no caller is admitted.
 #[test]
-fn old_keys_open() {
+fn old_keys_fail_open() {
     let mut freshness = KeyFreshness::new(at(4_000), KeyPolicy::FailOpen);
     assert!(!freshness.admits_keys(at(0)) && !freshness.is_ready(at(0)));
     freshness.record_read(at(1_000));
@@ -93,7 +97,7 @@
 /// Keys forwarded by another box retain their age, even if they are older than this process.
 /// Callers are admitted by them, but none is refused as unknown.
 #[test]
-fn handed_keys_aged() {
+fn forwarded_keys_keep_age() {
     let mut freshness = KeyFreshness::new(at(4_000), KeyPolicy::FailClosed);
     freshness.record_report(at(3_000), at(100));
     assert_eq!(freshness.age(at(600)), Some(at(3_500)));
@@ -162,7 +166,7 @@
 /// With two of nine engines unreachable, running prompts filled the memory and no answer was in
 /// time for twenty seconds (first day of high load).
 #[test]
-fn large_kinds_first() {
+fn large_prompts_refused_first() {
     let mut controller = two_routes(12_000, 3_000);
     let large = request("large", 2);
     let small = request("small", 1);
@@ -188,7 +192,7 @@
 
 /// Engines with full memory preempted 81 prompts in one day and prefilled them again.
 #[test]
-fn memory_kept_free() {
+fn large_prompts_need_free_memory() {
     let mut controller = two_routes(12_000, 3_000);
     let large = request("large", 2);
     assert!(!refuses(&mut controller, &large, &with_free(12_500)));
@@ -210,7 +214,7 @@
 /// Recent prompts started far too late. An engine with free memory and nothing to prefill still
 /// accepts prompts; one with a queue does not.
 #[test]
-fn free_engines_taken() {
+fn free_engine_accepts_prompts() {
     let mut estimator = LatencyEstimator::with_token_ms(1.0 / 97.0);
     for _ in 0..200 {
         estimator.record_first_token(100.0, 5_000.0);
@@ -236,7 +240,7 @@
 }
 
 #[test]
-fn parts_forgotten_in_order() {
+fn least_recently_used_parts_evicted() {
     let namespace = NamespaceTag(1);
     let part = |id: &str, tokens| PromptPart {
         id: PartId::parse(id).expect("hex"),
@@ -279,7 +283,7 @@
 /// Only kinds that are used before anything is sent, or if the endpoint itself reports it,
 /// guarantee that a request has not run.
 #[test]
-fn promises_by_kind() {
+fn retry_offered_only_if_not_run() {
     let unknown = [
         RefusalKind::EndpointLost,
         RefusalKind::BadAnswer,
--- a/core/tests/suspect_tracker.rs
+++ b/core/tests/suspect_tracker.rs
@@ -13,7 +13,7 @@
 
 const NOW: Micros = Micros::from_secs(100);
 
-fn named(body: &str) -> RequestFingerprint {
+fn fingerprint(body: &str) -> RequestFingerprint {
     RequestFingerprint::of(&FingerprintInput {
         method: "POST",
         host: "h.example",
@@ -54,19 +54,19 @@
     tracker: &SuspectTracker,
     now: Micros,
 ) -> SuspectStatus {
-    tracker.status(named("a"), 0.0, now)
+    tracker.status(fingerprint("a"), 0.0, now)
 }
 
 fn crashed(crashes: &[SuspectCrash]) -> SuspectTracker {
     let mut tracker = SuspectTracker::default();
     for crash in crashes {
-        tracker.record_crash(named("a"), *crash);
+        tracker.record_crash(fingerprint("a"), *crash);
     }
     tracker
 }
 
 #[test]
-fn held_after_three() {
+fn blocked_after_three_crashes() {
     let one = crash(1, 100, 200);
     let two = crash(2, 200, 300);
     let three = crash(3, 1_400, 1_500);
@@ -86,7 +86,7 @@
     );
     assert_eq!(status_at(&third, at(601_500)), SuspectStatus::Clear);
     assert_eq!(
-        third.status(named("b"), 0.0, at(1_500)),
+        third.status(fingerprint("b"), 0.0, at(1_500)),
         SuspectStatus::Clear
     );
 }
@@ -97,14 +97,14 @@
     let tracker = crashed(&[crash(1, 100, 200), crash(2, 200, 300)]);
     let at = Micros::from_millis(300);
     assert_eq!(
-        tracker.status(named("a"), 0.5, at),
+        tracker.status(fingerprint("a"), 0.5, at),
         SuspectStatus::BackingOff(Micros::from_millis(1_500))
     );
 }
 
 /// A request that many callers send runs on each engine of a rack that loses power.
 #[test]
-fn together_counts_once() {
+fn simultaneous_crashes_count_once() {
     let together: Vec<SuspectCrash> = (0..40).map(|n| crash(n, 100 + n, 300 + n)).collect();
     let tracker = crashed(&together);
     assert_eq!(
@@ -118,7 +118,7 @@
 /// endpoint with other suspects, and only the first crash counts. A harmless request was blocked
 /// after three such crashes.
 #[test]
-fn unknowing_counts_once() {
+fn crash_of_uninformed_sender_not_counted() {
     let at = Micros::from_millis;
     let unknowing = [
         crash_knowing(0, 1, 0, 20),
@@ -149,7 +149,7 @@
 }
 
 #[test]
-fn answer_clears() {
+fn response_clears() {
     let crashes = [
         crash(1, 100, 200),
         crash(2, 200, 300),
@@ -157,10 +157,10 @@
     ];
     let mut tracker = crashed(&crashes);
     let answered = Micros::from_millis(2_500);
-    assert!(tracker.record_response(named("a"), answered));
+    assert!(tracker.record_response(fingerprint("a"), answered));
     assert_eq!(status_at(&tracker, answered), SuspectStatus::Clear);
     // For some time, crashes of engines are attributed to another cause.
-    tracker.record_crash(named("a"), crash(4, 3_000, 3_100));
+    tracker.record_crash(fingerprint("a"), crash(4, 3_000, 3_100));
     assert_eq!(
         status_at(&tracker, Micros::from_millis(3_200)),
         SuspectStatus::Clear
@@ -170,9 +170,9 @@
 }
 
 #[test]
-fn cleared_is_forgotten() {
+fn cleared_request_pruned() {
     let mut tracker = crashed(&[crash(1, 100, 200)]);
-    tracker.record_response(named("a"), Micros::from_millis(300));
+    tracker.record_response(fingerprint("a"), Micros::from_millis(300));
     tracker.prune(Micros::from_secs(10));
     assert_eq!(tracker.len(), 1);
     tracker.prune(Micros::from_secs(21));
@@ -181,10 +181,10 @@
 
 /// Ten thousand different requests evict each other, not the one that is blocked.
 #[test]
-fn bounded() {
+fn blocked_request_not_evicted() {
     let mut tracker = crashed(&[crash(1, 100, 200), crash(2, 200, 300), crash(3, 400, 500)]);
     for number in 0..10_000 {
-        let other = named(&number.to_string());
+        let other = fingerprint(&number.to_string());
         tracker.record_crash(other, crash(10 + number, 600 + number, 700 + number));
     }
     assert_eq!(tracker.len(), 1_024);
@@ -194,7 +194,7 @@
 
 /// Callers, paths and bodies are distinguished, and no field runs into the next.
 #[test]
-fn fields_apart() {
+fn fields_distinct() {
     let input = FingerprintInput {
         method: "POST",
         host: "h",
@@ -248,7 +248,7 @@
         order in proptest::collection::vec(0usize..8, 0..30),
     ) {
         let report = |crash: &SuspectCrash| SuspectReport {
-            fingerprint: named("a"),
+            fingerprint: fingerprint("a"),
             crashes: vec![SuspectCrash {
                 sent: NOW.since(crash.sent),
                 ended: NOW.since(crash.ended),
@@ -256,10 +256,10 @@
             }],
             answered: None,
         };
-        let whole = crashed(&seen);
+        let expected = crashed(&seen);
         let mut tracker = SuspectTracker::default();
-        for place in order {
-            if let Some(crash) = seen.get(place) {
+        for index in order {
+            if let Some(crash) = seen.get(index) {
                 tracker.merge(&report(crash), NOW);
             }
         }
@@ -269,9 +269,9 @@
         let is_blocked = |tracker: &SuspectTracker| {
             matches!(status_at(tracker, NOW), SuspectStatus::Blocked(_))
         };
-        prop_assert_eq!(is_blocked(&tracker), is_blocked(&whole));
+        prop_assert_eq!(is_blocked(&tracker), is_blocked(&expected));
         // Merging all of it again changes nothing, so it is not forwarded.
-        let again = whole.reports(NOW);
+        let again = expected.reports(NOW);
         prop_assert!(again.iter().all(|report| !tracker.merge(report, NOW)));
     }
 }
--- a/core/tests/trial_table.rs
+++ b/core/tests/trial_table.rs
@@ -10,7 +10,7 @@
 
 const NOW: Micros = Micros::from_secs(10);
 
-fn named(body: &[u8]) -> RequestFingerprint {
+fn fingerprint(body: &[u8]) -> RequestFingerprint {
     RequestFingerprint::of(&FingerprintInput {
         method: "POST",
         host: "h",
@@ -29,9 +29,9 @@
 fn two_at_most() {
     let [first, _] = endpoints();
     let mut table = TrialTable::default();
-    table.begin(1, named(b"a"), first, false);
+    table.begin(1, fingerprint(b"a"), first, false);
     assert!(table.full_endpoints(false, NOW).is_empty());
-    table.begin(2, named(b"b"), first, false);
+    table.begin(2, fingerprint(b"b"), first, false);
     assert!(table.full_endpoints(false, NOW).contains(&first));
     table.end(1);
     assert!(table.full_endpoints(false, NOW).is_empty());
@@ -39,24 +39,27 @@
 
 /// A suspect with two crashes runs without another suspect on its endpoint, whichever came first.
 #[test]
-fn alone() {
+fn exclusive_run_excludes_others() {
     let [first, second] = endpoints();
     let mut table = TrialTable::default();
-    table.begin(1, named(b"a"), first, false);
-    table.begin(2, named(b"b"), second, true);
+    table.begin(1, fingerprint(b"a"), first, false);
+    table.begin(2, fingerprint(b"b"), second, true);
     assert_eq!(table.full_endpoints(true, NOW), [first, second]);
     assert_eq!(table.full_endpoints(false, NOW), [second]);
 }
 
 /// A run counts as harmless a moment after its first event, or when it ends.
 #[test]
-fn proves_itself() {
+fn run_harmless_after_first_event() {
     let [first, _] = endpoints();
     let mut table = TrialTable::default();
-    table.begin(1, named(b"a"), first, true);
+    table.begin(1, fingerprint(b"a"), first, true);
     table.record_first_event(1, NOW);
-    assert!(table.has_active(named(b"a"), NOW + Micros::from_millis(200)));
-    assert!(!table.has_active(named(b"b"), NOW));
+    assert!(table.has_active(fingerprint(b"a"), NOW + Micros::from_millis(200)));
+    assert!(!table.has_active(fingerprint(b"b"), NOW));
     let later = NOW + Micros::from_millis(400);
-    assert!(!table.has_active(named(b"a"), later) && table.full_endpoints(false, later).is_empty());
+    assert!(
+        !table.has_active(fingerprint(b"a"), later)
+            && table.full_endpoints(false, later).is_empty()
+    );
 }
--- a/entry/src/front/part_reclaim.rs
+++ b/entry/src/front/part_reclaim.rs
@@ -183,7 +183,7 @@
     let (planner, reads) = (&state.planner, &state.fetch_completion);
     let view = state.kv_store_directory.view_mut(address)?;
     let epoch = view.epoch()?;
-    let clock_ms = view.latest_clock_ms(now);
+    let clock_ms = view.max_clock_ms(now);
     let mut parts = Vec::new();
     let mut draining = None;
     for (namespace, tag) in namespaces {
--- a/entry/src/front/request_choice.rs
+++ b/entry/src/front/request_choice.rs
@@ -111,8 +111,8 @@
             .suspect_crashes
             .and(self.cached_fingerprint)
             .map(|fingerprint| TrialRequest {
-                request_hash: fingerprint.number(),
-                is_alone,
+                request_hash: fingerprint.low_bits(),
+                is_exclusive: is_alone,
                 excluded: &excluded,
                 // A request that crashed two endpoints is not sent to the last one.
                 min_endpoints: if is_alone { 2 } else { 1 },
