--- a/core/src/serving/admission_controller.rs
+++ b/core/src/serving/admission_controller.rs
@@ -7,9 +7,9 @@
     std::collections::HashMap,
 };
 
-/// Fraction of the target latency within which an answer must be expected to start, including the
-/// prefill of a typical prompt of its route. Estimates are off by some hundred milliseconds, and
-/// prompts that start late delay others.
+/// Fraction of the target latency within which the answer to a prompt is expected to start,
+/// including the prefill of a typical prompt of its route; otherwise the prompt is refused.
+/// Estimates are off by some hundred milliseconds, and prompts that start late delay others.
 const MAX_START_FRACTION: f64 = 0.6;
 /// The same for a caller that was refused before. It takes precedence over new callers, as refusing
 /// it a second time costs more than refusing a new caller once.
@@ -22,9 +22,8 @@
 const MAX_WAITING_FRACTION: f64 = 0.2;
 /// Fraction of the cached tokens of a prompt that reduces the free memory it needs: other running
 /// prompts share some of these tokens, and none have to be prefilled. Prompts that return to such
-/// an engine are admitted before prompts that would evict its cache. In replays of ten days this
-/// reached 0.761 instead of 0.751 of the possible value on 9 engines. A fraction of 1 reached 0.761
-/// too, but 0.702 instead of 0.712 on 52 engines that were short of memory.
+/// an engine are admitted before prompts that would evict its cache. In replays, a fraction
+/// of 1 served less on engines that were short of memory.
 const CACHED_FRACTION: f64 = 0.6;
 /// Weight of one large prompt in the moving average of the memory shortage.
 const SHORTAGE_SMOOTHING: f64 = 0.03;
@@ -33,8 +32,7 @@
 const SHORTAGE_THRESHOLD: f64 = 0.35;
 /// Fraction of the memory that is reserved per unit of memory shortage above the threshold. Where
 /// most large prompts are refused anyway, engines with some free memory respond sooner, have more
-/// parts cached and serve more: with four times the large prompts, 625 instead of 534 were in time,
-/// and 1,040 thousand instead of 2,550 thousand tokens were prefilled again.
+/// parts cached and serve more.
 const RESERVE_PER_SHORTAGE: f64 = 0.7;
 /// Bounds of the time after which a refused caller should retry, in milliseconds: the time to reach
 /// another box, and the order of magnitude of the longest queues.
@@ -66,7 +64,7 @@
         }
     }
 
-    /// Records a prompt that arrived: its size and the part of it to prefill, in tokens.
+    /// Records a prompt that arrived: its size and how much of it is to be prefilled, in tokens.
     pub fn record(
         &mut self,
         request: &AdmissionRequest<'_>,
@@ -113,8 +111,8 @@
         AdmissionDecision::Admitted
     }
 
-    /// Whether the prompt would start too late. An engine with an empty queue accepts any prompt:
-    /// its results show when it has recovered.
+    /// Whether the prompt would start too late. A prompt for an engine with an empty queue never
+    /// does, regardless of the estimates: only new prompts can show that the engine has recovered.
     fn starts_too_late(
         &self,
         request: &AdmissionRequest<'_>,
--- a/core/src/serving/caller_limits.rs
+++ b/core/src/serving/caller_limits.rs
@@ -14,7 +14,7 @@
 }
 
 impl Default for CallerLimits {
-    /// Limits until a configuration is known, as configured at the first sites.
+    /// Limits until a configuration is known; the first deployments use the same values.
     fn default() -> Self {
         CallerLimits {
             max_header_bytes: 16 << 10,
--- a/core/src/serving/endpoint_entry.rs
+++ b/core/src/serving/endpoint_entry.rs
@@ -155,19 +155,18 @@
 const PREFILL_PROGRESS: f64 = 0.5;
 
 /// Percentage of an engine's memory that prompts may fill. Answers grow in the rest; when that runs
-/// out, the engine preempts a prompt and prefills it again. With no reserve, 182 prompts were
-/// preempted on six replayed days, with 90 percent 16; 80 to 94 percent showed no difference.
+/// out, the engine preempts a prompt and prefills it again.
 const PROMPT_MEMORY_PERCENT: u64 = 90;
 
-/// Age from which a missing report makes an endpoint suspect.
+/// Age of the latest report from which an endpoint may be unreachable.
 const UNREACHABLE_AFTER: Micros = Micros::from_millis(700);
-/// Age from which missing reports are attributed to a failed agent; the outcome of requests then
-/// shows whether the endpoint is healthy.
+/// Age of the latest report from which the agent is assumed to have failed, not the endpoint; the
+/// outcome of requests then shows whether the endpoint is healthy.
 const UNREPORTED_AFTER: Micros = Micros::from_secs(6);
 
 impl EndpointEntry {
     /// Whether the endpoint's reports have stopped recently and it has not answered a request
-    /// since: it may be unreachable.
+    /// recently either.
     pub fn may_be_unreachable(
         &self,
         now: Micros,
--- a/core/src/serving/endpoint_pick.rs
+++ b/core/src/serving/endpoint_pick.rs
@@ -15,12 +15,12 @@
 /// Cost of each running request, as a fraction of the prefill time of a typical prompt: each one
 /// slows down every step of the engine.
 const RUNNING_REQUEST_FACTOR: f64 = 0.02;
-/// Bonus of the home engine per shared token that no engine has cached, as a multiple of its
-/// prefill time. Boxes that do not know each other's choices then prefill the part on the same
-/// engine, once.
+/// Bonus of the home engine per shared token that it has neither cached nor can fetch, as a
+/// multiple of its prefill time. Boxes that do not know each other's choices then prefill the part
+/// on the same engine, once.
 const HOME_PREFILL_FACTOR: f64 = 1.0;
-/// Bonus of the home engine per shared token in any case, as a multiple of its prefill time: a part
-/// that many engines cache displaces others.
+/// Bonus of the home engine per shared token, cached or not, as a multiple of its prefill time: a
+/// part that many engines cache displaces others.
 const HOME_SHARED_FACTOR: f64 = 0.25;
 /// Cost of a fetched token beyond its transfer time, as a multiple of its prefill time: the price
 /// of the transfer, and the memory that it takes from other parts.
@@ -82,10 +82,10 @@
     /// of a request are sent to the same endpoint. When cost alone decided, a harmless request ran
     /// next to other suspects on two endpoints that crashed, and was blocked.
     pub request_hash: u64,
-    /// Whether the hash alone decides, because two endpoints have crashed during the request.
-    /// Before that, most suspects are harmless: when the hash alone decided for them too, requests
-    /// that three waves of crashes interrupted prefilled 133,000 tokens of shared parts again in
-    /// one replayed day.
+    /// Whether the request runs without other suspects on its endpoint, because two endpoints have
+    /// crashed during it: then the hash alone decides. Before that, most suspects are harmless:
+    /// when the hash alone decided for them too, requests that crashes had interrupted prefilled
+    /// many shared parts again.
     pub is_exclusive: bool,
     /// Endpoints that cannot accept a suspect request.
     pub excluded: &'a [EndpointKey],
@@ -364,7 +364,7 @@
     }
 }
 
-/// Hash that selects a prompt's home engine: the id of its last shared part.
+/// Hash that selects a prompt's home engine: the id of its last shared part, or of its only part.
 fn home_hash(request: &PickRequest<'_>) -> u64 {
     let parts = request.prompt.map_or(&[][..], |prompt| &prompt.parts);
     let shared = parts
--- a/core/src/serving/kv_store.rs
+++ b/core/src/serving/kv_store.rs
@@ -34,7 +34,7 @@
     pub link_mbps: f64,
     /// Latency until a transfer begins, in milliseconds.
     pub first_ms: f64,
-    /// Whether this product has to delete parts from it.
+    /// Whether the fronts have to delete parts from it.
     pub is_managed: bool,
     /// Maximum number of pending calls; it refuses further ones.
     pub max_pending_calls: u32,
--- a/core/src/serving/kv_store_directory.rs
+++ b/core/src/serving/kv_store_directory.rs
@@ -263,10 +263,7 @@
             }
             // Boxes without knowledge of each other choose the same store by weighted rendezvous
             // hashing, with the link speed as the weight: otherwise large stores with slow links
-            // would get nearly all fetches, and prompts would wait for them. On a replayed day of
-            // high load, 8 large prompts began late instead of 30 (9 engines); on another, 2,290
-            // thousand tokens of shared parts were prefilled again instead of 2,913 thousand (52
-            // engines).
+            // would get nearly all fetches, and prompts would wait for them.
             let fraction = placement_fraction(part.id.value(), view.store.address);
             let weight = view.store.link_mbps / -fraction.ln();
             if best.as_ref().is_none_or(|(most, _)| weight > *most) {
--- a/core/src/serving/kv_store_view.rs
+++ b/core/src/serving/kv_store_view.rs
@@ -13,7 +13,7 @@
 pub const SAVE_DELAY: Micros = Micros::from_millis(2_400);
 /// Time within which a requested save appears in the store.
 const SAVE_TIMEOUT: Micros = Micros::from_secs(3);
-/// Share of a store's capacity that is filled, in percent; the store rounds blocks up.
+/// Percentage of a store's capacity that saves may fill; the store rounds up to whole blocks.
 const FILL_PERCENT: u64 = 96;
 
 /// View of one store's content.
--- a/core/src/serving/latency_estimator.rs
+++ b/core/src/serving/latency_estimator.rs
@@ -7,7 +7,7 @@
 /// 190 tokens per millisecond; a hundred prompts correct an initial value that is wrong by a factor
 /// of four.
 const INITIAL_TOKEN_MS: f64 = 0.02;
-/// Maximum ratio between the learned and the initial time per token, in either direction.
+/// Maximum ratio between the learned time per token and [`INITIAL_TOKEN_MS`], in either direction.
 const MAX_TOKEN_MS_RATIO: f64 = 30.0;
 /// Weight of the initial value, in prompts: a few dozen prompts outweigh it.
 const INITIAL_WEIGHT: f64 = 5.0;
@@ -29,7 +29,8 @@
 const QUEUE_SMOOTHING: f64 = 0.02;
 /// Age up to which a report fully describes a queue, in milliseconds.
 const QUEUE_FRESH_MS: f64 = 100.0;
-/// Further age over which the weight of a report decays, in prefill times of a typical prompt.
+/// Time constant of the decay of a report's weight beyond that age, in prefill times of a typical
+/// prompt.
 const QUEUE_DECAY_PREFILLS: f64 = 20.0;
 /// Initial mean time for which a prompt occupies its memory, in milliseconds.
 const INITIAL_HOLD_MS: f64 = 1_000.0;
@@ -37,9 +38,8 @@
 /// Learns the time to first token of the engines: a fixed overhead plus a time per token to
 /// prefill, by linear regression.
 ///
-/// Decisions use these estimates instead of constants that fit one kind of engine. With engines
-/// that prefill 48 tokens per millisecond, in one replayed day of high load, 41 of 2,027 small
-/// prompts were late instead of 65 with a constant of 97.
+/// Decisions use these estimates instead of constants, as a constant fits one kind of engine only:
+/// on slower engines more prompts were late.
 #[derive(Debug, Clone)]
 pub struct LatencyEstimator {
     sum_weight: f64,
@@ -119,8 +119,8 @@
         self.queued_prompts * self.prefill_tokens
     }
 
-    /// Weight, from 1 to 0, of a report of an engine's queue by age: the queue of that time has
-    /// since been prefilled several times over.
+    /// Weight, from 1 to 0, of a report of an engine's queue by its age. An old report has little
+    /// weight, as the queue that it describes has been prefilled several times over since.
     pub fn report_weight(
         &self,
         age: Micros,
--- a/core/src/serving/request_fingerprint.rs
+++ b/core/src/serving/request_fingerprint.rs
@@ -53,7 +53,7 @@
         Some(RequestFingerprint(number.to_be_bytes()))
     }
 
-    /// The fingerprint as a number, to distribute by.
+    /// Low 64 bits of the fingerprint, to select an endpoint by.
     pub fn low_bits(self) -> u64 {
         u128::from_be_bytes(self.0) as u64
     }
--- a/core/src/serving/retry_window.rs
+++ b/core/src/serving/retry_window.rs
@@ -1,6 +1,6 @@
 use {crate::time::Micros, std::collections::VecDeque};
 
-/// Width of one counter; the window slides in steps of it.
+/// Length of the steps in which requests and retries are counted and the window slides.
 const STEP_LENGTH: Micros = Micros::from_millis(500);
 /// Fraction of the limit that is used, as requests in transit are not counted yet.
 const SAFETY_FACTOR: f64 = 0.7;
@@ -38,7 +38,8 @@
         self.current_step(now).requests += 1;
     }
 
-    /// Records a retry if it is within this box's share of the limit, one of `boxes`.
+    /// Records a retry if it is within the share of this box, one of `boxes`, in the limit; true if
+    /// it is.
     ///
     /// A process with an uptime below the window may replace one that has used its share, so it
     /// receives half of the share.
--- a/core/src/serving/route_stats.rs
+++ b/core/src/serving/route_stats.rs
@@ -15,8 +15,8 @@
 }
 
 impl RouteStats {
-    /// Records a prompt: its size and the part of it to prefill, in tokens, and the time left until
-    /// the caller's deadline.
+    /// Records a prompt: its size and how much of it is to be prefilled, in tokens, and the time
+    /// left until the caller's deadline.
     pub fn record(
         &mut self,
         tokens: u32,
--- a/core/src/serving/serving_mechanism.rs
+++ b/core/src/serving/serving_mechanism.rs
@@ -22,7 +22,7 @@
     LearnedPace,
     /// Parts that engines have cached or can fetch count in the choice of an engine.
     Affinity,
-    /// Shared parts have a home engine, and prefilling them costs more than its time.
+    /// Shared parts have a home engine, and prefilling them costs more than the time it takes.
     Home,
     /// Parts are fetched from engines and stores.
     Fetches,
--- a/core/src/serving/stable_hash.rs
+++ b/core/src/serving/stable_hash.rs
@@ -1,5 +1,5 @@
-/// Hash of a text, the same on all boxes; texts that differ in one character are spread evenly,
-/// too.
+/// Hash of a text, the same on all boxes. Hashes are evenly distributed, also those of texts that
+/// differ in one character only.
 pub fn stable_hash(text: impl AsRef<[u8]>) -> u64 {
     let hash = blake3::hash(text.as_ref());
     let mut first = [0; 8];
@@ -12,7 +12,7 @@
     unit_fraction(stable_hash(text))
 }
 
-/// Evenly distributed number as a fraction from 0 to below 1.
+/// Maps an evenly distributed number to a fraction from 0 to below 1.
 pub fn unit_fraction(number: u64) -> f64 {
     (number >> 11) as f64 / (1u64 << 53) as f64
 }
--- a/core/src/serving/trial_table.rs
+++ b/core/src/serving/trial_table.rs
@@ -3,10 +3,10 @@
     crate::time::Micros,
 };
 
-/// Maximum number of suspects of one front on an endpoint: if two crash it, the next crash shows
-/// which one did.
+/// Maximum number of suspects of one front on an endpoint. If the endpoint crashes with two of
+/// them, the next crash shows which one is the cause.
 const MAX_TRIALS: usize = 2;
-/// Time after its first event for which a run may still crash its endpoint.
+/// Time after the first event of a run for which the run may still crash its endpoint.
 const PROBATION: Micros = Micros::from_millis(300);
 
 /// A run of a suspect.
@@ -20,8 +20,8 @@
     first_event_at: Option<Micros>,
 }
 
-/// Runs of suspects that may crash their endpoints. They run on different endpoints, so that a
-/// crash is not attributed to the wrong one.
+/// Runs of suspects that may crash their endpoints. They are spread across endpoints, at most two
+/// on each, so that a crash is not attributed to the wrong suspect.
 #[derive(Debug, Clone, Default)]
 pub struct TrialTable {
     runs: Vec<TrialRun>,
--- a/core/tests/disabled_admission.rs
+++ b/core/tests/disabled_admission.rs
@@ -1,4 +1,4 @@
-//! Each disabled mechanism of the admission changes its own decision, and no other.
+//! Each mechanism of admission control, when disabled, changes its own decision and no other.
 
 use pitchhitch_core::{
     serving::{
--- a/core/tests/disabled_mechanisms.rs
+++ b/core/tests/disabled_mechanisms.rs
@@ -1,5 +1,5 @@
-//! Each disabled mechanism of endpoint choice and transfers changes the decision that it is named
-//! for.
+//! Each mechanism of endpoint choice and transfers, when disabled, changes the decision that it is
+//! named for.
 
 use {
     pitchhitch_core::{
--- a/core/tests/endpoint_pick.rs
+++ b/core/tests/endpoint_pick.rs
@@ -170,8 +170,8 @@
     assert_eq!(source.location, PartLocation::Engine(holder));
 }
 
-/// Parts that an engine is believed to have cached may have been evicted. The plan names a place to
-/// fetch them from all the same, at no cost if nothing is missing.
+/// Parts that an engine is believed to have cached may have been evicted, so the plan names a
+/// source for them too. It costs nothing if no part is missing.
 #[test]
 fn cached_parts_not_fetched() {
     let mut fleet = Fleet::new();
--- a/core/tests/kv_store_view.rs
+++ b/core/tests/kv_store_view.rs
@@ -210,8 +210,8 @@
     assert_eq!(CacheNamespace::parse("9c41d07be2a35f68"), None);
 }
 
-/// With few fronts, each learns of changes immediately. Many use half of the pending calls that a
-/// store accepts, and still poll often enough for their views to stay valid.
+/// Many fronts together use at most half of the pending calls that a store accepts, and still poll
+/// often enough for their views to stay valid.
 #[test]
 fn pending_calls_suffice() {
     for fronts in 1..400 {
@@ -225,6 +225,7 @@
     }
 }
 
+/// With few fronts, each learns of changes sooner.
 #[test]
 fn few_fronts_poll_often() {
     let few = store(1, 1_000).poll_plan(8);
--- a/core/tests/latency_estimator.rs
+++ b/core/tests/latency_estimator.rs
@@ -80,7 +80,7 @@
     ));
 }
 
-/// An engine that becomes slower is recognised within some hundred prompts.
+/// The estimates follow an engine that becomes slower within a few hundred prompts.
 #[test]
 fn change_followed() {
     let mut estimator = trained(0.02, 30.0, 0.01);
--- a/core/tests/overload.rs
+++ b/core/tests/overload.rs
@@ -34,8 +34,7 @@
     }
 }
 
-/// Four times the memory of an engine: prompts that are admitted start in time, and none waits for
-/// seconds.
+/// Prompts that need four times the memory of an engine: most of those admitted start in time.
 #[test]
 fn memory_overloaded() {
     let size = (12_000.0, 4_000.0);
@@ -74,7 +73,8 @@
     assert_eq!((admitted.late, admitted.refused), (0, 0), "{admitted:?}");
 }
 
-/// With varying free memory and queues, the urgent prompt is refused only if the other one is too.
+/// With varying free memory and queues, a more urgent prompt is refused only if a less urgent one
+/// of the same size is refused too.
 #[test]
 fn least_urgent_refused_first() {
     let estimator = LatencyEstimator::default();
--- a/core/tests/serving_limits.rs
+++ b/core/tests/serving_limits.rs
@@ -1,4 +1,4 @@
-//! Limits on retries, age of keys, and admission.
+//! Limits on retries, age of keys, admission, cached parts, and responses to refusals.
 
 use pitchhitch_core::{
     serving::{
@@ -164,7 +164,7 @@
 }
 
 /// With two of nine engines unreachable, running prompts filled the memory and no answer was in
-/// time for twenty seconds (first day of high load).
+/// time for twenty seconds.
 #[test]
 fn large_prompts_refused_first() {
     let mut controller = two_routes(12_000, 3_000);
@@ -280,8 +280,8 @@
     }
 }
 
-/// Only kinds that are used before anything is sent, or if the endpoint itself reports it,
-/// guarantee that a request has not run.
+/// Refusals that offer a retry guarantee that the request has not run: nothing was sent yet, or the
+/// endpoint itself reported that it did not run. If it may have run, none is offered.
 #[test]
 fn retry_offered_only_if_not_run() {
     let unknown = [
--- a/core/tests/suspect_tracker.rs
+++ b/core/tests/suspect_tracker.rs
@@ -114,9 +114,9 @@
 }
 
 /// Three endpoints crash within a tenth of a second during a request that many callers send. The
-/// senders of the later two did not know of the crash before, so these runs may have shared an
-/// endpoint with other suspects, and only the first crash counts. A harmless request was blocked
-/// after three such crashes.
+/// sender of the second run did not know of the first crash, so this run may have shared its
+/// endpoint with other suspects, and its crash does not count. A harmless request was blocked after
+/// three crashes in quick succession.
 #[test]
 fn crash_of_uninformed_sender_not_counted() {
     let at = Micros::from_millis;
@@ -127,10 +127,11 @@
     ];
     let tracker = crashed(&unknowing[..2]);
     assert_eq!(status_at(&tracker, at(60)), SuspectStatus::Suspect(1));
-    // The sender of the last one did not know of all crashes, so it does not count either.
+    // The sender of the third run knew of the only crash that counted until then, so it counts.
     let tracker = crashed(&unknowing);
     assert_eq!(status_at(&tracker, at(1_200)), SuspectStatus::Suspect(2));
-    // Without reports from others, each front has to observe the crashes itself.
+    // The sender of the fourth run knew of both. A front that receives no reports from others
+    // learns of crashes only by observing them itself.
     let mut knowing = unknowing.to_vec();
     knowing.push(crash_knowing(2, 4, 1_300, 1_400));
     let status = status_at(&crashed(&knowing), at(1_500));
@@ -159,7 +160,7 @@
     let answered = Micros::from_millis(2_500);
     assert!(tracker.record_response(fingerprint("a"), answered));
     assert_eq!(status_at(&tracker, answered), SuspectStatus::Clear);
-    // For some time, crashes of engines are attributed to another cause.
+    // For some time after the response, crashes are attributed to another cause.
     tracker.record_crash(fingerprint("a"), crash(4, 3_000, 3_100));
     assert_eq!(
         status_at(&tracker, Micros::from_millis(3_200)),
@@ -192,7 +193,8 @@
     assert!(matches!(status, SuspectStatus::Blocked(_)), "{status:?}");
 }
 
-/// Callers, paths and bodies are distinguished, and no field runs into the next.
+/// Requests that differ in one field, or in where one field ends and the next begins, have
+/// different fingerprints.
 #[test]
 fn fields_distinct() {
     let input = FingerprintInput {
--- a/core/tests/trial_table.rs
+++ b/core/tests/trial_table.rs
@@ -1,4 +1,4 @@
-//! Suspects run on different endpoints.
+//! Runs of suspects, and the endpoints that accept no further suspect.
 
 use {
     pitchhitch_core::{
@@ -37,7 +37,8 @@
     assert!(table.full_endpoints(false, NOW).is_empty());
 }
 
-/// A suspect with two crashes runs without another suspect on its endpoint, whichever came first.
+/// A suspect with two crashes runs without another suspect on its endpoint, whichever of the two is
+/// sent first.
 #[test]
 fn exclusive_run_excludes_others() {
     let [first, second] = endpoints();
