--- a/core/src/serving/endpoint_entry.rs
+++ b/core/src/serving/endpoint_entry.rs
@@ -155,20 +155,19 @@
 const PREFILL_PROGRESS: f64 = 0.5;
 
 /// Percentage of an engine's memory that prompts may fill. Answers grow in the rest; when that runs
-/// out, the engine preempts a prompt and prefills it again. With no reserve, 182 prompts were
-/// preempted on six replayed days, with 90 percent 16; 80 to 94 percent showed no difference.
+/// out, the engine preempts a prompt and prefills it again.
 const PROMPT_MEMORY_PERCENT: u64 = 90;
 
-/// Age from which a missing report makes an endpoint suspect.
-const SUSPECT_AFTER: Micros = Micros::from_millis(700);
-/// Age from which missing reports are attributed to a failed agent; the outcome of requests then
-/// shows whether the endpoint is healthy.
+/// Age of the latest report from which an endpoint may be unreachable.
+const UNREACHABLE_AFTER: Micros = Micros::from_millis(700);
+/// Age of the latest report from which the agent is assumed to have failed, not the endpoint; the
+/// outcome of requests then shows whether the endpoint is healthy.
 const UNREPORTED_AFTER: Micros = Micros::from_secs(6);
 
 impl EndpointEntry {
     /// Whether the endpoint's reports have stopped recently and it has not answered a request
-    /// since: it may be unreachable.
-    pub fn is_suspect(
+    /// recently either.
+    pub fn may_be_unreachable(
         &self,
         now: Micros,
     ) -> bool {
@@ -178,8 +177,8 @@
         let age = now.since(load.at);
         let answered = self
             .answered_at
-            .is_some_and(|at| now.since(at) < SUSPECT_AFTER);
-        age > SUSPECT_AFTER.max(load.report_timeout()) && age < UNREPORTED_AFTER && !answered
+            .is_some_and(|at| now.since(at) < UNREACHABLE_AFTER);
+        age > UNREACHABLE_AFTER.max(load.report_timeout()) && age < UNREPORTED_AFTER && !answered
     }
 
     /// Latest load report, unless it is too old.
@@ -217,9 +216,10 @@
         let Some(load) = self.fresh_load(now) else {
             return 0.0;
         };
-        let reading = f64::from(load.reading) / f64::from(load.unread.max(1));
+        let prefill_fraction = f64::from(load.reading) / f64::from(load.unread.max(1));
         let others = f64::from(self.other_pending_prefills(now));
-        let reported = others * (1.0 - reading * PREFILL_PROGRESS) * estimator.prefill_tokens();
+        let reported =
+            others * (1.0 - prefill_fraction * PREFILL_PROGRESS) * estimator.prefill_tokens();
         let average = estimator.mean_queued_tokens();
         // Unchanged values are not reported again.
         let age = now.since(load.at).min(load.changes_within);
--- a/core/src/serving/latency_estimator.rs
+++ b/core/src/serving/latency_estimator.rs
@@ -7,7 +7,7 @@
 /// 190 tokens per millisecond; a hundred prompts correct an initial value that is wrong by a factor
 /// of four.
 const INITIAL_TOKEN_MS: f64 = 0.02;
-/// Maximum ratio between the learned and the initial time per token, in either direction.
+/// Maximum ratio between the learned time per token and [`INITIAL_TOKEN_MS`], in either direction.
 const MAX_TOKEN_MS_RATIO: f64 = 30.0;
 /// Weight of the initial value, in prompts: a few dozen prompts outweigh it.
 const INITIAL_WEIGHT: f64 = 5.0;
@@ -29,7 +29,8 @@
 const QUEUE_SMOOTHING: f64 = 0.02;
 /// Age up to which a report fully describes a queue, in milliseconds.
 const QUEUE_FRESH_MS: f64 = 100.0;
-/// Further age over which the weight of a report decays, in prefill times of a typical prompt.
+/// Time constant of the decay of a report's weight beyond that age, in prefill times of a typical
+/// prompt.
 const QUEUE_DECAY_PREFILLS: f64 = 20.0;
 /// Initial mean time for which a prompt occupies its memory, in milliseconds.
 const INITIAL_HOLD_MS: f64 = 1_000.0;
@@ -37,16 +38,15 @@
 /// Learns the time to first token of the engines: a fixed overhead plus a time per token to
 /// prefill, by linear regression.
 ///
-/// Decisions use these estimates instead of constants that fit one kind of engine. With engines
-/// that prefill 48 tokens per millisecond, in one replayed day of high load, 41 of 2,027 small
-/// prompts were late instead of 65 with a constant of 97.
+/// Decisions use these estimates instead of constants, as a constant fits one kind of engine only:
+/// on slower engines more prompts were late.
 #[derive(Debug, Clone)]
 pub struct LatencyEstimator {
-    weight: f64,
-    tokens: f64,
-    millis: f64,
-    tokens_squared: f64,
-    tokens_millis: f64,
+    sum_weight: f64,
+    sum_tokens: f64,
+    sum_millis: f64,
+    sum_tokens_squared: f64,
+    sum_tokens_millis: f64,
     prompt_tokens: f64,
     prefill_tokens: f64,
     answer_tokens: f64,
@@ -74,11 +74,11 @@
     /// per token.
     pub fn with_token_ms(token_ms: f64) -> Self {
         let mut estimator = LatencyEstimator {
-            weight: 0.0,
-            tokens: 0.0,
-            millis: 0.0,
-            tokens_squared: 0.0,
-            tokens_millis: 0.0,
+            sum_weight: 0.0,
+            sum_tokens: 0.0,
+            sum_millis: 0.0,
+            sum_tokens_squared: 0.0,
+            sum_tokens_millis: 0.0,
             prompt_tokens: INITIAL_PROMPT_TOKENS,
             prefill_tokens: INITIAL_PREFILL_TOKENS,
             answer_tokens: INITIAL_ANSWER_TOKENS,
@@ -99,11 +99,11 @@
         tokens: f64,
         millis: f64,
     ) {
-        self.weight += weight;
-        self.tokens += weight * tokens;
-        self.millis += weight * millis;
-        self.tokens_squared += weight * tokens * tokens;
-        self.tokens_millis += weight * tokens * millis;
+        self.sum_weight += weight;
+        self.sum_tokens += weight * tokens;
+        self.sum_millis += weight * millis;
+        self.sum_tokens_squared += weight * tokens * tokens;
+        self.sum_tokens_millis += weight * tokens * millis;
     }
 
     /// Records a report of an engine: the number of prompts that it has not started to answer.
@@ -119,8 +119,8 @@
         self.queued_prompts * self.prefill_tokens
     }
 
-    /// Weight, from 1 to 0, of a report of an engine's queue by age: the queue of that time has
-    /// since been prefilled several times over.
+    /// Weight, from 1 to 0, of a report of an engine's queue by its age. An old report has little
+    /// weight, as the queue that it describes has been prefilled several times over since.
     pub fn report_weight(
         &self,
         age: Micros,
@@ -158,11 +158,11 @@
         let expected = self.overhead_ms() + tokens * self.token_ms();
         let millis = millis.clamp(0.0, expected.max(1.0) * MAX_OUTLIER_RATIO);
         for sum in [
-            &mut self.weight,
-            &mut self.tokens,
-            &mut self.millis,
-            &mut self.tokens_squared,
-            &mut self.tokens_millis,
+            &mut self.sum_weight,
+            &mut self.sum_tokens,
+            &mut self.sum_millis,
+            &mut self.sum_tokens_squared,
+            &mut self.sum_tokens_millis,
         ] {
             *sum *= DECAY;
         }
@@ -192,8 +192,10 @@
 
     /// Prefill time per token, in milliseconds, while the engine also decodes other requests.
     pub fn token_ms(&self) -> f64 {
-        let variance = self.weight * self.tokens_squared - self.tokens * self.tokens;
-        let covariance = self.weight * self.tokens_millis - self.tokens * self.millis;
+        let variance =
+            self.sum_weight * self.sum_tokens_squared - self.sum_tokens * self.sum_tokens;
+        let covariance =
+            self.sum_weight * self.sum_tokens_millis - self.sum_tokens * self.sum_millis;
         let slope = if variance > 0.0 {
             covariance / variance
         } else {
@@ -205,8 +207,8 @@
 
     /// Time until the answer starts, without the prefill, in milliseconds.
     pub fn overhead_ms(&self) -> f64 {
-        let rest = self.millis - self.token_ms() * self.tokens;
-        (rest / self.weight).max(0.0)
+        let rest = self.sum_millis - self.token_ms() * self.sum_tokens;
+        (rest / self.sum_weight).max(0.0)
     }
 
     /// Mean size of a prompt, in tokens.
--- a/core/src/serving/retry_window.rs
+++ b/core/src/serving/retry_window.rs
@@ -1,7 +1,7 @@
 use {crate::time::Micros, std::collections::VecDeque};
 
-/// Width of one counter; the window slides in steps of it.
-const COUNTER_WIDTH: Micros = Micros::from_millis(500);
+/// Length of the steps in which requests and retries are counted and the window slides.
+const STEP_LENGTH: Micros = Micros::from_millis(500);
 /// Fraction of the limit that is used, as requests in transit are not counted yet.
 const SAFETY_FACTOR: f64 = 0.7;
 
@@ -38,7 +38,8 @@
         self.current_step(now).requests += 1;
     }
 
-    /// Records a retry if it is within this box's share of the limit, one of `boxes`.
+    /// Records a retry if it is within the share of this box, one of `boxes`, in the limit; true if
+    /// it is.
     ///
     /// A process with an uptime below the window may replace one that has used its share, so it
     /// receives half of the share.
@@ -49,7 +50,7 @@
         uptime: Micros,
         now: Micros,
     ) -> bool {
-        let oldest = counter_index(now).saturating_sub(limit.window.0.div_ceil(COUNTER_WIDTH.0));
+        let oldest = step_index(now).saturating_sub(limit.window.0.div_ceil(STEP_LENGTH.0));
         while self.counts.front().is_some_and(|c| c.step < oldest) {
             self.counts.pop_front();
         }
@@ -72,7 +73,7 @@
         &mut self,
         now: Micros,
     ) -> &mut StepCount {
-        let step = counter_index(now);
+        let step = step_index(now);
         let is_new = self.counts.back().is_none_or(|c| c.step < step);
         if is_new {
             self.counts.push_back(StepCount {
@@ -86,6 +87,6 @@
     }
 }
 
-fn counter_index(now: Micros) -> u64 {
-    now.0 / COUNTER_WIDTH.0
+fn step_index(now: Micros) -> u64 {
+    now.0 / STEP_LENGTH.0
 }
