--- a/entry/src/front/request_attempt.rs
+++ b/entry/src/front/request_attempt.rs
@@ -85,10 +85,10 @@
         let ticket = state.allocate_ticket();
         if let (Some(crashes), Some(fingerprint)) = (self.suspect_crashes, self.cached_fingerprint)
         {
-            let is_alone = crashes > 1;
+            let is_exclusive = crashes > 1;
             state
                 .trials
-                .begin(ticket, fingerprint, choice.key, is_alone);
+                .begin(ticket, fingerprint, choice.key, is_exclusive);
         }
         let prefill = PendingPrefill {
             ticket,
--- a/entry/src/front/request_choice.rs
+++ b/entry/src/front/request_choice.rs
@@ -105,17 +105,17 @@
         let now = front.now();
         let availability = self.version_availability(state, now);
         let has_slow_start = self.has_slow_start();
-        let is_alone = self.suspect_crashes.is_some_and(|crashes| crashes > 1);
-        let excluded = state.trials.full_endpoints(is_alone, now);
+        let is_exclusive = self.suspect_crashes.is_some_and(|crashes| crashes > 1);
+        let excluded = state.trials.full_endpoints(is_exclusive, now);
         let trial = self
             .suspect_crashes
             .and(self.cached_fingerprint)
             .map(|fingerprint| TrialRequest {
                 request_hash: fingerprint.low_bits(),
-                is_exclusive: is_alone,
+                is_exclusive,
                 excluded: &excluded,
                 // A request that crashed two endpoints is not sent to the last one.
-                min_endpoints: if is_alone { 2 } else { 1 },
+                min_endpoints: if is_exclusive { 2 } else { 1 },
             });
         let request = PickRequest {
             service: &self.service,
