--- a/core/src/serving/era_tracker.rs
+++ b/core/src/serving/era_tracker.rs
@@ -41,8 +41,8 @@
         let Some(known) = self.known else {
             self.known = Some(era);
             self.seen_at = Some(now);
-            let is_older = self.confirmed.is_some_and(|confirmed| confirmed < era);
-            if is_older {
+            let was_restored = self.confirmed.is_some_and(|confirmed| confirmed < era);
+            if was_restored {
                 self.uncertain_since = Some(now);
             }
             return EraUpdate::Current;
@@ -68,8 +68,8 @@
         now: Micros,
     ) -> bool {
         self.confirmed = self.confirmed.max(Some(era));
-        let is_older = self.known.is_some_and(|known| self.confirmed < Some(known));
-        if is_older && self.uncertain_since.is_none() {
+        let was_restored = self.known.is_some_and(|known| self.confirmed < Some(known));
+        if was_restored && self.uncertain_since.is_none() {
             self.uncertain_since = Some(now);
             return true;
         }
--- a/core/src/serving/fetch_completion.rs
+++ b/core/src/serving/fetch_completion.rs
@@ -168,8 +168,8 @@
     ) -> Vec<SocketAddr> {
         let until_ms = self.completed_until_ms(model, version);
         let engines = self.engines.iter();
-        let last = engines
+        let oldest = engines
             .filter(|(_, period)| period.may_fetch(model, version) && period.proven_ms == until_ms);
-        last.map(|(address, _)| *address).collect()
+        oldest.map(|(address, _)| *address).collect()
     }
 }
--- a/core/src/serving/publication_records.rs
+++ b/core/src/serving/publication_records.rs
@@ -11,12 +11,12 @@
 
 /// Time for which every part of a version is fetched from stores, counted from the last read that
 /// showed no newer version: by then the first engines have the newer one.
-const FETCH_ALL: Micros = Micros::from_secs(6);
+const FULL_FETCH_PERIOD: Micros = Micros::from_secs(6);
 /// Time over which the fetches of its parts then end one after the other, while engines load the
-/// newer version and stores need space for its parts. With [`FETCH_ALL`] it is slightly more than
+/// newer version and stores need space for its parts. With [`FULL_FETCH_PERIOD`] it is slightly more than
 /// the platform's limit for older weights (10 to 15 s). A compromise: a longer time is better right
 /// after a publication, a shorter one some seconds later.
-const FETCH_FADE: Micros = Micros::from_secs(10);
+const FETCH_PHASE_OUT: Micros = Micros::from_secs(10);
 /// Time from the end of the fetches until another box frees a part: the longest fetch
 /// ([`VIEW_TTL`]) plus a pause that reports do not show.
 const FREE_MARGIN: Micros = Micros(VIEW_TTL.0 + MAX_REPORT_GAP.0);
@@ -83,7 +83,7 @@
 fn fetch_period(part: PartId) -> Micros {
     // Ids may be consecutive: the fetches of neighbours must not end together.
     let spread = part.value().wrapping_mul(SPREAD_FACTOR).rotate_left(32);
-    FETCH_ALL + Micros(spread % FETCH_FADE.0)
+    FULL_FETCH_PERIOD + Micros(spread % FETCH_PHASE_OUT.0)
 }
 
 impl SwapPlanner {
@@ -241,18 +241,18 @@
         proven_at: Option<Micros>,
         now: Micros,
     ) -> bool {
-        let known = match self.replaced_by(model, version) {
+        let last_absent_at = match self.replaced_by(model, version) {
             Some(publication) => publication.last_absent_at,
             None => proven_at,
         };
-        known.is_some_and(|at| now.since(at) < fetch_period(part))
+        last_absent_at.is_some_and(|at| now.since(at) < fetch_period(part))
     }
 
     /// Reclaim state of a part made under a version. It may be freed once no box requests fetches
     /// of it any more, and the engines that may have fetched it have proven that their fetches have
     /// ended.
     ///
-    /// `reads_completed_ms` is the time for which they have proven it
+    /// `completed_until_ms` is the time for which they have proven it
     /// ([`super::FetchCompletion::completed_until_ms`]); `clock_ms` is an upper bound of the
     /// engines' clock at `now`.
     pub fn reclaim_state(
@@ -260,24 +260,24 @@
         model: &str,
         version: u64,
         part: PartId,
-        reads_completed_ms: u64,
+        completed_until_ms: u64,
         clock_ms: Option<u64>,
         now: Micros,
     ) -> ReclaimState {
         let Some(publication) = self.replaced_by(model, version) else {
             return ReclaimState::Fetchable;
         };
-        let over_at = publication.learned_at + fetch_period(part) + FREE_MARGIN;
-        if now <= over_at {
+        let fetches_end_at = publication.learned_at + fetch_period(part) + FREE_MARGIN;
+        if now <= fetches_end_at {
             return ReclaimState::Fetchable;
         }
-        let past = now.since(over_at);
+        let since_end = now.since(fetches_end_at);
         // A box that does not know the time before the publication does not know which engines may
         // be fetching.
         let knows_fetchers = publication.last_absent_at.is_some();
-        let over_ms = clock_ms.map(|clock| clock.saturating_sub(past.as_millis()));
-        let is_proven = over_ms.is_some_and(|over| reads_completed_ms > over);
-        match past > RECLAIM_TIMEOUT || (knows_fetchers && is_proven) {
+        let fetches_end_ms = clock_ms.map(|clock| clock.saturating_sub(since_end.as_millis()));
+        let is_proven = fetches_end_ms.is_some_and(|end| completed_until_ms > end);
+        match since_end > RECLAIM_TIMEOUT || (knows_fetchers && is_proven) {
             true => ReclaimState::Reclaimable,
             false => ReclaimState::Draining,
         }
--- a/core/src/serving/reader_tier.rs
+++ b/core/src/serving/reader_tier.rs
@@ -21,12 +21,12 @@
 }
 
 impl ReaderTier {
-    /// Tier of a front in a fleet of `fronts`; `draw`, from 0 to 1, is the front's own number.
-    pub fn from_draw(
-        draw: f64,
+    /// Tier of a front in a fleet of `fronts`; `fraction`, from 0 to 1, is the front's own number.
+    pub fn from_fraction(
+        fraction: f64,
         fronts: u32,
     ) -> Self {
-        let position = draw * f64::from(fronts);
+        let position = fraction * f64::from(fronts);
         match position {
             position if position < FIRST_READERS => ReaderTier::First,
             position if position < SECOND_READERS => ReaderTier::Second,
@@ -47,7 +47,7 @@
 
 /// Number from which a front derives its tier for a table. It depends on the table, so that the
 /// reads of all tables are spread over the fronts.
-pub fn reader_draw(
+pub fn reader_fraction(
     box_id: &str,
     table: ProvenTable,
 ) -> f64 {
--- a/core/src/serving/store_proof.rs
+++ b/core/src/serving/store_proof.rs
@@ -117,9 +117,9 @@
             let differs = |other: &&ReceivedProof| {
                 other.source != proof.source && other.reporter != proof.reporter
             };
-            let is_second = younger.iter().any(differs);
+            let is_confirmed = younger.iter().any(differs);
             younger.push(proof);
-            is_second.then_some(proof.sent_at)
+            is_confirmed.then_some(proof.sent_at)
         })
     }
 
--- a/core/src/serving/swap_planner.rs
+++ b/core/src/serving/swap_planner.rs
@@ -208,16 +208,16 @@
             let Some(entry) = registry.get(*key).filter(|e| counts_for_swap(e, now)) else {
                 return false;
             };
-            let has = entry.weights.version(&turn.model);
-            if has.is_some_and(|has| has >= turn.version) {
+            let loaded = entry.weights.version(&turn.model);
+            if loaded.is_some_and(|loaded| loaded >= turn.version) {
                 missed_turns.remove(key);
                 return false;
             }
-            let is_over = turn.is_loading && now.since(turn.since) > TURN_TIMEOUT;
-            if is_over {
+            let is_missed = turn.is_loading && now.since(turn.since) > TURN_TIMEOUT;
+            if is_missed {
                 *missed_turns.entry(*key).or_default() += 1;
             }
-            !is_over
+            !is_missed
         });
         missed_turns.retain(|key, _| registry.get(*key).is_some());
     }
--- a/core/src/serving/version_expiry.rs
+++ b/core/src/serving/version_expiry.rs
@@ -19,9 +19,9 @@
         limit: Micros,
         now: Micros,
     ) -> Option<Micros> {
-        let naming = self.replaced_by(model, version)?;
-        let known_for = now.since(naming.learned_at);
-        Some(limit.since(naming.age(now).unwrap_or(known_for)))
+        let publication = self.replaced_by(model, version)?;
+        let known_for = now.since(publication.learned_at);
+        Some(limit.since(publication.age(now).unwrap_or(known_for)))
     }
 
     /// Versions that a request may start on, if weights may be used for `limit` after a newer
@@ -35,21 +35,23 @@
         limit: Micros,
         now: Micros,
     ) -> WeightBounds {
-        let namings = self.publications.range(version_range(model));
-        let too_old = |((_, version), naming): (&(String, u64), &PublicationRecord)| {
-            if naming.is_expired(limit, now) {
+        let publications = self.publications.range(version_range(model));
+        let too_old = |((_, version), publication): (&(String, u64), &PublicationRecord)| {
+            if publication.is_expired(limit, now) {
                 return Some(*version);
             }
             // The age of versions older than the one it replaced is unknown, unless their own
             // publication is known too.
-            let after = naming.previous.unwrap_or(*version);
-            let is_published = self.publications.contains_key(&(model.to_string(), after));
-            let is_gap = naming.previous.is_none() || (after > 0 && !is_published);
-            (is_gap && naming.is_report_overdue(limit, now)).then_some(after)
+            let previous = publication.previous.unwrap_or(*version);
+            let is_published = self
+                .publications
+                .contains_key(&(model.to_string(), previous));
+            let is_gap = publication.previous.is_none() || (previous > 0 && !is_published);
+            (is_gap && publication.is_report_overdue(limit, now)).then_some(previous)
         };
         WeightBounds {
             newest: self.published_version(model),
-            oldest: namings.filter_map(too_old).max(),
+            oldest: publications.filter_map(too_old).max(),
         }
     }
 }
--- a/core/tests/away_endpoints.rs
+++ b/core/tests/away_endpoints.rs
@@ -72,7 +72,7 @@
 /// they exit. As their reports stop, the turn passes to others; without that, no other engine
 /// loaded for seven seconds.
 #[test]
-fn gone_turn_passes() {
+fn exited_engine_loses_turn() {
     let mut registry = registry(4, 0);
     let mut planner = planner();
     planner.plan(&registry, LIMIT, at(0));
@@ -92,7 +92,7 @@
 /// An engine that still reports keeps its turn until its long runs have ended, even if its entry
 /// disappears meanwhile.
 #[test]
-fn away_turn_lasts() {
+fn away_engine_keeps_turn() {
     let mut registry = registry(1, 20);
     let mut planner = planner();
     planner.plan(&registry, LIMIT, at(0));
@@ -106,7 +106,7 @@
 /// The size of a service limits how many engines load at once; engines whose entries disappeared
 /// count as long as they report.
 #[test]
-fn away_group_size() {
+fn reporting_engines_set_load_limit() {
     for (heard, at_once) in [(15, 3), (10, 2)] {
         let mut registry = registry(15, 0);
         for place in 0..15 {
@@ -141,7 +141,7 @@
 /// disappeared because they were leaving; the serving ones waited, and received no prompts once
 /// their weights had expired.
 #[test]
-fn listed_go_first() {
+fn listed_engines_load_first() {
     let mut registry = registry(4, 0);
     for place in [0, 1] {
         registry.mark_unlisted(&format!("e{place}"), true);
@@ -182,7 +182,7 @@
 
 /// An endpoint whose entry disappeared is removed after some time, but not while it reports.
 #[test]
-fn reporting_not_forgotten() {
+fn reporting_endpoint_kept() {
     let mut registry = registry(2, 0);
     for place in [0, 1] {
         registry.mark_unlisted(&format!("e{place}"), true);
--- a/core/tests/endpoint_incarnations.rs
+++ b/core/tests/endpoint_incarnations.rs
@@ -13,7 +13,7 @@
     std::net::SocketAddr,
 };
 
-const WALL: NamespaceTag = NamespaceTag(1);
+const NAMESPACE: NamespaceTag = NamespaceTag(1);
 
 fn notice(
     id: &str,
@@ -46,13 +46,13 @@
 }
 
 /// A registry with one endpoint that has weights, parts, load, failures and a request.
-fn known(born: Option<u64>) -> (EndpointRegistry, EndpointKey) {
+fn registry_with_endpoint(born: Option<u64>) -> (EndpointRegistry, EndpointKey) {
     let mut registry = EndpointRegistry::default();
     registry.apply(&notice("e", born, false));
     let key = registry.key("e").expect("known");
     let entry = registry.get_mut(key).expect("entry");
     entry.weights.set_version("m", 4);
-    entry.parts.set(WALL, part(), 10);
+    entry.parts.set(NAMESPACE, part(), 10);
     entry.is_mirrored = true;
     entry.load = Some(EngineLoad::default());
     for _ in 0..3 {
@@ -71,13 +71,13 @@
 
 fn is_reset(entry: &EndpointEntry) -> bool {
     let has_parts = entry.parts.tokens() > 0 || entry.is_mirrored;
-    let is_out = entry.guard.is_ejected(Micros::ZERO);
-    !has_parts && entry.load.is_none() && !is_out
+    let is_ejected = entry.guard.is_ejected(Micros::ZERO);
+    !has_parts && entry.load.is_none() && !is_ejected
 }
 
 #[test]
 fn later_incarnation_resets() {
-    let (mut registry, key) = known(Some(5));
+    let (mut registry, key) = registry_with_endpoint(Some(5));
     assert_eq!(registry.apply(&notice("e", Some(6), false)), restarts("e"));
     let entry = registry.get(key).expect("entry");
     assert!(is_reset(entry));
@@ -106,7 +106,7 @@
         (None, Some(5)),
         (None, None),
     ] {
-        let (mut registry, key) = known(known_born);
+        let (mut registry, key) = registry_with_endpoint(known_born);
         assert_eq!(registry.apply(&notice("e", reported, false)), None);
         let entry = registry.get(key).expect("entry");
         assert!(!is_reset(entry));
@@ -118,7 +118,7 @@
 /// A late write of the earlier incarnation has no effect, regardless of its content.
 #[test]
 fn earlier_incarnation_ignored() {
-    let (mut registry, key) = known(Some(5));
+    let (mut registry, key) = registry_with_endpoint(Some(5));
     for is_leaving in [false, true] {
         let mut late = notice("e", Some(4), is_leaving);
         late.weights = vec![("m".to_string(), 9)];
@@ -137,7 +137,7 @@
 /// A later incarnation voids the leave of the earlier one.
 #[test]
 fn leaver_serves_again() {
-    let (mut registry, key) = known(Some(5));
+    let (mut registry, key) = registry_with_endpoint(Some(5));
     registry.apply(&notice("e", Some(5), true));
     registry.prune(Micros::ZERO);
     assert_eq!(registry.apply(&notice("e", Some(5), false)), None);
@@ -155,16 +155,16 @@
 }
 
 #[test]
-fn gone_serves_again() {
-    let (mut registry, _) = known(Some(5));
+fn unlisted_serves_again() {
+    let (mut registry, _) = registry_with_endpoint(Some(5));
     registry.mark_unlisted("e", true);
     assert_eq!(registry.apply(&notice("e", Some(6), false)), restarts("e"));
 }
 
 /// A digest may report the later incarnation before the list does.
 #[test]
-fn digest_first() {
-    let (mut registry, key) = known(Some(5));
+fn digest_before_list() {
+    let (mut registry, key) = registry_with_endpoint(Some(5));
     assert_eq!(
         registry.observe_incarnation(key, Some(4), Micros::ZERO),
         IncarnationOrder::Earlier
@@ -197,7 +197,7 @@
 /// its list notice.
 #[test]
 fn list_after_digest() {
-    let (mut registry, key) = known(Some(5));
+    let (mut registry, key) = registry_with_endpoint(Some(5));
     registry.apply(&notice("e", Some(5), true));
     registry.observe_incarnation(key, Some(6), Micros::ZERO);
     assert_eq!(
@@ -209,7 +209,7 @@
 }
 
 #[test]
-fn superseded_by_birth() {
+fn superseded_by_later_start() {
     let mut registry = EndpointRegistry::default();
     registry.apply(&notice("b-old", Some(5), false));
     assert_eq!(registry.retire_superseded(), []);
@@ -247,7 +247,7 @@
 }
 
 #[test]
-fn present_one() {
+fn one_present_per_address() {
     let mut registry = EndpointRegistry::default();
     let row = |id: &str, born: Option<u64>, version: u64| EndpointNotice {
         row: row_at(1, version),
@@ -367,7 +367,7 @@
     /// With lost and reordered digests, a receiver that has missed changes detects it as soon as a
     /// later digest arrives.
     #[test]
-    fn no_silent_gap(
+    fn missed_changes_detected(
         sent in proptest::collection::vec((any::<bool>(), any::<bool>(), 0..3_usize), 1..40),
     ) {
         let mut changes = 0;
@@ -378,7 +378,7 @@
                 digests.push((number + delay, number as u64 + 1, changes, *is_change));
             }
         }
-        digests.sort_by_key(|(place, ..)| *place);
+        digests.sort_by_key(|(arrival, ..)| *arrival);
         let mut incarnation = EndpointIncarnation::default();
         incarnation.record_digest(position(1, 0, 0), false);
         let (mut seen, mut is_whole) = (0, true);
--- a/core/tests/endpoint_registry.rs
+++ b/core/tests/endpoint_registry.rs
@@ -56,7 +56,10 @@
     assert_eq!(registry.apply(&notice("e", 1, false)), None);
     assert_eq!(status(&registry, "e"), Some(EndpointStatus::Leaving));
     let probes = registry.due_probes(Micros::ZERO);
-    assert_eq!(probes.iter().map(|q| q.key).collect::<Vec<_>>(), [key]);
+    assert_eq!(
+        probes.iter().map(|probe| probe.key).collect::<Vec<_>>(),
+        [key]
+    );
     assert!(
         registry.due_probes(Micros::ZERO).is_empty(),
         "already being probed"
@@ -104,7 +107,7 @@
 }
 
 #[test]
-fn lapse_forgiven() {
+fn lapsed_endpoint_reappears() {
     let mut registry = EndpointRegistry::default();
     registry.apply(&notice("back", 1, false));
     registry.apply(&notice("lost", 2, false));
@@ -123,7 +126,7 @@
 }
 
 #[test]
-fn seen_leaving_binds() {
+fn leaving_does_not_lapse() {
     let mut registry = EndpointRegistry::default();
     registry.apply(&notice("e", 1, true));
     // Its entry disappears while the list is unreliable, after it announced its leave.
@@ -150,7 +153,7 @@
         assert_eq!(registry.apply(&notice(id, 1, false)), None);
     }
     let probes = registry.due_probes(Micros::ZERO);
-    let probed: Vec<&str> = probes.iter().map(|q| q.id.as_str()).collect();
+    let probed: Vec<&str> = probes.iter().map(|probe| probe.id.as_str()).collect();
     assert_eq!(probed, ["away"]);
 }
 
@@ -185,7 +188,7 @@
 }
 
 #[test]
-fn busy_kept() {
+fn busy_endpoint_kept() {
     let mut registry = EndpointRegistry::default();
     registry.apply(&notice("e", 1, false));
     let key = registry.key("e").expect("known");
@@ -212,7 +215,7 @@
 }
 
 #[test]
-fn versions_never_back() {
+fn version_never_lowered() {
     let mut registry = EndpointRegistry::default();
     registry.apply(&notice("e", 1, false));
     let key = registry.key("e").expect("known");
--- a/core/tests/fetch_completion.rs
+++ b/core/tests/fetch_completion.rs
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn awake_engines_prove() {
+fn running_engines_prove() {
     let mut completion = FetchCompletion::default();
     assert_eq!(
         completion.completed_until_ms("m", 1),
@@ -112,7 +112,7 @@
 }
 
 #[test]
-fn newer_weights_excused() {
+fn newer_weights_not_waited_for() {
     let mut completion = FetchCompletion::default();
     let mut update = |engine_weights: &[KnownWeights], version: u64| {
         let engines = engine_weights.iter().map(|weights| (engine(0), weights));
@@ -148,19 +148,22 @@
 /// An engine that never reports again must not block space in the stores permanently; a box that
 /// does not know which fetches were requested before it started waits for the same time.
 #[test]
-fn held_a_minute() {
+fn reclaimed_after_timeout() {
     let part = PartId::parse("aa").expect("hex");
-    let state = |last_absent_at: Option<Micros>, over_ms: u64, now: u64| {
+    let state = |last_absent_at: Option<Micros>, completed_until_ms: u64, now: u64| {
         let mut planner = SwapPlanner::default();
         planner.publish("m", 2, last_absent_at, at(1_000));
-        planner.reclaim_state("m", 1, part, over_ms, Some(now), at(now))
+        planner.reclaim_state("m", 1, part, completed_until_ms, Some(now), at(now))
     };
-    let seen = Some(at(900));
-    assert_eq!(state(seen, u64::MAX, 9_000), ReclaimState::Fetchable);
-    assert_eq!(state(seen, u64::MAX, 20_000), ReclaimState::Reclaimable);
-    assert_eq!(state(seen, 9_000, 20_000), ReclaimState::Draining);
+    let absent_at = Some(at(900));
+    assert_eq!(state(absent_at, u64::MAX, 9_000), ReclaimState::Fetchable);
+    assert_eq!(
+        state(absent_at, u64::MAX, 20_000),
+        ReclaimState::Reclaimable
+    );
+    assert_eq!(state(absent_at, 9_000, 20_000), ReclaimState::Draining);
     assert_eq!(state(None, u64::MAX, 20_000), ReclaimState::Draining);
-    for last_absent_at in [seen, None] {
+    for last_absent_at in [absent_at, None] {
         assert_eq!(state(last_absent_at, 0, 60_000), ReclaimState::Draining);
         assert_eq!(state(last_absent_at, 0, 80_000), ReclaimState::Reclaimable);
     }
--- a/core/tests/incarnation_tracker.rs
+++ b/core/tests/incarnation_tracker.rs
@@ -59,7 +59,7 @@
 
 /// Two late reports of two different incarnations do not count as one that keeps reporting.
 #[test]
-fn each_for_itself() {
+fn incarnations_tracked_separately() {
     let mut tracker = IncarnationTracker::default();
     assert_eq!(
         tracker.order(Some(200), Some(100), at(0)),
@@ -88,8 +88,8 @@
         let mut tracker = IncarnationTracker::default();
         let mut known = None;
         let mut before = None;
-        for (place, born) in borns.iter().enumerate() {
-            let starts = place as u64 * 6_000;
+        for (index, born) in borns.iter().enumerate() {
+            let starts = index as u64 * 6_000;
             for step in 0..60 {
                 let now = starts + step * 100;
                 let is_late_report = step % 3 == 1 && step * 100 < late_ms;
--- a/core/tests/order_rights.rs
+++ b/core/tests/order_rights.rs
@@ -177,10 +177,10 @@
         let due: Vec<_> = self
             .late_writes
             .iter()
-            .filter(|late_writes| late_writes.2 <= now)
+            .filter(|write| write.2 <= now)
             .cloned()
             .collect();
-        self.late_writes.retain(|late_writes| late_writes.2 > now);
+        self.late_writes.retain(|write| write.2 > now);
         for (expected, holder, _) in due {
             self.store.replace(expected, &holder);
         }
@@ -191,10 +191,10 @@
         process: usize,
     ) {
         let row = self.store.read();
-        let (asked_at, now) = (self.now, self.now);
+        let (requested_at, now) = (self.now, self.now);
         self.processes[process]
             .right
-            .on_row_read(row, asked_at, now);
+            .on_row_read(row, requested_at, now);
     }
 
     fn act(
@@ -329,7 +329,7 @@
     /// Fencing tokens never decrease and are never shared, and orders of two boxes are at least
     /// the gap apart.
     #[test]
-    fn one_giver(events in events()) {
+    fn orders_fenced_and_spaced(events in events()) {
         let mut simulation = Simulation::new(Variant::Correct);
         simulation.run(&events);
         prop_assert_eq!(simulation.violation(), None);
@@ -348,7 +348,7 @@
 /// Each new holder waits, also the first one: a restored snapshot may lack the row of the previous
 /// holder.
 #[test]
-fn takes_over_late() {
+fn new_holder_waits() {
     let mut simulation = Simulation::new(Variant::Correct);
     let agent = |action| Event::Act(0, action);
     let front = |action| Event::Act(1, action);
--- a/core/tests/part_reclaim.rs
+++ b/core/tests/part_reclaim.rs
@@ -36,12 +36,12 @@
     /// Under any order of publications, fetches, pauses, restarts and cancellations, no engine
     /// fetches a freed part, and no front requests it.
     #[test]
-    fn freed_is_unread(
-        first_named in 500u64..3_000,
+    fn freed_parts_not_fetched(
+        first_published in 500u64..3_000,
         events in proptest::collection::vec((0u64..40_000, event()), 20..120),
     ) {
         let mut events = events;
-        events.push((first_named, SimEvent::PublishWeights));
+        events.push((first_published, SimEvent::PublishWeights));
         events.sort_by_key(|(time, _)| *time);
         let mut sim = FleetSim::new();
         let mut next = events.iter().peekable();
--- a/core/tests/pause_detector.rs
+++ b/core/tests/pause_detector.rs
@@ -3,7 +3,7 @@
 use pitchhitch_core::{serving::PauseDetector, time::Micros};
 
 #[test]
-fn gap_noticed() {
+fn pause_detected() {
     let mut detector = PauseDetector::default();
     for tick in 0..10 {
         assert_eq!(detector.tick(Micros::from_millis(tick * 110)), None);
--- a/core/tests/slow_start.rs
+++ b/core/tests/slow_start.rs
@@ -80,7 +80,7 @@
 /// Once all boxes have repeatedly received grants, each has its share, and a new box receives a
 /// grant immediately.
 #[test]
-fn shares_settle() {
+fn shares_converge() {
     for boxes in [1u32, 3, 25, 34, 35, 103] {
         let mut allocator = GrantAllocator::default();
         allocator.set_limit(LIMIT);
@@ -187,7 +187,7 @@
 }
 
 #[test]
-fn open_again() {
+fn time_until_admission() {
     let mut start = EndpointSlowStart::default();
     assert_eq!(start.admits_after(ms(0)), Micros::ZERO);
     start.begin(ms(5_000), ms(0));
--- a/core/tests/store_clock.rs
+++ b/core/tests/store_clock.rs
@@ -10,7 +10,7 @@
 }
 
 #[test]
-fn held_answer_dated() {
+fn long_poll_response_dated() {
     let mut clock = StoreClock::default();
     assert_eq!(
         clock.earliest_response_time(ms(100), Some(7_002), ms(104)),
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn untold_clock_unused() {
+fn clock_not_reported() {
     let mut clock = StoreClock::default();
     assert_eq!(
         clock.earliest_response_time(ms(100), None, ms(104)),
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn reset_forgets() {
+fn reset_discards_bounds() {
     let mut clock = StoreClock::default();
     clock.earliest_response_time(ms(100), Some(7_002), ms(104));
     clock.reset();
@@ -47,7 +47,7 @@
 
 /// One request, in milliseconds: pause before it, transit time, wait at the store, transit time
 /// back.
-fn question() -> impl Strategy<Value = (u64, u64, u64, u64)> {
+fn request() -> impl Strategy<Value = (u64, u64, u64, u64)> {
     (0..40_000u64, 0..400u64, 0..2_000u64, 0..3_000u64)
 }
 
@@ -56,13 +56,13 @@
     /// than the drift of the store's clock, and never before the request.
     #[test]
     fn never_too_late(
-        questions in proptest::collection::vec(question(), 1..60),
+        requests in proptest::collection::vec(request(), 1..60),
         zero in 0..1_000_000u64,
         drift_ppm in 0..50u64,
     ) {
         let mut clock = StoreClock::default();
         let mut local_us = 1_000_000u64;
-        for (pause, there, hold, back) in questions {
+        for (pause, there, hold, back) in requests {
             let sent = local_us + pause * 1_000;
             let given = sent + (there + hold) * 1_000;
             local_us = given + back * 1_000;
--- a/core/tests/store_eras.rs
+++ b/core/tests/store_eras.rs
@@ -84,13 +84,13 @@
             era: StoreEra(self.era),
             version: self.version,
         };
-        let is_gone = after.is_some_and(|after| after.version > self.version);
-        let is_other = after.is_some_and(|after| after.era != position.era);
+        let is_ahead = after.is_some_and(|after| after.version > self.version);
+        let is_other_era = after.is_some_and(|after| after.era != position.era);
         let is_update = after.is_none_or(|after| self.config.1 > after.version);
         Answer {
             position,
             config: is_update.then_some(self.config.0),
-            is_refused: is_gone || (is_other && variant != Variant::EraIgnored),
+            is_refused: is_ahead || (is_other_era && variant != Variant::EraIgnored),
             is_incomplete: false,
             sent_at,
         }
@@ -106,7 +106,7 @@
     pending: Option<Answer>,
     /// Whether the known configuration comes from a restored snapshot that the operator had not yet
     /// rewritten, and that no front could distinguish from the content before it.
-    is_unaware: bool,
+    has_undetected_restore: bool,
 }
 
 impl Front {
@@ -118,7 +118,7 @@
             config: None,
             proven_era: None,
             pending: None,
-            is_unaware: false,
+            has_undetected_restore: false,
         }
     }
 }
@@ -222,7 +222,7 @@
         if answer.is_refused {
             return;
         }
-        front.is_unaware |= is_first && answer.is_incomplete;
+        front.has_undetected_restore |= is_first && answer.is_incomplete;
         front.seen = Some(answer.position);
         front.config = front.config.max(answer.config);
         let proves = match variant {
@@ -249,13 +249,13 @@
         let (Some(config), Some(age)) = (source.config, source.freshness.age(now)) else {
             return;
         };
-        let (era, is_unaware) = (source.proven_era, source.is_unaware);
+        let (era, has_undetected_restore) = (source.proven_era, source.has_undetected_restore);
         let front = &mut self.fronts[index];
         if era.is_some_and(|era| front.eras.confirm(era, now)) {
             front.freshness.invalidate();
         }
         if front.freshness.proven_at().is_none() {
-            front.is_unaware |= is_unaware;
+            front.has_undetected_restore |= has_undetected_restore;
         }
         let renews = era.is_some() || self.variant == Variant::AllRefresh;
         if renews || front.freshness.proven_at().is_none() {
@@ -282,7 +282,7 @@
             let Some(revoked_at) = self.revoked_at.get(config as usize + 1) else {
                 continue;
             };
-            let since = match front.is_unaware {
+            let since = match front.has_undetected_restore {
                 true if self.writes_at.is_some() => self.now,
                 true => self.written_at.max(*revoked_at),
                 false => *revoked_at,
@@ -366,13 +366,13 @@
 
 #[test]
 fn violations_found() {
-    let violation = [
+    let faulty_variants = [
         Variant::EraIgnored,
         Variant::AlwaysCertain,
         Variant::AllConfirm,
         Variant::AllRefresh,
     ];
-    for variant in violation {
+    for variant in faulty_variants {
         assert!(first_violation(variant, 20_000).is_some(), "{variant:?}");
     }
 }
--- a/core/tests/store_proofs.rs
+++ b/core/tests/store_proofs.rs
@@ -85,8 +85,8 @@
         tracker.record(&proof(9, CHECKSUM), reporter, at(u64::from(reporter)));
     }
     assert!(tracker.confirmed_at(CHECKSUM) >= Some(at(100)));
-    let reported = tracker.to_forward(ProvenTable::Operator, at(10_000), at(1_000));
-    let sources: Vec<u32> = reported.iter().map(|proof| proof.source).collect();
+    let forwarded = tracker.to_forward(ProvenTable::Operator, at(10_000), at(1_000));
+    let sources: Vec<u32> = forwarded.iter().map(|proof| proof.source).collect();
     assert_eq!(sources.len(), 2);
     assert_ne!(sources[0], sources[1]);
 }
@@ -115,16 +115,17 @@
 
 /// All fronts of a small fleet read; in a large one only a few do.
 #[test]
-fn readers_drawn() {
+fn few_fronts_read() {
     for fronts in 1..=3 {
-        for draw in 0..100 {
-            let tier = ReaderTier::from_draw(f64::from(draw) / 100.0, fronts);
+        for percent in 0..100 {
+            let tier = ReaderTier::from_fraction(f64::from(percent) / 100.0, fronts);
             assert_eq!(tier, ReaderTier::First);
         }
     }
     for fronts in [30, 103, 2_100] {
-        let draws = (0..fronts).map(|n| (f64::from(n) + 0.5) / f64::from(fronts));
-        let first = draws.filter(|draw| ReaderTier::from_draw(*draw, fronts) == ReaderTier::First);
+        let fractions = (0..fronts).map(|n| (f64::from(n) + 0.5) / f64::from(fronts));
+        let first = fractions
+            .filter(|fraction| ReaderTier::from_fraction(*fraction, fronts) == ReaderTier::First);
         assert_eq!(first.count(), 3, "of {fronts}");
     }
     assert!(ReaderTier::Second.max_age_percent() < ReaderTier::Last.max_age_percent());
@@ -133,7 +134,7 @@
 /// The reports that one process sends per second stay bounded, up to the fleet size at which they
 /// would be too old.
 #[test]
-fn telling_paced() {
+fn message_rate_bounded() {
     assert_eq!(digest_interval(3), at(45));
     assert!(digest_interval(29) < at(100));
     for fronts in [30, 60, 103, 180] {
@@ -169,7 +170,7 @@
 
 /// Versions of one era are ordered, those of two eras are not.
 #[test]
-fn eras_apart() {
+fn eras_not_ordered() {
     assert_eq!(position(1, 2).compare(position(1, 3)), Ok(Ordering::Less));
     assert!(position(1, 2).compare(position(2, 2)).is_err());
     assert!(position(2, 1).is_newer_than(position(1, 900)));
@@ -232,10 +233,10 @@
 /// no more than a few times its share.
 #[test]
 fn pairs_spread() {
-    let number = |kind: &str, index: u32| stable_hash(format!("10.{index}.0.1:{kind}"));
-    let engines: Vec<u64> = (0..180).map(|index| number("80", index)).collect();
+    let address_hash = |kind: &str, index: u32| stable_hash(format!("10.{index}.0.1:{kind}"));
+    let engines: Vec<u64> = (0..180).map(|index| address_hash("80", index)).collect();
     let mut chosen = vec![0; engines.len()];
-    for store in (0..900).map(|index| number("90", index)) {
+    for store in (0..900).map(|index| address_hash("90", index)) {
         let mut ranked: Vec<usize> = (0..engines.len()).collect();
         ranked.sort_by_key(|index| mix_hashes(store, engines[*index]));
         for index in &ranked[engines.len() - 2..] {
--- a/core/tests/swap_planner.rs
+++ b/core/tests/swap_planner.rs
@@ -132,7 +132,7 @@
 }
 
 #[test]
-fn two_at_once() {
+fn two_load_at_once() {
     let mut registry = registry(9, 0, at(0));
     let mut planner = SwapPlanner::default();
     assert!(planner.publish("m", 2, Some(at(0)), at(0)));
@@ -156,7 +156,7 @@
 /// With two concurrent loads among 54 engines, half of the engines still had expired weights after
 /// 12 s.
 #[test]
-fn loads_grow_with_group() {
+fn loads_grow_with_service() {
     for (engines, at_once) in [(3, 2), (9, 2), (15, 3), (54, 10)] {
         let registry = registry(engines, 0, at(0));
         let mut planner = SwapPlanner::default();
@@ -239,7 +239,7 @@
 }
 
 #[test]
-fn unheard_waits() {
+fn unreported_engine_waits() {
     let mut registry = registry(1, 0, at(0));
     let key = registry.key("e0").expect("known");
     let mut planner = SwapPlanner::default();
@@ -274,7 +274,7 @@
 /// While engines load newer weights, fewer and fewer parts of the older ones are fetched, and parts
 /// are freed as space is needed.
 #[test]
-fn old_parts_fetched_on() {
+fn old_part_fetches_phase_out() {
     let mut planner = SwapPlanner::default();
     planner.publish("m", 2, Some(at(0)), at(500));
     let ids = (0..300).map(|number| PartId::parse(&format!("{:x}", number * 7 + 1)));
@@ -292,7 +292,7 @@
 /// Engines have weights that the store's row no longer contains, as an older publication was
 /// carried out after the newer one; a box that starts sees only the older version.
 #[test]
-fn engines_outlive_row() {
+fn engine_version_newer_than_row() {
     let mut planner = SwapPlanner::default();
     planner.publish("m", 3, None, at(0));
     assert!(!planner.record_engine_version("m", 4, None, at(100)));
@@ -327,7 +327,7 @@
     fn fetch_and_free_apart(
         published_at in 1_000u64..20_000,
         fetcher_reads in proptest::collection::vec(0u64..30_000, 1..20),
-        freer_learns in 0u64..10_000,
+        learn_delay in 0u64..10_000,
         fetch_at in 0u64..40_000,
         part in "[0-9a-f]{8}",
     ) {
@@ -343,7 +343,7 @@
             proven = Some(at(read));
         }
         let mut freer = SwapPlanner::default();
-        let learned_at = published_at + freer_learns;
+        let learned_at = published_at + learn_delay;
         freer.publish("m", 2, None, at(learned_at));
         let fetch_ends = at(fetch_at) + VIEW_TTL;
         if fetcher.may_fetch("m", 1, part, proven, at(fetch_at)) {
--- a/core/tests/weight_bounds.rs
+++ b/core/tests/weight_bounds.rs
@@ -55,7 +55,7 @@
 
 /// Every reported age is an upper bound, so the smallest one applies.
 #[test]
-fn least_age_holds() {
+fn smallest_age_applies() {
     let mut planner = SwapPlanner::default();
     planner.publish("m", 2, Some(at(1_000)), at(1_500));
     planner.record_age("m", 2, at(3_000), at(2_000));
@@ -86,7 +86,7 @@
 
 /// A box that does not know the version before the newest knows only the age of the newest.
 #[test]
-fn gap_keeps_age() {
+fn age_without_previous_ignored() {
     let mut planner = SwapPlanner::default();
     planner.publish("m", 1, None, at(0));
     planner.publish("m", 3, Some(at(1_000)), at(5_000));
@@ -100,7 +100,7 @@
 /// A stream that waits at an engine may begin until the first newer weights have been published
 /// for the limit.
 #[test]
-fn time_to_begin() {
+fn time_to_expiry() {
     let mut planner = SwapPlanner::default();
     planner.publish("m", 1, None, at(0));
     planner.publish("m", 2, Some(at(1_000)), at(1_500));
@@ -128,7 +128,7 @@
 }
 
 #[test]
-fn unknown_is_expected() {
+fn bounds_with_unknown_version() {
     let open = WeightBounds {
         newest: Some(3),
         oldest: None,
@@ -179,9 +179,9 @@
         let mut in_flight: Vec<(u64, u64, Vec<WeightPublication>)> = Vec::new();
         for (now, kind, lag) in steps {
             let arrived = in_flight.iter().filter(|(at, ..)| *at <= now);
-            for (_, asked_at, publications) in arrived.cloned().collect::<Vec<_>>() {
-                let asked_at = at(asked_at - started);
-                publications.iter().for_each(|reported| planner.record_publication(reported, asked_at, at(now - started)));
+            for (_, requested_at, publications) in arrived.cloned().collect::<Vec<_>>() {
+                let requested_at = at(requested_at - started);
+                publications.iter().for_each(|reported| planner.record_publication(reported, requested_at, at(now - started)));
                 learned_at = learned_at.or(Some(now));
             }
             in_flight.retain(|(at, ..)| *at > now);
@@ -228,18 +228,18 @@
         let mut queries = queries;
         queries.sort_unstable();
         let (mut planner, mut read_at) = (SwapPlanner::default(), None);
-        for ask in queries {
+        for query in queries {
             let mut next = read_at.map_or(0, |read| read + interval);
-            while next <= ask {
+            while next <= query {
                 planner.publish("m", newest_at(next), read_at.map(at), at(next));
                 read_at = Some(next);
                 next += interval;
             }
-            let bounds = planner.bounds("m", LIMIT, at(ask));
-            for old in 1..=newest_at(ask) {
-                let is_young = old == versions || ask + interval < published_at(old + 1) + LIMIT.as_millis();
+            let bounds = planner.bounds("m", LIMIT, at(query));
+            for old in 1..=newest_at(query) {
+                let is_young = old == versions || query + interval < published_at(old + 1) + LIMIT.as_millis();
                 if is_young {
-                    prop_assert!(bounds.allows(Some(old)), "{} at {}", old, ask);
+                    prop_assert!(bounds.allows(Some(old)), "{} at {}", old, query);
                 }
             }
         }
--- a/entry/src/front/store_readers.rs
+++ b/entry/src/front/store_readers.rs
@@ -2,7 +2,7 @@
     super::{fnv1a_hash, FrontContext, FrontState},
     pitchhitch_core::{
         serving::{
-            reader_draw, stable_fraction, ProofTracker, ProvenTable, ReaderTier, StoreProof,
+            reader_fraction, stable_fraction, ProofTracker, ProvenTable, ReaderTier, StoreProof,
         },
         time::Micros,
     },
@@ -171,7 +171,7 @@
         // No agent reports the reads of others.
         return ReaderTier::First;
     }
-    ReaderTier::from_draw(reader_draw(&front.settings.box_id, table), state.fronts)
+    ReaderTier::from_fraction(reader_fraction(&front.settings.box_id, table), state.fronts)
 }
 
 /// Decides when a table is read next.
