--- a/core/src/serving/endpoint_incarnation.rs
+++ b/core/src/serving/endpoint_incarnation.rs
@@ -8,8 +8,8 @@
     std::{collections::BTreeMap, net::SocketAddr},
 };
 
-/// Time for which a digest of an earlier incarnation of its sender counts as late; after that, the
-/// sender's clock has been set back.
+/// Time for which a digest of an earlier incarnation of its sender counts as late. One that arrives
+/// after that shows that the sender's clock was set back.
 const LATE_DIGEST_WINDOW: Micros = Micros::from_millis(1_500);
 
 /// How a reported incarnation relates to the known one.
@@ -19,7 +19,7 @@
     Earlier,
     /// It is the same, or no difference is known.
     Same,
-    /// It replaces the known one, and all state of that is obsolete.
+    /// It replaces the known one, whose state is obsolete.
     Later,
 }
 
@@ -201,7 +201,7 @@
     }
 
     /// Starts a later incarnation: cached parts, weights and load of the previous one are dropped.
-    /// Requests of this front are counted until they end.
+    /// Requests that this front sent to the previous one still count until they end.
     pub(super) fn begin_incarnation(
         &mut self,
         born: Option<u64>,
--- a/core/src/serving/endpoint_registry.rs
+++ b/core/src/serving/endpoint_registry.rs
@@ -96,8 +96,8 @@
             weights: Vec::new(),
             born: entry.incarnation.listed_born,
             slow_ms: None,
-            // The position changes with each heartbeat, and a copy counts as changed by its
-            // content.
+            // Omitted because it changes with each heartbeat, and a copy whose content differs
+            // counts as changed.
             row: StorePosition::default(),
         };
         self.iter().map(notice).collect()
@@ -116,7 +116,8 @@
         if let Some(key) = self.key(&notice.id) {
             let entry = &mut self.entries[key];
             if notice.is_away {
-                // This box has received reports of the endpoint directly.
+                // The endpoint is known here, so a report from another box counts only if it is of
+                // a later incarnation of an endpoint that had left.
                 let is_new = entry.apply_unlisted(notice);
                 return is_new.then(|| EndpointChange::Away(entry.id.clone()));
             }
@@ -217,8 +218,8 @@
         changes
     }
 
-    /// Removes endpoints that left more than `LEFT_RETENTION` ago and run none of our requests. An
-    /// endpoint whose reports still arrive is kept.
+    /// Removes endpoints that left more than `LEFT_RETENTION` ago and run no requests of this
+    /// front. An endpoint whose reports still arrive is kept.
     pub fn prune(
         &mut self,
         now: Micros,
--- a/core/src/serving/endpoint_rejoin.rs
+++ b/core/src/serving/endpoint_rejoin.rs
@@ -35,7 +35,7 @@
 }
 
 impl EndpointRejoin {
-    /// Initial state for the first status that is seen.
+    /// Initial state of an incarnation, given the first status that is seen of it.
     pub(super) fn of(status: EndpointStatus) -> Self {
         match status {
             EndpointStatus::Leaving => EndpointRejoin::Never,
@@ -152,7 +152,8 @@
         probes
     }
 
-    /// Records the result of a probe; an unclear one is repeated.
+    /// Records whether a probe confirmed that the endpoint serves. If it did not, the probe is
+    /// repeated, unless the list notice named an earlier incarnation.
     pub fn record_probe(
         &mut self,
         key: EndpointKey,
--- a/core/src/serving/era_tracker.rs
+++ b/core/src/serving/era_tracker.rs
@@ -60,8 +60,8 @@
     }
 
     /// Records that another process has proven the current content in this era. Returns true if
-    /// that era precedes the one known here: the store has been restored since, and earlier reads
-    /// of this process prove nothing.
+    /// this first reveals that the store was restored after that era: earlier reads of this process
+    /// prove nothing then.
     pub fn confirm(
         &mut self,
         era: StoreEra,
--- a/core/src/serving/evacuation_set.rs
+++ b/core/src/serving/evacuation_set.rs
@@ -6,7 +6,8 @@
 /// intended. It stays in force until the operators have had time to write it again.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct EvacuationSet {
-    /// Whether the current era of the store has confirmed the evacuation, by failure domain.
+    /// Evacuated failure domains, and whether the store has confirmed each evacuation since the
+    /// last full read began.
     domains: BTreeMap<String, bool>,
 }
 
--- a/core/src/serving/fetch_completion.rs
+++ b/core/src/serving/fetch_completion.rs
@@ -22,13 +22,16 @@
 /// is retained for longer than this.
 const ENGINE_RETENTION: Micros = RECLAIM_TIMEOUT;
 
-/// Evidence that the fetches of one engine are over.
+/// Evidence that the fetches of one engine are over: its current run without a pause.
 #[derive(Debug, Clone, Default)]
 struct RunPeriod {
     weights: KnownWeights,
     known_at: Micros,
+    /// First report after the last pause.
     started_ms: u64,
+    /// Latest report.
     reported_ms: u64,
+    /// Latest report by which the engine had run for `MIN_RUN_TIME`.
     proven_ms: u64,
 }
 
@@ -145,7 +148,7 @@
         self.engines.remove(&address);
     }
 
-    /// Time before which all fetches of a version's parts that should have ended are proven to
+    /// Time such that all fetches of a version's parts that were due to end before it are proven to
     /// have ended. `u64::MAX` if there is no engine to wait for.
     pub fn completed_until_ms(
         &self,
--- a/core/src/serving/known_weights.rs
+++ b/core/src/serving/known_weights.rs
@@ -28,8 +28,8 @@
         true
     }
 
-    /// Merges the knowledge of another engine that may be meant instead: the older version of each
-    /// model, or nothing if nothing is known of either engine.
+    /// Merges the weights of another engine that has or had the same address: keeps the older
+    /// version of each model, or nothing if the weights of one of the two engines are unknown.
     pub fn merge_oldest(
         &mut self,
         other: &KnownWeights,
--- a/core/src/serving/order_right.rs
+++ b/core/src/serving/order_right.rs
@@ -27,6 +27,7 @@
 pub struct OrderRight {
     own_box: String,
     gap: Micros,
+    /// Row as last read or written; `Some(None)` if the store had no row.
     seen: Option<Option<OrderRow>>,
     held: Option<StorePosition>,
     checked_at: Option<Micros>,
@@ -68,8 +69,8 @@
         self.seen = Some(row);
     }
 
-    /// Records that the row was replaced, unchanged since it was read, by a write sent at
-    /// `sent_at`.
+    /// Records that a write sent at `sent_at` replaced the row, which had not changed since it was
+    /// read.
     pub fn on_row_written(
         &mut self,
         position: StorePosition,
@@ -93,7 +94,7 @@
         self.checked_at = None;
     }
 
-    /// Row as last read, if known.
+    /// Row as last read or written, if known; `Some(None)` if the store had no row.
     pub fn seen(&self) -> Option<Option<&OrderRow>> {
         self.seen.as_ref().map(Option::as_ref)
     }
--- a/core/src/serving/publication_records.rs
+++ b/core/src/serving/publication_records.rs
@@ -12,16 +12,17 @@
 /// Time for which every part of a version is fetched from stores, counted from the last read that
 /// showed no newer version: by then the first engines have the newer one.
 const FULL_FETCH_PERIOD: Micros = Micros::from_secs(6);
-/// Time over which the fetches of its parts then end one after the other, while engines load the
-/// newer version and stores need space for its parts. With [`FULL_FETCH_PERIOD`] it is slightly more than
-/// the platform's limit for older weights (10 to 15 s). A compromise: a longer time is better right
+/// Time over which fetches then end, part by part, while engines load the newer version and stores
+/// need space for the newer parts. With [`FULL_FETCH_PERIOD`] it is slightly more than the
+/// platform's limit for older weights (10 to 15 s). A compromise: a longer time is better right
 /// after a publication, a shorter one some seconds later.
 const FETCH_PHASE_OUT: Micros = Micros::from_secs(10);
 /// Time from the end of the fetches until another box frees a part: the longest fetch
 /// ([`VIEW_TTL`]) plus a pause that reports do not show.
 const FREE_MARGIN: Micros = Micros(VIEW_TTL.0 + MAX_REPORT_GAP.0);
 
-/// Time after which a read must show an earlier publication: several times the delay of the store.
+/// Time after a publication from which on every read of the rows shows it: several times the delay
+/// of the store.
 const ROW_READ_LAG: Micros = Micros::from_millis(500);
 
 /// Multiplier that distributes numbers evenly (an odd number near 2^64 divided by the golden
@@ -130,8 +131,8 @@
         }
     }
 
-    /// Records a publication that another box knew at the time `at`, including one older than the
-    /// newest, as engines may have weights from before it.
+    /// Records a publication that another box knew at the time `at`. Those older than the newest
+    /// count too, as engines may still have older weights.
     pub fn record_publication(
         &mut self,
         reported: &WeightPublication,
@@ -154,8 +155,8 @@
             learned_at: now,
             reported: None,
         });
-        // An age holds only for the weights from `previous` on: before those, another version may
-        // have been published that this box, or the other one, does not know.
+        // An age applies only to versions from `previous` on. Older ones may have been replaced
+        // earlier, by a version that this box or the other one does not know.
         match (publication.previous, reported.previous) {
             (Some(_), None) => return,
             (None, Some(_)) => publication.reported = None,
@@ -204,8 +205,8 @@
     }
 
     /// Records that an engine has some weights. Returns true if they count as published from now
-    /// on. Engines load only published weights, but the row may have been set back: an older
-    /// publication can be carried out after a newer one.
+    /// on. Engines load only published weights, but the row may have been set back: the write of an
+    /// older publication can be applied after that of a newer one.
     ///
     /// `proven_at` is the send time of the last read of the rows. The time of the publication is
     /// unknown in this case, so no parts of older versions are fetched any more.
@@ -231,8 +232,8 @@
     /// Whether a part made under a version may still be fetched from stores.
     ///
     /// Other boxes free parts some time after newer weights are published, whether or not this box
-    /// has read of it. The time therefore counts from when this box last knew that there were
-    /// none.
+    /// has read of it. The time therefore counts from when this box last knew that no newer weights
+    /// were published.
     pub fn may_fetch(
         &self,
         model: &str,
@@ -252,7 +253,7 @@
     /// of it any more, and the engines that may have fetched it have proven that their fetches have
     /// ended.
     ///
-    /// `completed_until_ms` is the time for which they have proven it
+    /// `completed_until_ms` is the time up to which they have proven it
     /// ([`super::FetchCompletion::completed_until_ms`]); `clock_ms` is an upper bound of the
     /// engines' clock at `now`.
     pub fn reclaim_state(
@@ -272,7 +273,7 @@
             return ReclaimState::Fetchable;
         }
         let since_end = now.since(fetches_end_at);
-        // A box that does not know the time before the publication does not know which engines may
+        // A box that did not read the rows before the publication does not know which engines may
         // be fetching.
         let knows_fetchers = publication.last_absent_at.is_some();
         let fetches_end_ms = clock_ms.map(|clock| clock.saturating_sub(since_end.as_millis()));
--- a/core/src/serving/reader_tier.rs
+++ b/core/src/serving/reader_tier.rs
@@ -8,8 +8,8 @@
 
 /// How soon a front reads a table of the platform store itself when other fronts read it too.
 ///
-/// Each front derives its tier from its own number, so no election is needed and no failed front
-/// has to be detected. In a small fleet all fronts read.
+/// Each front derives its tier from a hash of its box id, so no election is needed and no failed
+/// front has to be detected. In a small fleet all fronts read.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum ReaderTier {
     /// Reads continuously.
@@ -21,7 +21,7 @@
 }
 
 impl ReaderTier {
-    /// Tier of a front in a fleet of `fronts`; `fraction`, from 0 to 1, is the front's own number.
+    /// Tier of a front in a fleet of `fronts`; see [`reader_fraction`] for `fraction`.
     pub fn from_fraction(
         fraction: f64,
         fronts: u32,
@@ -45,8 +45,8 @@
     }
 }
 
-/// Number from which a front derives its tier for a table. It depends on the table, so that the
-/// reads of all tables are spread over the fronts.
+/// Fraction from 0 to below 1 from which a front derives its tier for a table. It depends on the
+/// table, so that the reads of all tables are spread over the fronts.
 pub fn reader_fraction(
     box_id: &str,
     table: ProvenTable,
--- a/core/src/serving/reclaim_state.rs
+++ b/core/src/serving/reclaim_state.rs
@@ -5,6 +5,6 @@
     Fetchable,
     /// No new fetches are requested, but an engine may still be fetching it.
     Draining,
-    /// Nobody can read it: it may be freed.
+    /// It may be freed: its fetches have ended, or `RECLAIM_TIMEOUT` has passed.
     Reclaimable,
 }
--- a/core/src/serving/slow_start.rs
+++ b/core/src/serving/slow_start.rs
@@ -12,19 +12,19 @@
 /// count in the following window.
 pub const GRANT_RECLAIM_DELAY: Micros = Micros(GRANT_TTL.0 + RATE_WINDOW.0);
 
-/// Load that an endpoint of a service bears after its start.
+/// Load that an endpoint of a service can handle after its start.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct SlowStartRule {
     /// Time after its start during which the endpoint is slow.
     pub duration: Micros,
-    /// Requests per second that it bears during that time.
+    /// Requests per second that it can handle during that time.
     pub per_second: f64,
 }
 
-/// How far the requests of all boxes together may exceed what an endpoint bears.
+/// How far the requests of all boxes together may exceed what an endpoint can handle.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct SlowStartBound {
-    /// Multiple of what it bears.
+    /// Multiple of the requests per second that it can handle.
     pub ratio: f64,
     /// Additional requests per second.
     pub slack: f64,
--- a/core/src/serving/store_proof.rs
+++ b/core/src/serving/store_proof.rs
@@ -88,7 +88,8 @@
         true
     }
 
-    /// Drops all but the latest proofs of two reporting processes for each front.
+    /// Drops the oldest proof of a front if more than `REPORTERS_PER_SOURCE` processes reported its
+    /// reads.
     fn drop_excess(
         &mut self,
         source: u32,
--- a/core/src/serving/swap_planner.rs
+++ b/core/src/serving/swap_planner.rs
@@ -10,15 +10,15 @@
 /// Engines of a service per concurrent load.
 const ENGINES_PER_LOAD: usize = 5;
 /// Factor on the concurrent loads once the old weights have expired: such engines serve nothing, so
-/// their loads delay no requests, and no engine has to wait for the report that another has
-/// finished. With it, 40 engines that resumed together with old weights all had newer ones after
-/// 5.5 s instead of 5.8 s.
+/// their loads delay no requests. Engines that resume together with old weights all have newer ones
+/// sooner, as none has to wait for the report that another has finished.
 const OVERDUE_LOAD_FACTOR: usize = 2;
-/// Minimum number of engines that finish their long runs in the meantime, and the number of loads
-/// per such engine: an engine that is ordered to load accepts nothing until its runs have ended.
+/// Minimum number of engines that finish their long requests while others load, and the number of
+/// concurrent loads per such engine. An engine that is ordered to load accepts nothing until its
+/// requests have ended.
 const MIN_CONCURRENT_DRAINS: usize = 2;
 const LOADS_PER_DRAIN: usize = 3;
-/// Time after which an engine is ordered to load although its long runs have not ended.
+/// Time after which an engine is ordered to load although its long requests have not ended.
 const DRAIN_TIMEOUT: Micros = Micros::from_millis(1_600);
 /// Requests that an engine may still run when it is ordered to load.
 const MAX_RUNNING_AT_LOAD: u32 = 2;
--- a/core/src/serving/version_expiry.rs
+++ b/core/src/serving/version_expiry.rs
@@ -27,8 +27,8 @@
     /// Versions that a request may start on, if weights may be used for `limit` after a newer
     /// version was published.
     ///
-    /// It is computed for each choice. A flag per engine that is updated periodically would be
-    /// missing on an engine that has just been listed, and let prompts start too late.
+    /// Computed for each choice: a flag per engine that is updated periodically would be missing on
+    /// an engine that has just been listed, and prompts would start on weights that have expired.
     pub fn bounds(
         &self,
         model: &str,
@@ -40,8 +40,8 @@
             if publication.is_expired(limit, now) {
                 return Some(*version);
             }
-            // The age of versions older than the one it replaced is unknown, unless their own
-            // publication is known too.
+            // The age does not apply to versions older than the previous one. They count as expired
+            // if the publication of the previous one is still unknown after the report timeout.
             let previous = publication.previous.unwrap_or(*version);
             let is_published = self
                 .publications
--- a/core/tests/away_endpoints.rs
+++ b/core/tests/away_endpoints.rs
@@ -89,8 +89,8 @@
     assert_eq!(loading(&registry, &planner), others);
 }
 
-/// An engine that still reports keeps its turn until its long runs have ended, even if its entry
-/// disappears meanwhile.
+/// An engine that still reports keeps its turn until its long requests have ended, even if its
+/// entry disappears meanwhile.
 #[test]
 fn away_engine_keeps_turn() {
     let mut registry = registry(1, 20);
--- a/core/tests/endpoint_registry.rs
+++ b/core/tests/endpoint_registry.rs
@@ -136,7 +136,8 @@
 
 /// A front that starts while the store is down takes over the endpoints of a peer. An endpoint
 /// whose entry had only disappeared was forwarded as leaving permanently, so the new front sent it
-/// nothing for 30 seconds after its entry reappeared, while all others did so after one probe.
+/// nothing for 30 seconds after its entry reappeared, while all other fronts sent it requests after
+/// one probe.
 #[test]
 fn away_forwarded() {
     let mut peer = EndpointRegistry::default();
--- a/core/tests/slow_start.rs
+++ b/core/tests/slow_start.rs
@@ -115,7 +115,7 @@
     Send { by: usize, max: usize },
     /// The agent of the endpoint restarts.
     Restart,
-    /// It assumes this number of boxes.
+    /// The agent assumes this number of boxes from now on.
     SetBoxes(usize),
 }
 
--- a/core/tests/store_eras.rs
+++ b/core/tests/store_eras.rs
@@ -104,8 +104,8 @@
     config: Option<u64>,
     proven_era: Option<StoreEra>,
     pending: Option<Answer>,
-    /// Whether the known configuration comes from a restored snapshot that the operator had not yet
-    /// rewritten, and that no front could distinguish from the content before it.
+    /// Whether the known configuration was read from a restored snapshot before the operator had
+    /// rewritten it, by a front that could not distinguish it from the content before the restore.
     has_undetected_restore: bool,
 }
 
--- a/core/tests/store_proofs.rs
+++ b/core/tests/store_proofs.rs
@@ -131,8 +131,8 @@
     assert!(ReaderTier::Second.max_age_percent() < ReaderTier::Last.max_age_percent());
 }
 
-/// The reports that one process sends per second stay bounded, up to the fleet size at which they
-/// would be too old.
+/// One process sends a bounded number of reports per second, up to the fleet size at which their
+/// interval reaches its maximum.
 #[test]
 fn message_rate_bounded() {
     assert_eq!(digest_interval(3), at(45));
@@ -229,8 +229,8 @@
     assert!(!freshness.admits_keys(at(5_000)));
 }
 
-/// Ranks of pairs are spread evenly: each engine is among the two highest of some stores, and of
-/// no more than a few times its share.
+/// Ranks of pairs are spread evenly: each engine ranks among the two highest for some stores, but
+/// for no more than a few times its share of them.
 #[test]
 fn pairs_spread() {
     let address_hash = |kind: &str, index: u32| stable_hash(format!("10.{index}.0.1:{kind}"));
--- a/core/tests/swap_planner.rs
+++ b/core/tests/swap_planner.rs
@@ -289,8 +289,9 @@
     assert_eq!((fetched(16_000), freed(19_400)), (0, 300));
 }
 
-/// Engines have weights that the store's row no longer contains, as an older publication was
-/// carried out after the newer one; a box that starts sees only the older version.
+/// Engines have weights that the store's row no longer contains, as the write of an older
+/// publication was applied after that of the newer one; a box that starts sees only the older
+/// version.
 #[test]
 fn engine_version_newer_than_row() {
     let mut planner = SwapPlanner::default();
--- a/core/tests/weight_bounds.rs
+++ b/core/tests/weight_bounds.rs
@@ -84,7 +84,8 @@
     assert_eq!(recent[1], publication(2, Some(1), Some(at(3_000))));
 }
 
-/// A box that does not know the version before the newest knows only the age of the newest.
+/// An age that is reported without the previous version is ignored. Versions before the previous
+/// one count as expired if no box reports when that one was published.
 #[test]
 fn age_without_previous_ignored() {
     let mut planner = SwapPlanner::default();
@@ -97,7 +98,7 @@
     assert_eq!(oldest(&planner, 5_001 + REPORT_TIMEOUT_MS), Some(2));
 }
 
-/// A stream that waits at an engine may begin until the first newer weights have been published
+/// A request that waits at an engine may begin until the first newer weights have been published
 /// for the limit.
 #[test]
 fn time_to_expiry() {
