--- a/core/src/serving/era_tracker.rs
+++ b/core/src/serving/era_tracker.rs
@@ -41,8 +41,8 @@
         let Some(known) = self.known else {
             self.known = Some(era);
             self.seen_at = Some(now);
-            let is_older = self.confirmed.is_some_and(|confirmed| confirmed < era);
-            if is_older {
+            let was_restored = self.confirmed.is_some_and(|confirmed| confirmed < era);
+            if was_restored {
                 self.uncertain_since = Some(now);
             }
             return EraUpdate::Current;
@@ -60,16 +60,16 @@
     }
 
     /// Records that another process has proven the current content in this era. Returns true if
-    /// that era precedes the one known here: the store has been restored since, and earlier reads
-    /// of this process prove nothing.
+    /// this first reveals that the store was restored after that era: earlier reads of this process
+    /// prove nothing then.
     pub fn confirm(
         &mut self,
         era: StoreEra,
         now: Micros,
     ) -> bool {
         self.confirmed = self.confirmed.max(Some(era));
-        let is_older = self.known.is_some_and(|known| self.confirmed < Some(known));
-        if is_older && self.uncertain_since.is_none() {
+        let was_restored = self.known.is_some_and(|known| self.confirmed < Some(known));
+        if was_restored && self.uncertain_since.is_none() {
             self.uncertain_since = Some(now);
             return true;
         }
--- a/core/src/serving/store_proof.rs
+++ b/core/src/serving/store_proof.rs
@@ -88,7 +88,8 @@
         true
     }
 
-    /// Drops all but the latest proofs of two reporting processes for each front.
+    /// Drops the oldest proof of a front if more than `REPORTERS_PER_SOURCE` processes reported its
+    /// reads.
     fn drop_excess(
         &mut self,
         source: u32,
@@ -117,9 +118,9 @@
             let differs = |other: &&ReceivedProof| {
                 other.source != proof.source && other.reporter != proof.reporter
             };
-            let is_second = younger.iter().any(differs);
+            let is_confirmed = younger.iter().any(differs);
             younger.push(proof);
-            is_second.then_some(proof.sent_at)
+            is_confirmed.then_some(proof.sent_at)
         })
     }
 
