--- a/agent/src/engine_agent/digest_sender.rs
+++ b/agent/src/engine_agent/digest_sender.rs
@@ -217,7 +217,7 @@
 async fn send_all_parts(
     agent: &EngineAgentContext,
     count: &mut DigestCount,
-    fronts: u32,
+    active_fronts: u32,
 ) {
     let requesters = std::mem::take(&mut agent.state().part_requesters);
     if requesters.is_empty() {
@@ -235,7 +235,7 @@
     let last = chunks.len() - 1;
     for (index, parts) in chunks.into_iter().enumerate() {
         count.number += 1;
-        let mut digest = build_digest(agent, load, *count, fronts, parts);
+        let mut digest = build_digest(agent, load, *count, active_fronts, parts);
         digest.is_whole = index == last;
         let requesters: Vec<SocketAddr> = requesters.iter().copied().collect();
         send_digest(agent, &digest, &requesters).await;
@@ -247,7 +247,7 @@
 async fn send_all_suspects(
     agent: &EngineAgentContext,
     count: &mut DigestCount,
-    fronts: u32,
+    active_fronts: u32,
 ) {
     let requesters = std::mem::take(&mut agent.state().suspect_requesters);
     if requesters.is_empty() {
@@ -267,7 +267,7 @@
     let last = chunks.len() - 1;
     for (index, chunk) in chunks.into_iter().enumerate() {
         count.number += 1;
-        let mut digest = build_digest(agent, load, *count, fronts, Vec::new());
+        let mut digest = build_digest(agent, load, *count, active_fronts, Vec::new());
         digest.suspects = chunk.to_vec();
         digest.has_all_suspects = index == last;
         let requesters: Vec<SocketAddr> = requesters.iter().copied().collect();
@@ -281,7 +281,7 @@
 async fn announce_engine(
     agent: &EngineAgentContext,
     count: &mut DigestCount,
-    fronts: u32,
+    active_fronts: u32,
 ) {
     let now = agent.now();
     let Some((endpoint, silent)) = agent.state().due_announcement(now) else {
@@ -289,7 +289,7 @@
     };
     let load = agent.state().reported_load();
     count.number += 1;
-    let mut digest = build_digest(agent, load, *count, fronts, Vec::new());
+    let mut digest = build_digest(agent, load, *count, active_fronts, Vec::new());
     digest.endpoint = Some(endpoint);
     send_digest(agent, &digest, &silent).await;
 }
@@ -325,7 +325,7 @@
     agent: &EngineAgentContext,
     load: EngineLoad,
     count: DigestCount,
-    fronts: u32,
+    active_fronts: u32,
     parts: Vec<DigestPart>,
 ) -> EngineDigest {
     let incarnation = agent.clock.incarnation();
@@ -348,7 +348,7 @@
         load,
         weights: state.weights.clone(),
         clock_ms: state.clock_ms,
-        fronts,
+        fronts: active_fronts,
         cache_reset: false,
         is_whole: false,
         parts,
--- a/agent/src/engine_agent/engine_agent_context.rs
+++ b/agent/src/engine_agent/engine_agent_context.rs
@@ -31,7 +31,7 @@
 /// digests as a sign of failure.
 pub(crate) const MAX_DIGEST_INTERVAL: Micros = Micros::from_millis(250);
 /// Reports polled per digest, and the minimum and maximum interval between them.
-const REPORTS_PER_DIGEST: u64 = 3;
+const POLLS_PER_DIGEST: u64 = 3;
 const REPORT_INTERVAL_RANGE: (Micros, Micros) = (Micros::from_millis(90), Micros::from_millis(200));
 /// Minimum and maximum interval between polls of the engine's cache changes.
 const CACHE_POLL_INTERVAL_RANGE: (Micros, Micros) =
@@ -127,7 +127,7 @@
     /// cost the engine nothing.
     pub fn report_interval(&self) -> Micros {
         let (min, max) = REPORT_INTERVAL_RANGE;
-        Micros(self.digest_interval.0 / REPORTS_PER_DIGEST)
+        Micros(self.digest_interval.0 / POLLS_PER_DIGEST)
             .max(min)
             .min(max)
     }
@@ -136,7 +136,7 @@
     /// busy engine replaces unused parts within a third of a second.
     pub fn cache_poll_interval(&self) -> Micros {
         let (min, max) = CACHE_POLL_INTERVAL_RANGE;
-        Micros(self.digest_interval.0 / REPORTS_PER_DIGEST)
+        Micros(self.digest_interval.0 / POLLS_PER_DIGEST)
             .max(min)
             .min(max)
     }
@@ -219,8 +219,8 @@
             .leaving
             .as_ref()
             .is_some_and(|(leaving_id, _)| leaving_id == id);
-        let leaving = self.leaving.as_ref().map(|(_, leaving)| leaving);
-        let is_later = leaving.is_none_or(|leaving| incarnation.is_later_than(leaving));
+        let known = self.leaving.as_ref().map(|(_, known)| known);
+        let is_later = known.is_none_or(|known| incarnation.is_later_than(known));
         if is_leaving && (!is_known || is_later) {
             self.leaving = Some((id.to_string(), incarnation));
         } else if !is_leaving && is_known && is_later {
--- a/agent/src/engine_agent/report_poller.rs
+++ b/agent/src/engine_agent/report_poller.rs
@@ -17,12 +17,12 @@
     let mut client = HttpClient::new(agent.settings.engine, REPORT_TIMEOUT);
     let mut failures = 0;
     loop {
-        let call = HttpRequest {
+        let request = HttpRequest {
             method: "GET",
             target: REPORT_PATH,
             ..HttpRequest::default()
         };
-        let body = client.ok_body(call).await;
+        let body = client.ok_body(request).await;
         let report = body.and_then(|body| decode_report(&body, agent.now()).ok());
         match report {
             Some(report) => {
--- a/agent/src/engine_agent/snapshot_cache.rs
+++ b/agent/src/engine_agent/snapshot_cache.rs
@@ -143,8 +143,8 @@
         now: Micros,
     ) -> bool {
         let is_older = |cached: &CachedSnapshot| snapshot.is_older_than(&cached.snapshot);
-        let is_newer = !self.cached.as_ref().is_some_and(is_older);
-        if is_newer {
+        let is_accepted = !self.cached.as_ref().is_some_and(is_older);
+        if is_accepted {
             let endpoint = snapshot.endpoints.iter().find(|endpoint| is_own(endpoint));
             self.own_endpoint = endpoint.cloned().or(self.own_endpoint.take());
             let content_hash = snapshot.content_hash();
@@ -155,7 +155,7 @@
                 received_at: now,
             });
         }
-        is_newer
+        is_accepted
     }
 
     /// List entry of this agent's engine in the latest snapshot that contained it, unless the
--- a/wire/src/engine_agent/snapshot_client.rs
+++ b/wire/src/engine_agent/snapshot_client.rs
@@ -22,12 +22,12 @@
     key: Option<&BeaconKey>,
 ) -> Option<SnapshotResponse> {
     let mut client = HttpClient::new(address, timeout);
-    let call = HttpRequest {
+    let request = HttpRequest {
         method: "GET",
         target: STATE_PATH,
         ..HttpRequest::default()
     };
-    let body = client.ok_body(call).await?;
+    let body = client.ok_body(request).await?;
     Some(SnapshotResponse {
         snapshot: StateSnapshot::open(&body, key),
         bytes: body.len(),
--- a/wire/tests/beacon_seal.rs
+++ b/wire/tests/beacon_seal.rs
@@ -102,7 +102,7 @@
     })]
 
     #[test]
-    fn any_datagram_survives(bytes in proptest::collection::vec(any::<u8>(), 0..MAX_BEACON_BYTES / 16)) {
+    fn random_datagram_refused(bytes in proptest::collection::vec(any::<u8>(), 0..MAX_BEACON_BYTES / 16)) {
         prop_assert!(NumberedBeacon::open(&bytes, &BeaconKey::from_secret("one")).is_err());
     }
 }
--- a/wire/tests/datagram_socket.rs
+++ b/wire/tests/datagram_socket.rs
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn ours_taken() {
+fn valid_messages_received() {
     for secret in [None, Some("a secret")] {
         let (sender, receiver) = (socket(secret), socket(secret));
         send(&sender, &receiver, &[1, 2, 3]);
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn strangers_counted() {
+fn unauthenticated_messages_rejected() {
     let receiver = socket(Some("a secret"));
     for secret in [None, Some("another")] {
         send(&socket(secret), &receiver, &[1]);
@@ -77,13 +77,14 @@
 
 /// Truncated, changed and overlong datagrams are rejected, and the next valid one is received.
 #[test]
-fn damaged_dropped() {
+fn damaged_datagrams_rejected() {
     let receiver = socket(Some("a secret"));
     let sender = socket(Some("a secret"));
-    let tap = UdpSocket::bind("127.0.0.1:0").expect("bound");
-    smol::block_on(sender.send(&vec![1u64, 2, 3], tap.local_addr().expect("bound"))).expect("sent");
+    let raw_socket = UdpSocket::bind("127.0.0.1:0").expect("bound");
+    smol::block_on(sender.send(&vec![1u64, 2, 3], raw_socket.local_addr().expect("bound")))
+        .expect("sent");
     let mut bytes = vec![0; 60_000];
-    let count = tap.recv(&mut bytes).expect("heard");
+    let count = raw_socket.recv(&mut bytes).expect("heard");
     let valid = bytes[..count].to_vec();
     let mut damaged = vec![Vec::new(), vec![0; 3], valid[1..].to_vec(), vec![0; 59_000]];
     damaged.extend((0..valid.len()).map(|length| valid[..length].to_vec()));
@@ -93,11 +94,15 @@
         changed
     }));
     for datagram in &damaged {
-        tap.send_to(datagram, address(&receiver)).expect("sent");
+        raw_socket
+            .send_to(datagram, address(&receiver))
+            .expect("sent");
         assert_eq!(next_within_20_ms(&receiver), None);
     }
     assert_eq!(receiver.rejected_count(), damaged.len() as u64);
-    tap.send_to(&valid, address(&receiver)).expect("sent");
+    raw_socket
+        .send_to(&valid, address(&receiver))
+        .expect("sent");
     assert_eq!(next_message(&receiver), Some(vec![1, 2, 3]));
 }
 
@@ -119,7 +124,7 @@
 /// A digest that is encoded once for all fronts decodes like one encoded for a single front, and
 /// parts remain in order within each cache namespace.
 #[test]
-fn digest_written_once() {
+fn digest_encoded_once() {
     let part = |namespace, id: &str, tokens| DigestPart {
         namespace: NamespaceTag(namespace),
         id: PartId::parse(id).expect("hex"),
