--- a/agent/src/engine_agent/cache_poller.rs
+++ b/agent/src/engine_agent/cache_poller.rs
@@ -45,8 +45,8 @@
             agent.state().reset_cache();
         }
         epoch = Some(changes.epoch);
-        // The request started at a change number of the earlier incarnation, so the response lacks
-        // the changes up to that number.
+        // The engine has restarted since `next` was set: the request asked for the changes after a
+        // number of the earlier incarnation, and the response lacks those up to that number.
         if agent.state().cache_resets != known_resets {
             continue;
         }
--- a/agent/src/engine_agent/digest_sender.rs
+++ b/agent/src/engine_agent/digest_sender.rs
@@ -142,7 +142,8 @@
             wanted.version = weights.version;
             wanted.turn_at = None;
         }
-        // A turn that was assigned too long ago may have passed to another engine.
+        // Counted from the earliest time at which the greeting may have been sent: after a while,
+        // the turn may have passed to another engine.
         if let Some(age) = age.filter(|_| weights.is_turn) {
             wanted.turn_at = wanted.turn_at.max(Some(now.since(age)));
         }
@@ -242,8 +243,8 @@
     }
 }
 
-/// Sends all suspect requests to the fronts that requested them, as they have just started or
-/// missed a digest.
+/// Sends all known suspect requests to the fronts that asked for this list because they have just
+/// started or missed a digest.
 async fn send_all_suspects(
     agent: &EngineAgentContext,
     count: &mut DigestCount,
@@ -366,7 +367,6 @@
     state.pending_changes.drain(..count).collect()
 }
 
-/// Sleeps for `span`.
 pub(crate) async fn sleep(span: Micros) {
     Timer::after(to_duration(span)).await;
 }
--- a/agent/src/engine_agent/engine_agent_context.rs
+++ b/agent/src/engine_agent/engine_agent_context.rs
@@ -30,8 +30,9 @@
 /// Maximum time between two digests, unless the digest interval is longer: fronts treat missing
 /// digests as a sign of failure.
 pub(crate) const MAX_DIGEST_INTERVAL: Micros = Micros::from_millis(250);
-/// Reports polled per digest, and the minimum and maximum interval between them.
+/// Polls of the engine's report, and of its cache changes, per digest.
 const POLLS_PER_DIGEST: u64 = 3;
+/// Minimum and maximum interval between polls of the engine's report.
 const REPORT_INTERVAL_RANGE: (Micros, Micros) = (Micros::from_millis(90), Micros::from_millis(200));
 /// Minimum and maximum interval between polls of the engine's cache changes.
 const CACHE_POLL_INTERVAL_RANGE: (Micros, Micros) =
@@ -186,8 +187,9 @@
     }
 
     /// Records the engine id in a front's greeting; returns true if it is new. Fronts with outdated
-    /// state still send the id of the previous engine at the address: the id of the engine that was
-    /// born later is used or, with equal start times, of the one whose row was written last.
+    /// state still send the id of the previous engine at the address, so the id of the engine that
+    /// started later is used. If both started at the same time, it is the id of the engine whose
+    /// row was written last.
     pub fn record_engine_id(
         &mut self,
         id: &str,
@@ -269,7 +271,8 @@
         &mut self,
         part: DigestPart,
     ) {
-        // With no fronts to report to, the oldest changes are of no use.
+        // Changes accumulate while there are no fronts to report to. A front that starts later
+        // requests the list of all cached parts, so the oldest changes are of no use.
         if self.pending_changes.len() >= MAX_PENDING_CHANGES {
             self.pending_changes.pop_front();
         }
@@ -284,7 +287,7 @@
 /// Context shared by all tasks.
 #[derive(Debug)]
 pub(crate) struct EngineAgentContext {
-    /// Settings.
+    /// Settings at the start of the process; a reload signal does not change them.
     pub settings: EngineAgentSettings,
     /// Clock.
     pub clock: ProcessClock,
--- a/agent/src/engine_agent/front_contacts.rs
+++ b/agent/src/engine_agent/front_contacts.rs
@@ -12,7 +12,7 @@
 /// Minimum time without greetings after which the engine is announced to a front; some greetings
 /// may get lost.
 const MIN_SILENCE: Micros = Micros::from_millis(1_500);
-/// The same two times as multiples of the announced greeting interval, if that is longer.
+/// Both times are at least this many greeting intervals, as announced by the front.
 const MAX_MISSED_GREETINGS: u64 = 3;
 /// Time after the last greeting for which a front is tracked, and the number of fronts above which
 /// inactive ones are removed earlier. After a longer pause of this box, fronts find the engine only
--- a/agent/src/engine_agent/mod.rs
+++ b/agent/src/engine_agent/mod.rs
@@ -1,5 +1,6 @@
 //! The agent process of an engine on the platform. It is not in the path of requests: it reports
-//! the engine's state to the fronts and is the only process that gives the engine orders.
+//! the engine's state to the fronts, and gives the engine its orders while it holds the right to do
+//! so.
 
 mod cache_poller;
 mod digest_sender;
--- a/agent/src/engine_agent/order_sender.rs
+++ b/agent/src/engine_agent/order_sender.rs
@@ -28,8 +28,9 @@
 /// doubles with each attempt.
 const RETRY_DELAY_RANGE: (Micros, Micros) = (Micros::from_millis(300), Micros::from_secs(4));
 
-/// Gives the engine its orders. A front may take over this right after it has received no digests
-/// from this process for some time, so the holder of the right is checked before each order.
+/// Gives the engine its orders. A front that has received no digests from this process for some
+/// time may acquire the right to give orders, so the holder of the right is checked before each
+/// order.
 pub(crate) async fn send_orders(agent: Rc<EngineAgentContext>) {
     let settings = &agent.settings;
     let mut store = StoreClient::new(settings.store, STORE_TIMEOUT);
--- a/agent/src/engine_agent/snapshot_cache.rs
+++ b/agent/src/engine_agent/snapshot_cache.rs
@@ -63,7 +63,7 @@
 struct CachedSnapshot {
     snapshot: StateSnapshot,
     content_hash: u64,
-    /// Time to which the ages in the snapshot refer, or earlier.
+    /// Lower bound of the time to which the ages in the snapshot refer.
     aged_at: Micros,
     /// When the snapshot was received.
     received_at: Micros,
@@ -158,9 +158,9 @@
         is_accepted
     }
 
-    /// List entry of this agent's engine in the latest snapshot that contained it, unless the
-    /// engine left. Snapshots of a front that started while this box was paused don't contain the
-    /// engine.
+    /// List entry of this agent's engine in the latest snapshot that contained it, unless that
+    /// entry has another id or is marked as leaving. Snapshots of a front that started while this
+    /// box was paused don't contain the engine.
     pub fn own_endpoint(
         &self,
         id: &str,
--- a/wire/src/beacon/beacon_key.rs
+++ b/wire/src/beacon/beacon_key.rs
@@ -2,14 +2,15 @@
 
 const KEY_CONTEXT: &str = "pitchhitch 2026-12 beacon key";
 
-/// Shared key of a deployment, derived for beacons only.
+/// Shared key of a deployment, which authenticates beacons, and the datagrams and state snapshots
+/// of fronts and engine agents.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub struct BeaconKey {
     bytes: [u8; 32],
 }
 
 impl BeaconKey {
-    /// Derives the key from the `beacon_secret` of the settings.
+    /// Derives the key from the `beacon_secret` or `peer_secret` of the settings.
     pub fn from_secret(secret: &str) -> Self {
         BeaconKey {
             bytes: blake3::derive_key(KEY_CONTEXT, secret.as_bytes()),
--- a/wire/src/engine_agent/datagram_socket.rs
+++ b/wire/src/engine_agent/datagram_socket.rs
@@ -41,7 +41,7 @@
         })
     }
 
-    /// Sets the key that authenticates messages as sent by a process of this installation.
+    /// Sets the key that authenticates messages as sent by a process of this deployment.
     #[must_use]
     pub fn with_key(
         self,
--- a/wire/src/engine_agent/digest_message.rs
+++ b/wire/src/engine_agent/digest_message.rs
@@ -39,7 +39,8 @@
         encode_body(digest).map(EncodedDigest)
     }
 
-    /// Encodes a [`DigestMessage`] with this digest: the encoded fields follow each other.
+    /// Encodes a [`DigestMessage`] with this digest. The codec writes the fields of a struct one
+    /// after the other, so the encoded echo is appended.
     ///
     /// # Errors
     /// [`FrameError::Malformed`] if it cannot be encoded.
--- a/wire/src/engine_agent/front_greeting.rs
+++ b/wire/src/engine_agent/front_greeting.rs
@@ -42,7 +42,8 @@
     pub engine_id: Option<String>,
     /// Start of the listed incarnation, in milliseconds since 1970, if reported.
     pub engine_born: Option<u64>,
-    /// Store position of its latest row; unset if another front reported the engine.
+    /// Store position of the engine's latest row; the default if the front has not read that row
+    /// itself.
     pub engine_row: StorePosition,
     /// Whether the engine is leaving: it loads no more weights and is not announced to fronts.
     pub is_leaving: bool,
--- a/wire/src/engine_agent/mod.rs
+++ b/wire/src/engine_agent/mod.rs
@@ -1,5 +1,5 @@
-//! Datagrams between fronts and the agents of engines. Each datagram is self-contained: a lost one
-//! makes knowledge less fresh, never wrong.
+//! Messages between fronts and the agents of engines: datagrams, and state snapshots over HTTP.
+//! Each datagram is self-contained: a lost one makes knowledge less fresh, never wrong.
 
 mod datagram_socket;
 mod digest_message;
--- a/wire/src/engine_agent/state_snapshot.rs
+++ b/wire/src/engine_agent/state_snapshot.rs
@@ -18,8 +18,8 @@
 
 /// State that a front has read from the platform store, for a process that cannot reach the store.
 ///
-/// A snapshot has an age, to which its receiver adds the time since. The receiver ignores content
-/// older than its own, and relies on the store as soon as that responds.
+/// A snapshot has an age, to which its receiver adds the time since it sent the request. The
+/// receiver ignores content older than its own, and relies on the store as soon as that responds.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StateSnapshot {
     /// Configuration, as stored.
@@ -111,7 +111,7 @@
             &self.endpoints,
             &self.evacuated,
         );
-        // Content that cannot be encoded has no hash of its own and is not requested.
+        // Content that cannot be encoded has no hash of its own; such a snapshot cannot be served.
         let Ok(bytes) = encode_body(&content) else {
             return 0;
         };
@@ -121,7 +121,7 @@
     /// Encodes the snapshot, followed by a keyed hash if a key is set.
     ///
     /// # Errors
-    /// [`SnapshotError::Malformed`] if it is too long.
+    /// [`SnapshotError::Malformed`] if it cannot be encoded.
     pub fn seal(
         &self,
         key: Option<&BeaconKey>,
--- a/wire/src/lib.rs
+++ b/wire/src/lib.rs
@@ -1,5 +1,5 @@
-//! Messages between the processes of pitchhitch, the HTTP/2 link that carries them
-//! and the UDP socket for beacons.
+//! Messages between the processes of pitchhitch, and the transports that carry them: an HTTP/2
+//! link, UDP sockets, and HTTP requests for state snapshots.
 
 pub mod beacon;
 pub mod codec;
--- a/wire/tests/datagram_socket.rs
+++ b/wire/tests/datagram_socket.rs
@@ -84,7 +84,7 @@
     smol::block_on(sender.send(&vec![1u64, 2, 3], raw_socket.local_addr().expect("bound")))
         .expect("sent");
     let mut bytes = vec![0; 60_000];
-    let count = raw_socket.recv(&mut bytes).expect("heard");
+    let count = raw_socket.recv(&mut bytes).expect("received");
     let valid = bytes[..count].to_vec();
     let mut damaged = vec![Vec::new(), vec![0; 3], valid[1..].to_vec(), vec![0; 59_000]];
     damaged.extend((0..valid.len()).map(|length| valid[..length].to_vec()));
@@ -155,9 +155,9 @@
         age: Micros(8),
         grant: SendGrant { per_second: 7 },
     });
-    let encoded = EncodedDigest::new(&digest).expect("written");
-    let bytes = encoded.with_echo(echo).expect("written");
-    let message: DigestMessage = decode_body(&bytes).expect("read");
+    let encoded = EncodedDigest::new(&digest).expect("encoded");
+    let bytes = encoded.with_echo(echo).expect("encoded");
+    let message: DigestMessage = decode_body(&bytes).expect("decoded");
     let grouped = vec![part(1, "aa", 10), part(1, "aa", 0), part(2, "bb", 20)];
     assert_eq!((message.echo, &message.digest.parts), (echo, &grouped));
     assert_eq!(
