--- a/agent/src/engine_agent/digest_sender.rs
+++ b/agent/src/engine_agent/digest_sender.rs
@@ -142,7 +142,8 @@
             wanted.version = weights.version;
             wanted.turn_at = None;
         }
-        // A turn that was assigned too long ago may have passed to another engine.
+        // Counted from the earliest time at which the greeting may have been sent: after a while,
+        // the turn may have passed to another engine.
         if let Some(age) = age.filter(|_| weights.is_turn) {
             wanted.turn_at = wanted.turn_at.max(Some(now.since(age)));
         }
@@ -217,7 +218,7 @@
 async fn send_all_parts(
     agent: &EngineAgentContext,
     count: &mut DigestCount,
-    fronts: u32,
+    active_fronts: u32,
 ) {
     let requesters = std::mem::take(&mut agent.state().part_requesters);
     if requesters.is_empty() {
@@ -235,19 +236,19 @@
     let last = chunks.len() - 1;
     for (index, parts) in chunks.into_iter().enumerate() {
         count.number += 1;
-        let mut digest = build_digest(agent, load, *count, fronts, parts);
+        let mut digest = build_digest(agent, load, *count, active_fronts, parts);
         digest.is_whole = index == last;
         let requesters: Vec<SocketAddr> = requesters.iter().copied().collect();
         send_digest(agent, &digest, &requesters).await;
     }
 }
 
-/// Sends all suspect requests to the fronts that requested them, as they have just started or
-/// missed a digest.
+/// Sends all known suspect requests to the fronts that asked for this list because they have just
+/// started or missed a digest.
 async fn send_all_suspects(
     agent: &EngineAgentContext,
     count: &mut DigestCount,
-    fronts: u32,
+    active_fronts: u32,
 ) {
     let requesters = std::mem::take(&mut agent.state().suspect_requesters);
     if requesters.is_empty() {
@@ -267,7 +268,7 @@
     let last = chunks.len() - 1;
     for (index, chunk) in chunks.into_iter().enumerate() {
         count.number += 1;
-        let mut digest = build_digest(agent, load, *count, fronts, Vec::new());
+        let mut digest = build_digest(agent, load, *count, active_fronts, Vec::new());
         digest.suspects = chunk.to_vec();
         digest.has_all_suspects = index == last;
         let requesters: Vec<SocketAddr> = requesters.iter().copied().collect();
@@ -281,7 +282,7 @@
 async fn announce_engine(
     agent: &EngineAgentContext,
     count: &mut DigestCount,
-    fronts: u32,
+    active_fronts: u32,
 ) {
     let now = agent.now();
     let Some((endpoint, silent)) = agent.state().due_announcement(now) else {
@@ -289,7 +290,7 @@
     };
     let load = agent.state().reported_load();
     count.number += 1;
-    let mut digest = build_digest(agent, load, *count, fronts, Vec::new());
+    let mut digest = build_digest(agent, load, *count, active_fronts, Vec::new());
     digest.endpoint = Some(endpoint);
     send_digest(agent, &digest, &silent).await;
 }
@@ -325,7 +326,7 @@
     agent: &EngineAgentContext,
     load: EngineLoad,
     count: DigestCount,
-    fronts: u32,
+    active_fronts: u32,
     parts: Vec<DigestPart>,
 ) -> EngineDigest {
     let incarnation = agent.clock.incarnation();
@@ -348,7 +349,7 @@
         load,
         weights: state.weights.clone(),
         clock_ms: state.clock_ms,
-        fronts,
+        fronts: active_fronts,
         cache_reset: false,
         is_whole: false,
         parts,
@@ -366,7 +367,6 @@
     state.pending_changes.drain(..count).collect()
 }
 
-/// Sleeps for `span`.
 pub(crate) async fn sleep(span: Micros) {
     Timer::after(to_duration(span)).await;
 }
--- a/agent/src/engine_agent/snapshot_cache.rs
+++ b/agent/src/engine_agent/snapshot_cache.rs
@@ -63,7 +63,7 @@
 struct CachedSnapshot {
     snapshot: StateSnapshot,
     content_hash: u64,
-    /// Time to which the ages in the snapshot refer, or earlier.
+    /// Lower bound of the time to which the ages in the snapshot refer.
     aged_at: Micros,
     /// When the snapshot was received.
     received_at: Micros,
@@ -143,8 +143,8 @@
         now: Micros,
     ) -> bool {
         let is_older = |cached: &CachedSnapshot| snapshot.is_older_than(&cached.snapshot);
-        let is_newer = !self.cached.as_ref().is_some_and(is_older);
-        if is_newer {
+        let is_accepted = !self.cached.as_ref().is_some_and(is_older);
+        if is_accepted {
             let endpoint = snapshot.endpoints.iter().find(|endpoint| is_own(endpoint));
             self.own_endpoint = endpoint.cloned().or(self.own_endpoint.take());
             let content_hash = snapshot.content_hash();
@@ -155,12 +155,12 @@
                 received_at: now,
             });
         }
-        is_newer
+        is_accepted
     }
 
-    /// List entry of this agent's engine in the latest snapshot that contained it, unless the
-    /// engine left. Snapshots of a front that started while this box was paused don't contain the
-    /// engine.
+    /// List entry of this agent's engine in the latest snapshot that contained it, unless that
+    /// entry has another id or is marked as leaving. Snapshots of a front that started while this
+    /// box was paused don't contain the engine.
     pub fn own_endpoint(
         &self,
         id: &str,
