--- a/agent/src/engine_agent/digest_sender.rs
+++ b/agent/src/engine_agent/digest_sender.rs
@@ -326,7 +326,7 @@
     agent: &EngineAgentContext,
     load: EngineLoad,
     count: DigestCount,
-    active_fronts: u32,
+    fronts: u32,
     parts: Vec<DigestPart>,
 ) -> EngineDigest {
     let incarnation = agent.clock.incarnation();
@@ -349,7 +349,7 @@
         load,
         weights: state.weights.clone(),
         clock_ms: state.clock_ms,
-        fronts: active_fronts,
+        fronts,
         cache_reset: false,
         is_whole: false,
         parts,
