--- a/core/tests/away_endpoints.rs
+++ b/core/tests/away_endpoints.rs
@@ -72,7 +72,7 @@
 /// they exit. As their reports stop, the turn passes to others; without that, no other engine
 /// loaded for seven seconds.
 #[test]
-fn exited_engine_loses_turn() {
+fn exited_loses_turn() {
     let mut registry = registry(4, 0);
     let mut planner = planner();
     planner.plan(&registry, LIMIT, at(0));
@@ -92,7 +92,7 @@
 /// An engine that still reports keeps its turn until its long requests have ended, even if its
 /// entry disappears meanwhile.
 #[test]
-fn away_engine_keeps_turn() {
+fn away_keeps_turn() {
     let mut registry = registry(1, 20);
     let mut planner = planner();
     planner.plan(&registry, LIMIT, at(0));
@@ -106,7 +106,7 @@
 /// The size of a service limits how many engines load at once; engines whose entries disappeared
 /// count as long as they report.
 #[test]
-fn reporting_engines_set_load_limit() {
+fn reporting_engines_counted() {
     for (heard, at_once) in [(15, 3), (10, 2)] {
         let mut registry = registry(15, 0);
         for place in 0..15 {
@@ -141,7 +141,7 @@
 /// disappeared because they were leaving; the serving ones waited, and received no prompts once
 /// their weights had expired.
 #[test]
-fn listed_engines_load_first() {
+fn listed_load_first() {
     let mut registry = registry(4, 0);
     for place in [0, 1] {
         registry.mark_unlisted(&format!("e{place}"), true);
--- a/core/tests/disabled_admission.rs
+++ b/core/tests/disabled_admission.rs
@@ -100,7 +100,7 @@
 }
 
 #[test]
-fn cached_tokens_reduce_needed_memory() {
+fn cached_tokens_discounted() {
     let mut holder = EndpointChoice {
         free_tokens: Some(8_000),
         ..idle()
--- a/core/tests/early_saves.rs
+++ b/core/tests/early_saves.rs
@@ -266,7 +266,7 @@
     /// With any sequence of restarts, pauses and delays, nothing is saved while a view of the
     /// previous incarnation of the store may still be in use.
     #[test]
-    fn no_saves_before_views_expire(sim_events in proptest::collection::vec(sim_event(), STEPS)) {
+    fn saves_after_expiry(sim_events in proptest::collection::vec(sim_event(), STEPS)) {
         run_sim(&sim_events);
     }
 }
--- a/core/tests/endpoint_incarnations.rs
+++ b/core/tests/endpoint_incarnations.rs
@@ -209,7 +209,7 @@
 }
 
 #[test]
-fn superseded_by_later_start() {
+fn later_start_supersedes() {
     let mut registry = EndpointRegistry::default();
     registry.apply(&notice("b-old", Some(5), false));
     assert_eq!(registry.retire_superseded(), []);
@@ -247,7 +247,7 @@
 }
 
 #[test]
-fn one_present_per_address() {
+fn one_per_address() {
     let mut registry = EndpointRegistry::default();
     let row = |id: &str, born: Option<u64>, version: u64| EndpointNotice {
         row: row_at(1, version),
--- a/core/tests/endpoint_pick.rs
+++ b/core/tests/endpoint_pick.rs
@@ -14,7 +14,7 @@
 };
 
 #[test]
-fn engine_with_cached_parts_preferred() {
+fn cached_parts_attract() {
     for id in ["e1", "e2", "e3"] {
         let mut fleet = Fleet::new();
         fleet.cache_parts(id);
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn busy_engine_with_cached_parts_avoided() {
+fn busy_holder_avoided() {
     let mut fleet = Fleet::new();
     fleet.cache_parts("e1");
     fleet.load("e1", |load| load.unread = 30);
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn engine_without_reports_avoided() {
+fn unreported_engine_avoided() {
     let mut fleet = Fleet::new();
     let first = fleet.picked();
     let entry = fleet.registry.get_mut(first).expect("entry");
@@ -64,7 +64,7 @@
 }
 
 #[test]
-fn unhealthy_endpoints_used_as_fallback() {
+fn unhealthy_as_fallback() {
     let mut fleet = Fleet::new();
     for id in ["e1", "e2", "e3"] {
         fleet.load(id, |load| load.is_silent = true);
@@ -93,7 +93,7 @@
 }
 
 #[test]
-fn draining_engine_gets_short_answers_only() {
+fn draining_short_answers() {
     let mut fleet = Fleet::new();
     let first = fleet.picked();
     fleet.registry.get_mut(first).expect("entry").stage = SwapStage::Draining;
@@ -127,7 +127,7 @@
 }
 
 #[test]
-fn parts_fetched_from_store() {
+fn store_fetch_planned() {
     let mut fleet = Fleet::new();
     fleet.fill_store();
     let choice = fleet.pick(&prompt(), &[]).expect("an endpoint");
@@ -136,7 +136,7 @@
 }
 
 #[test]
-fn fronts_agree_on_home_engine() {
+fn fronts_share_home() {
     // Fronts without knowledge of each other send the same uncached prompt to the same engine.
     let homes: Vec<EndpointKey> = (0..50u64)
         .map(|number| {
@@ -173,7 +173,7 @@
 /// Parts that an engine is believed to have cached may have been evicted, so the plan names a
 /// source for them too. It costs nothing if no part is missing.
 #[test]
-fn cached_parts_not_fetched() {
+fn no_needless_fetches() {
     let mut fleet = Fleet::new();
     fleet.fill_store();
     fleet.cache_parts("e1");
@@ -196,7 +196,7 @@
 /// A report does not yet include prompts that were just sent. The memory they will use counts in
 /// full, even if few of their tokens need prefill.
 #[test]
-fn sent_prompts_count_as_used_memory() {
+fn sent_prompts_counted() {
     let mut fleet = Fleet::new();
     fleet.load("e1", |load| {
         load.total_tokens = 100_000;
--- a/core/tests/endpoint_registry.rs
+++ b/core/tests/endpoint_registry.rs
@@ -126,7 +126,7 @@
 }
 
 #[test]
-fn leaving_does_not_lapse() {
+fn leaving_never_lapses() {
     let mut registry = EndpointRegistry::default();
     registry.apply(&notice("e", 1, true));
     // Its entry disappears while the list is unreliable, after it announced its leave.
--- a/core/tests/fetch_completion.rs
+++ b/core/tests/fetch_completion.rs
@@ -112,7 +112,7 @@
 }
 
 #[test]
-fn newer_weights_not_waited_for() {
+fn newer_weights_excluded() {
     let mut completion = FetchCompletion::default();
     let mut update = |engine_weights: &[KnownWeights], version: u64| {
         let engines = engine_weights.iter().map(|weights| (engine(0), weights));
--- a/core/tests/kv_store_view.rs
+++ b/core/tests/kv_store_view.rs
@@ -82,7 +82,7 @@
 /// Nothing is saved between a restart and the expiry of every older view: a part that is being
 /// written must not be fetched by a box that assumes that it is complete.
 #[test]
-fn saves_wait_for_view_expiry() {
+fn saves_await_expiry() {
     assert!(SAVE_DELAY > VIEW_TTL);
     let mut view = KvStoreView::new(store(1, 1_000));
     view.record_response(1, Some(1), START, START);
@@ -227,7 +227,7 @@
 
 /// With few fronts, each learns of changes sooner.
 #[test]
-fn few_fronts_poll_often() {
+fn small_fleet_polls() {
     let few = store(1, 1_000).poll_plan(8);
     let many = store(1, 1_000).poll_plan(30);
     assert!(few.pause < many.pause);
--- a/core/tests/latency_estimator.rs
+++ b/core/tests/latency_estimator.rs
@@ -33,7 +33,7 @@
 /// Engines that prefill 24, 48, 97 or 190 tokens per millisecond, with an initial value that is
 /// wrong by a factor of four in either direction.
 #[test]
-fn wrong_initial_value_corrected() {
+fn wrong_start_corrected() {
     for token_ms in [1.0 / 24.0, 1.0 / 48.0, 1.0 / 97.0, 1.0 / 190.0] {
         for start in [token_ms / 4.0, token_ms * 4.0] {
             let estimator = trained(start, 30.0, token_ms);
@@ -52,7 +52,7 @@
 /// The default initial value is right within a factor of three for these engines, except for the
 /// fastest one, where it is within four.
 #[test]
-fn initial_value_within_bounds() {
+fn initial_value_bounded() {
     let start = LatencyEstimator::default().token_ms();
     for (rate, factor) in [(24.0, 3.0), (48.0, 3.0), (97.0, 3.0), (190.0, 4.0)] {
         let ratio = start * rate;
--- a/core/tests/order_rights.rs
+++ b/core/tests/order_rights.rs
@@ -329,7 +329,7 @@
     /// Fencing tokens never decrease and are never shared, and orders of two boxes are at least
     /// the gap apart.
     #[test]
-    fn orders_fenced_and_spaced(events in events()) {
+    fn one_order_sender(events in events()) {
         let mut simulation = Simulation::new(Variant::Correct);
         simulation.run(&events);
         prop_assert_eq!(simulation.violation(), None);
--- a/core/tests/overload.rs
+++ b/core/tests/overload.rs
@@ -49,7 +49,7 @@
 /// Four times what an engine can prefill: some prompts are admitted all the time, and a series of
 /// refusals is shorter than the time in which an engine prefills ten prompts.
 #[test]
-fn refusals_in_short_series() {
+fn short_refusal_series() {
     let size = (2_400.0, 2_400.0);
     let mut controller = AdmissionController::default();
     let (mut run, mut longest) = (0, 0);
@@ -76,7 +76,7 @@
 /// With varying free memory and queues, a more urgent prompt is refused only if a less urgent one
 /// of the same size is refused too.
 #[test]
-fn least_urgent_refused_first() {
+fn least_urgent_first() {
     let estimator = LatencyEstimator::default();
     let urgent = AdmissionRequest {
         route: "urgent",
@@ -135,7 +135,7 @@
 /// If most large prompts find no memory, some of it is reserved. A caller that was refused before
 /// may use it, and so takes precedence over new callers.
 #[test]
-fn memory_reserved_for_retries() {
+fn retry_memory_reserved() {
     let estimator = LatencyEstimator::default();
     let mut controller = AdmissionController::default();
     controller.record(&request(), 12_000, 4_000);
@@ -198,7 +198,7 @@
 /// Refused callers should retry when the backlog has been processed, not earlier and not all at
 /// once.
 #[test]
-fn retry_after_follows_backlog() {
+fn backlog_retry_after() {
     let mut estimator = LatencyEstimator::with_token_ms(0.02);
     for _ in 0..200 {
         estimator.record_sent(12_000, 4_000, 60);
--- a/core/tests/part_reclaim.rs
+++ b/core/tests/part_reclaim.rs
@@ -36,7 +36,7 @@
     /// Under any order of publications, fetches, pauses, restarts and cancellations, no engine
     /// fetches a freed part, and no front requests it.
     #[test]
-    fn freed_parts_not_fetched(
+    fn freed_part_unfetched(
         first_published in 500u64..3_000,
         events in proptest::collection::vec((0u64..40_000, event()), 20..120),
     ) {
--- a/core/tests/path_lookup.rs
+++ b/core/tests/path_lookup.rs
@@ -116,7 +116,7 @@
 }
 
 #[test]
-fn targets_chosen_by_weight() {
+fn weighted_targets() {
     let route = route("any", "a.example", "/");
     let first = (0..1_000)
         .filter(|n| route.target(*n) == Some("first"))
--- a/core/tests/serving_limits.rs
+++ b/core/tests/serving_limits.rs
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn old_keys_fail_closed() {
+fn fail_closed_keys() {
     let mut freshness = KeyFreshness::new(at(4_000), KeyPolicy::FailClosed);
     assert!(!freshness.admits_keys(at(0)));
     freshness.record_read(at(1_000));
@@ -86,7 +86,7 @@
 /// With the fail-open policy, callers are still admitted by old keys, but none is refused as
 /// unknown on the basis of old keys. Without any keys no caller is admitted.
 #[test]
-fn old_keys_fail_open() {
+fn fail_open_keys() {
     let mut freshness = KeyFreshness::new(at(4_000), KeyPolicy::FailOpen);
     assert!(!freshness.admits_keys(at(0)) && !freshness.is_ready(at(0)));
     freshness.record_read(at(1_000));
@@ -97,7 +97,7 @@
 /// Keys forwarded by another box retain their age, even if they are older than this process.
 /// Callers are admitted by them, but none is refused as unknown.
 #[test]
-fn forwarded_keys_keep_age() {
+fn forwarded_age_kept() {
     let mut freshness = KeyFreshness::new(at(4_000), KeyPolicy::FailClosed);
     freshness.record_report(at(3_000), at(100));
     assert_eq!(freshness.age(at(600)), Some(at(3_500)));
@@ -166,7 +166,7 @@
 /// With two of nine engines unreachable, running prompts filled the memory and no answer was in
 /// time for twenty seconds.
 #[test]
-fn large_prompts_refused_first() {
+fn large_prompts_first() {
     let mut controller = two_routes(12_000, 3_000);
     let large = request("large", 2);
     let small = request("small", 1);
@@ -192,7 +192,7 @@
 
 /// Engines with full memory preempted 81 prompts in one day and prefilled them again.
 #[test]
-fn large_prompts_need_free_memory() {
+fn large_prompt_memory() {
     let mut controller = two_routes(12_000, 3_000);
     let large = request("large", 2);
     assert!(!refuses(&mut controller, &large, &with_free(12_500)));
@@ -214,7 +214,7 @@
 /// Recent prompts started far too late. An engine with free memory and nothing to prefill still
 /// accepts prompts; one with a queue does not.
 #[test]
-fn free_engine_accepts_prompts() {
+fn free_engine_accepts() {
     let mut estimator = LatencyEstimator::with_token_ms(1.0 / 97.0);
     for _ in 0..200 {
         estimator.record_first_token(100.0, 5_000.0);
@@ -240,7 +240,7 @@
 }
 
 #[test]
-fn least_recently_used_parts_evicted() {
+fn lru_parts_evicted() {
     let namespace = NamespaceTag(1);
     let part = |id: &str, tokens| PromptPart {
         id: PartId::parse(id).expect("hex"),
@@ -283,7 +283,7 @@
 /// Refusals that offer a retry guarantee that the request has not run: nothing was sent yet, or the
 /// endpoint itself reported that it did not run. If it may have run, none is offered.
 #[test]
-fn retry_offered_only_if_not_run() {
+fn retry_proves_unrun() {
     let unknown = [
         RefusalKind::EndpointLost,
         RefusalKind::BadAnswer,
--- a/core/tests/store_clock.rs
+++ b/core/tests/store_clock.rs
@@ -10,7 +10,7 @@
 }
 
 #[test]
-fn long_poll_response_dated() {
+fn long_polls_dated() {
     let mut clock = StoreClock::default();
     assert_eq!(
         clock.earliest_response_time(ms(100), Some(7_002), ms(104)),
--- a/core/tests/suspect_tracker.rs
+++ b/core/tests/suspect_tracker.rs
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn blocked_after_three_crashes() {
+fn third_crash_blocks() {
     let one = crash(1, 100, 200);
     let two = crash(2, 200, 300);
     let three = crash(3, 1_400, 1_500);
@@ -104,7 +104,7 @@
 
 /// A request that many callers send runs on each engine of a rack that loses power.
 #[test]
-fn simultaneous_crashes_count_once() {
+fn simultaneous_crashes() {
     let together: Vec<SuspectCrash> = (0..40).map(|n| crash(n, 100 + n, 300 + n)).collect();
     let tracker = crashed(&together);
     assert_eq!(
@@ -118,7 +118,7 @@
 /// endpoint with other suspects, and its crash does not count. A harmless request was blocked after
 /// three crashes in quick succession.
 #[test]
-fn crash_of_uninformed_sender_not_counted() {
+fn uninformed_sender_ignored() {
     let at = Micros::from_millis;
     let unknowing = [
         crash_knowing(0, 1, 0, 20),
@@ -182,7 +182,7 @@
 
 /// Ten thousand different requests evict each other, not the one that is blocked.
 #[test]
-fn blocked_request_not_evicted() {
+fn blocked_request_kept() {
     let mut tracker = crashed(&[crash(1, 100, 200), crash(2, 200, 300), crash(3, 400, 500)]);
     for number in 0..10_000 {
         let other = fingerprint(&number.to_string());
--- a/core/tests/swap_planner.rs
+++ b/core/tests/swap_planner.rs
@@ -132,7 +132,7 @@
 }
 
 #[test]
-fn two_load_at_once() {
+fn two_concurrent_loads() {
     let mut registry = registry(9, 0, at(0));
     let mut planner = SwapPlanner::default();
     assert!(planner.publish("m", 2, Some(at(0)), at(0)));
@@ -156,7 +156,7 @@
 /// With two concurrent loads among 54 engines, half of the engines still had expired weights after
 /// 12 s.
 #[test]
-fn loads_grow_with_service() {
+fn loads_by_service() {
     for (engines, at_once) in [(3, 2), (9, 2), (15, 3), (54, 10)] {
         let registry = registry(engines, 0, at(0));
         let mut planner = SwapPlanner::default();
@@ -274,7 +274,7 @@
 /// While engines load newer weights, fewer and fewer parts of the older ones are fetched, and parts
 /// are freed as space is needed.
 #[test]
-fn old_part_fetches_phase_out() {
+fn old_fetches_end() {
     let mut planner = SwapPlanner::default();
     planner.publish("m", 2, Some(at(0)), at(500));
     let ids = (0..300).map(|number| PartId::parse(&format!("{:x}", number * 7 + 1)));
@@ -293,7 +293,7 @@
 /// publication was applied after that of the newer one; a box that starts sees only the older
 /// version.
 #[test]
-fn engine_version_newer_than_row() {
+fn newer_than_row() {
     let mut planner = SwapPlanner::default();
     planner.publish("m", 3, None, at(0));
     assert!(!planner.record_engine_version("m", 4, None, at(100)));
--- a/core/tests/trial_table.rs
+++ b/core/tests/trial_table.rs
@@ -40,7 +40,7 @@
 /// A suspect with two crashes runs without another suspect on its endpoint, whichever of the two is
 /// sent first.
 #[test]
-fn exclusive_run_excludes_others() {
+fn exclusive_run() {
     let [first, second] = endpoints();
     let mut table = TrialTable::default();
     table.begin(1, fingerprint(b"a"), first, false);
@@ -51,7 +51,7 @@
 
 /// A run counts as harmless a moment after its first event, or when it ends.
 #[test]
-fn run_harmless_after_first_event() {
+fn first_event_clears() {
     let [first, _] = endpoints();
     let mut table = TrialTable::default();
     table.begin(1, fingerprint(b"a"), first, true);
--- a/core/tests/weight_bounds.rs
+++ b/core/tests/weight_bounds.rs
@@ -87,7 +87,7 @@
 /// An age that is reported without the previous version is ignored. Versions before the previous
 /// one count as expired if no box reports when that one was published.
 #[test]
-fn age_without_previous_ignored() {
+fn incomplete_age_ignored() {
     let mut planner = SwapPlanner::default();
     planner.publish("m", 1, None, at(0));
     planner.publish("m", 3, Some(at(1_000)), at(5_000));
@@ -129,7 +129,7 @@
 }
 
 #[test]
-fn bounds_with_unknown_version() {
+fn unknown_version_bounds() {
     let open = WeightBounds {
         newest: Some(3),
         oldest: None,
--- a/entry/tests/disabled_mechanisms.rs
+++ b/entry/tests/disabled_mechanisms.rs
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn named_mechanisms_are_disabled() {
+fn named_mechanisms_disabled() {
     let wanted = [ServingMechanism::Home, ServingMechanism::LateRule];
     let found = read(r#", "without": ["late-rule", "home"]"#);
     assert_eq!(found, Ok(MechanismSet::of(wanted)));
--- a/entry/tests/fractional_settings.rs
+++ b/entry/tests/fractional_settings.rs
@@ -33,7 +33,7 @@
 /// A value may be a share of a larger number, and thus a fraction. Fronts exited with
 /// `repeat_slack: found 36.17, wanted a whole number`.
 #[test]
-fn numeric_fields_accept_fractions() {
+fn fractions_accepted() {
     for field in NUMERIC_FIELDS {
         let mut settings = example();
         let whole = settings[field].as_f64().expect(field);
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn fractions_are_not_rounded() {
+fn fractions_not_rounded() {
     let mut settings = example();
     settings["repeat_slack"] = json!(36.176_470_588_235_3);
     settings["drain_limit_ms"] = json!(1_500.5);
@@ -61,7 +61,7 @@
 /// The error for an invalid or out-of-range number states the file, the field, the value and what
 /// was expected.
 #[test]
-fn invalid_numbers_are_rejected() {
+fn invalid_numbers_rejected() {
     for field in NUMERIC_FIELDS {
         for wrong in [json!(-1.5), json!("many"), json!([1]), json!(1e300)] {
             let mut settings = example();
@@ -75,7 +75,7 @@
 
 /// [`NUMERIC_FIELDS`] lists all fields that the template fills with numbers.
 #[test]
-fn numeric_fields_cover_template() {
+fn template_numbers_covered() {
     let file = Path::new(env!("CARGO_MANIFEST_DIR")).join("../deploy/front.json.in");
     let template = fs::read_to_string(file).expect("the template");
     let is_number = |line: &&str| line.contains(": {{") && !line.contains("|json");
--- a/entry/tests/store_poll_rate.rs
+++ b/entry/tests/store_poll_rate.rs
@@ -35,7 +35,7 @@
 /// Two reads of the list, one of which fails, fit into the time after which a leaving endpoint must
 /// not get requests; three polls fit into the limit on the age of keys.
 #[test]
-fn polls_fit_into_limits() {
+fn polls_within_limits() {
     for (drain_limit, key_limit) in [(500, 1_000), (2_000, 5_000), (4_000, 60_000)] {
         let settings = settings(drain_limit, key_limit);
         assert!(settings.list_poll_interval().as_millis() * 2 < drain_limit);
@@ -45,7 +45,7 @@
 
 /// With long limits, new endpoints and configurations are still found soon.
 #[test]
-fn long_limits_poll_often() {
+fn long_limit_polls() {
     let settings = settings(600_000, 600_000);
     for interval in [settings.list_poll_interval(), settings.config_poll_wait()] {
         assert!(interval.as_millis() <= 2_000, "{interval:?}");
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn default_limits_poll_rarely() {
+fn default_poll_rate() {
     let settings = settings(2_000, 5_000);
     let intervals = [settings.list_poll_interval(), settings.config_poll_wait()];
     let calls: f64 = intervals
--- a/wire/tests/frame_codec.rs
+++ b/wire/tests/frame_codec.rs
@@ -122,7 +122,7 @@
     })]
 
     #[test]
-    fn random_bytes_do_not_panic(bytes in proptest::collection::vec(any::<u8>(), 0..200)) {
+    fn random_bytes_handled(bytes in proptest::collection::vec(any::<u8>(), 0..200)) {
         let mut framed = vec![WIRE_VERSION];
         framed.extend_from_slice(&(bytes.len() as u32).to_le_bytes());
         framed.extend_from_slice(&bytes);
@@ -131,7 +131,7 @@
     }
 
     #[test]
-    fn mutated_frames_do_not_panic(
+    fn mutated_frames_handled(
         body in proptest::collection::vec(any::<u8>(), 0..50),
         position in any::<prop::sample::Index>(),
         value in any::<u8>(),
--- a/wire/tests/state_snapshot.rs
+++ b/wire/tests/state_snapshot.rs
@@ -54,7 +54,7 @@
 
 /// A snapshot is older if any of its models has older or no weights, or its configuration is older.
 #[test]
-fn older_by_weights_or_configuration() {
+fn snapshot_order() {
     let both = snapshot(vec![
         publication("m", 2, None),
         publication("m", 1, None),
@@ -75,7 +75,7 @@
 /// the upper bound that is added to ages. They don't change the content hash, so that no copy is
 /// fetched again because of them.
 #[test]
-fn uptimes_grow_by_lower_bound() {
+fn uptimes_lower_bound() {
     let uptime = |uptime_ms| KvStoreUptime {
         address: ([10, 9, 0, 1], 1).into(),
         epoch: 7,
