--- a/core/src/role/agent_orders.rs
+++ b/core/src/role/agent_orders.rs
@@ -33,16 +33,16 @@
     /// or from an order. Reports are ignored while a load is in progress.
     fn update_version(
         &mut self,
-        seen: String,
+        reported: String,
         actions: &mut Vec<AgentAction>,
     ) {
         if self.loading.is_some() {
             return;
         }
         if let EndpointKind::Engine { version, .. } = &mut self.identity.kind {
-            if *version != seen {
-                *version = seen.clone();
-                actions.push(AgentAction::Publish(vec![EndpointEvent::Version(seen)]));
+            if *version != reported {
+                *version = reported.clone();
+                actions.push(AgentAction::Publish(vec![EndpointEvent::Version(reported)]));
             }
         }
     }
--- a/core/src/role/agent_work.rs
+++ b/core/src/role/agent_work.rs
@@ -24,7 +24,7 @@
         actions: &mut Vec<AgentAction>,
     ) {
         self.taken_up = self.taken_up.max(ticket.0 + 1);
-        if let Some(kind) = self.refusal(now, &work) {
+        if let Some(kind) = self.refusal_kind(now, &work) {
             actions.push(AgentAction::Refuse(GateRefusal { ticket, kind }));
             return;
         }
@@ -33,7 +33,7 @@
         self.queued.insert(ticket, work);
     }
 
-    fn refusal(
+    fn refusal_kind(
         &self,
         now: Micros,
         work: &GateWork,
@@ -50,8 +50,8 @@
         if self.queue.len() >= self.identity.queue_limit as usize {
             return Some(ErrorKind::EndpointFull);
         }
-        let begins = now + self.expected_wait();
-        if begins > work.deadline {
+        let expected_start = now + self.expected_wait();
+        if expected_start > work.deadline {
             return Some(ErrorKind::EndpointFull);
         }
         None
@@ -75,8 +75,8 @@
         let slots = self.identity.slots.max(1);
         let ahead = self.running.len() + self.queue.len();
         let rounds = (ahead as f32 / slots as f32).floor();
-        let by_slots = rounds * self.meter.service_time();
-        Micros(by_slots as u64)
+        let wait_us = rounds * self.meter.service_time();
+        Micros(wait_us as u64)
     }
 
     pub(super) fn start_queued(
--- a/core/src/role/endpoint_roster.rs
+++ b/core/src/role/endpoint_roster.rs
@@ -85,7 +85,7 @@
             }
         }
         let mut change = RosterChange::None;
-        if self.set_version(&beacon.endpoint_id, &beacon.kind) {
+        if self.set_kind(&beacon.endpoint_id, &beacon.kind) {
             change = RosterChange::PoolMembership;
         }
         if let Some(entry) = self.entries.get_mut(&beacon.endpoint_id) {
@@ -118,7 +118,7 @@
         let key = Arc::make_mut(&mut self.arena).insert(Arc::new(state));
         let entry = RosterEntry {
             key,
-            own_labels: beacon.labels.clone(),
+            agent_labels: beacon.labels.clone(),
             linked: false,
             refusing: beacon.pulse.refusing,
             exporting: beacon.pulse.exporting,
@@ -179,7 +179,7 @@
             .awaited_report
             .and_then(|report| report.after_report(pulse, now));
         entry.exporting = pulse.exporting;
-        let altered = entry.refusing != pulse.refusing;
+        let refusal_changed = entry.refusing != pulse.refusing;
         entry.refusing = pulse.refusing;
         let load = EndpointLoad {
             report: pulse.load,
@@ -189,7 +189,7 @@
             penalty: entry.guard.penalty(now),
         };
         let before = self.loads.insert(entry.key, load);
-        if altered {
+        if refusal_changed {
             LoadChange::Refusal
         } else if before != Some(load) {
             LoadChange::Load
@@ -206,7 +206,7 @@
         let mut report = LivenessReport::default();
         for (id, entry) in &self.entries {
             let silence = now.since(entry.received_at);
-            let unreported = entry
+            let awaited_for = entry
                 .awaited_report
                 .map_or(Micros::ZERO, |awaited| now.since(awaited.since));
             let load = self.loads.get_mut(entry.key);
@@ -214,14 +214,14 @@
             let factor = if idle { IDLE_FACTOR } else { 1 };
             if silence >= ENDPOINT_RETENTION {
                 report.expired.push(id.clone());
-            } else if (silence.0 >= HUNG_AFTER.0 * factor || unreported >= HUNG_AFTER)
+            } else if (silence.0 >= HUNG_AFTER.0 * factor || awaited_for >= HUNG_AFTER)
                 && entry.linked
             {
                 report.hung_links.push(id.clone());
             }
             if let Some(load) = load {
                 let is_reporting =
-                    silence.0 < SUSPECT_AFTER.0 * factor && unreported < SUSPECT_AFTER;
+                    silence.0 < SUSPECT_AFTER.0 * factor && awaited_for < SUSPECT_AFTER;
                 let alive = entry.linked && is_reporting && !entry.guard.is_ejected(now);
                 let penalty = entry.guard.penalty(now);
                 report.changed |= load.alive != alive || load.penalty != penalty;
@@ -233,7 +233,7 @@
     }
 
     /// Updates the kind of an endpoint with its weight version; returns whether it changed.
-    pub fn set_version(
+    pub fn set_kind(
         &mut self,
         endpoint_id: &str,
         kind: &EndpointKind,
@@ -252,7 +252,7 @@
     }
 
     /// Recomputes the labels and the leaving flag of all endpoints from the configuration.
-    pub fn relabel(
+    pub fn refresh_states(
         &mut self,
         config: &FleetConfig,
     ) {
@@ -261,7 +261,7 @@
             let Some(state) = arena.get_mut(entry.key) else {
                 continue;
             };
-            let labels = merged_labels(config, id, &entry.own_labels);
+            let labels = merged_labels(config, id, &entry.agent_labels);
             let leaving = entry.refusing || config.is_leaving(id);
             if state.labels != labels || state.leaving != leaving {
                 let state = Arc::make_mut(state);
--- a/core/src/role/entry_configs.rs
+++ b/core/src/role/entry_configs.rs
@@ -39,7 +39,7 @@
             return;
         }
         self.config = config;
-        self.roster.relabel(&self.config);
+        self.roster.refresh_states(&self.config);
         self.pools_stale = true;
         self.notices_due = true;
         self.log_decision(
@@ -65,7 +65,7 @@
                 model: model.clone(),
                 version,
             };
-            self.roster.set_version(endpoint_id, &kind);
+            self.roster.set_kind(endpoint_id, &kind);
             self.pools_stale = true;
         }
     }
--- a/core/src/role/entry_core.rs
+++ b/core/src/role/entry_core.rs
@@ -62,7 +62,7 @@
     pub(super) domain_entries: Vec<String>,
     pub(super) sweep_cursor: usize,
     pub(super) pools_stale: bool,
-    pub(super) table_stale: bool,
+    pub(super) route_table_stale: bool,
     pub(super) notices_due: bool,
     pub(super) ticks: u64,
     pub(super) table_reached_at: Option<Micros>,
@@ -89,7 +89,7 @@
             domain_entries: Vec::new(),
             sweep_cursor: 0,
             pools_stale: false,
-            table_stale: false,
+            route_table_stale: false,
             notices_due: false,
             ticks: 0,
             table_reached_at: None,
@@ -135,10 +135,10 @@
             EntryEvent::StoreListed { store, pieces } => {
                 self.stores
                     .replace_listing(now, &store, &pieces, &mut self.pieces);
-                self.table_stale = true;
+                self.route_table_stale = true;
             }
             EntryEvent::StoreMeasured { store, link_rate } => {
-                self.table_stale |= self.stores.set_link_rate(&store, link_rate);
+                self.route_table_stale |= self.stores.set_link_rate(&store, link_rate);
             }
             EntryEvent::Routed {
                 endpoint_id,
@@ -233,7 +233,7 @@
     }
 
     /// Releases all leases, so that other processes can acquire them at once after a planned stop.
-    pub fn release(&mut self) -> Vec<EntryAction> {
+    pub fn release_leases(&mut self) -> Vec<EntryAction> {
         self.shard_leases.release()
     }
 
@@ -262,7 +262,7 @@
     }
 
     /// Returns what a peer at revision `since` needs to catch up with this process.
-    pub fn for_peer(
+    pub fn config_for_peer(
         &self,
         since: u64,
     ) -> PeerConfig {
--- a/core/src/role/entry_messages.rs
+++ b/core/src/role/entry_messages.rs
@@ -21,9 +21,9 @@
     ) {
         match self.roster.apply_beacon(&beacon, own, &self.config, now) {
             RosterChange::None => {}
-            RosterChange::Load => self.table_stale = true,
+            RosterChange::Load => self.route_table_stale = true,
             RosterChange::PoolMembership => {
-                self.roster.relabel(&self.config);
+                self.roster.refresh_states(&self.config);
                 self.pools_stale = true;
                 self.publish(actions);
             }
@@ -95,7 +95,7 @@
             entry.loading = None;
         }
         self.roster.check_liveness(now);
-        self.table_stale = true;
+        self.route_table_stale = true;
     }
 
     pub(super) fn on_pulse(
@@ -107,9 +107,9 @@
     ) {
         match self.roster.update_load(endpoint_id, pulse, own, now) {
             LoadChange::None => {}
-            LoadChange::Load => self.table_stale = true,
+            LoadChange::Load => self.route_table_stale = true,
             LoadChange::Refusal => {
-                self.roster.relabel(&self.config);
+                self.roster.refresh_states(&self.config);
                 self.pools_stale = true;
             }
         }
@@ -141,7 +141,7 @@
             return;
         }
         entry.next_event = Some(expected + batch.events.len() as u64);
-        self.table_stale |= !batch.events.is_empty();
+        self.route_table_stale |= !batch.events.is_empty();
         for event in batch.events {
             self.on_endpoint_event(now, endpoint_id, event, actions);
         }
--- a/core/src/role/entry_placement.rs
+++ b/core/src/role/entry_placement.rs
@@ -20,7 +20,7 @@
         actions: &mut Vec<EntryAction>,
     ) {
         let report = self.roster.check_liveness(now);
-        self.table_stale |= report.changed;
+        self.route_table_stale |= report.changed;
         for endpoint_id in report.hung_links {
             self.on_link_lost(now, &endpoint_id);
             actions.push(EntryAction::DropLink { endpoint_id });
@@ -39,12 +39,12 @@
             self.pools = Arc::new(PoolIndex::build(&self.config, &self.roster.arena));
             self.groups = engine_groups(&self.roster);
             self.pools_stale = false;
-            self.table_stale = true;
+            self.route_table_stale = true;
         }
-        if !self.table_stale {
+        if !self.route_table_stale {
             return;
         }
-        self.table_stale = false;
+        self.route_table_stale = false;
         let table = RouteTable {
             config: self.config.clone(),
             endpoints: self.roster.arena.clone(),
@@ -82,7 +82,7 @@
         for piece in pieces {
             self.pieces.add_bounded(*piece, PieceHolder::Endpoint(key));
         }
-        self.table_stale = true;
+        self.route_table_stale = true;
     }
 
     /// Requires the next report of an agent to cover the request that it acknowledged.
@@ -110,9 +110,12 @@
         store: &str,
         actions: &mut Vec<EntryAction>,
     ) {
-        let controls = |group: &str| self.shard_leases.epoch(group, now).is_some();
+        let holds_lease = |group: &str| self.shard_leases.epoch(group, now).is_some();
         let reuse_probability = |identity| self.prompts.reuse_probability(identity, now);
-        let Some(eviction) = self.stores.evict(now, store, controls, reuse_probability) else {
+        let Some(eviction) = self
+            .stores
+            .evict(now, store, holds_lease, reuse_probability)
+        else {
             return;
         };
         let reason = format!(
@@ -144,7 +147,7 @@
         }
         if entry.guard.record_failure(now) {
             self.roster.check_liveness(now);
-            self.table_stale = true;
+            self.route_table_stale = true;
             let reason = "failed several times in a row".to_string();
             self.log_decision(PlacementKind::EndpointEjected, endpoint_id, reason, actions);
         }
--- a/core/src/role/prompt_history.rs
+++ b/core/src/role/prompt_history.rs
@@ -26,7 +26,7 @@
 #[derive(Debug, Clone, Default)]
 pub struct PromptHistory {
     seen: BTreeMap<PieceKey, SeenPrompt>,
-    order: VecDeque<PieceKey>,
+    insertion_order: VecDeque<PieceKey>,
     labels: BTreeSet<Arc<ReuseLabel>>,
     model: Arc<ReuseModel>,
 }
@@ -70,7 +70,7 @@
                 let gap = now.since(previous.seen_at);
                 Arc::make_mut(&mut self.model).record_reuse(&label, gap);
             }
-            None => self.order.push_back(identity),
+            None => self.insertion_order.push_back(identity),
         }
         if self.seen.len() > MAX_PROMPTS {
             self.evict_oldest();
@@ -106,7 +106,7 @@
     }
 
     fn evict_oldest(&mut self) {
-        let Some(oldest) = self.order.pop_front() else {
+        let Some(oldest) = self.insertion_order.pop_front() else {
             return;
         };
         if let Some(prompt) = self.seen.remove(&oldest) {
--- a/core/src/role/roster_entry.rs
+++ b/core/src/role/roster_entry.rs
@@ -9,7 +9,7 @@
     /// Key in the arena.
     pub key: EndpointKey,
     /// Labels from the agent's settings, without those that operators set.
-    pub own_labels: LabelSet,
+    pub agent_labels: LabelSet,
     /// Whether the link is up and the event stream open.
     pub linked: bool,
     /// Whether the agent reported that it refuses new requests.
--- a/core/src/role/store_roster.rs
+++ b/core/src/role/store_roster.rs
@@ -59,10 +59,10 @@
             .iter()
             .filter(|b| b.role == BoxRole::Store && !b.leaving);
         let stores: Vec<&ListedBox> = stores.collect();
-        for notice in &stores {
-            self.update_box(now, notice, actions);
+        for listed_box in &stores {
+            self.update_box(now, listed_box, actions);
         }
-        let listed = |id: &String| stores.iter().any(|notice| &notice.id == id);
+        let listed = |id: &String| stores.iter().any(|listed_box| &listed_box.id == id);
         let lost: Vec<String> = self
             .entries
             .keys()
@@ -80,20 +80,20 @@
     fn update_box(
         &mut self,
         now: Micros,
-        notice: &ListedBox,
+        listed_box: &ListedBox,
         actions: &mut Vec<EntryAction>,
     ) {
-        if let Some(entry) = self.entries.get(&notice.id) {
+        if let Some(entry) = self.entries.get(&listed_box.id) {
             let known = self.arena.get(entry.key);
-            if known.is_some_and(|state| state.address == notice.address) {
+            if known.is_some_and(|state| state.address == listed_box.address) {
                 return;
             }
             self.arena.remove(entry.key);
         }
         let key = self.arena.insert(StoreState {
-            id: notice.id.clone(),
-            group: notice.group.clone(),
-            address: notice.address,
+            id: listed_box.id.clone(),
+            group: listed_box.group.clone(),
+            address: listed_box.address,
             link_rate: DEFAULT_LINK_BYTES_PER_S,
             link_queue: 0,
             disk_rate: DEFAULT_DISK_BYTES_PER_S,
@@ -104,10 +104,10 @@
             evicted_at: None,
             inventory: StoreInventory::default(),
         };
-        self.entries.insert(notice.id.clone(), entry);
+        self.entries.insert(listed_box.id.clone(), entry);
         actions.push(EntryAction::ListStore {
-            store: notice.id.clone(),
-            address: notice.address,
+            store: listed_box.id.clone(),
+            address: listed_box.address,
         });
     }
 
@@ -236,13 +236,13 @@
     /// Chooses the pieces to evict from a full store box: whole prompts, least likely reused
     /// first.
     ///
-    /// `controls` returns whether this process holds the lease of a group. Only the holder evicts,
-    /// so that several processes do not free space for the same shortage.
+    /// `holds_lease` returns whether this process holds the lease of a group. Only the holder
+    /// evicts, so that several processes do not free space for the same shortage.
     pub fn evict(
         &mut self,
         now: Micros,
         store: &str,
-        controls: impl Fn(&str) -> bool,
+        holds_lease: impl Fn(&str) -> bool,
         reuse_probability: impl Fn(PieceKey) -> f64,
     ) -> Option<StoreEviction> {
         let entry = self.entries.get_mut(store)?;
@@ -250,7 +250,7 @@
         let evicted_recently = entry
             .evicted_at
             .is_some_and(|at| now.since(at) < MIN_EVICT_INTERVAL);
-        if evicted_recently || !controls(&state.group) {
+        if evicted_recently || !holds_lease(&state.group) {
             return None;
         }
         entry.evicted_at = Some(now);
--- a/core/src/role/weight_load_controller.rs
+++ b/core/src/role/weight_load_controller.rs
@@ -39,8 +39,8 @@
             if leases.epoch(&group, now).is_none() {
                 continue;
             }
-            for step in due_loads(&group, config, roster) {
-                self.issue_order(now, &group, step, config, roster, leases, actions);
+            for weight_load in due_loads(&group, config, roster) {
+                self.issue_order(now, &group, weight_load, config, roster, leases, actions);
             }
         }
     }
@@ -67,13 +67,13 @@
         &mut self,
         now: Micros,
         group: &str,
-        step: WeightLoad,
+        weight_load: WeightLoad,
         config: &FleetConfig,
         roster: &mut EndpointRoster,
         leases: &mut ShardLeases,
         actions: &mut Vec<EntryAction>,
     ) {
-        let Some(state) = roster.arena.get(step.endpoint).cloned() else {
+        let Some(state) = roster.arena.get(weight_load.endpoint).cloned() else {
             return;
         };
         let Some(stamp) = leases.next_stamp(group, now) else {
@@ -81,12 +81,15 @@
         };
         self.ordered_at.insert(state.id.clone(), now);
         if let Some(entry) = roster.get_mut(&state.id) {
-            entry.loading = Some(step.version.clone());
+            entry.loading = Some(weight_load.version.clone());
         }
         actions.push(EntryAction::Log(PlacementLine {
             decision: PlacementKind::LoadOrdered,
             subject: state.id.clone(),
-            reason: format!("version {} is wanted; epoch {}", step.version, stamp.epoch),
+            reason: format!(
+                "version {} is wanted; epoch {}",
+                weight_load.version, stamp.epoch
+            ),
             revision: config.revision,
         }));
         actions.push(EntryAction::Order {
@@ -95,7 +98,7 @@
                 shard: shard_of(group),
                 stamp,
                 order: EndpointOrder::LoadVersion {
-                    version: step.version,
+                    version: weight_load.version,
                 },
             },
         });
--- a/entry/src/control/control_loop.rs
+++ b/entry/src/control/control_loop.rs
@@ -307,7 +307,7 @@
         &mut self,
         done: Sender<()>,
     ) {
-        for action in self.core.release() {
+        for action in self.core.release_leases() {
             self.execute(action);
         }
         let writes = std::mem::take(&mut self.lease_writes);
--- a/entry/src/operators/operator_server.rs
+++ b/entry/src/operators/operator_server.rs
@@ -79,7 +79,11 @@
             .strip_prefix(SINCE_QUERY)
             .and_then(|t| t.parse().ok());
         let since = since.unwrap_or(0);
-        return match app.control.query(move |core, _| core.for_peer(since)).await {
+        return match app
+            .control
+            .query(move |core, _| core.config_for_peer(since))
+            .await
+        {
             Some(config) => json_response(conn, &config),
             None => conn.with_status(Status::ServiceUnavailable).halt(),
         };
