--- a/core/tests/agent_gate.rs
+++ b/core/tests/agent_gate.rs
@@ -129,7 +129,7 @@
 }
 
 #[test]
-fn swap_refuses_queued() {
+fn loading_refuses_requests() {
     let mut core = agent(1);
     hand_over(&mut core, 1, "v1");
     hand_over(&mut core, 2, "v1");
@@ -164,7 +164,7 @@
 }
 
 #[test]
-fn leaving_refuses_at_once() {
+fn leaving_refuses_requests() {
     let mut core = agent(1);
     hand_over(&mut core, 1, "v1");
     hand_over(&mut core, 2, "v1");
@@ -182,23 +182,23 @@
 fn older_notice_ignored() {
     let mut core = agent(1);
     core.step(Micros(2), leaving(5));
-    let back = ConfigNotice {
+    let older = ConfigNotice {
         revision: 4,
         leaving: false,
         box_leaving: false,
     };
-    core.step(Micros(3), AgentEvent::ConfigNoticeReceived(back));
+    core.step(Micros(3), AgentEvent::ConfigNoticeReceived(older));
     assert!(core.is_refusing());
     let newer = ConfigNotice {
         revision: 6,
-        ..back
+        ..older
     };
     core.step(Micros(4), AgentEvent::ConfigNoticeReceived(newer));
     assert!(!core.is_refusing());
 }
 
 #[test]
-fn deadline_ends_waiting() {
+fn overdue_request_refused() {
     let mut core = agent(1);
     hand_over(&mut core, 1, "v1");
     hand_over(&mut core, 2, "v1");
@@ -210,7 +210,7 @@
 }
 
 #[test]
-fn lost_engine_refuses_queued() {
+fn unhealthy_refuses_queued() {
     let mut core = agent(1);
     hand_over(&mut core, 1, "v1");
     hand_over(&mut core, 2, "v1");
@@ -227,7 +227,7 @@
 }
 
 #[test]
-fn fresh_agent_takes_no_orders() {
+fn unknown_epoch_refused() {
     let mut core = agent(1);
     assert_eq!(
         core.step(Micros(1), order(7, 1, "v2")),
@@ -238,7 +238,7 @@
 }
 
 #[test]
-fn cache_gap_requests_listing() {
+fn gap_requests_listing() {
     let mut core = agent(1);
     let listed = AgentEvent::CacheListed {
         next: 10,
@@ -262,7 +262,7 @@
 }
 
 #[test]
-fn engine_reports_its_version() {
+fn reported_version_adopted() {
     let mut core = agent(1);
     let actions = core.step(Micros(1), healthy("v9"));
     let published = AgentAction::Publish(vec![EndpointEvent::Version("v9".to_string())]);
--- a/core/tests/change_history.rs
+++ b/core/tests/change_history.rs
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn forgotten_changes_whole() {
+fn full_config_fallback() {
     let mut history = ChangeHistory::default();
     history.append((5..=9).map(record));
     let whole = PeerConfig::Whole(Box::new(config(9)));
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn gap_forgets_older() {
+fn gap_discards_older() {
     let mut history = ChangeHistory::default();
     history.append([record(1), record(2), record(7), record(7), record(8)]);
     assert_eq!(
--- a/core/tests/config_log.rs
+++ b/core/tests/config_log.rs
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn broken_log_noticed() {
+fn log_gap_rejected() {
     let head = ConfigHead::default().with_change("one", "ann", 0, label("e1", Some("a")));
     let mut head = head.with_change("two", "ann", 0, label("e1", Some("b")));
     head.tail.pop_front();
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn change_id_remembered() {
+fn compaction_keeps_ids() {
     let mut head = ConfigHead::default();
     for number in 0..70 {
         head = head.with_change(&format!("id-{number}"), "ann", 0, label("e1", Some("a")));
--- a/core/tests/entry_control.rs
+++ b/core/tests/entry_control.rs
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn ready_after_config_settles() {
+fn readiness_needs_contact() {
     let mut core = core();
     assert!(!core.is_ready(Micros(0)));
     core.step(Micros(0), EntryEvent::ConfigRead(Arc::new(config(1))));
@@ -88,7 +88,7 @@
 }
 
 #[test]
-fn restart_voids_pieces() {
+fn restart_invalidates_pieces() {
     let mut core = linked_core();
     let key = PieceKey(77 << 64);
     core.step(
@@ -96,18 +96,18 @@
         batch_event(5, 0, vec![EndpointEvent::Cached(key)]),
     );
     let table = last_published_table(&run_ticks(&mut core, Micros(4))).expect("table");
-    let alive = |table: &RouteTable| {
+    let has_valid_holder = |table: &RouteTable| {
         table.pieces.holders(key).any(|holder| match holder {
             PieceHolder::Endpoint(endpoint) => table.endpoints.contains_key(endpoint),
             PieceHolder::Store(_) => true,
         })
     };
-    assert!(alive(&table));
+    assert!(has_valid_holder(&table));
     core.step(Micros(5), beacon_event(6));
     let mut actions = core.step(Micros(6), stream_opened_event(6));
     actions.extend(run_ticks(&mut core, Micros(7)));
     let table = last_published_table(&actions).expect("table");
-    assert!(!alive(&table));
+    assert!(!has_valid_holder(&table));
 }
 
 #[test]
@@ -265,7 +265,7 @@
 }
 
 #[test]
-fn stale_list_keeps_newer() {
+fn listing_keeps_newer() {
     let mut core = linked_core();
     core.step(Micros(3), store_box());
     // An agent reports a newer piece after the listing was made.
@@ -293,7 +293,7 @@
 }
 
 #[test]
-fn weights_loaded_two_at_once() {
+fn concurrent_loads_limited() {
     let mut core = core();
     let mut config = config(2);
     let model = config.models.get_mut("m").expect("model");
@@ -320,12 +320,12 @@
     }
     take_lease(&mut core);
     let actions = run_ticks(&mut core, Micros(7));
-    let ordered = |actions: &[EntryAction]| {
+    let order_count = |actions: &[EntryAction]| {
         actions
             .iter()
             .filter(|a| matches!(a, EntryAction::Order { .. }))
             .count()
     };
-    assert_eq!(ordered(&actions), 2);
-    assert_eq!(ordered(&run_ticks(&mut core, Micros(8))), 0);
+    assert_eq!(order_count(&actions), 2);
+    assert_eq!(order_count(&run_ticks(&mut core, Micros(8))), 0);
 }
--- a/core/tests/lease_protocol.rs
+++ b/core/tests/lease_protocol.rs
@@ -16,7 +16,7 @@
 };
 
 #[test]
-fn paused_holder_knows() {
+fn duration_includes_write() {
     let mut machine = LeaseMachine::new("p", TIMES);
     machine.on_row_read(None, 0, Micros(0), Micros(0));
     let LeaseStep::Write { row, .. } = machine.step(Micros(0)) else {
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn fence_waits_for_epoch() {
+fn fence_checks_stamps() {
     let mut fence = OrderFence::default();
     let stamp = |epoch, sequence| OrderStamp { epoch, sequence };
     assert_eq!(fence.admit(stamp(9, 1)), Err(FenceRefusal::EpochUnknown));
@@ -60,7 +60,7 @@
         let shard = shard_of(group);
         let contenders = entries
             .iter()
-            .filter(|me| is_contender(me, &shard, entries.iter()));
+            .filter(|id| is_contender(id, &shard, entries.iter()));
         assert_eq!(contenders.count(), 3);
     }
 }
--- a/core/tests/limit_table.rs
+++ b/core/tests/limit_table.rs
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn rate_holds() {
+fn rate_limit_holds() {
     let mut table = LimitTable::new(1_000);
     let limits = limits(10.0, 5.0, 1_000);
     let mut admitted = 0;
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn retry_time_told() {
+fn retry_delay_returned() {
     let mut table = LimitTable::new(10);
     let limits = limits(1.0, 1.0, 10);
     table
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn concurrency_shared_out() {
+fn concurrency_share_applied() {
     let mut table = LimitTable::new(1_000);
     let limits = limits(1.0e6, 1.0e6, 10);
     let admitted = (0..20).filter(|_| table.admit("org", &limits, 0.5, Micros::ZERO).is_ok());
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn small_one_not_starved() {
+fn small_organisation_admitted() {
     let mut table = LimitTable::new(100);
     let limits = limits(1.0e6, 1.0e6, 1_000);
     while table.admit("large", &limits, 1.0, Micros::ZERO).is_ok() {}
@@ -74,7 +74,7 @@
 }
 
 #[test]
-fn release_gives_room() {
+fn release_frees_capacity() {
     let mut table = LimitTable::new(10);
     let limits = limits(1.0e6, 1.0e6, 1);
     table
@@ -89,7 +89,7 @@
 }
 
 #[test]
-fn queue_takes_turns() {
+fn queue_is_fair() {
     let mut queue = FairQueue::default();
     let never = Micros(u64::MAX);
     for number in 0..100 {
@@ -101,7 +101,7 @@
 }
 
 #[test]
-fn queue_removes() {
+fn queue_removal() {
     let mut queue = FairQueue::default();
     queue.push("org", 1, 10, Micros(5));
     queue.push("org", 2, 20, Micros(50));
--- a/core/tests/prefix_keys.rs
+++ b/core/tests/prefix_keys.rs
@@ -9,28 +9,28 @@
 }
 
 #[test]
-fn organisations_apart() {
+fn organisation_keys_differ() {
     let ours = prefix_keys("mvinyo-01", "v1", &text(4));
     let theirs = prefix_keys("mvinyo-02", "v1", &text(4));
     assert!(ours.iter().all(|key| !theirs.contains(key)));
 }
 
 #[test]
-fn names_do_not_run_together() {
+fn names_are_delimited() {
     let one = prefix_keys("ab", "c", &text(2));
     let other = prefix_keys("a", "bc", &text(2));
     assert!(one.iter().all(|key| !other.contains(key)));
 }
 
 #[test]
-fn versions_apart() {
+fn version_keys_differ() {
     let old = prefix_keys("mvinyo-01", "v1", &text(4));
     let new = prefix_keys("mvinyo-01", "v2", &text(4));
     assert!(old.iter().all(|key| !new.contains(key)));
 }
 
 #[test]
-fn shared_prefix_shared() {
+fn common_prefix_equal() {
     let mut longer = text(4);
     longer.truncate(3 * PIECE_TEXT_BYTES);
     longer.extend_from_slice(&[7; PIECE_TEXT_BYTES]);
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn early_change_changes_all() {
+fn early_change_propagates() {
     let mut changed = text(4);
     changed[0] ^= 1;
     let one = prefix_keys("org", "v1", &text(4));
@@ -50,13 +50,13 @@
 }
 
 #[test]
-fn short_prompt_unnamed() {
+fn short_prompt_keyless() {
     assert!(prefix_keys("org", "v1", b"hello").is_empty());
     assert_eq!(estimate_tokens(5), 2);
 }
 
 #[test]
-fn key_text_checked() {
+fn key_text_parsing() {
     let key = PieceKey(7);
     assert_eq!(key.to_string().parse(), Ok(key));
     for bad in ["", "7", "zz", "00000000000000000000000000000000f"] {
--- a/core/tests/retry_rules.rs
+++ b/core/tests/retry_rules.rs
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn unknown_not_repeated() {
+fn unknown_not_retried() {
     for kind in ErrorKind::ALL {
         if kind.run_state() == RunState::Unknown {
             assert_eq!(
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn refused_goes_elsewhere() {
+fn refused_retried_elsewhere() {
     for kind in [
         ErrorKind::EndpointLeaving,
         ErrorKind::WrongVersion,
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn tries_bounded() {
+fn attempts_bounded() {
     let last = failed(ErrorKind::EndpointFull, true, MAX_ATTEMPTS);
     assert_eq!(decide_retry(&last), RetryStep::GiveUp);
     let mut late = failed(ErrorKind::EndpointFull, true, 1);
@@ -82,18 +82,18 @@
 }
 
 #[test]
-fn pauses_grow_and_end() {
+fn backoff_delay_bounded() {
     let mut random = Pcg32::seed_from_u64(1);
     let policy = BackoffPolicy::PLATFORM;
     for attempt in 1..40 {
-        let pause = policy.delay(attempt, &mut random);
-        assert!(pause <= policy.cap, "{pause:?}");
+        let delay = policy.delay(attempt, &mut random);
+        assert!(delay <= policy.cap, "{delay:?}");
     }
     assert!(policy.delay(30, &mut random).0 >= policy.cap.0 / 2);
 }
 
 #[test]
-fn outlier_taken_out() {
+fn outlier_ejected() {
     let mut guard = OutlierGuard::default();
     let now = Micros::from_secs(1);
     assert!(!guard.record_failure(now));
@@ -107,7 +107,7 @@
 }
 
 #[test]
-fn success_forgives() {
+fn success_resets_failures() {
     let mut guard = OutlierGuard::default();
     let now = Micros::from_secs(1);
     for _ in 0..10 {
@@ -118,19 +118,19 @@
 }
 
 #[test]
-fn answers_fit_kinds() {
+fn error_responses_valid() {
     let mut codes = BTreeSet::new();
     for kind in ErrorKind::ALL {
-        let row = kind.response();
-        assert!((400..600).contains(&row.status), "{kind:?}");
+        let response = kind.response();
+        assert!((400..600).contains(&response.status), "{kind:?}");
         assert!(
-            codes.insert(row.code),
+            codes.insert(response.code),
             "{kind:?}: code {} is used twice",
-            row.code
+            response.code
         );
         // Responses that invite a retry state the delay.
-        if row.status == 503 || row.status == 429 {
-            assert!(row.retry_after.is_some(), "{kind:?}");
+        if response.status == 503 || response.status == 429 {
+            assert!(response.retry_after.is_some(), "{kind:?}");
         }
     }
 }
--- a/core/tests/reuse_model.rs
+++ b/core/tests/reuse_model.rs
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn chance_learned() {
+fn probability_learned() {
     let mut model = ReuseModel::default();
     for _ in 0..100 {
         model.record_reuse(&label("file"), Micros::from_secs(60));
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn likely_return_kept() {
+fn likely_reuse_kept() {
     assert_eq!(decide_retention(&case(0.8)).tier, Some(StoreTier::Memory));
     let mut late = case(0.8);
     late.expected_gap = Some(Micros::from_secs(86_400));
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn unlikely_return_dropped() {
+fn unlikely_reuse_dropped() {
     assert_eq!(decide_retention(&case(0.0)).tier, None);
     // State so large that it costs more than it saves.
     let mut large = case(0.9);
@@ -75,7 +75,7 @@
 }
 
 #[test]
-fn ledger_drops_least_likely() {
+fn inventory_evicts_unlikely() {
     let mut inventory = StoreInventory::default();
     for prompt in 0..10u128 {
         for piece in 0..20u128 {
@@ -90,7 +90,7 @@
 }
 
 #[test]
-fn ledger_follows_list() {
+fn inventory_follows_listing() {
     let mut inventory = StoreInventory::default();
     let piece = |key| InventoryPiece {
         key: PieceKey(key),
--- a/core/tests/route_choice.rs
+++ b/core/tests/route_choice.rs
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn busy_holder_passed_over() {
+fn busy_holder_avoided() {
     let mut fleet = fleet(3);
     fleet.cache(1, &prompt());
     let key = fleet.keys[1];
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn own_sends_counted_once() {
+fn own_load_subtracted() {
     let mut fleet = fleet(2);
     // The report contains 1,000 tokens, all sent by this process and computed since.
     let key = fleet.keys[0];
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn quick_link_imports() {
+fn fast_link_imports() {
     let mut fleet = fleet(2);
     fleet.store(&prompt(), 1.0e9);
     let table = fleet.build();
@@ -160,7 +160,7 @@
 }
 
 #[test]
-fn equals_spread_out() {
+fn equal_endpoints_balanced() {
     let table = fleet(4).build();
     let mut counts = [0; 4];
     for seed in 0..400 {
@@ -172,7 +172,7 @@
 }
 
 #[test]
-fn round_robin_turns() {
+fn round_robin_cycles() {
     let mut table = fleet(3).build();
     table.policy = RoutePolicy::RoundRobin;
     let ids: Vec<String> = (0..6)
@@ -194,7 +194,7 @@
     /// The same table, request and seed yield the same decision, which is a usable,
     /// admitted endpoint of the right version.
     #[test]
-    fn same_input_same_choice(
+    fn choice_is_deterministic(
         engines in 1usize..20,
         is_dead in proptest::collection::vec(any::<bool>(), 20),
         pending in proptest::collection::vec(0u64..50_000, 20),
@@ -229,23 +229,23 @@
 
     /// The directory behaves like a plain list of additions and removals.
     #[test]
-    fn directory_like_list(steps in proptest::collection::vec((0u64..30, 0usize..4, any::<bool>()), 1..200)) {
+    fn directory_matches_list(steps in proptest::collection::vec((0u64..30, 0usize..4, any::<bool>()), 1..200)) {
         let fleet = fleet(4);
         let mut directory = PieceDirectory::default();
         let mut list: Vec<(u64, usize)> = Vec::new();
-        for (name, endpoint, add) in steps {
-            let key = PieceKey(u128::from(name) << 100 | 1);
+        for (piece, endpoint, add) in steps {
+            let key = PieceKey(u128::from(piece) << 100 | 1);
             let holder = PieceHolder::Endpoint(fleet.keys[endpoint]);
-            list.retain(|row| *row != (name, endpoint));
+            list.retain(|row| *row != (piece, endpoint));
             if add {
                 directory.add(key, holder);
-                list.push((name, endpoint));
+                list.push((piece, endpoint));
             } else {
                 directory.remove(key, &holder);
             }
         }
-        for name in 0..30 {
-            let key = PieceKey(u128::from(name) << 100 | 1);
+        for piece in 0..30 {
+            let key = PieceKey(u128::from(piece) << 100 | 1);
             let mut found: Vec<EndpointKey> = directory
                 .holders(key)
                 .filter_map(|h| match h {
@@ -255,7 +255,7 @@
                 .collect();
             found.sort();
             let mut wanted: Vec<EndpointKey> =
-                list.iter().filter(|row| row.0 == name).map(|row| fleet.keys[row.1]).collect();
+                list.iter().filter(|row| row.0 == piece).map(|row| fleet.keys[row.1]).collect();
             wanted.sort();
             prop_assert_eq!(found, wanted);
         }
--- a/core/tests/selector_terms.rs
+++ b/core/tests/selector_terms.rs
@@ -98,7 +98,7 @@
     }
 
     #[test]
-    fn any_text_survives(text in ".{0,40}") {
+    fn parse_never_panics(text in ".{0,40}") {
         let _ = LabelSelector::parse(&text);
     }
 }
--- a/core/tests/settings_check.rs
+++ b/core/tests/settings_check.rs
@@ -13,7 +13,7 @@
 }
 
 #[test]
-fn all_problems_at_once() {
+fn all_problems_reported() {
     let text = r#"{"name": 7, "listen": "localhost:80", "room": 0, "quiet": "no", "nmae": "x"}"#;
     let error = read(text).expect_err("wrong");
     let lines: Vec<&str> = error.lines().collect();
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn broken_json_named() {
+fn broken_json_reported() {
     let error = read("{\"name\": ").expect_err("broken");
     assert!(
         error.starts_with("box.json: (whole file): found EOF"),
@@ -49,7 +49,7 @@
 
 /// Templates write strings, and an empty one for a missing value: the default applies then.
 #[test]
-fn spelled_flags() {
+fn flags_as_text() {
     let read = |value: &str| {
         let text = format!("{{\"closed\": {value}}}");
         let mut reader = SettingsReader::parse("box.json", &text).expect("readable");
--- a/core/tests/silent_agents.rs
+++ b/core/tests/silent_agents.rs
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn frozen_idle_endpoint_disconnected() {
+fn frozen_endpoint_disconnected() {
     let mut core = linked_core();
     // It froze while idle, so every report shows it without requests.
     core.step(Micros::from_secs(5), routed());
@@ -84,7 +84,7 @@
 
 /// The agent accepts a request and freezes; a report sent before that arrives afterwards.
 #[test]
-fn earlier_report_proves_nothing() {
+fn earlier_report_insufficient() {
     let mut core = linked_core();
     core.step(Micros::from_secs(5), routed());
     core.step(Micros::from_secs(5), taken_up(3));
@@ -105,7 +105,7 @@
 
 /// An agent that has finished all its requests may stay silent until the limit for idle agents.
 #[test]
-fn finished_agent_may_be_silent() {
+fn finished_agent_tolerated() {
     let mut core = linked_core();
     core.step(Micros::from_secs(5), routed());
     core.step(Micros::from_secs(5), taken_up(3));
@@ -115,7 +115,7 @@
 
 /// The reports of a busy agent always lag slightly behind the requests sent to it.
 #[test]
-fn late_reports_keep_link() {
+fn late_reports_tolerated() {
     let mut core = linked_core();
     for step in 0..40 {
         let now = Micros::from_secs(5) + Micros::from_millis(300 * step);
