--- a/core/src/role/agent_core.rs
+++ b/core/src/role/agent_core.rs
@@ -142,7 +142,7 @@
         self.notice.leaving || self.box_leaving
     }
 
-    /// Whether no request is running or queued and no piece is being exported.
+    /// Whether no request is running or queued and no piece is left to export.
     pub fn is_idle(&self) -> bool {
         self.running.is_empty() && self.queue.is_empty() && self.exporting == 0
     }
--- a/core/src/role/agent_event.rs
+++ b/core/src/role/agent_event.rs
@@ -66,7 +66,8 @@
     Stored(StoredNotice),
     /// A piece was not found on a store box where it was expected.
     Missing(super::MissingNotice),
-    /// So many exports of pieces began (positive) or ended (negative).
+    /// Change of the number of pieces to export: positive when exports were queued, negative when
+    /// they ended.
     ExportCountChanged(i32),
     /// An entry process sent the configuration of this endpoint.
     ConfigNoticeReceived(ConfigNotice),
--- a/core/src/role/agent_orders.rs
+++ b/core/src/role/agent_orders.rs
@@ -29,7 +29,7 @@
         self.healthy = healthy;
     }
 
-    /// Takes over the version that the engine reports, which overrides the one from the settings
+    /// Adopts the version that the engine reports, which overrides the one from the settings
     /// or from an order. Reports are ignored while a load is in progress.
     fn update_version(
         &mut self,
--- a/core/src/role/cache_mirror.rs
+++ b/core/src/role/cache_mirror.rs
@@ -77,7 +77,7 @@
         self.stored.insert(notice.key, notice);
     }
 
-    /// Removes a stored piece that was not found, unless a newer generation is known.
+    /// Removes a stored piece that was not found; another generation of it stays.
     pub fn remove_stored(
         &mut self,
         notice: &MissingNotice,
--- a/core/src/role/endpoint_roster.rs
+++ b/core/src/role/endpoint_roster.rs
@@ -18,8 +18,8 @@
 pub const SUSPECT_AFTER: Micros = Micros::from_millis(2_000);
 /// Time without a message after which the open link of a busy agent counts as hung.
 pub const HUNG_AFTER: Micros = Micros::from_millis(4_000);
-/// Factor on both limits for an idle agent, which reports less often. For a request without a
-/// report the unscaled limits apply.
+/// Factor by which [`SUSPECT_AFTER`] and [`HUNG_AFTER`] are extended for an idle agent, which sends
+/// messages less often. A report awaited after a request is due within the unscaled limits.
 pub const IDLE_FACTOR: u64 = 8;
 /// Time without a message after which the endpoint is removed.
 pub const ENDPOINT_RETENTION: Micros = Micros::from_secs(60);
@@ -232,7 +232,7 @@
         report
     }
 
-    /// Updates the kind of an endpoint with its weight version; returns whether it changed.
+    /// Sets the kind of an endpoint, which includes its weight version; returns whether it changed.
     pub fn set_kind(
         &mut self,
         endpoint_id: &str,
@@ -251,7 +251,8 @@
         }
     }
 
-    /// Recomputes the labels and the leaving flag of all endpoints from the configuration.
+    /// Recomputes the labels and the leaving flag of all endpoints from the configuration and the
+    /// reports of their agents.
     pub fn refresh_states(
         &mut self,
         config: &FleetConfig,
--- a/core/src/role/entry_core.rs
+++ b/core/src/role/entry_core.rs
@@ -26,8 +26,9 @@
 /// assumes that the highest revision among them is the latest one.
 const PEER_SETTLE_TIME: Micros = Micros::from_secs(2);
 
-/// Entry processes of a failure domain that poll the table at the short interval.
+/// Number of entry processes per failure domain that poll the table at the short interval.
 const POLLERS_PER_DOMAIN: usize = 3;
+/// Key for the rendezvous hashing that selects them.
 const POLL_SUBJECT: &str = "config-poll";
 
 /// Settings of an [`EntryCore`].
--- a/core/src/role/entry_event.rs
+++ b/core/src/role/entry_event.rs
@@ -43,7 +43,7 @@
         /// Load that this process has in flight to the endpoint.
         own: InFlightLoad,
     },
-    /// The event stream of an agent was reopened; its first batch is a full snapshot.
+    /// The event stream of an agent was opened; its first batch is a full snapshot.
     StreamOpened {
         /// Id of the endpoint.
         endpoint_id: String,
@@ -147,8 +147,8 @@
     pub group: String,
     /// Failure domain of the box.
     pub failure_domain: String,
-    /// Address of the process on the box: beacons of an entry process, links of an agent, HTTP of
-    /// a store.
+    /// Address of the process on the box, where an entry process receives beacons, an agent
+    /// accepts links and a store serves HTTP.
     pub address: SocketAddr,
     /// Whether the box is leaving.
     pub leaving: bool,
--- a/core/src/role/entry_messages.rs
+++ b/core/src/role/entry_messages.rs
@@ -206,6 +206,7 @@
             let notice = ConfigNotice {
                 revision: self.config.revision,
                 leaving: self.config.is_leaving(&id),
+                // Assumes that the box of an endpoint is listed under the endpoint id.
                 box_leaving: self.leaving_boxes.contains(&id),
             };
             let Some(entry) = self.roster.get_mut(&id) else {
--- a/core/src/role/gate_work.rs
+++ b/core/src/role/gate_work.rs
@@ -12,7 +12,7 @@
 pub struct GateWork {
     /// Organisation of the caller.
     pub organisation: String,
-    /// Weight version that the request was routed for; none for plain services.
+    /// Weight version that the request was routed for; none for a service.
     pub version: Option<String>,
     /// Estimated prompt tokens to compute.
     pub tokens: u32,
--- a/core/src/role/store_roster.rs
+++ b/core/src/role/store_roster.rs
@@ -212,7 +212,7 @@
         }
     }
 
-    /// Removes a stored piece, unless a newer generation is known.
+    /// Removes a stored piece that was not found; another generation of it stays.
     pub fn remove_piece(
         &self,
         notice: &MissingNotice,
--- a/core/tests/config_log.rs
+++ b/core/tests/config_log.rs
@@ -98,8 +98,8 @@
 proptest! {
     #![proptest_config(ProptestConfig { rng_seed: proptest::test_runner::RngSeed::Fixed(8), ..ProptestConfig::default() })]
 
-    /// A reader that refreshes occasionally has the writer's configuration of that
-    /// moment, and its revision never decreases.
+    /// After each refresh a reader has the writer's current configuration, and its revision never
+    /// decreases.
     #[test]
     fn reader_follows_writer(steps in proptest::collection::vec(step(), 1..80)) {
         let mut head = ConfigHead::default();
--- a/core/tests/settings_check.rs
+++ b/core/tests/settings_check.rs
@@ -47,7 +47,8 @@
     assert!(error.contains("wanted one JSON object"), "{error}");
 }
 
-/// Templates write strings, and an empty one for a missing value: the default applies then.
+/// A template writes a flag as a string, which is empty when the value is missing; then the
+/// default applies.
 #[test]
 fn flags_as_text() {
     let read = |value: &str| {
--- a/core/tests/silent_agents.rs
+++ b/core/tests/silent_agents.rs
@@ -42,7 +42,7 @@
 #[test]
 fn frozen_endpoint_disconnected() {
     let mut core = linked_core();
-    // It froze while idle, so every report shows it without requests.
+    // The agent froze while idle, so its last report shows no requests.
     core.step(Micros::from_secs(5), routed());
     let actions = run_ticks(&mut core, Micros::from_secs(6));
     assert!(!drops_link(&actions));
