--- a/core/src/role/entry_core.rs
+++ b/core/src/role/entry_core.rs
@@ -26,8 +26,9 @@
 /// assumes that the highest revision among them is the latest one.
 const PEER_SETTLE_TIME: Micros = Micros::from_secs(2);
 
-/// Entry processes of a failure domain that poll the table at the short interval.
+/// Number of entry processes per failure domain that poll the table at the short interval.
 const POLLERS_PER_DOMAIN: usize = 3;
+/// Key for the rendezvous hashing that selects them.
 const POLL_SUBJECT: &str = "config-poll";
 
 /// Settings of an [`EntryCore`].
@@ -62,7 +63,7 @@
     pub(super) domain_entries: Vec<String>,
     pub(super) sweep_cursor: usize,
     pub(super) pools_stale: bool,
-    pub(super) table_stale: bool,
+    pub(super) route_table_stale: bool,
     pub(super) notices_due: bool,
     pub(super) ticks: u64,
     pub(super) table_reached_at: Option<Micros>,
@@ -89,7 +90,7 @@
             domain_entries: Vec::new(),
             sweep_cursor: 0,
             pools_stale: false,
-            table_stale: false,
+            route_table_stale: false,
             notices_due: false,
             ticks: 0,
             table_reached_at: None,
@@ -135,10 +136,10 @@
             EntryEvent::StoreListed { store, pieces } => {
                 self.stores
                     .replace_listing(now, &store, &pieces, &mut self.pieces);
-                self.table_stale = true;
+                self.route_table_stale = true;
             }
             EntryEvent::StoreMeasured { store, link_rate } => {
-                self.table_stale |= self.stores.set_link_rate(&store, link_rate);
+                self.route_table_stale |= self.stores.set_link_rate(&store, link_rate);
             }
             EntryEvent::Routed {
                 endpoint_id,
@@ -233,7 +234,7 @@
     }
 
     /// Releases all leases, so that other processes can acquire them at once after a planned stop.
-    pub fn release(&mut self) -> Vec<EntryAction> {
+    pub fn release_leases(&mut self) -> Vec<EntryAction> {
         self.shard_leases.release()
     }
 
@@ -262,7 +263,7 @@
     }
 
     /// Returns what a peer at revision `since` needs to catch up with this process.
-    pub fn for_peer(
+    pub fn config_for_peer(
         &self,
         since: u64,
     ) -> PeerConfig {
--- a/core/tests/config_log.rs
+++ b/core/tests/config_log.rs
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn broken_log_noticed() {
+fn log_gap_rejected() {
     let head = ConfigHead::default().with_change("one", "ann", 0, label("e1", Some("a")));
     let mut head = head.with_change("two", "ann", 0, label("e1", Some("b")));
     head.tail.pop_front();
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn change_id_remembered() {
+fn compaction_keeps_ids() {
     let mut head = ConfigHead::default();
     for number in 0..70 {
         head = head.with_change(&format!("id-{number}"), "ann", 0, label("e1", Some("a")));
@@ -98,8 +98,8 @@
 proptest! {
     #![proptest_config(ProptestConfig { rng_seed: proptest::test_runner::RngSeed::Fixed(8), ..ProptestConfig::default() })]
 
-    /// A reader that refreshes occasionally has the writer's configuration of that
-    /// moment, and its revision never decreases.
+    /// After each refresh a reader has the writer's current configuration, and its revision never
+    /// decreases.
     #[test]
     fn reader_follows_writer(steps in proptest::collection::vec(step(), 1..80)) {
         let mut head = ConfigHead::default();
