--- a/entry/src/control/box_controller.rs
+++ b/entry/src/control/box_controller.rs
@@ -36,8 +36,8 @@
         match boxes.list().await {
             Ok(list) => {
                 let _ = peers.try_send(choose_peers(&location, &list.boxes));
-                let notices = list.boxes.into_iter().map(ListedBox::from);
-                control.send_event(EntryEvent::BoxesListed(notices.collect()));
+                let listed = list.boxes.into_iter().map(ListedBox::from);
+                control.send_event(EntryEvent::BoxesListed(listed.collect()));
             }
             Err(error) => {
                 log::debug!(event = "boxes-not-read", error = error.to_string().as_str(); "");
@@ -49,16 +49,16 @@
 
 fn choose_peers(
     location: &BoxLocation,
-    rows: &[BoxRecord],
+    boxes: &[BoxRecord],
 ) -> Vec<SocketAddr> {
-    let entries = rows
+    let entries = boxes
         .iter()
-        .filter(|b| b.role == ListedRole::Entry && b.id != location.box_id);
+        .filter(|record| record.role == ListedRole::Entry && record.id != location.box_id);
     let candidates: Vec<RendezvousCandidate<SocketAddr>> = entries
-        .map(|row| RendezvousCandidate {
-            id: row.id.clone(),
-            failure_domain: row.failure_domain.clone(),
-            value: row.address,
+        .map(|record| RendezvousCandidate {
+            id: record.id.clone(),
+            failure_domain: record.failure_domain.clone(),
+            value: record.address,
         })
         .collect();
     let chosen = rendezvous_select(
--- a/entry/src/control/control_loop.rs
+++ b/entry/src/control/control_loop.rs
@@ -47,7 +47,7 @@
     /// Publishes views to the traffic threads.
     pub publisher: ViewPublisher,
     /// Handle that sends to this loop.
-    pub handle: ControlHandle,
+    pub control: ControlHandle,
     /// Reads and writes lease rows.
     pub leases: LeaseController,
     /// Runs the calls to agents, peers and the platform on this thread.
@@ -72,7 +72,7 @@
             clock,
             entry_id,
             publisher,
-            handle: leases.control.clone(),
+            control: leases.control.clone(),
             leases,
             executor,
             links: BTreeMap::new(),
@@ -187,7 +187,7 @@
             }
             EntryAction::Order { endpoint_id, order } => {
                 if let Some(link) = self.publisher.find_link(&endpoint_id) {
-                    let control = self.handle.clone();
+                    let control = self.control.clone();
                     self.executor
                         .spawn(send_order(link, order, control))
                         .detach();
@@ -195,7 +195,7 @@
             }
             EntryAction::PullConfig { peer } => self.start_config_pull(peer),
             EntryAction::ListStore { store, address } => {
-                let control = self.handle.clone();
+                let control = self.control.clone();
                 self.executor
                     .spawn(list_store(store, address, control))
                     .detach();
@@ -238,7 +238,7 @@
             entry_id: self.entry_id.clone(),
             state: state.clone(),
             link: self.publisher.get_or_insert_link(&state.id),
-            control: self.handle.clone(),
+            control: self.control.clone(),
             resync: resync_inbox,
         };
         let supervised = SupervisedLink {
@@ -283,7 +283,7 @@
             return;
         }
         let since = self.core.config().revision;
-        let control = self.handle.clone();
+        let control = self.control.clone();
         let is_pulling = self.is_pulling.clone();
         let task = async move {
             match pull_config(peer, since).await {
--- a/entry/src/filter/dispatch.rs
+++ b/entry/src/filter/dispatch.rs
@@ -22,7 +22,7 @@
     pub parsed: ParsedRequest,
     tried: Vec<EndpointKey>,
     attempts: u32,
-    version: Option<String>,
+    pinned_version: Option<String>,
     may_have_run: bool,
 }
 
@@ -37,7 +37,7 @@
             parsed,
             tried: Vec::new(),
             attempts: 0,
-            version: None,
+            pinned_version: None,
             may_have_run: false,
         }
     }
@@ -91,7 +91,7 @@
         let previous = PreviousAttempts {
             tried: &self.tried,
             attempt: self.attempts,
-            pinned_version: self.version.as_deref(),
+            pinned_version: self.pinned_version.as_deref(),
         };
         let routed =
             route(&self.app, &view, &self.parsed, previous).map_err(AttemptError::Routing)?;
@@ -100,7 +100,7 @@
         match send(&self.app, &view, &self.parsed, &routed, resume_after).await {
             Ok(started) => {
                 self.tried.push(endpoint);
-                self.version = Some(routed.version);
+                self.pinned_version = Some(routed.version);
                 Ok(started)
             }
             Err(kind) => {
--- a/entry/src/filter/request_chain.rs
+++ b/entry/src/filter/request_chain.rs
@@ -106,10 +106,10 @@
     received_at: Micros,
     permit: AdmissionPermit,
 ) -> Result<ReadyResponse, Refusal> {
-    let intent = parsed.request.options.idempotency_key.as_ref();
-    let intent = intent.map(|key| intent_key(&parsed.organisation, key));
+    let key = parsed.request.options.idempotency_key.as_ref();
+    let row_key = key.map(|key| intent_key(&parsed.organisation, key));
     let request_id = parsed.request.id.clone();
-    if let Some(key) = &intent {
+    if let Some(key) = &row_key {
         let begun = app.idempotency.begin(key, &request_id).await;
         begun.map_err(|kind| Refusal::new(kind, "the idempotency key"))?;
     }
@@ -119,7 +119,7 @@
         Ok(started) => build_response(dispatch, started, received_at, permit).await,
         Err(refusal) => Err(refusal),
     };
-    if let (Some(key), Err(refusal)) = (&intent, &outcome) {
+    if let (Some(key), Err(refusal)) = (&row_key, &outcome) {
         if refusal.run_state() == RunState::NotRun {
             // If this fails the key stays in use, and the request cannot run twice.
             let _ = app.idempotency.release(key, &request_id).await;
--- a/entry/src/filter/response_body.rs
+++ b/entry/src/filter/response_body.rs
@@ -39,7 +39,7 @@
     pending: Vec<u8>,
     consumed: usize,
     splitter: Option<SseSplitter>,
-    received_bytes: u64,
+    attempt_bytes: u64,
     received_at: Micros,
     awaits_first_event: bool,
     _permit: AdmissionPermit,
@@ -65,7 +65,7 @@
         received_at: Micros,
         permit: AdmissionPermit,
     ) -> Self {
-        let received_bytes = collected.len() as u64;
+        let attempt_bytes = collected.len() as u64;
         let initial_bytes = if is_events {
             padding_comment()
         } else {
@@ -80,7 +80,7 @@
                 pending: initial_bytes,
                 consumed: 0,
                 splitter: is_events.then(SseSplitter::default),
-                received_bytes,
+                attempt_bytes,
                 received_at,
                 awaits_first_event: true,
                 _permit: permit,
@@ -160,7 +160,7 @@
         match reply {
             Ok(Some(LinkReply::Chunk(bytes))) => self.on_chunk(&bytes),
             Ok(Some(LinkReply::End { body_bytes, pulse })) => {
-                let is_complete = body_bytes == self.received_bytes;
+                let is_complete = body_bytes == self.attempt_bytes;
                 let is_closed = self.splitter.as_ref().is_none_or(SseSplitter::is_done);
                 if is_complete && is_closed {
                     self.finish(pulse);
@@ -188,7 +188,7 @@
         &mut self,
         bytes: &[u8],
     ) {
-        self.received_bytes += bytes.len() as u64;
+        self.attempt_bytes += bytes.len() as u64;
         let BodyState::Streaming { started, dispatch } = &mut self.state else {
             return;
         };
@@ -259,7 +259,7 @@
             return;
         }
         splitter.discard_partial();
-        self.received_bytes = 0;
+        self.attempt_bytes = 0;
         dispatch.app.metrics.count("request.resumed", 1);
         self.state = BodyState::Resuming(Box::pin(async move {
             let mut dispatch = *dispatch;
--- a/entry/src/filter/route.rs
+++ b/entry/src/filter/route.rs
@@ -92,7 +92,7 @@
         .pools
         .versions(&parsed.organisation, &parsed.target);
     let mut best: Option<VersionChoice> = None;
-    let mut worst_error = ErrorKind::NothingSelected;
+    let mut error_kind = ErrorKind::NothingSelected;
     for pool in pools {
         let pinned_elsewhere = previous.pinned_version.is_some_and(|v| v != pool.version);
         if pinned_elsewhere {
@@ -112,17 +112,17 @@
                     });
                 }
             }
-            Err(ErrorKind::NoneAvailable) => worst_error = ErrorKind::NoneAvailable,
+            Err(ErrorKind::NoneAvailable) => error_kind = ErrorKind::NoneAvailable,
             Err(_) => {}
         }
     }
     best.ok_or_else(|| {
         let name = parsed.target.name();
-        let detail = match worst_error {
+        let detail = match error_kind {
             ErrorKind::NoneAvailable => format!("no endpoint for '{name}' is usable now"),
             _ => format!("the selectors admit no endpoint for '{name}'"),
         };
-        Refusal::new(worst_error, detail)
+        Refusal::new(error_kind, detail)
     })
 }
 
