--- a/entry/src/control/config_controller.rs
+++ b/entry/src/control/config_controller.rs
@@ -61,10 +61,11 @@
     }
 }
 
-/// Fetches the configuration changes after a revision from a peer.
+/// Fetches the configuration changes after a revision from a peer, or the whole configuration if
+/// the peer no longer has these changes.
 ///
 /// # Errors
-/// [`CallError`] when the peer does not respond in time.
+/// [`CallError`] when the peer sends no valid response in time.
 pub async fn pull_config(
     peer: SocketAddr,
     since: u64,
--- a/entry/src/control/link_supervisor.rs
+++ b/entry/src/control/link_supervisor.rs
@@ -52,7 +52,8 @@
         }
     }
 
-    /// Connects and runs until the link breaks; returns false if it never came up.
+    /// Connects and runs until the link breaks. Returns true only if the event stream was reopened
+    /// in the meantime; a link that breaks during its first stream counts as a failed attempt.
     async fn connect_once(&self) -> bool {
         let connected = AgentLink::connect(self.state.address, CONNECT_TIMEOUT).await;
         let (link, driver) = match connected {
--- a/entry/src/control/view_publisher.rs
+++ b/entry/src/control/view_publisher.rs
@@ -59,8 +59,8 @@
         self.links.remove(endpoint_id);
     }
 
-    /// Publishes a new view. Link and key indexes are rebuilt only if the endpoints or
-    /// the configuration have changed.
+    /// Publishes a new view. The links are indexed again only if the endpoints have changed, and
+    /// the bearer keys only if the configuration has.
     pub fn publish(
         &mut self,
         table: Arc<RouteTable>,
--- a/entry/src/filter/dispatch.rs
+++ b/entry/src/filter/dispatch.rs
@@ -66,7 +66,8 @@
             };
             let refusal = failed.into_refusal(self.may_have_run);
             // All usable endpoints have refused, as happens during a version change.
-            // The view is newer at the next attempt, so each of them may be tried again.
+            // `NoneAvailable` is never retried, so the retry is decided as for full endpoints. The
+            // view is newer at the next attempt, so each endpoint may be tried again.
             let all_refused = refusal.kind == ErrorKind::NoneAvailable && !self.tried.is_empty();
             let kind = match all_refused && !self.may_have_run {
                 true => ErrorKind::EndpointFull,
--- a/entry/src/filter/response_body.rs
+++ b/entry/src/filter/response_body.rs
@@ -56,7 +56,8 @@
 }
 
 impl ResponseBody {
-    /// A body that starts with `collected`, the bytes received so far.
+    /// A body that starts with `collected`, the bytes received so far, or with the padding comment
+    /// if it is an event stream.
     pub fn new(
         started: StartedAttempt,
         dispatch: Dispatch,
--- a/entry/src/filter/retention_plan.rs
+++ b/entry/src/filter/retention_plan.rs
@@ -40,7 +40,7 @@
 }
 
 impl RetentionPlan {
-    /// The value in log lines.
+    /// Tier of the export as written to log lines; `no` without an export.
     pub fn as_str(&self) -> &'static str {
         match &self.export {
             None => "no",
--- a/entry/src/filter/route.rs
+++ b/entry/src/filter/route.rs
@@ -28,7 +28,7 @@
     pub retention: RetentionPlan,
 }
 
-/// Outcome of the previous attempts of a request.
+/// What the previous attempts of a request mean for the current one.
 #[derive(Debug, Clone, Copy)]
 pub struct PreviousAttempts<'a> {
     /// Endpoints that were already tried.
--- a/entry/src/filter/send.rs
+++ b/entry/src/filter/send.rs
@@ -55,8 +55,9 @@
         }
     }
 
-    /// Records that the agent has accepted the request. A later report of the agent
-    /// must include it in its load.
+    /// Records that the agent has acknowledged the request, which it may still refuse. The control
+    /// thread then expects a report of the agent that covers the request; a link on which no
+    /// report arrives in time is treated as hung.
     fn record_acknowledged(
         &self,
         ticket: WorkTicket,
--- a/entry/src/idempotency/idempotency_guard.rs
+++ b/entry/src/idempotency/idempotency_guard.rs
@@ -58,7 +58,7 @@
     ///
     /// # Errors
     /// [`ErrorKind::AlreadyStarted`] when an earlier request used the key and may
-    /// have run, [`ErrorKind::CannotSettle`] when the outcome at the table is unknown.
+    /// have run, [`ErrorKind::CannotSettle`] when the table does not confirm the write.
     pub async fn begin(
         &self,
         key: &str,
--- a/entry/src/idempotency/intent_row.rs
+++ b/entry/src/idempotency/intent_row.rs
@@ -10,7 +10,7 @@
     pub request_id: String,
     /// State of that request.
     pub state: IntentState,
-    /// Unix time of the write in seconds, for deleting old rows.
+    /// Unix time of the write in seconds; allows old rows to be deleted, which is not done yet.
     pub at_secs: u64,
 }
 
