--- a/entry/src/filter/dispatch.rs
+++ b/entry/src/filter/dispatch.rs
@@ -22,7 +22,7 @@
     pub parsed: ParsedRequest,
     tried: Vec<EndpointKey>,
     attempts: u32,
-    version: Option<String>,
+    pinned_version: Option<String>,
     may_have_run: bool,
 }
 
@@ -37,7 +37,7 @@
             parsed,
             tried: Vec::new(),
             attempts: 0,
-            version: None,
+            pinned_version: None,
             may_have_run: false,
         }
     }
@@ -66,7 +66,8 @@
             };
             let refusal = failed.into_refusal(self.may_have_run);
             // All usable endpoints have refused, as happens during a version change.
-            // The view is newer at the next attempt, so each of them may be tried again.
+            // `NoneAvailable` is never retried, so the retry is decided as for full endpoints. The
+            // view is newer at the next attempt, so each endpoint may be tried again.
             let all_refused = refusal.kind == ErrorKind::NoneAvailable && !self.tried.is_empty();
             let kind = match all_refused && !self.may_have_run {
                 true => ErrorKind::EndpointFull,
@@ -91,7 +92,7 @@
         let previous = PreviousAttempts {
             tried: &self.tried,
             attempt: self.attempts,
-            pinned_version: self.version.as_deref(),
+            pinned_version: self.pinned_version.as_deref(),
         };
         let routed =
             route(&self.app, &view, &self.parsed, previous).map_err(AttemptError::Routing)?;
@@ -100,7 +101,7 @@
         match send(&self.app, &view, &self.parsed, &routed, resume_after).await {
             Ok(started) => {
                 self.tried.push(endpoint);
-                self.version = Some(routed.version);
+                self.pinned_version = Some(routed.version);
                 Ok(started)
             }
             Err(kind) => {
