--- a/agent/src/beacons/beacon_sender.rs
+++ b/agent/src/beacons/beacon_sender.rs
@@ -22,7 +22,7 @@
 const DISCOVERY_INTERVAL: Duration = Duration::from_millis(250);
 /// Factor on the beacon interval while all targets are subscribed: they receive the same
 /// state and more over their links.
-const LINKED_INTERVAL_FACTOR: u32 = 20;
+const SUBSCRIBED_INTERVAL_FACTOR: u32 = 20;
 /// Delay before another attempt to bind the socket.
 const BIND_RETRY_DELAY: Duration = Duration::from_millis(500);
 
@@ -47,12 +47,12 @@
     let mut targets = Vec::new();
     let mut listed_at: Option<Instant> = None;
     loop {
-        let interval = if targets.is_empty() {
+        let list_interval = if targets.is_empty() {
             DISCOVERY_INTERVAL
         } else {
             LIST_INTERVAL
         };
-        if listed_at.is_none_or(|t| t.elapsed() >= interval) {
+        if listed_at.is_none_or(|t| t.elapsed() >= list_interval) {
             listed_at = Some(Instant::now());
             if let Some(selected) = select_targets(&settings, &boxes).await {
                 targets = selected;
@@ -61,12 +61,12 @@
         let beacon = Beacon::Agent(handle.view().beacon.clone());
         let was_refusing = handle.view().pulse.refusing;
         socket.send(beacon, &targets).await;
-        let all_linked = handle.view().subscribers >= targets.len() && !targets.is_empty();
-        let interval = match all_linked {
-            true => settings.beacon_interval * LINKED_INTERVAL_FACTOR,
+        let all_subscribed = handle.view().subscribers >= targets.len() && !targets.is_empty();
+        let beacon_interval = match all_subscribed {
+            true => settings.beacon_interval * SUBSCRIBED_INTERVAL_FACTOR,
             false => settings.beacon_interval,
         };
-        wait_interval_or_refusal(interval, &handle, was_refusing).await;
+        wait_interval_or_refusal(beacon_interval, &handle, was_refusing).await;
     }
 }
 
@@ -98,10 +98,10 @@
         .into_iter()
         .filter(|b| b.role == ListedRole::Entry && !b.leaving);
     let candidates: Vec<RendezvousCandidate<SocketAddr>> = entries
-        .map(|row| RendezvousCandidate {
-            id: row.id,
-            failure_domain: row.failure_domain,
-            value: row.address,
+        .map(|entry| RendezvousCandidate {
+            id: entry.id,
+            failure_domain: entry.failure_domain,
+            value: entry.address,
         })
         .collect();
     let targets = rendezvous_select(
--- a/agent/src/cli/agent_process.rs
+++ b/agent/src/cli/agent_process.rs
@@ -21,7 +21,7 @@
 };
 
 /// Timeout of a request to the table service.
-const PLATFORM_TIMEOUT: Duration = Duration::from_secs(2);
+const TABLE_TIMEOUT: Duration = Duration::from_secs(2);
 /// Minimum time between the stop signal and the exit, in which beacons announce that the
 /// agent is leaving.
 const LEAVE_NOTICE_DELAY: Duration = Duration::from_millis(1_500);
@@ -39,7 +39,7 @@
     let listener = listener.with_context(|| format!("cannot listen on {}", settings.listen))?;
     let identity = identity(&settings, listener.local_addr()?, clock);
     let client = EndpointClient::new(&settings);
-    let table = TableClient::new(settings.table, PLATFORM_TIMEOUT);
+    let table = TableClient::new(settings.table, TABLE_TIMEOUT);
     let metrics =
         Arc::new(MetricSet::new(settings.metrics).context("cannot open the metrics socket")?);
     let (handle, control_output) = start_control(identity, clock)?;
--- a/agent/src/control/control_loop.rs
+++ b/agent/src/control/control_loop.rs
@@ -138,14 +138,14 @@
     ) {
         let pulse = self.core.pulse();
         // Whoever drains the endpoint waits for its running requests to end.
-        let awaited = pulse.load.running > 0 || pulse.refusing;
-        let busy = awaited || self.last_pulse != Some(pulse);
-        let due = if busy {
+        let running_or_refusing = pulse.load.running > 0 || pulse.refusing;
+        let active = running_or_refusing || self.last_pulse != Some(pulse);
+        let interval = if active {
             PULSE_INTERVAL_TICKS
         } else {
             IDLE_PULSE_INTERVAL_TICKS
         };
-        if ticks % due == 0 {
+        if ticks % interval == 0 {
             self.subscribers.publish(&[], pulse);
             self.last_pulse = Some(pulse);
         }
--- a/agent/src/endpoint/endpoint_client.rs
+++ b/agent/src/endpoint/endpoint_client.rs
@@ -13,11 +13,11 @@
 };
 
 /// Timeout of health checks and of requests for the cache.
-const SHORT_TIMEOUT: Duration = Duration::from_millis(1_000);
+const QUERY_TIMEOUT: Duration = Duration::from_millis(1_000);
 /// Timeout of importing or exporting a piece.
 const PIECE_TIMEOUT: Duration = Duration::from_secs(10);
 /// Timeout of an order, such as loading weights.
-const LOAD_TIMEOUT: Duration = Duration::from_secs(120);
+const ORDER_TIMEOUT: Duration = Duration::from_secs(120);
 
 /// HTTP client for the agent's endpoint.
 #[derive(Debug, Clone)]
@@ -29,9 +29,9 @@
 struct SharedClient {
     pooled: Client,
     unpooled: Client,
-    short: ServiceClient,
+    queries: ServiceClient,
     pieces: ServiceClient,
-    loads: ServiceClient,
+    orders: ServiceClient,
     address: SocketAddr,
     health_path: String,
     is_engine: bool,
@@ -46,9 +46,9 @@
             shared: Arc::new(SharedClient {
                 pooled: Client::new(config).with_default_pool(),
                 unpooled: Client::new(config),
-                short: ServiceClient::new(settings.endpoint, SHORT_TIMEOUT),
+                queries: ServiceClient::new(settings.endpoint, QUERY_TIMEOUT),
                 pieces: ServiceClient::new(settings.endpoint, PIECE_TIMEOUT),
-                loads: ServiceClient::new(settings.endpoint, LOAD_TIMEOUT),
+                orders: ServiceClient::new(settings.endpoint, ORDER_TIMEOUT),
                 address: settings.endpoint,
                 health_path: settings.health_path.clone(),
                 checks_orders: settings.checks_orders,
@@ -85,7 +85,7 @@
     /// # Errors
     /// [`CallError`] if it does not respond in time.
     pub async fn engine_health(&self) -> Result<EngineHealth, CallError> {
-        self.shared.short.get_json("/engine/health").await
+        self.shared.queries.get_json("/engine/health").await
     }
 
     /// Checks the health of a plain service.
@@ -93,8 +93,8 @@
     /// # Errors
     /// [`CallError`] if it is unhealthy or does not respond in time.
     pub async fn service_health(&self) -> Result<(), CallError> {
-        let conn = self.shared.short.request("GET", &self.shared.health_path);
-        self.shared.short.send(conn).await.map(|_| ())
+        let conn = self.shared.queries.request("GET", &self.shared.health_path);
+        self.shared.queries.send(conn).await.map(|_| ())
     }
 
     /// Lists the whole cache of an engine.
@@ -102,7 +102,7 @@
     /// # Errors
     /// [`CallError`] if it does not respond in time.
     pub async fn list_cache(&self) -> Result<EngineCache, CallError> {
-        self.shared.short.get_json("/engine/cache").await
+        self.shared.queries.get_json("/engine/cache").await
     }
 
     /// Requests the changes of an engine's cache, starting at sequence number `from`.
@@ -114,7 +114,7 @@
         from: u64,
     ) -> Result<EngineChanges, CallError> {
         self.shared
-            .short
+            .queries
             .get_json(&format!("/engine/cache/events?from={from}"))
             .await
     }
@@ -188,7 +188,7 @@
                 "/engine/role"
             }
         };
-        let _: EngineHealth = self.shared.loads.post_json(path, &message).await?;
+        let _: EngineHealth = self.shared.orders.post_json(path, &message).await?;
         Ok(())
     }
 }
--- a/agent/src/gate/request_runner.rs
+++ b/agent/src/gate/request_runner.rs
@@ -114,7 +114,7 @@
         Some(GateDecision::Start) => {}
     }
     let started_at = context.clock.now();
-    let imported = import(context, hand_over, replies).await;
+    let imported = import_pieces(context, hand_over, replies).await;
     let Some(imported) = imported else {
         return RunEnd::CallerGone;
     };
@@ -165,7 +165,7 @@
 
 /// Imports the pieces of the import plan, if any. Returns their number, or none if the
 /// caller disconnected.
-async fn import(
+async fn import_pieces(
     context: &GateContext,
     hand_over: &mut HandOver,
     replies: &mut ReplySender,
@@ -204,7 +204,7 @@
         let read = unless_closed(replies, async {
             conn.response_body().read(&mut buffer).await
         });
-        let step = match read.await {
+        let chunk_end = match read.await {
             None => Some(RunEnd::CallerGone),
             Some(Err(_)) => Some(RunEnd::Failed(ErrorKind::EndpointLost)),
             Some(Ok(length)) => {
@@ -217,7 +217,7 @@
                 relay_chunk(context, &buffer[..length], total, replies).await
             }
         };
-        end = step;
+        end = chunk_end;
     }
     let end = end.unwrap_or(RunEnd::Answered);
     if end != RunEnd::Answered {
--- a/agent/src/transfers/piece_transfers.rs
+++ b/agent/src/transfers/piece_transfers.rs
@@ -36,8 +36,8 @@
     client: EndpointClient,
     handle: ControlHandle,
     metrics: Arc<MetricSet>,
-    plans: Sender<ExportPlan>,
-    importing: Arc<AtomicU32>,
+    export_plans: Sender<ExportPlan>,
+    running_imports: Arc<AtomicU32>,
     store_clients: Arc<Mutex<BTreeMap<SocketAddr, StoreClient>>>,
 }
 
@@ -69,13 +69,13 @@
         handle: ControlHandle,
         metrics: Arc<MetricSet>,
     ) -> Self {
-        let (plans, inbox) = async_channel::bounded(MAX_QUEUED_EXPORTS);
+        let (export_plans, inbox) = async_channel::bounded(MAX_QUEUED_EXPORTS);
         let transfers = PieceTransfers {
             client,
             handle,
             metrics,
-            plans,
-            importing: Arc::default(),
+            export_plans,
+            running_imports: Arc::default(),
             store_clients: Arc::default(),
         };
         spawn_detached(transfers.clone().run_exports(inbox));
@@ -88,8 +88,8 @@
         plan: ImportPlan,
         version: &str,
     ) -> u32 {
-        self.importing.fetch_add(1, Ordering::Relaxed);
-        let _guard = ImportGuard(self.importing.clone());
+        self.running_imports.fetch_add(1, Ordering::Relaxed);
+        let _guard = ImportGuard(self.running_imports.clone());
         let store = self.store_client(plan.address);
         let mut imported = 0;
         for piece in &plan.pieces {
@@ -158,7 +158,7 @@
         let pieces = plan.pieces.len() as i32;
         self.handle
             .send_event(AgentEvent::ExportCountChanged(pieces));
-        if self.plans.try_send(plan).is_err() {
+        if self.export_plans.try_send(plan).is_err() {
             self.handle
                 .send_event(AgentEvent::ExportCountChanged(-pieces));
             self.metrics.count("link.export_skipped", pieces as u64);
@@ -185,7 +185,7 @@
     /// Waits while foreground imports run, which have priority on the network link.
     async fn yield_to_imports(&self) {
         for _ in 0..MAX_YIELD_POLLS {
-            if self.importing.load(Ordering::Relaxed) == 0 {
+            if self.running_imports.load(Ordering::Relaxed) == 0 {
                 return;
             }
             Timer::after(YIELD_POLL_INTERVAL).await;
@@ -260,8 +260,8 @@
             .store_clients
             .lock()
             .unwrap_or_else(PoisonError::into_inner);
-        let client = store_clients.entry(address);
-        client
+        let entry = store_clients.entry(address);
+        entry
             .or_insert_with(|| StoreClient::new(address, PIECE_TIMEOUT))
             .clone()
     }
--- a/agent/tests/command_line.rs
+++ b/agent/tests/command_line.rs
@@ -36,7 +36,7 @@
 
 /// The subcommand `beside` prints the same help and version.
 #[test]
-fn beside_prints_same_help() {
+fn beside_help_version() {
     for flag in ["--help", "--version"] {
         let endpoint = run(&[flag]);
         let beside = run(&["beside", flag]);
