--- a/agent/src/control/control_loop.rs
+++ b/agent/src/control/control_loop.rs
@@ -137,7 +137,7 @@
         ticks: u32,
     ) {
         let pulse = self.core.pulse();
-        // Whoever drains the endpoint waits for its running requests to end.
+        // Entry processes evaluate a drain only from recent pulses, also when no request runs.
         let running_or_refusing = pulse.load.running > 0 || pulse.refusing;
         let active = running_or_refusing || self.last_pulse != Some(pulse);
         let interval = if active {
--- a/agent/src/endpoint/engine_messages.rs
+++ b/agent/src/endpoint/engine_messages.rs
@@ -5,7 +5,7 @@
 
 /// Request header: keys of the prompt's pieces, separated by commas.
 pub const PIECES_HEADER: &str = "x-prefix-pieces";
-/// Request header: weight version that the request was routed for.
+/// Request header: weight version that a request was routed for or an imported piece belongs to.
 pub const VERSION_HEADER: &str = "x-weight-version";
 /// Response header: number of computed prompt tokens.
 pub const COMPUTED_HEADER: &str = "x-computed-tokens";
--- a/agent/src/gate/gate_context.rs
+++ b/agent/src/gate/gate_context.rs
@@ -4,7 +4,7 @@
     std::sync::Arc,
 };
 
-/// State shared by all requests of an agent.
+/// State shared by all calls that an agent serves.
 #[derive(Debug)]
 pub struct GateContext {
     /// Client of the endpoint.
--- a/agent/src/gate/request_runner.rs
+++ b/agent/src/gate/request_runner.rs
@@ -80,7 +80,7 @@
         RunEnd::Failed(kind) => Some(LinkReply::Failed { kind, pulse }),
     };
     context.metrics.count(metric_name(end), 1);
-    // An error means that the caller has disconnected.
+    // A failed send means that the caller has disconnected.
     if let Some(last) = last {
         if replies.send(&last).await.is_err() {
             return;
@@ -221,7 +221,7 @@
     }
     let end = end.unwrap_or(RunEnd::Answered);
     if end != RunEnd::Answered {
-        // Closing the connection, instead of reusing it, makes the endpoint stop the request.
+        // Keeps the connection from being reused: closing it makes the endpoint stop the request.
         conn.response_headers_mut().insert("connection", "close");
     }
     end
@@ -250,7 +250,7 @@
     }
 }
 
-/// Waits for a future; none if the entry process resets the stream first.
+/// Waits for a future; none if the entry process resets the stream or the link fails first.
 async fn unless_closed<T>(
     replies: &mut ReplySender,
     operation: impl std::future::Future<Output = T>,
--- a/agent/src/tasks/task_runner.rs
+++ b/agent/src/tasks/task_runner.rs
@@ -26,7 +26,8 @@
 }
 
 impl TaskRunner {
-    /// Executes tasks in order, and orders concurrently, until the channel is closed.
+    /// Executes tasks one after another, except for orders, which run concurrently. Returns when
+    /// the channel is closed.
     pub async fn run(
         self,
         tasks: Receiver<AgentTask>,
