--- a/entry/src/callers/caller_server.rs
+++ b/entry/src/callers/caller_server.rs
@@ -37,7 +37,7 @@
 ) -> Conn {
     let view = app.view.load();
     if let Err(refusal) = authenticate(&conn, &view) {
-        return refusal.write(conn, &app.request_id(app.next_number()));
+        return refusal.write(conn, &app.request_id(app.next_request_number()));
     }
     let list = ModelList::from_config(&view.table.config);
     json_response(conn, &list)
@@ -50,13 +50,13 @@
     conn: Conn,
 ) -> Conn {
     let view = app.view.load();
-    let id = app.request_id(app.next_number());
+    let id = app.request_id(app.next_request_number());
     let organisation = match authenticate(&conn, &view) {
         Ok(organisation) => organisation,
         Err(refusal) => return refusal.write(conn, &id),
     };
     let request_id = conn.path().trim_start_matches(REQUESTS_PREFIX).to_string();
-    let mut records = app.ring.find(&request_id);
+    let mut records = app.decisions.find(&request_id);
     records.retain(|r| r.organisation == organisation);
     if records.is_empty() {
         let detail = format!("there is no recent request '{request_id}'");
--- a/entry/src/cli/entry_process.rs
+++ b/entry/src/cli/entry_process.rs
@@ -60,9 +60,9 @@
 /// When an address cannot be bound or the signals cannot be watched.
 pub async fn run_entry(settings: EntrySettings) -> anyhow::Result<()> {
     let clock = ProcessClock::start();
-    let callers = bind(settings.callers)?;
-    let operators = bind(settings.operators)?;
-    let peer_address = operators.local_addr()?;
+    let caller_listener = bind(settings.callers)?;
+    let operator_listener = bind(settings.operators)?;
+    let peer_address = operator_listener.local_addr()?;
     let view = Arc::new(ArcSwap::from_pointee(TrafficView::default()));
     let (message_sender, inbox) = async_channel::unbounded();
     let control = ControlHandle::new(message_sender);
@@ -95,12 +95,16 @@
         .with_nodelay()
         .without_signals()
         .with_stopper(stopper.clone())
-        .with_prebound_server(smol::net::TcpListener::from(smol::Async::new(callers)?))
+        .with_prebound_server(smol::net::TcpListener::from(smol::Async::new(
+            caller_listener,
+        )?))
         .spawn(move |conn: Conn| serve_caller(caller_app.clone(), conn));
     let operator_app = app.clone();
     let _operator_server = trillium_smol::config()
         .without_signals()
-        .with_prebound_server(smol::net::TcpListener::from(smol::Async::new(operators)?))
+        .with_prebound_server(smol::net::TcpListener::from(smol::Async::new(
+            operator_listener,
+        )?))
         .spawn(move |conn: Conn| serve_operator(operator_app.clone(), conn));
     log::info!(
         event = "started",
--- a/entry/src/command/config_access.rs
+++ b/entry/src/command/config_access.rs
@@ -107,7 +107,7 @@
 }
 
 /// Converts an invalid change to the error of a command.
-pub fn refused(error: ChangeError) -> CliError {
+pub fn invalid_change(error: ChangeError) -> CliError {
     CliError::Refused(error.to_string())
 }
 
--- a/entry/src/command/explain.rs
+++ b/entry/src/command/explain.rs
@@ -54,8 +54,8 @@
         return explain_log(&file, args.positional(0, "REQUEST-ID")?);
     }
     if wants_reads {
-        let help = "--reads requires --log FILE with the log lines of the fronts";
-        return Err(CliError::Usage(help.to_string()));
+        let text = "--reads requires --log FILE with the log lines of the fronts";
+        return Err(CliError::Usage(text.to_string()));
     }
     let settings = args.operator_settings()?;
     let client = entry_client(&settings)?;
@@ -148,7 +148,7 @@
 ) -> Result<(), CliError> {
     let path = format!("{EXPLAIN_PREFIX}{request_id}");
     let records: Vec<DecisionRecord> =
-        smol::block_on(client.get_json(&path)).map_err(|e| not_found(e, request_id))?;
+        smol::block_on(client.get_json(&path)).map_err(|e| lookup_error(e, request_id))?;
     if args.wants_json() {
         println!("{}", pretty_json(&records)?);
         return Ok(());
@@ -159,7 +159,7 @@
     Ok(())
 }
 
-fn not_found(
+fn lookup_error(
     error: CallError,
     what: &str,
 ) -> CliError {
@@ -215,7 +215,7 @@
 ) -> Result<(), CliError> {
     let path = format!("{PIECE_PREFIX}{key}");
     let report: PieceReport =
-        smol::block_on(client.get_json(&path)).map_err(|e| not_found(e, key))?;
+        smol::block_on(client.get_json(&path)).map_err(|e| lookup_error(e, key))?;
     if args.wants_json() {
         println!("{}", pretty_json(&report)?);
         return Ok(());
--- a/entry/src/command/front.rs
+++ b/entry/src/command/front.rs
@@ -27,8 +27,8 @@
     let Some(args) = CommandArgs::parse(HELP, Options::new(), args)? else {
         return Ok(());
     };
-    let named = args.matches.opt_str("settings");
-    let file = named
+    let settings_option = args.matches.opt_str("settings");
+    let file = settings_option
         .or_else(|| std::env::var(SETTINGS_VARIABLE).ok())
         .ok_or_else(|| {
             CliError::Usage(format!(
--- a/entry/src/command/label.rs
+++ b/entry/src/command/label.rs
@@ -1,5 +1,5 @@
 use {
-    super::{add_change_options, refused, submit_change, CommandArgs, CommandHelp},
+    super::{add_change_options, invalid_change, submit_change, CommandArgs, CommandHelp},
     crate::cli::CliError,
     getopts::Options,
     pitchhitch_core::conf::{ConfigChange, LabelTarget},
@@ -21,7 +21,7 @@
     let Some(args) = CommandArgs::parse(HELP, options, args)? else {
         return Ok(());
     };
-    let target = LabelTarget::parse(args.positional(0, "TARGET")?).map_err(refused)?;
+    let target = LabelTarget::parse(args.positional(0, "TARGET")?).map_err(invalid_change)?;
     let change = label_change(target, args.positional(1, "KEY=VALUE")?)?;
     let settings = args.operator_settings()?;
     submit_change(&args, &settings, change).map(|_| ())
--- a/entry/src/command/suspects.rs
+++ b/entry/src/command/suspects.rs
@@ -73,8 +73,8 @@
     fingerprint: &str,
 ) -> Result<(), CliError> {
     if RequestFingerprint::parse(fingerprint).is_none() {
-        let help = "--release takes a fingerprint of 32 hex digits, as listed by this command";
-        return Err(CliError::Usage(help.to_string()));
+        let text = "--release takes a fingerprint of 32 hex digits, as listed by this command";
+        return Err(CliError::Usage(text.to_string()));
     }
     let response = send_get(
         settings,
--- a/entry/src/control/agent_calls.rs
+++ b/entry/src/control/agent_calls.rs
@@ -19,7 +19,7 @@
     link: &EndpointLink,
     call: &LinkCall,
 ) -> Option<LinkReply> {
-    let agent = link.get()?;
+    let agent = link.connection()?;
     let mut replies = agent.call(call).await.ok()?;
     replies.next().await.ok()?
 }
--- a/entry/src/control/control_loop.rs
+++ b/entry/src/control/control_loop.rs
@@ -255,7 +255,7 @@
     ) {
         self.links.remove(endpoint_id);
         if let Some(link) = self.publisher.find_link(endpoint_id) {
-            link.set(None);
+            link.set_connection(None);
         }
         self.publisher.remove_link(endpoint_id);
     }
@@ -269,7 +269,7 @@
             return;
         };
         if let Some(link) = self.publisher.find_link(endpoint_id) {
-            link.set(None);
+            link.set_connection(None);
         }
         log::warn!(event = "link-dropped", endpoint = endpoint_id; "no response from the agent; reconnecting");
         self.connect(supervised.state.clone());
--- a/entry/src/control/link_supervisor.rs
+++ b/entry/src/control/link_supervisor.rs
@@ -42,7 +42,7 @@
             if self.connect_once().await {
                 failures = 0;
             }
-            self.link.set(None);
+            self.link.set_connection(None);
             self.control.send_event(EntryEvent::LinkLost {
                 endpoint_id: self.state.id.clone(),
             });
@@ -98,7 +98,7 @@
             endpoint_id: self.state.id.clone(),
             incarnation: self.state.incarnation,
         });
-        self.link.set(Some(link.clone()));
+        self.link.set_connection(Some(link.clone()));
         let read = self.read_events(&mut replies);
         let resync = async {
             let _ = self.resync.recv().await;
--- a/entry/src/filter/dispatch.rs
+++ b/entry/src/filter/dispatch.rs
@@ -53,7 +53,7 @@
         resume_after: Option<u64>,
     ) -> Result<StartedAttempt, Refusal> {
         if self.attempts == 0 {
-            self.app.budget().earn();
+            self.app.retry_budget().earn();
         }
         loop {
             if self.app.clock.now() >= self.parsed.deadline {
@@ -106,7 +106,7 @@
             Err(kind) => {
                 self.tried.push(endpoint);
                 self.app
-                    .ring
+                    .decisions
                     .record_outcome(&self.parsed.request.id, kind.response().code);
                 self.may_have_run |= kind.run_state() == RunState::Unknown;
                 Err(AttemptError::Sending(kind))
@@ -140,7 +140,7 @@
             deadline: self.parsed.deadline,
             now: self.app.clock.now(),
         });
-        step == RetryStep::RetryElsewhere && self.app.budget().spend()
+        step == RetryStep::RetryElsewhere && self.app.retry_budget().spend()
     }
 
     /// Restarts the deadline, which only covers the beginning of a response: the caller received
@@ -156,7 +156,7 @@
     ) {
         self.may_have_run = true;
         self.app
-            .ring
+            .decisions
             .record_outcome(&self.parsed.request.id, kind.response().code);
     }
 
--- a/entry/src/filter/request_chain.rs
+++ b/entry/src/filter/request_chain.rs
@@ -17,7 +17,7 @@
     app: Arc<EntryApp>,
     mut conn: Conn,
 ) -> Conn {
-    let number = app.next_number();
+    let number = app.next_request_number();
     let id = app.request_id(number);
     app.metrics.count("request.taken", 1);
     match run_filters(&app, &mut conn, &id, number).await {
@@ -29,7 +29,8 @@
         }
         Err(refusal) => {
             app.metrics.count("request.refused", 1);
-            app.ring.record_outcome(&id, refusal.kind.response().code);
+            app.decisions
+                .record_outcome(&id, refusal.kind.response().code);
             log::info!(
                 event = "refused",
                 request = id.as_str(),
--- a/entry/src/filter/response.rs
+++ b/entry/src/filter/response.rs
@@ -48,7 +48,7 @@
                 dispatch.app.metrics.count("request.answered", 1);
                 dispatch
                     .app
-                    .ring
+                    .decisions
                     .record_outcome(&dispatch.parsed.request.id, "answered");
                 return Ok(ready_response(status, headers, Body::new_static(bytes)));
             }
--- a/entry/src/filter/response_body.rs
+++ b/entry/src/filter/response_body.rs
@@ -219,7 +219,7 @@
             started.tracker.record_success(pulse);
             dispatch
                 .app
-                .ring
+                .decisions
                 .record_outcome(&dispatch.parsed.request.id, "answered");
             dispatch.app.metrics.count("request.answered", 1);
         }
--- a/entry/src/filter/route.rs
+++ b/entry/src/filter/route.rs
@@ -76,7 +76,7 @@
     };
     let record = decision_record(view, parsed, &routed, previous.attempt);
     record.log();
-    app.ring.push(record);
+    app.decisions.push(record);
     Ok(routed)
 }
 
--- a/entry/src/filter/send.rs
+++ b/entry/src/filter/send.rs
@@ -127,7 +127,7 @@
 ) -> Result<StartedAttempt, ErrorKind> {
     let link = view.links.get(routed.choice.endpoint).cloned();
     let link = link.ok_or(ErrorKind::EndpointUnreachable)?;
-    let agent = link.get().ok_or(ErrorKind::EndpointUnreachable)?;
+    let agent = link.connection().ok_or(ErrorKind::EndpointUnreachable)?;
     let tokens = routed.choice.estimate.recomputed_tokens;
     let tracker = AttemptTracker::start(app, link, tokens);
     let call = LinkCall::HandOver(Box::new(build_hand_over(app, parsed, routed, resume_after)));
--- a/entry/src/operators/operator_server.rs
+++ b/entry/src/operators/operator_server.rs
@@ -126,7 +126,7 @@
     conn: Conn,
     request_id: &str,
 ) -> Conn {
-    let records = app.ring.find(request_id);
+    let records = app.decisions.find(request_id);
     if !records.is_empty() {
         return json_response(conn, &records);
     }
--- a/entry/src/traffic/endpoint_link.rs
+++ b/entry/src/traffic/endpoint_link.rs
@@ -10,7 +10,7 @@
 pub struct EndpointLink {
     /// Id of the endpoint.
     pub endpoint_id: String,
-    link: ArcSwapOption<AgentLink>,
+    connection: ArcSwapOption<AgentLink>,
     tokens: AtomicU64,
     running: AtomicU32,
     failed: AtomicBool,
@@ -21,7 +21,7 @@
     pub fn new(endpoint_id: &str) -> Self {
         EndpointLink {
             endpoint_id: endpoint_id.to_string(),
-            link: ArcSwapOption::empty(),
+            connection: ArcSwapOption::empty(),
             tokens: AtomicU64::new(0),
             running: AtomicU32::new(0),
             failed: AtomicBool::new(false),
@@ -39,16 +39,16 @@
     }
 
     /// Replaces the connection to the agent; `None` when it is lost.
-    pub fn set(
+    pub fn set_connection(
         &self,
-        link: Option<AgentLink>,
+        connection: Option<AgentLink>,
     ) {
-        self.link.store(link.map(std::sync::Arc::new));
+        self.connection.store(connection.map(std::sync::Arc::new));
     }
 
     /// Returns the connection to the agent, if it is up.
-    pub fn get(&self) -> Option<std::sync::Arc<AgentLink>> {
-        self.link.load_full()
+    pub fn connection(&self) -> Option<std::sync::Arc<AgentLink>> {
+        self.connection.load_full()
     }
 
     /// Returns the load in flight.
--- a/entry/src/traffic/entry_app.rs
+++ b/entry/src/traffic/entry_app.rs
@@ -25,7 +25,7 @@
     /// Handle of the control thread.
     pub control: ControlHandle,
     /// Recent routing decisions.
-    pub ring: Arc<DecisionRing>,
+    pub decisions: Arc<DecisionRing>,
     /// Guard of requests that may run at most once.
     pub idempotency: IdempotencyGuard,
     /// Metrics.
@@ -33,8 +33,8 @@
     /// Set at a planned stop.
     pub stopping: AtomicBool,
     limits: Mutex<LimitTable>,
-    budget: Mutex<RetryBudget>,
-    next_request: AtomicU64,
+    retry_budget: Mutex<RetryBudget>,
+    next_request_number: AtomicU64,
 }
 
 impl EntryApp {
@@ -49,7 +49,7 @@
     ) -> Self {
         EntryApp {
             limits: Mutex::new(LimitTable::new(settings.max_running)),
-            ring: Arc::new(DecisionRing::new(settings.explain_ring)),
+            decisions: Arc::new(DecisionRing::new(settings.explain_ring)),
             settings,
             clock,
             view,
@@ -57,8 +57,8 @@
             idempotency,
             metrics,
             stopping: AtomicBool::new(false),
-            budget: Mutex::new(RetryBudget::default()),
-            next_request: AtomicU64::new(1),
+            retry_budget: Mutex::new(RetryBudget::default()),
+            next_request_number: AtomicU64::new(1),
         }
     }
 
@@ -68,13 +68,15 @@
     }
 
     /// Locks the retry budget; the guard must not be held across I/O.
-    pub fn budget(&self) -> MutexGuard<'_, RetryBudget> {
-        self.budget.lock().unwrap_or_else(PoisonError::into_inner)
+    pub fn retry_budget(&self) -> MutexGuard<'_, RetryBudget> {
+        self.retry_budget
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
     }
 
     /// Allocates the number of the next request.
-    pub fn next_number(&self) -> u64 {
-        self.next_request.fetch_add(1, Ordering::Relaxed)
+    pub fn next_request_number(&self) -> u64 {
+        self.next_request_number.fetch_add(1, Ordering::Relaxed)
     }
 
     /// Returns the id of a request, which names the process that routes it.
--- a/entry/tests/command_line.rs
+++ b/entry/tests/command_line.rs
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn help_everywhere() {
+fn help_per_command() {
     let commands = [
         "serve", "front", "check", "label", "select", "apply", "show", "drain", "status", "explain",
     ];
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn check_names_everything() {
+fn every_problem_listed() {
     let file = std::env::temp_dir().join(format!("pitchhitch-check-{}.json", std::process::id()));
     std::fs::write(
         &file,
@@ -86,7 +86,7 @@
 ";
 
 #[test]
-fn story_from_logs() {
+fn trace_from_logs() {
     let file = std::env::temp_dir().join(format!("pitchhitch-log-{}.txt", std::process::id()));
     std::fs::write(&file, LOG_LINES).expect("file");
     let path = file.to_str().expect("path");
--- a/entry/tests/prefill_summary.rs
+++ b/entry/tests/prefill_summary.rs
@@ -47,8 +47,8 @@
 }
 
 #[test]
-fn causes_told_apart() {
-    let reads = PrefillSummary::read(log().as_bytes()).expect("lines");
+fn prefill_causes() {
+    let summary = PrefillSummary::read(log().as_bytes()).expect("lines");
     let expected = [
         (PrefillCause::First, 3, 2_000.0),
         (PrefillCause::InProgressSameFront, 1, 1_000.0),
@@ -57,13 +57,13 @@
         (PrefillCause::Expired, 1, 1_000.0),
     ];
     let expected = expected.map(|(cause, parts, tokens)| (cause, PrefillTotals { parts, tokens }));
-    assert_eq!(reads.by_cause, expected.into_iter().collect());
-    assert_eq!(reads.malformed_lines, 1);
+    assert_eq!(summary.by_cause, expected.into_iter().collect());
+    assert_eq!(summary.malformed_lines, 1);
 }
 
 /// Log lines of several fronts may arrive in any order.
 #[test]
-fn order_does_not_matter() {
+fn line_order_ignored() {
     let mut lines: Vec<String> = log().lines().map(|line| format!("{line}\n")).collect();
     lines.reverse();
     let reversed = PrefillSummary::read(lines.concat().as_bytes()).expect("lines");
@@ -74,7 +74,7 @@
 }
 
 #[test]
-fn command_tells() {
+fn causes_printed() {
     let file = std::env::temp_dir().join(format!("pitchhitch-reads-{}.txt", std::process::id()));
     std::fs::write(&file, log()).expect("file");
     let run = |args: &[&str]| {
@@ -84,7 +84,7 @@
     let path = file.to_str().expect("path");
     let output = run(&["explain", "--log", path, "--reads"]);
     std::fs::write(&file, "nonsense\n").expect("file");
-    let nothing = run(&["explain", "--log", path, "--reads"]);
+    let no_prefills = run(&["explain", "--log", path, "--reads"]);
     let no_log = run(&["explain", "--reads"]);
     std::fs::remove_file(&file).expect("removed");
     let text = String::from_utf8_lossy(&output.stdout).to_string();
@@ -93,8 +93,8 @@
         text.contains("1000 tokens        1 parts: read within 20 s"),
         "{text}"
     );
-    assert_eq!(nothing.status.code(), Some(1));
-    assert!(String::from_utf8_lossy(&nothing.stderr).contains("add the logs of all fronts"));
+    assert_eq!(no_prefills.status.code(), Some(1));
+    assert!(String::from_utf8_lossy(&no_prefills.stderr).contains("add the logs of all fronts"));
     assert!(!no_log.status.success());
     assert!(String::from_utf8_lossy(&no_log.stderr).contains("--log FILE"));
 }
