--- a/entry/src/cli/entry_process.rs
+++ b/entry/src/cli/entry_process.rs
@@ -57,7 +57,8 @@
 /// `SHUTDOWN_TIMEOUT` has passed.
 ///
 /// # Errors
-/// When an address cannot be bound or the signals cannot be watched.
+/// When an address cannot be bound, the metrics socket cannot be opened, or the control thread or
+/// the signal handlers cannot be set up.
 pub async fn run_entry(settings: EntrySettings) -> anyhow::Result<()> {
     let clock = ProcessClock::start();
     let caller_listener = bind(settings.callers)?;
--- a/entry/src/explain/log_line.rs
+++ b/entry/src/explain/log_line.rs
@@ -42,7 +42,7 @@
         self.field("time").unwrap_or_default()
     }
 
-    /// Returns the pairs without `time`, `level`, `event` and `request`, which are shown elsewhere.
+    /// Returns the pairs other than `time`, `level`, `event` and `request`, separated by spaces.
     pub fn details(&self) -> String {
         let common = ["time", "level", "event", "request"];
         let details = self
--- a/entry/src/openai/prompt_request.rs
+++ b/entry/src/openai/prompt_request.rs
@@ -16,7 +16,8 @@
     pub model: String,
     /// Whether the response is streamed.
     pub stream: bool,
-    /// Text of the whole prompt, as far as it determines the cached state.
+    /// Roles and texts of the messages, or the prompt's text or token ids (as little-endian bytes).
+    /// Other content, such as images, is left out.
     pub text: Vec<u8>,
 }
 
--- a/entry/src/operators/operator_server.rs
+++ b/entry/src/operators/operator_server.rs
@@ -119,8 +119,8 @@
     }
 }
 
-/// Responds with the routing decisions about a request. Its id names the process that made them; the
-/// request is forwarded there.
+/// Responds with the routing decisions about a request. The id of that request names the box of the
+/// entry process that made them; if that is another box, the query is forwarded to it.
 async fn explain_request(
     app: &EntryApp,
     conn: Conn,
--- a/entry/src/operators/status_report.rs
+++ b/entry/src/operators/status_report.rs
@@ -83,7 +83,7 @@
 }
 
 impl ControlStatus {
-    /// Reads them from the control state.
+    /// Reads the fields from the control state.
     pub fn read(
         core: &EntryCore,
         now: Micros,
--- a/entry/src/traffic/endpoint_link.rs
+++ b/entry/src/traffic/endpoint_link.rs
@@ -5,7 +5,7 @@
     std::sync::atomic::{AtomicBool, AtomicU32, AtomicU64, Ordering},
 };
 
-/// The link to an endpoint's agent, and the load that this process has in flight there.
+/// The connection to an endpoint's agent, and the load that this process has in flight there.
 #[derive(Debug)]
 pub struct EndpointLink {
     /// Id of the endpoint.
@@ -17,7 +17,7 @@
 }
 
 impl EndpointLink {
-    /// Creates a link that is not connected.
+    /// Creates a link without a connection.
     pub fn new(endpoint_id: &str) -> Self {
         EndpointLink {
             endpoint_id: endpoint_id.to_string(),
@@ -59,7 +59,8 @@
         }
     }
 
-    /// Records a request that is handed over to the agent, with its prompt tokens.
+    /// Records a request that is handed over to the agent, with the number of prompt tokens that
+    /// the endpoint is estimated to compute.
     pub fn record_sent(
         &self,
         tokens: u32,
@@ -68,7 +69,8 @@
         self.running.fetch_add(1, Ordering::Relaxed);
     }
 
-    /// Records that the prompt of a request is computed or never will be.
+    /// Removes the prompt tokens of a request from the load: its first token was received, or the
+    /// attempt ended without one.
     pub fn record_prefilled(
         &self,
         tokens: u32,
--- a/entry/tests/prefill_summary.rs
+++ b/entry/tests/prefill_summary.rs
@@ -1,4 +1,4 @@
-//! Causes for which shared parts of prompts were prefilled, from the log lines of all fronts.
+//! Why shared parts of prompts were prefilled, derived from the log lines of all fronts.
 
 use {
     pitchhitch_entry::explain::{PrefillCause, PrefillSummary, PrefillTotals},
@@ -31,7 +31,7 @@
     let lines = [
         sent("f1", 1_000, "r1", "aa:r,bb:r", 1),
         ended("r1", 400),
-        // The first request has not received its first event yet.
+        // Request r1 has no first token yet.
         sent("12.5 f1", 1_200, "r2", "aa:k,bb:r", 1),
         ended("r2", 100),
         sent("f2", 1_250, "r3", "aa:f,bb:r", 1),
