--- a/entry/src/traffic/endpoint_link.rs
+++ b/entry/src/traffic/endpoint_link.rs
@@ -5,23 +5,23 @@
     std::sync::atomic::{AtomicBool, AtomicU32, AtomicU64, Ordering},
 };
 
-/// The link to an endpoint's agent, and the load that this process has in flight there.
+/// The connection to an endpoint's agent, and the load that this process has in flight there.
 #[derive(Debug)]
 pub struct EndpointLink {
     /// Id of the endpoint.
     pub endpoint_id: String,
-    link: ArcSwapOption<AgentLink>,
+    connection: ArcSwapOption<AgentLink>,
     tokens: AtomicU64,
     running: AtomicU32,
     failed: AtomicBool,
 }
 
 impl EndpointLink {
-    /// Creates a link that is not connected.
+    /// Creates a link without a connection.
     pub fn new(endpoint_id: &str) -> Self {
         EndpointLink {
             endpoint_id: endpoint_id.to_string(),
-            link: ArcSwapOption::empty(),
+            connection: ArcSwapOption::empty(),
             tokens: AtomicU64::new(0),
             running: AtomicU32::new(0),
             failed: AtomicBool::new(false),
@@ -39,16 +39,16 @@
     }
 
     /// Replaces the connection to the agent; `None` when it is lost.
-    pub fn set(
+    pub fn set_connection(
         &self,
-        link: Option<AgentLink>,
+        connection: Option<AgentLink>,
     ) {
-        self.link.store(link.map(std::sync::Arc::new));
+        self.connection.store(connection.map(std::sync::Arc::new));
     }
 
     /// Returns the connection to the agent, if it is up.
-    pub fn get(&self) -> Option<std::sync::Arc<AgentLink>> {
-        self.link.load_full()
+    pub fn connection(&self) -> Option<std::sync::Arc<AgentLink>> {
+        self.connection.load_full()
     }
 
     /// Returns the load in flight.
@@ -59,7 +59,8 @@
         }
     }
 
-    /// Records a request that is handed over to the agent, with its prompt tokens.
+    /// Records a request that is handed over to the agent, with the number of prompt tokens that
+    /// the endpoint is estimated to compute.
     pub fn record_sent(
         &self,
         tokens: u32,
@@ -68,7 +69,8 @@
         self.running.fetch_add(1, Ordering::Relaxed);
     }
 
-    /// Records that the prompt of a request is computed or never will be.
+    /// Removes the prompt tokens of a request from the load: its first token was received, or the
+    /// attempt ended without one.
     pub fn record_prefilled(
         &self,
         tokens: u32,
