--- a/core/src/conf/fleet_config.rs
+++ b/core/src/conf/fleet_config.rs
@@ -33,20 +33,20 @@
 }
 
 fn set_or_remove<T>(
-    rows: &mut BTreeMap<String, T>,
+    objects: &mut BTreeMap<String, T>,
     what: &'static str,
     name: &str,
-    row: &Option<T>,
+    object: &Option<T>,
 ) -> Result<(), ChangeError>
 where
     T: Clone,
 {
-    match row {
-        Some(row) => {
-            rows.insert(name.to_string(), row.clone());
+    match object {
+        Some(object) => {
+            objects.insert(name.to_string(), object.clone());
             Ok(())
         }
-        None => rows
+        None => objects
             .remove(name)
             .map(|_| ())
             .ok_or_else(|| ChangeError::Unknown {
--- a/core/src/conf/label_target.rs
+++ b/core/src/conf/label_target.rs
@@ -27,24 +27,24 @@
     /// # Errors
     /// [`ChangeError::InvalidTarget`] for any other text.
     pub fn parse(text: &str) -> Result<Self, ChangeError> {
-        let bad = || ChangeError::InvalidTarget {
+        let invalid_target = || ChangeError::InvalidTarget {
             text: text.to_string(),
         };
-        let (kind, name) = text.split_once('/').ok_or_else(bad)?;
+        let (kind, name) = text.split_once('/').ok_or_else(invalid_target)?;
         if name.is_empty() {
-            return Err(bad());
+            return Err(invalid_target());
         }
         match kind {
             "endpoint" => Ok(LabelTarget::Endpoint(name.to_string())),
             "organisation" => Ok(LabelTarget::Organisation(name.to_string())),
             "version" => {
-                let (model, version) = name.split_once('/').ok_or_else(bad)?;
+                let (model, version) = name.split_once('/').ok_or_else(invalid_target)?;
                 Ok(LabelTarget::Version {
                     model: model.to_string(),
                     version: version.to_string(),
                 })
             }
-            _ => Err(bad()),
+            _ => Err(invalid_target()),
         }
     }
 }
--- a/core/src/kv_cache/piece_directory.rs
+++ b/core/src/kv_cache/piece_directory.rs
@@ -137,7 +137,7 @@
         }
         holders.retain(|h| !same_location(h, &holder));
         holders.push(holder);
-        self.replace(ShortKey::of(key), holders);
+        self.set_holders(ShortKey::of(key), holders);
     }
 
     /// Adds a holder, unless the piece is new and the directory is full.
@@ -161,7 +161,7 @@
         let before = holders.len();
         holders.retain(|h| !same_location(h, holder));
         if holders.len() != before {
-            self.replace(ShortKey::of(key), holders);
+            self.set_holders(ShortKey::of(key), holders);
         }
     }
 
@@ -197,11 +197,11 @@
         if let Ok(index) = bucket.binary_search_by_key(&key, |entry| entry.key) {
             let holders = bucket[index].holders.iter();
             let remaining: Vec<PieceHolder> = holders.filter(|holder| !is_stale(holder)).collect();
-            self.replace(key, remaining);
+            self.set_holders(key, remaining);
         }
     }
 
-    fn replace(
+    fn set_holders(
         &mut self,
         key: ShortKey,
         holders: Vec<PieceHolder>,
--- a/core/src/labels/label_set.rs
+++ b/core/src/labels/label_set.rs
@@ -51,11 +51,11 @@
 
 impl<K: Into<String>, V: Into<String>> FromIterator<(K, V)> for LabelSet {
     fn from_iter<I: IntoIterator<Item = (K, V)>>(pairs: I) -> Self {
-        let mut set = LabelSet::default();
+        let mut labels = LabelSet::default();
         for (key, value) in pairs {
-            set.set(key, value);
+            labels.set(key, value);
         }
-        set
+        labels
     }
 }
 
--- a/core/src/lease/lease_machine.rs
+++ b/core/src/lease/lease_machine.rs
@@ -131,8 +131,8 @@
             return Some(renewed);
         }
         let takeover_delay = self.times.duration + self.times.margin;
-        let lapsed = now.since(seen.unchanged_since) >= takeover_delay;
-        if row.holder.is_empty() || lapsed {
+        let expired = now.since(seen.unchanged_since) >= takeover_delay;
+        if row.holder.is_empty() || expired {
             return Some(LeaseRow {
                 holder: self.own_id.clone(),
                 epoch: row.epoch + 1,
--- a/core/src/limit/fair_queue.rs
+++ b/core/src/limit/fair_queue.rs
@@ -9,7 +9,7 @@
     pub tokens: u32,
     /// Time by which its response must have begun.
     pub deadline: Micros,
-    tag: f64,
+    start_tag: f64,
 }
 
 /// A start-time fair queue over organisations, weighted by tokens, so that the backlog
@@ -17,7 +17,7 @@
 #[derive(Debug, Clone)]
 pub struct FairQueue<K> {
     waiting: BTreeMap<String, Vec<QueuedWork<K>>>,
-    last_tags: BTreeMap<String, f64>,
+    finish_tags: BTreeMap<String, f64>,
     virtual_time: f64,
     length: usize,
     tokens: u64,
@@ -27,7 +27,7 @@
     fn default() -> Self {
         FairQueue {
             waiting: BTreeMap::new(),
-            last_tags: BTreeMap::new(),
+            finish_tags: BTreeMap::new(),
             virtual_time: 0.0,
             length: 0,
             tokens: 0,
@@ -59,16 +59,17 @@
         tokens: u32,
         deadline: Micros,
     ) {
-        let last = self.last_tags.get(organisation).copied().unwrap_or(0.0);
-        let tag = last.max(self.virtual_time);
-        let next = tag + f64::from(tokens.max(1));
-        self.last_tags.insert(organisation.to_string(), next);
+        let previous_finish = self.finish_tags.get(organisation).copied().unwrap_or(0.0);
+        let start_tag = previous_finish.max(self.virtual_time);
+        let finish_tag = start_tag + f64::from(tokens.max(1));
+        self.finish_tags
+            .insert(organisation.to_string(), finish_tag);
         let queue = self.waiting.entry(organisation.to_string()).or_default();
         queue.push(QueuedWork {
             key,
             tokens,
             deadline,
-            tag,
+            start_tag,
         });
         self.length += 1;
         self.tokens += u64::from(tokens);
@@ -78,14 +79,14 @@
     pub fn pop(&mut self) -> Option<QueuedWork<K>> {
         let heads = self.waiting.iter().filter_map(|(name, queue)| {
             let head = queue.first()?;
-            Some((name, head.tag))
+            Some((name, head.start_tag))
         });
         let next = heads.min_by(|a, b| a.1.total_cmp(&b.1));
         let organisation = next?.0.clone();
         let queue = self.waiting.get_mut(&organisation)?;
         let work = queue.remove(0);
-        self.virtual_time = self.virtual_time.max(work.tag);
-        self.update_totals(&organisation, &work);
+        self.virtual_time = self.virtual_time.max(work.start_tag);
+        self.on_removed(&organisation, &work);
         Some(work)
     }
 
@@ -103,7 +104,7 @@
         };
         if let Some(queue) = self.waiting.get_mut(&organisation) {
             let work = queue.remove(index);
-            self.update_totals(&organisation, &work);
+            self.on_removed(&organisation, &work);
         }
         true
     }
@@ -122,7 +123,7 @@
         self.waiting.values().flatten().map(|w| w.key).collect()
     }
 
-    fn update_totals(
+    fn on_removed(
         &mut self,
         organisation: &str,
         work: &QueuedWork<K>,
@@ -134,7 +135,7 @@
             self.waiting.remove(organisation);
         }
         if self.length == 0 {
-            self.last_tags.clear();
+            self.finish_tags.clear();
             self.virtual_time = 0.0;
         }
     }
--- a/core/src/limit/limit_table.rs
+++ b/core/src/limit/limit_table.rs
@@ -60,7 +60,7 @@
         now: Micros,
     ) -> Result<(), LimitRefusal> {
         let burst = (limits.burst * share).max(1.0);
-        let active = self.usages.values().filter(|u| u.running > 0).count() as u32;
+        let active_organisations = self.usages.values().filter(|u| u.running > 0).count() as u32;
         let entry = self.usages.entry(organisation.to_string());
         let usage = entry.or_insert_with(|| OrganisationUsage {
             bucket: RateBucket::full(burst, now),
@@ -73,13 +73,13 @@
                 retry_after: OVERLOAD_RETRY_AFTER,
             });
         }
-        let capacity = CapacityUsage {
+        let capacity_usage = CapacityUsage {
             running: self.running,
             capacity: self.capacity,
-            organisations: active + u32::from(usage.running == 0),
+            organisations: active_organisations + u32::from(usage.running == 0),
             own_running: usage.running,
         };
-        if !has_capacity(&capacity) {
+        if !has_capacity(&capacity_usage) {
             return Err(LimitRefusal {
                 kind: ErrorKind::Overloaded,
                 retry_after: OVERLOAD_RETRY_AFTER,
--- a/core/src/limit/rate_bucket.rs
+++ b/core/src/limit/rate_bucket.rs
@@ -38,7 +38,7 @@
             self.level -= 1.0;
             return Ok(());
         }
-        let missing = (1.0 - self.level) / rate.max(1e-3);
-        Err(Micros((missing * 1e6) as u64))
+        let wait_secs = (1.0 - self.level) / rate.max(1e-3);
+        Err(Micros((wait_secs * 1e6) as u64))
     }
 }
--- a/core/src/place/retention_decision.rs
+++ b/core/src/place/retention_decision.rs
@@ -42,10 +42,10 @@
     let saved_time = (tokens * case.token_cost - case.import_time).max(0.0);
     let saved = weights.first_token * saved_time + weights.recompute * tokens;
     let import_cost = weights.link * kib;
-    let gain = (saved - import_cost).max(0.0);
+    let gain_if_reused = (saved - import_cost).max(0.0);
     let export_cost = weights.link * kib;
     let storage_cost = STORAGE_COST * weights.link * kib;
-    let expected_gain = case.reuse_probability * gain - export_cost - storage_cost;
+    let expected_gain = case.reuse_probability * gain_if_reused - export_cost - storage_cost;
     let soon = case.expected_gap.is_none_or(|gap| gap < MEMORY_HORIZON);
     let tier = if soon {
         StoreTier::Memory
--- a/core/src/place/weight_load_planner.rs
+++ b/core/src/place/weight_load_planner.rs
@@ -41,8 +41,8 @@
         .collect();
     outdated.sort_by_key(|e| (e.running, e.endpoint));
     let available = MAX_CONCURRENT_LOADS.saturating_sub(loading);
-    let loads = outdated.into_iter().take(available);
-    loads
+    let selected = outdated.into_iter().take(available);
+    selected
         .map(|engine| WeightLoad {
             endpoint: engine.endpoint,
             version: engine.wanted.clone(),
--- a/core/src/retry/outlier_guard.rs
+++ b/core/src/retry/outlier_guard.rs
@@ -67,10 +67,10 @@
         &self,
         now: Micros,
     ) -> f32 {
-        let Some(since) = self.readmitted_at else {
+        let Some(readmitted_at) = self.readmitted_at else {
             return 1.0;
         };
-        let since_readmission = now.since(since);
+        let since_readmission = now.since(readmitted_at);
         if since_readmission >= SLOW_START_WINDOW {
             return 1.0;
         }
--- a/core/src/route/cost_estimate.rs
+++ b/core/src/route/cost_estimate.rs
@@ -227,16 +227,16 @@
     let queue = queue_time(load, candidate.sent);
     let token_cost = token_cost(load);
     let local = PrefillPlan::without_import(request, candidate.reused_pieces);
-    let local = local.cost(request, load, queue, token_cost);
+    let local_cost = local.cost(request, load, queue, token_cost);
     let Some(priced) = usable_offer(candidate, policy) else {
-        return local;
+        return local_cost;
     };
     let import = PrefillPlan::with_import(request, candidate.reused_pieces, &priced);
-    let import = import.cost(request, load, queue, token_cost);
+    let import_cost = import.cost(request, load, queue, token_cost);
     if policy == RoutePolicy::AlwaysImport {
-        import
+        import_cost
     } else {
-        local.min(import)
+        local_cost.min(import_cost)
     }
 }
 
--- a/core/src/route/prefix_reuse.rs
+++ b/core/src/route/prefix_reuse.rs
@@ -13,7 +13,7 @@
 #[derive(Debug, Clone, Default)]
 pub struct PrefixReuse {
     endpoints: Vec<EndpointPrefix>,
-    stores: Vec<ImportOffer>,
+    offers: Vec<ImportOffer>,
 }
 
 impl PrefixReuse {
@@ -59,7 +59,7 @@
             });
             return true;
         }
-        let known_prefix = self.endpoints.iter_mut().find(|r| r.endpoint == endpoint);
+        let known_prefix = self.endpoints.iter_mut().find(|p| p.endpoint == endpoint);
         match known_prefix {
             Some(known_prefix) if known_prefix.pieces == depth => {
                 known_prefix.pieces += 1;
@@ -76,14 +76,14 @@
         tier: StoreTier,
     ) -> bool {
         if depth == 0 {
-            self.stores.push(ImportOffer {
+            self.offers.push(ImportOffer {
                 store,
                 tier,
                 pieces: 1,
             });
             return true;
         }
-        let offer = self.stores.iter_mut().find(|o| o.store == store);
+        let offer = self.offers.iter_mut().find(|o| o.store == store);
         match offer {
             Some(offer) if offer.pieces == depth => {
                 offer.pieces += 1;
@@ -99,12 +99,12 @@
         &self,
         endpoint: EndpointKey,
     ) -> u32 {
-        let known_prefix = self.endpoints.iter().find(|r| r.endpoint == endpoint);
-        known_prefix.map_or(0, |r| r.pieces)
+        let known_prefix = self.endpoints.iter().find(|p| p.endpoint == endpoint);
+        known_prefix.map_or(0, |p| p.pieces)
     }
 
     /// Import offers of the store boxes.
     pub fn offers(&self) -> &[ImportOffer] {
-        &self.stores
+        &self.offers
     }
 }
--- a/core/src/route/route_pool.rs
+++ b/core/src/route/route_pool.rs
@@ -52,7 +52,7 @@
     ) -> PoolIndex {
         let mut index = PoolIndex::default();
         for version_target in version_targets(config) {
-            let members = pool_members(arena, &version_target);
+            let endpoints = target_endpoints(arena, &version_target);
             let mut shared: BTreeMap<Vec<&str>, Arc<RoutePool>> = BTreeMap::new();
             for organisation in config.organisations.keys() {
                 let work = work_labels(
@@ -62,10 +62,10 @@
                     &version_target.version,
                 );
                 let rules = effective_rules(config, &work);
-                let names: Vec<&str> = rules.iter().map(|r| r.name).collect();
+                let rule_names: Vec<&str> = rules.iter().map(|r| r.name).collect();
                 let pool = shared
-                    .entry(names)
-                    .or_insert_with(|| Arc::new(build_pool(arena, &members, &rules)));
+                    .entry(rule_names)
+                    .or_insert_with(|| Arc::new(build_pool(arena, &endpoints, &rules)));
                 let pools = index.pools.entry(organisation.clone()).or_default();
                 pools
                     .entry(version_target.target.clone())
@@ -106,7 +106,7 @@
     rule: &'a PlacementRule,
 }
 
-struct PoolMember {
+struct TargetEndpoint {
     key: EndpointKey,
     usable: bool,
 }
@@ -130,11 +130,11 @@
     targets
 }
 
-fn pool_members(
+fn target_endpoints(
     arena: &EndpointArena,
     version_target: &VersionTarget,
-) -> Vec<PoolMember> {
-    let mut members = Vec::new();
+) -> Vec<TargetEndpoint> {
+    let mut endpoints = Vec::new();
     for (key, state) in arena {
         let usable = match (&state.kind, &version_target.target) {
             (EndpointKind::Engine { model, version }, WorkTarget::Model(name)) if model == name => {
@@ -145,12 +145,12 @@
             }
             _ => continue,
         };
-        members.push(PoolMember {
+        endpoints.push(TargetEndpoint {
             key,
             usable: usable && !state.leaving,
         });
     }
-    members
+    endpoints
 }
 
 /// Labels of a request, as matched by the `work` selectors of rules.
@@ -188,10 +188,10 @@
         if !rule.work.matches(work) {
             continue;
         }
-        let best = effective.first().map(|r| r.rule.precedence);
-        match best {
-            Some(best) if rule.precedence < best => continue,
-            Some(best) if rule.precedence > best => effective.clear(),
+        let highest = effective.first().map(|r| r.rule.precedence);
+        match highest {
+            Some(highest) if rule.precedence < highest => continue,
+            Some(highest) if rule.precedence > highest => effective.clear(),
             _ => {}
         }
         effective.push(NamedRule { name, rule });
@@ -216,23 +216,23 @@
 
 fn build_pool(
     arena: &EndpointArena,
-    members: &[PoolMember],
+    endpoints: &[TargetEndpoint],
     rules: &[NamedRule<'_>],
 ) -> RoutePool {
     let mut pool = RoutePool {
-        known: members.len(),
+        known: endpoints.len(),
         ..RoutePool::default()
     };
-    for member in members {
-        let Some(state) = arena.get(member.key) else {
+    for endpoint in endpoints {
+        let Some(state) = arena.get(endpoint.key) else {
             continue;
         };
         if !is_admitted(&state.labels, rules) {
             continue;
         }
         pool.admitted += 1;
-        if member.usable {
-            pool.members.push(member.key);
+        if endpoint.usable {
+            pool.members.push(endpoint.key);
         }
     }
     pool
--- a/core/src/route/route_table.rs
+++ b/core/src/route/route_table.rs
@@ -60,7 +60,7 @@
 
 impl<'a> BestTwo<'a> {
     #[inline]
-    fn offer(
+    fn add(
         &mut self,
         candidate: Candidate<'a>,
     ) {
@@ -105,17 +105,17 @@
         let reuse = PrefixReuse::find(&self.pieces, request.pieces);
         let best = self.score_pool(request, pool, &reuse, sent);
         let first = best.first.ok_or(ErrorKind::NoneAvailable)?;
-        let explained = estimate(request, &first.state, self.policy);
+        let first_estimate = estimate(request, &first.state, self.policy);
         Ok(RouteChoice {
             endpoint: first.endpoint,
-            estimate: explained,
+            estimate: first_estimate,
             runner_up: best.second.map(|c| RunnerUp {
                 endpoint: c.endpoint,
                 estimate: estimate(request, &c.state, self.policy),
             }),
-            reason: self.reason(&explained, best.candidates),
+            reason: self.reason(&first_estimate, best.candidates),
             candidates: best.candidates,
-            imports: self.imports(request, &explained),
+            imports: self.imports(request, &first_estimate),
         })
     }
 
@@ -145,7 +145,7 @@
             };
             let jitter = 1.0 + JITTER_STEP * f64::from(random.gen::<u32>());
             let score = jitter * self.base_score(request, pool, position, &state);
-            best.offer(Candidate {
+            best.add(Candidate {
                 endpoint,
                 state,
                 score,
--- a/core/src/settings/settings_reader.rs
+++ b/core/src/settings/settings_reader.rs
@@ -210,10 +210,10 @@
         &mut self,
         field: &'static str,
         default: f64,
-        range: RangeInclusive<f64>,
+        bounds: RangeInclusive<f64>,
     ) -> f64 {
-        let parsed = self.fields.get(field).and_then(Value::as_str);
-        let number = match parsed {
+        let text = self.fields.get(field).and_then(Value::as_str);
+        let number = match text {
             Some("") => {
                 self.read_field(field);
                 return default;
@@ -224,7 +224,7 @@
         if let Some(number) = number {
             self.fields.insert(field.to_string(), Value::from(number));
         }
-        self.fraction(field, default, range)
+        self.fraction(field, default, bounds)
     }
 
     /// A value of any type that can be deserialized from JSON.
