--- a/core/src/conf/placement_rule.rs
+++ b/core/src/conf/placement_rule.rs
@@ -7,8 +7,8 @@
 ///
 /// Of the rules whose `work` selector matches a request, only those with the highest
 /// precedence apply. Among them `deny` overrides `allow`, and the endpoints of several
-/// `allow` rules are combined. If no rule matches, every endpoint of the model or
-/// service is admitted.
+/// `allow` rules are combined. If none of them is an `allow` rule, every endpoint of the
+/// model or service that is not denied is admitted.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct PlacementRule {
--- a/core/src/kv_cache/piece_directory.rs
+++ b/core/src/kv_cache/piece_directory.rs
@@ -53,7 +53,7 @@
     }
 }
 
-/// Maximum number of pieces in the directory.
+/// Maximum number of pieces in the directory; only [`PieceDirectory::add_bounded`] enforces it.
 const MAX_PIECES: usize = 400_000;
 /// Number of buckets; the leading bits of a key select its bucket.
 const BUCKET_COUNT: usize = 4_096;
--- a/core/src/labels/selector_term.rs
+++ b/core/src/labels/selector_term.rs
@@ -78,7 +78,7 @@
     /// Parses one term.
     ///
     /// # Errors
-    /// [`SelectorError`] if the text has an unknown form.
+    /// [`SelectorError`] if the text has an unknown form or contains an invalid label.
     pub fn parse(text: &str) -> Result<Self, SelectorError> {
         let text = text.trim();
         if let Some((key, values)) = text.split_once(" notin ") {
--- a/core/src/lease/lease_machine.rs
+++ b/core/src/lease/lease_machine.rs
@@ -163,7 +163,8 @@
         {
             self.held = None;
         }
-        // A free row may be acquired at once; a lease held by another process has to expire first.
+        // A free row can be acquired and an own lease renewed at once; a lease held by another
+        // process has to expire first.
         if row.holder.is_empty() || row.holder == self.own_id {
             self.next_step = requested_at;
         }
--- a/core/src/lease/lease_row.rs
+++ b/core/src/lease/lease_row.rs
@@ -3,7 +3,7 @@
 /// The table row that records the holder of a shard's lease.
 ///
 /// It contains no wall-clock time: other processes take over once the row has not
-/// changed for the lease duration, measured by their own clocks.
+/// changed for the lease duration plus a margin, measured by their own clocks.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct LeaseRow {
     /// Holder of the lease; empty after it was released.
--- a/core/src/place/retention_decision.rs
+++ b/core/src/place/retention_decision.rs
@@ -11,7 +11,7 @@
 pub struct RetentionCase {
     /// Probability that the prompt is reused.
     pub reuse_probability: f64,
-    /// Expected time until then, if known.
+    /// Expected time until the reuse, if known.
     pub expected_gap: Option<Micros>,
     /// Number of tokens whose state would be stored.
     pub tokens: u32,
--- a/core/src/place/reuse_model.rs
+++ b/core/src/place/reuse_model.rs
@@ -71,7 +71,7 @@
         counts.decay();
     }
 
-    /// Records that a prompt was forgotten without a further reuse.
+    /// Records that a prompt was evicted from the history without a further reuse.
     pub fn record_expiry(
         &mut self,
         label: &ReuseLabel,
--- a/core/src/place/store_inventory.rs
+++ b/core/src/place/store_inventory.rs
@@ -32,7 +32,7 @@
         self.length == 0
     }
 
-    /// Adds or replaces a sealed piece of a prompt.
+    /// Adds or replaces a sealed piece of the prompt with the key `identity`.
     pub fn add(
         &mut self,
         identity: PieceKey,
