--- a/core/src/lease/lease_machine.rs
+++ b/core/src/lease/lease_machine.rs
@@ -131,8 +131,8 @@
             return Some(renewed);
         }
         let takeover_delay = self.times.duration + self.times.margin;
-        let lapsed = now.since(seen.unchanged_since) >= takeover_delay;
-        if row.holder.is_empty() || lapsed {
+        let expired = now.since(seen.unchanged_since) >= takeover_delay;
+        if row.holder.is_empty() || expired {
             return Some(LeaseRow {
                 holder: self.own_id.clone(),
                 epoch: row.epoch + 1,
@@ -163,7 +163,8 @@
         {
             self.held = None;
         }
-        // A free row may be acquired at once; a lease held by another process has to expire first.
+        // A free row can be acquired and an own lease renewed at once; a lease held by another
+        // process has to expire first.
         if row.holder.is_empty() || row.holder == self.own_id {
             self.next_step = requested_at;
         }
