--- a/http1/src/body_decoder.rs
+++ b/http1/src/body_decoder.rs
@@ -1,7 +1,7 @@
 use super::{BodyFraming, HeadError};
 
 /// Maximum length of a chunk-size line, in bytes.
-const MAX_SIZE_LINE_BYTES: usize = 256;
+const MAX_PARTIAL_LINE_BYTES: usize = 256;
 /// Maximum total length of the trailer fields, in bytes.
 const MAX_TRAILER_BYTES: usize = 4_096;
 
@@ -110,8 +110,10 @@
     ) -> Result<usize, HeadError> {
         let Some(end) = input.iter().position(|byte| *byte == b'\n') else {
             self.line.extend_from_slice(input);
-            let within = self.line.len() <= MAX_SIZE_LINE_BYTES;
-            return within.then_some(input.len()).ok_or(HeadError::Malformed);
+            let is_within_limit = self.line.len() <= MAX_PARTIAL_LINE_BYTES;
+            return is_within_limit
+                .then_some(input.len())
+                .ok_or(HeadError::Malformed);
         };
         self.line.extend_from_slice(&input[..end]);
         let line = std::mem::take(&mut self.line);
--- a/http1/src/header_fields.rs
+++ b/http1/src/header_fields.rs
@@ -56,7 +56,7 @@
     ) -> Option<&[u8]> {
         let mut found = self
             .iter()
-            .filter(|(field, _)| field.eq_ignore_ascii_case(name.as_bytes()));
+            .filter(|(field_name, _)| field_name.eq_ignore_ascii_case(name.as_bytes()));
         found.next().map(|(_, value)| value)
     }
 
@@ -75,7 +75,7 @@
         name: &'a str,
     ) -> impl Iterator<Item = &'a [u8]> + 'a {
         self.iter()
-            .filter(move |(found, _)| found.eq_ignore_ascii_case(name.as_bytes()))
+            .filter(move |(field_name, _)| field_name.eq_ignore_ascii_case(name.as_bytes()))
             .map(|(_, value)| value)
     }
 
--- a/http1/src/http_client.rs
+++ b/http1/src/http_client.rs
@@ -48,10 +48,10 @@
     Broken(std::io::Error),
     /// No response before the timeout; the request may have been executed.
     #[error("no response before the timeout")]
-    Late,
+    TimedOut,
     /// The response is malformed or too large.
     #[error("malformed or oversized response")]
-    Unreadable,
+    InvalidResponse,
 }
 
 /// An HTTP client that sends one small request at a time over one persistent connection.
@@ -97,7 +97,7 @@
         let exchanged = exchange(self.address, self.timeout, idle, &request);
         let timed_out = async {
             Timer::after(timeout).await;
-            Err(HttpFailure::Late)
+            Err(HttpFailure::TimedOut)
         };
         let (response, connection) = futures_lite::future::or(exchanged, timed_out).await?;
         self.connection = connection;
@@ -135,8 +135,8 @@
         .write_all(&encode(address, request))
         .await
         .map_err(HttpFailure::Broken)?;
-    let (response, closes) = read_response(&mut connection).await?;
-    Ok((response, (!closes).then_some(connection)))
+    let (response, must_close) = read_response(&mut connection).await?;
+    Ok((response, (!must_close).then_some(connection)))
 }
 
 fn encode(
@@ -170,7 +170,7 @@
 ) -> Result<(HttpResponse, bool), HttpFailure> {
     let head = loop {
         let found = parse_response_head(connection.buffer(), MAX_HEAD_BYTES);
-        match found.map_err(|_| HttpFailure::Unreadable)? {
+        match found.map_err(|_| HttpFailure::InvalidResponse)? {
             Some((head, length)) => {
                 connection.consume(length);
                 if head.status >= 200 {
@@ -181,26 +181,27 @@
         }
     };
     let framing = BodyFraming::for_response(head.status, &head.fields);
-    let mut decoder = BodyDecoder::new(framing.map_err(|_| HttpFailure::Unreadable)?);
+    let mut decoder = BodyDecoder::new(framing.map_err(|_| HttpFailure::InvalidResponse)?);
     let mut body = Vec::new();
     loop {
         let used = decoder.decode(connection.buffer(), &mut body);
-        connection.consume(used.map_err(|_| HttpFailure::Unreadable)?);
+        connection.consume(used.map_err(|_| HttpFailure::InvalidResponse)?);
         if decoder.is_done() {
             break;
         }
         if body.len() > MAX_BODY_BYTES {
-            return Err(HttpFailure::Unreadable);
+            return Err(HttpFailure::InvalidResponse);
         }
         fill(connection).await?;
     }
-    let closes = head.fields.has_token("connection", "close") || !connection.buffer().is_empty();
+    let must_close =
+        head.fields.has_token("connection", "close") || !connection.buffer().is_empty();
     let response = HttpResponse {
         status: head.status,
         fields: head.fields,
         body,
     };
-    Ok((response, closes))
+    Ok((response, must_close))
 }
 
 async fn fill(connection: &mut TcpConnection) -> Result<(), HttpFailure> {
--- a/http1/src/path_server.rs
+++ b/http1/src/path_server.rs
@@ -11,17 +11,17 @@
 
 /// A minimal HTTP server for readiness checks, metrics and similar small requests.
 #[derive(Debug)]
-pub struct PathServer {
+pub struct ConnectionListener {
     listener: TcpListener,
 }
 
-impl PathServer {
+impl ConnectionListener {
     /// Listens on `address`.
     ///
     /// # Errors
     /// If the address cannot be bound.
     pub async fn bind(address: SocketAddr) -> std::io::Result<Self> {
-        Ok(PathServer {
+        Ok(ConnectionListener {
             listener: TcpListener::bind(address).await?,
         })
     }
@@ -56,13 +56,13 @@
     context: Rc<Context>,
     handler: PathHandler<Context>,
 ) -> std::io::Result<impl Future<Output = ()>> {
-    let bound = PathServer::bind(address).await;
-    let server = bound.map_err(|error| with_address(address, &error))?;
+    let bound = ConnectionListener::bind(address).await;
+    let listener = bound.map_err(|error| with_address(address, &error))?;
     let connections = LocalExecutor::new();
     Ok(async move {
         let accept = async {
             loop {
-                let connection = server.next().await;
+                let connection = listener.next().await;
                 let shared = context.clone();
                 let served = serve_connection(connection, move |target| handler(&shared, target));
                 connections.spawn(served).detach();
--- a/http1/src/tcp_connection.rs
+++ b/http1/src/tcp_connection.rs
@@ -27,7 +27,7 @@
 /// A TCP connection with a read buffer.
 #[derive(Debug)]
 pub struct TcpConnection {
-    io: Async<TcpStream>,
+    stream: Async<TcpStream>,
     buffer: Vec<u8>,
 }
 
@@ -37,13 +37,13 @@
     /// # Errors
     /// If a socket option cannot be set.
     pub fn new(
-        io: Async<TcpStream>,
+        stream: Async<TcpStream>,
         keepalive: &TcpKeepalive,
     ) -> io::Result<Self> {
-        io.get_ref().set_nodelay(true)?;
-        keepalive.apply_to(io.get_ref())?;
+        stream.get_ref().set_nodelay(true)?;
+        keepalive.apply_to(stream.get_ref())?;
         Ok(TcpConnection {
-            io,
+            stream,
             buffer: Vec::new(),
         })
     }
@@ -60,13 +60,14 @@
             Timer::after(timeout).await;
             Err(ErrorKind::TimedOut.into())
         };
-        let io = futures_lite::future::or(Async::<TcpStream>::connect(address), timed_out).await?;
-        TcpConnection::new(io, &TcpKeepalive::OUTBOUND)
+        let stream =
+            futures_lite::future::or(Async::<TcpStream>::connect(address), timed_out).await?;
+        TcpConnection::new(stream, &TcpKeepalive::OUTBOUND)
     }
 
     /// The underlying socket, for its options.
     pub fn socket(&self) -> &TcpStream {
-        self.io.get_ref()
+        self.stream.get_ref()
     }
 
     /// Bytes read but not consumed yet.
@@ -98,7 +99,7 @@
         &self,
         context: &mut Context<'_>,
     ) -> Poll<io::Result<()>> {
-        self.io.poll_readable(context)
+        self.stream.poll_readable(context)
     }
 
     /// Reads once without waiting: `None` if no data is available, 0 at the end of the stream.
@@ -108,7 +109,7 @@
     pub fn try_read(&mut self) -> io::Result<Option<usize>> {
         let filled = self.buffer.len();
         self.buffer.resize(filled + MAX_READ_BYTES, 0);
-        let outcome = self.io.get_ref().read(&mut self.buffer[filled..]);
+        let outcome = self.stream.get_ref().read(&mut self.buffer[filled..]);
         let count = *outcome.as_ref().unwrap_or(&0);
         self.buffer.truncate(filled + count);
         match outcome {
@@ -127,7 +128,7 @@
             if let Some(count) = self.try_read()? {
                 return Ok(count);
             }
-            poll_fn(|context| self.io.poll_readable(context)).await?;
+            poll_fn(|context| self.stream.poll_readable(context)).await?;
         }
     }
 
@@ -139,7 +140,7 @@
         &self,
         bytes: &[u8],
     ) -> io::Result<usize> {
-        match self.io.get_ref().write(bytes) {
+        match self.stream.get_ref().write(bytes) {
             Ok(count) => Ok(count),
             Err(error) if is_transient(&error) => Ok(0),
             Err(error) => Err(error),
@@ -151,7 +152,7 @@
         &self,
         context: &mut Context<'_>,
     ) -> Poll<io::Result<()>> {
-        self.io.poll_writable(context)
+        self.stream.poll_writable(context)
     }
 
     /// Writes all bytes.
@@ -167,7 +168,7 @@
             let count = self.try_write(remaining)?;
             remaining = &remaining[count..];
             if !remaining.is_empty() {
-                poll_fn(|context| self.io.poll_writable(context)).await?;
+                poll_fn(|context| self.stream.poll_writable(context)).await?;
             }
         }
         Ok(())
--- a/http1/tests/body_frames.rs
+++ b/http1/tests/body_frames.rs
@@ -27,7 +27,7 @@
     #[test]
     fn chunks_rejoined(
         parts in proptest::collection::vec(proptest::collection::vec(any::<u8>(), 1..40), 0..8),
-        cut in 1usize..20,
+        piece_length in 1usize..20,
     ) {
         let mut wire = Vec::new();
         for part in &parts {
@@ -36,7 +36,7 @@
         wire.extend_from_slice(LAST_CHUNK);
         let length = wire.len();
         wire.extend_from_slice(b"NEXT");
-        let pieces: Vec<&[u8]> = wire.chunks(cut).collect();
+        let pieces: Vec<&[u8]> = wire.chunks(piece_length).collect();
         let (body, is_done, used) = decode(BodyFraming::Chunked, &pieces).expect("valid");
         prop_assert_eq!(body, parts.concat());
         prop_assert!(is_done);
--- a/http1/tests/tcp_keepalive.rs
+++ b/http1/tests/tcp_keepalive.rs
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn keepalive_set_on_both_ends() {
+fn keepalive_enabled() {
     smol::block_on(async {
         let listener = Async::<TcpListener>::bind(ANY_LOCAL_PORT).expect("a port");
         let address = listener.get_ref().local_addr().expect("an address");
--- a/process/src/process_clock.rs
+++ b/process/src/process_clock.rs
@@ -14,8 +14,8 @@
 /// its knowledge of keys, weights and leases ten seconds fresher than it is.
 #[derive(Debug, Clone, Copy)]
 pub struct ProcessClock {
-    read: ClockSource,
-    started: Duration,
+    source: ClockSource,
+    started_at: Duration,
     incarnation: u64,
 }
 
@@ -26,18 +26,18 @@
     }
 
     /// Starts a clock that reads the given source.
-    pub fn start_with(read: ClockSource) -> Self {
+    pub fn start_with(source: ClockSource) -> Self {
         let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH);
         ProcessClock {
-            read,
-            started: read(),
+            source,
+            started_at: source(),
             incarnation: since_epoch.map_or(1, |d| d.as_micros() as u64),
         }
     }
 
     /// Time since the start.
     pub fn now(&self) -> Micros {
-        let elapsed = (self.read)().saturating_sub(self.started);
+        let elapsed = (self.source)().saturating_sub(self.started_at);
         Micros(elapsed.as_micros() as u64)
     }
 
@@ -48,8 +48,8 @@
 }
 
 fn since_boot() -> Duration {
-    let read = clock_gettime(ClockId::Boottime);
-    Duration::new(read.tv_sec as u64, read.tv_nsec as u32)
+    let uptime = clock_gettime(ClockId::Boottime);
+    Duration::new(uptime.tv_sec as u64, uptime.tv_nsec as u32)
 }
 
 /// Seconds since the Unix epoch by the wall clock, for timestamps that people read.
--- a/process/tests/suspended_box.rs
+++ b/process/tests/suspended_box.rs
@@ -15,15 +15,15 @@
 static CLOCK_SUSPENDED: AtomicU64 = AtomicU64::new(0);
 static TIMER_SUSPENDED: AtomicU64 = AtomicU64::new(0);
 
-fn ahead_by(suspended: &AtomicU64) -> Duration {
+fn clock_ahead_by(suspended: &AtomicU64) -> Duration {
     let since_epoch = std::time::SystemTime::UNIX_EPOCH.elapsed();
     let ahead = Duration::from_millis(suspended.load(Ordering::SeqCst));
     since_epoch.expect("after 1970") + ahead
 }
 
 #[test]
-fn clock_goes_on() {
-    let clock = ProcessClock::start_with(|| ahead_by(&CLOCK_SUSPENDED));
+fn clock_counts_suspension() {
+    let clock = ProcessClock::start_with(|| clock_ahead_by(&CLOCK_SUSPENDED));
     let before = clock.now();
     CLOCK_SUSPENDED.store(10_000, Ordering::SeqCst);
     assert!(clock.now().since(before) >= Micros::from_secs(10));
@@ -32,8 +32,8 @@
 /// A deadline that passed during the suspension ends at the resume, not later by the length
 /// of the suspension.
 #[test]
-fn deadline_holds() {
-    let clock = ProcessClock::start_with(|| ahead_by(&TIMER_SUSPENDED));
+fn suspended_deadline_ends() {
+    let clock = ProcessClock::start_with(|| clock_ahead_by(&TIMER_SUSPENDED));
     let timer = DeadlineTimer::after(clock, Duration::from_secs(3_600));
     TIMER_SUSPENDED.store(3_600_000, Ordering::SeqCst);
     smol::block_on(timer);
@@ -42,13 +42,13 @@
 
 /// The timer does not end early.
 #[test]
-fn ends_no_sooner() {
+fn timer_not_early() {
     let clock = ProcessClock::start();
     let mut timer = DeadlineTimer::after(clock, Duration::from_secs(60));
     timer.set_after(Duration::from_millis(1_100));
-    let from = Instant::now();
+    let started = Instant::now();
     smol::block_on(timer);
-    assert!(from.elapsed() >= Duration::from_millis(1_100));
+    assert!(started.elapsed() >= Duration::from_millis(1_100));
 }
 
 /// The process clock follows the system's time since boot.
--- a/services/src/http/service_client.rs
+++ b/services/src/http/service_client.rs
@@ -17,7 +17,7 @@
 #[derive(Debug, Clone)]
 pub struct ServiceClient {
     client: Client,
-    base: String,
+    base_url: String,
     timeout: Duration,
 }
 
@@ -47,7 +47,7 @@
     ) -> Self {
         ServiceClient {
             client: Client::new(ClientConfig::new().with_nodelay(true)).with_default_pool(),
-            base: format!("http://{address}"),
+            base_url: format!("http://{address}"),
             timeout,
         }
     }
@@ -59,7 +59,7 @@
         path: &str,
     ) -> Conn {
         self.client
-            .build_conn(method, format!("{}{path}", self.base))
+            .build_conn(method, format!("{}{path}", self.base_url))
     }
 
     /// Sends a request and reads the whole response.
@@ -143,7 +143,7 @@
         response: &HttpResponse,
     ) -> Result<Res, CallError> {
         serde_json::from_slice(&response.body).map_err(|e| CallError::InvalidResponse {
-            url: format!("{}{path}", self.base),
+            url: format!("{}{path}", self.base_url),
             reason: e.to_string(),
         })
     }
