--- a/http1/src/body_decoder.rs
+++ b/http1/src/body_decoder.rs
@@ -1,6 +1,6 @@
 use super::{BodyFraming, HeadError};
 
-/// Maximum length of a chunk-size line, in bytes.
+/// Maximum length of a line of chunked framing whose end has not been received, in bytes.
 const MAX_PARTIAL_LINE_BYTES: usize = 256;
 /// Maximum total length of the trailer fields, in bytes.
 const MAX_TRAILER_BYTES: usize = 4_096;
--- a/http1/src/http_client.rs
+++ b/http1/src/http_client.rs
@@ -84,7 +84,7 @@
     }
 
     /// Sends a request and reads the whole response. After a failure the next request opens a new
-    /// connection, so that a late response is never mistaken for its own.
+    /// connection, so that it cannot receive a late response to the failed one.
     ///
     /// # Errors
     /// [`HttpFailure`] if no complete response was received.
--- a/http1/src/path_server.rs
+++ b/http1/src/path_server.rs
@@ -9,7 +9,7 @@
 /// Time after which an idle connection is closed.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// A minimal HTTP server for readiness checks, metrics and similar small requests.
+/// Accepts connections for readiness checks, metrics and similar small requests.
 #[derive(Debug)]
 pub struct ConnectionListener {
     listener: TcpListener,
--- a/http1/src/tcp_connection.rs
+++ b/http1/src/tcp_connection.rs
@@ -94,7 +94,7 @@
         }
     }
 
-    /// Ready once the socket is readable; a single registration lasts until then.
+    /// Ready once the socket is readable; the waker of a pending poll stays registered until then.
     pub fn poll_readable(
         &self,
         context: &mut Context<'_>,
--- a/process/src/bounded_output.rs
+++ b/process/src/bounded_output.rs
@@ -5,7 +5,7 @@
 
 /// Maximum number of buffered bytes, about one second of log lines of a busy box.
 const MAX_BUFFERED_BYTES: usize = 128 << 10;
-/// Buffered bytes from which lines are written, so that one system call carries many lines.
+/// Buffer length at which lines are written, so that one system call writes many lines.
 const FLUSH_THRESHOLD_BYTES: usize = 8 << 10;
 
 /// Non-blocking standard output with a bounded buffer: lines that do not fit are counted and
--- a/process/src/process_clock.rs
+++ b/process/src/process_clock.rs
@@ -11,7 +11,7 @@
 /// suspended.
 ///
 /// `CLOCK_MONOTONIC` stops during suspension: after ten seconds of it, a box would consider
-/// its knowledge of keys, weights and leases ten seconds fresher than it is.
+/// its data on keys, weights and leases ten seconds more recent than it is.
 #[derive(Debug, Clone, Copy)]
 pub struct ProcessClock {
     source: ClockSource,
@@ -41,7 +41,7 @@
         Micros(elapsed.as_micros() as u64)
     }
 
-    /// Start time of the process, in microseconds since the Unix epoch.
+    /// Identifies this run of the process: its start time, in microseconds since the Unix epoch.
     pub fn incarnation(&self) -> u64 {
         self.incarnation
     }
