--- a/http1/src/lib.rs
+++ b/http1/src/lib.rs
@@ -6,15 +6,15 @@
 
 mod body_decoder;
 mod body_framing;
+mod connection_listener;
 mod head_error;
 mod head_parser;
 mod header_fields;
 mod http_client;
-mod path_server;
 mod tcp_connection;
 mod tcp_keepalive;
 
 pub use {
-    body_decoder::*, body_framing::*, head_error::*, head_parser::*, header_fields::*,
-    http_client::*, path_server::*, tcp_connection::*, tcp_keepalive::*,
+    body_decoder::*, body_framing::*, connection_listener::*, head_error::*, head_parser::*,
+    header_fields::*, http_client::*, tcp_connection::*, tcp_keepalive::*,
 };
