--- a/core/src/serving/admission_controller.rs
+++ b/core/src/serving/admission_controller.rs
@@ -22,8 +22,8 @@
 const MAX_WAITING_FRACTION: f64 = 0.2;
 /// Fraction of the cached tokens of a prompt that reduces the free memory it needs: other running
 /// prompts share some of these tokens, and none have to be prefilled. Prompts that return to such
-/// an engine are admitted before prompts that would evict its cache. In replays, a fraction
-/// of 1 served less on engines that were short of memory.
+/// an engine are admitted before prompts that would evict its cache. A fraction of 1 would admit
+/// too much to engines that are short of memory.
 const CACHED_FRACTION: f64 = 0.6;
 /// Weight of one large prompt in the moving average of the memory shortage.
 const SHORTAGE_SMOOTHING: f64 = 0.03;
--- a/core/src/serving/latency_estimator.rs
+++ b/core/src/serving/latency_estimator.rs
@@ -39,7 +39,7 @@
 /// prefill, by linear regression.
 ///
 /// Decisions use these estimates instead of constants, as a constant fits one kind of engine only:
-/// on slower engines more prompts were late.
+/// on slower engines more prompts would be late.
 #[derive(Debug, Clone)]
 pub struct LatencyEstimator {
     sum_weight: f64,
--- a/entry/src/front/front_settings.rs
+++ b/entry/src/front/front_settings.rs
@@ -82,8 +82,8 @@
 const LIST_POLL_PERCENT: u64 = 40;
 /// Duration of a long poll for changes of the configuration, in percent of the limit on the age of
 /// keys. A response proves freshness as of the time of its request, so a box that loses the store
-/// serves callers with keys only for the rest of the limit. In a replayed outage of 6 s with keys
-/// that fail closed, a quarter of the limit scored better than a third.
+/// serves callers with keys only for the rest of the limit. A third would leave too little for an
+/// outage of 6 s where keys fail closed.
 const CONFIG_POLL_PERCENT: u64 = 25;
 /// Maximum interval between two reads of the endpoint list, even if endpoints may take longer to
 /// leave: the list also shows new endpoints.
--- a/entry/src/front/kv_store_watch.rs
+++ b/entry/src/front/kv_store_watch.rs
@@ -15,8 +15,8 @@
 pub(super) const CALL_TIMEOUT: Duration = Duration::from_millis(500);
 /// Delay after a store has refused a request because too many are pending.
 const BUSY_RETRY_DELAY: Micros = Micros::from_millis(120);
-/// Time for which a store is not polled after a report of another process's read: long
-/// enough for two digests.
+/// Time for which a store is not polled after a report of another process's read: long enough for
+/// two digests.
 const REPORT_TTL: Micros = Micros::from_millis(1_300);
 /// Interval of checks for new stores.
 const DISCOVERY_INTERVAL: Micros = Micros::from_millis(60);
--- a/testbed/examples/figures/bench_setup.rs
+++ b/testbed/examples/figures/bench_setup.rs
@@ -1,4 +1,4 @@
-//! The deployment and requests of the benchmarks, and the rows of the table.
+//! Deployment and requests for the measurements, and the rows of the table.
 
 use {
     hdrhistogram::Histogram,
